--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -19,7 +19,7 @@
 import gladelug.data.index.HttpHolderFeeds;
 import gladelug.data.index.IndexService;
 import gladelug.data.relay.ChoiceMode;
-import gladelug.data.relay.OwnProtocol;
+import gladelug.data.relay.NativeProtocol;
 import gladelug.data.relay.RelayService;
 import gladelug.data.relay.RelaySettings;
 import gladelug.data.state.StateSubscriptionService;
@@ -205,21 +205,24 @@
               clock,
               p.name,
               p.zone,
-              new OwnProtocol(p.callers),
+              new NativeProtocol(p.callers),
               p.index,
-              RelaySettings.builder().queueMost(p.queue).alone(p.division.equals("alone")).build(),
+              RelaySettings.builder()
+                  .maxQueuedRequests(p.queue)
+                  .localSharesOnly(p.division.equals("alone"))
+                  .build(),
               MODES.get(p.choice),
-              RelayService.Ends.USUAL);
+              RelayService.ShutdownTimes.DEFAULT);
       registry
           .add(
               "status-door",
               new StatusEndpoint(
                   vertx,
                   p.operator,
-                  r::unready,
+                  r::unreadyReason,
                   r::status,
                   t -> {
-                    r.routes(t);
+                    r.registerRoutes(t);
                     reasons.routes(t);
                   }))
           .add("relay", r);
@@ -237,6 +240,6 @@
               new StatusEndpoint(vertx, p.operator, () -> "", x::status, reasons::routes))
           .add("index", x);
     }
-    Program.run("data-plane", registry, RelayService.DRAIN + 2000);
+    Program.run("data-plane", registry, RelayService.DRAIN_MS + 2000);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Backends.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Backends.java
@@ -31,26 +31,26 @@
  */
 public final class Backends {
   /** Asks a replica for its load; told is given the answer, or null where none came. */
-  public interface Asker {
-    void load(Replica of, Consumer<io.vertx.core.json.JsonObject> told);
+  public interface LoadProbe {
+    void probe(Replica replica, Consumer<io.vertx.core.json.JsonObject> onAnswer);
   }
 
-  public static final long PERIOD = 250;
-  private static final int LOAD_BYTES = 1 << 16, LOAD_MS = 1000;
+  public static final long POLL_INTERVAL_MS = 250;
+  private static final int MAX_LOAD_ANSWER_BYTES = 1 << 16, LOAD_TIMEOUT_MS = 1000;
   private final Clock clock;
-  private final Asker asker;
-  private final Runnable changed;
-  private final Map<String, Backend> all = new HashMap<>();
+  private final LoadProbe loadProbe;
+  private final Runnable onChange;
+  private final Map<String, Backend> byInstance = new HashMap<>();
   private Map<String, List<Backend>> byService = Map.of();
 
   /** asker is null where replicas don't report and are known by the list and their answers. */
-  public Backends(Clock clock, Asker asker, Runnable changed) {
+  public Backends(Clock clock, LoadProbe loadProbe, Runnable onChange) {
     this.clock = clock;
-    this.changed = changed;
-    this.asker = asker;
+    this.onChange = onChange;
+    this.loadProbe = loadProbe;
   }
 
-  static Backends overHttp(Vertx vertx, BindAddress local, Clock clock, Runnable changed) {
+  static Backends overHttp(Vertx vertx, BindAddress local, Clock clock, Runnable onChange) {
     BoundedHttpCalls calls =
         new BoundedHttpCalls(
             vertx.getDelegate(),
@@ -60,20 +60,22 @@
                     .setMaxPoolSize(2)
                     .setKeepAlive(true)),
             MemoryBudget.ofAnswers());
-    Backends b =
+    Backends backends =
         new Backends(
             clock,
-            (replica, told) ->
+            (replica, onAnswer) ->
                 calls
-                    .send(loadCall(replica), LOAD_BYTES, LOAD_MS)
+                    .send(loadRequest(replica), MAX_LOAD_ANSWER_BYTES, LOAD_TIMEOUT_MS)
                     .subscribe()
-                    .with(answer -> told.accept(load(answer)), failure -> told.accept(null)),
-            changed);
-    vertx.setPeriodic(PERIOD, i -> b.askAll());
-    return b;
+                    .with(
+                        answer -> onAnswer.accept(parseLoad(answer)),
+                        failure -> onAnswer.accept(null)),
+            onChange);
+    vertx.setPeriodic(POLL_INTERVAL_MS, i -> backends.pollAll());
+    return backends;
   }
 
-  private static RequestOptions loadCall(Replica replica) {
+  private static RequestOptions loadRequest(Replica replica) {
     return new RequestOptions()
         .setHost(replica.address().host())
         .setPort(replica.address().port())
@@ -81,7 +83,7 @@
   }
 
   /** What a replica says of its load; empty where that makes no sense. */
-  private static io.vertx.core.json.JsonObject load(HttpAnswer answer) {
+  private static io.vertx.core.json.JsonObject parseLoad(HttpAnswer answer) {
     try (answer) {
       return answer.status() == 200
           ? new io.vertx.core.json.JsonObject(answer.body())
@@ -91,130 +93,136 @@
     }
   }
 
-  public void askAll() {
-    for (Backend backend : all.values()) ask(backend);
+  public void pollAll() {
+    for (Backend backend : byInstance.values()) poll(backend);
   }
 
-  public void tables(ControlStateSnapshot snapshot) {
-    Set<String> listed = new HashSet<>();
-    Map<String, List<Backend>> by = new HashMap<>();
-    for (Replica r : snapshot.replicas().all) {
-      Configuration.Service s = snapshot.configuration().service(r.service());
-      if (s == null || s.kind() == Configuration.Kind.STORE || !s.allows(r.address())) continue;
-      listed.add(r.instance());
-      Backend backend = all.get(r.instance());
+  public void applySnapshot(ControlStateSnapshot snapshot) {
+    Set<String> listedInstances = new HashSet<>();
+    Map<String, List<Backend>> readyByService = new HashMap<>();
+    for (Replica replica : snapshot.replicas().all) {
+      Configuration.Service service = snapshot.configuration().service(replica.service());
+      if (service == null
+          || service.kind() == Configuration.Kind.STORE
+          || !service.allows(replica.address())) continue;
+      listedInstances.add(replica.instance());
+      Backend backend = byInstance.get(replica.instance());
       if (backend == null
-          || !backend.replica.address().equals(r.address())
-          || !backend.replica.service().equals(r.service())) {
-        all.put(r.instance(), backend = new Backend(r, asker != null));
-        if (asker != null) ask(backend);
+          || !backend.replica.address().equals(replica.address())
+          || !backend.replica.service().equals(replica.service())) {
+        byInstance.put(replica.instance(), backend = new Backend(replica, loadProbe != null));
+        if (loadProbe != null) poll(backend);
       }
-      backend.replica = r;
-      if (asker == null) backend.listed(r, s, clock.now());
-      if (r.ready()) by.computeIfAbsent(r.service(), x -> new ArrayList<>()).add(backend);
+      backend.replica = replica;
+      if (loadProbe == null) backend.applyListing(replica, service, clock.now());
+      if (replica.ready())
+        readyByService.computeIfAbsent(replica.service(), x -> new ArrayList<>()).add(backend);
     }
     // who is listed no more gets nothing new, but is asked on while requests of ours run there
-    for (Backend backend : all.values()) {
-      Configuration.Service s = snapshot.configuration().service(backend.replica.service());
-      if (backend.mine > 0 && s != null && s.allows(backend.replica.address()))
-        listed.add(backend.replica.instance());
+    for (Backend backend : byInstance.values()) {
+      Configuration.Service service = snapshot.configuration().service(backend.replica.service());
+      if (backend.ownRequests > 0 && service != null && service.allows(backend.replica.address()))
+        listedInstances.add(backend.replica.instance());
     }
-    all.keySet().retainAll(listed);
-    byService = by;
-    changed.run();
+    byInstance.keySet().retainAll(listedInstances);
+    byService = readyByService;
+    onChange.run();
   }
 
-  public List<Backend> of(String service) {
+  public List<Backend> readyReplicas(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
   /** Of the weights replicas tell of for a model, the newest; empty where none does. */
-  public String newest(String model) {
-    return newestBelow(model, "");
+  public String newestWeights(String model) {
+    return newestWeightsBefore(model, "");
   }
 
   /** The newest that come before those given; any where those are empty. */
-  public String newestBelow(String model, String below) {
-    String best = "";
-    for (Backend backend : all.values()) {
-      String w = backend.weights(model);
-      if (!w.isEmpty()
-          && (below.isEmpty() || Backend.newer(below, w))
-          && (best.isEmpty() || Backend.newer(w, best))) best = w;
+  public String newestWeightsBefore(String model, String below) {
+    String newest = "";
+    for (Backend backend : byInstance.values()) {
+      String weights = backend.reportedWeights(model);
+      if (!weights.isEmpty()
+          && (below.isEmpty() || Backend.isNewer(below, weights))
+          && (newest.isEmpty() || Backend.isNewer(weights, newest))) newest = weights;
     }
-    return best;
+    return newest;
   }
 
   /** Places free at those replicas of a service. */
-  public int free(String service, Predicate<Backend> which) {
-    long t = clock.now();
-    int n = 0;
-    for (Backend backend : of(service))
-      if (backend.usable(t) && which.test(backend)) n += backend.free();
-    return n;
+  public int freeSlots(String service, Predicate<Backend> filter) {
+    long nowMs = clock.now();
+    int slots = 0;
+    for (Backend backend : readyReplicas(service))
+      if (backend.isUsable(nowMs) && filter.test(backend)) slots += backend.freeSlots();
+    return slots;
   }
 
-  private void ask(Backend backend) {
-    int mine = backend.mine;
-    asker.load(
+  private void poll(Backend backend) {
+    int ownRequestsAtPoll = backend.ownRequests;
+    loadProbe.probe(
         backend.replica,
         json -> {
-          if (all.get(backend.replica.instance()) != backend) return;
+          if (byInstance.get(backend.replica.instance()) != backend) return;
           if (json == null) Log.fine("occupancy-silent", "instance", backend.replica.instance());
-          else told(backend, json, mine);
+          else applyReport(backend, json, ownRequestsAtPoll);
         });
   }
 
-  private void told(Backend backend, io.vertx.core.json.JsonObject json, int mine) {
+  private void applyReport(
+      Backend backend, io.vertx.core.json.JsonObject json, int ownRequestsAtPoll) {
     try {
       if (!backend.replica.instance().equals(json.getString("instance"))
           || !backend.replica.service().equals(json.getString("service"))) {
-        backend.known = false;
+        backend.stateKnown = false;
         return;
       }
-      backend.weights =
+      backend.weightsByModel =
           new HashMap<>(Map.of(backend.replica.service(), json.getString("weights", "")));
-      backend.slots = within(json.getInteger("slots", 1), 1, 4096);
-      backend.blockBytes = within(json.getInteger("blockBytes", 256), 16, 65536);
-      backend.unitMs = Math.max(0.001, Math.min(10_000, json.getDouble("msPerBlock", 1.0)));
-      backend.waitMs = Math.max(0, Math.min(600_000, json.getDouble("waitMs", 0.0)));
-      backend.reported =
-          within(json.getInteger("running", 0) + json.getInteger("waiting", 0), 0, 100_000);
-      backend.mineAtReport = mine;
-      backend.addedMs = 0;
-      Map<String, Double> l = new HashMap<>();
+      backend.slots = clamp(json.getInteger("slots", 1), 1, 4096);
+      backend.blockBytes = clamp(json.getInteger("blockBytes", 256), 16, 65536);
+      backend.computeMsPerUnit =
+          Math.max(0.001, Math.min(10_000, json.getDouble("msPerBlock", 1.0)));
+      backend.reportedWaitMs = Math.max(0, Math.min(600_000, json.getDouble("waitMs", 0.0)));
+      backend.reportedRequests =
+          clamp(json.getInteger("running", 0) + json.getInteger("waiting", 0), 0, 100_000);
+      backend.ownRequestsAtReport = ownRequestsAtPoll;
+      backend.addedWorkMs = 0;
+      Map<String, Double> linkMs = new HashMap<>();
       io.vertx.core.json.JsonObject links = json.getJsonObject("links");
       if (links != null)
-        for (String k : links.fieldNames()) l.put(k, Math.max(0.001, links.getDouble(k)));
-      backend.links = l;
-      backend.known = true;
-      backend.reportedAt = clock.now();
-      changed.run();
+        for (String holder : links.fieldNames())
+          linkMs.put(holder, Math.max(0.001, links.getDouble(holder)));
+      backend.linkMsByHolder = linkMs;
+      backend.stateKnown = true;
+      backend.reportedAtMs = clock.now();
+      onChange.run();
     } catch (RuntimeException e) {
-      backend.known = false;
+      backend.stateKnown = false;
       Log.fine("occupancy-malformed", "instance", backend.replica.instance());
     }
   }
 
-  private static int within(int v, int lo, int hi) {
-    return Math.max(lo, Math.min(hi, v));
+  private static int clamp(int value, int min, int max) {
+    return Math.max(min, Math.min(max, value));
   }
 
   public JsonObject json() {
-    long t = clock.now();
+    long nowMs = clock.now();
     JsonObject json = Json.object();
-    for (Backend backend : all.values())
+    for (Backend backend : byInstance.values())
       json.add(
           backend.replica.instance(),
           Json.object()
               .add("service", backend.replica.service())
-              .add("weights", String.join(",", backend.weights.values()))
+              .add("weights", String.join(",", backend.weightsByModel.values()))
               .add("ready", backend.replica.ready())
-              .add("usable", backend.usable(t))
-              .add("mine", backend.mine)
+              .add("usable", backend.isUsable(nowMs))
+              .add("mine", backend.ownRequests)
               .add("load", backend.load())
               .add("slots", backend.slots)
-              .add("toldMsAgo", Math.min(1 << 30, t - backend.reportedAt)));
+              .add("toldMsAgo", Math.min(1 << 30, nowMs - backend.reportedAtMs)));
     return json;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
@@ -33,30 +33,31 @@
  * "outcome" whether the request ran, and Retry-After when to retry.
  */
 public final class CallerListener implements Request.Caller {
-  private static final int MOST_PIECES = 100_000;
-  private final Relay r;
+  private static final int MAX_PIECES = 100_000;
+  private final Relay relay;
   private final Decisions decisions;
-  private final FilterChain way;
-  private final Map<Integer, BodyHandler> bodies = new HashMap<>();
-  private final Map<Request, RoutingContext> calls = new IdentityHashMap<>();
+  private final FilterChain filterChain;
+  private final Map<Integer, BodyHandler> bodyHandlersByLimit = new HashMap<>();
+  private final Map<Request, RoutingContext> contexts = new IdentityHashMap<>();
 
-  public CallerListener(Relay r, Decisions decisions, FilterChain way) {
-    this.r = r;
+  public CallerListener(Relay relay, Decisions decisions, FilterChain filterChain) {
+    this.relay = relay;
     this.decisions = decisions;
-    this.way = way;
+    this.filterChain = filterChain;
   }
 
   /** Once the head is known and before the body is read: what can be refused already is. */
-  public void routes(Router t) {
-    t.route()
-        .handler(this::head)
-        .handler(this::limit)
-        .handler(context -> body(context, context.get("hash"), context.get("came")));
-    t.errorHandler(
+  public void registerRoutes(Router router) {
+    router
+        .route()
+        .handler(this::checkHead)
+        .handler(this::readBody)
+        .handler(context -> acceptBody(context, context.get("hash"), context.get("came")));
+    router.errorHandler(
         413,
         context -> refuse(context, 413, "the body is larger than the mapping allows", null, 0));
-    t.errorHandler(400, context -> refuse(context, 400, "the request is malformed", null, 0));
-    t.errorHandler(
+    router.errorHandler(400, context -> refuse(context, 400, "the request is malformed", null, 0));
+    router.errorHandler(
         500,
         context ->
             refuse(
@@ -68,23 +69,25 @@
   }
 
   private static String key(HttpServerRequest request) {
-    String a = request.getHeader("Authorization");
-    return a != null && a.startsWith("Bearer ") ? a.substring(7).trim() : "";
+    String authorization = request.getHeader("Authorization");
+    return authorization != null && authorization.startsWith("Bearer ")
+        ? authorization.substring(7).trim()
+        : "";
   }
 
-  private void head(RoutingContext context) {
-    String why = r.unready();
-    if (!why.isEmpty()) {
-      refuse(context, 503, why, null, r.retryAdvice.untilReadyMs());
+  private void checkHead(RoutingContext context) {
+    String unreadyReason = relay.unreadyReason();
+    if (!unreadyReason.isEmpty()) {
+      refuse(context, 503, unreadyReason, null, relay.retryAdvice.msUntilReady());
       return;
     }
     String hash = Configuration.hashOf(key(context.request()));
-    if (r.tables().configuration().tenantOfHash(hash) == null) {
+    if (relay.snapshot().configuration().tenantOfHash(hash) == null) {
       refuse(context, 401, "the key is not known", null, 0);
       return;
     }
-    Configuration.Route m = r.tables().configuration().route(context.request().path());
-    if (m == null) {
+    Configuration.Route route = relay.snapshot().configuration().route(context.request().path());
+    if (route == null) {
       refuse(context, 404, "no mapping for this path", null, 0);
       return;
     }
@@ -93,86 +96,91 @@
       refuse(context, 405, "orders are sent with POST", null, 0);
       return;
     }
-    long came = r.clock.now();
-    context.put("came", came).put("hash", hash).put("most", m.maxBodyBytes()).next();
+    long arrivedAtMs = relay.clock.now();
+    context.put("came", arrivedAtMs).put("hash", hash).put("most", route.maxBodyBytes()).next();
   }
 
-  private void limit(RoutingContext context) {
-    bodies
-        .computeIfAbsent(context.get("most"), n -> BodyHandler.create(false).setBodyLimit(n))
+  private void readBody(RoutingContext context) {
+    bodyHandlersByLimit
+        .computeIfAbsent(
+            context.get("most"), limit -> BodyHandler.create(false).setBodyLimit(limit))
         .handle(context);
   }
 
-  private record Asked(String prompt, int maxPieces, Boolean repeatable) {}
+  private record RequestBody(String prompt, int maxPieces, Boolean repeatable) {}
 
-  private static Result<Asked> read(String text) {
+  private static Result<RequestBody> parseBody(String text) {
     return LocatedJson.parse(text)
         .then(
             json -> {
               Findings findings = new Findings();
-              LocatedJson.Fields f = json.fields(findings);
-              Asked a =
-                  new Asked(
-                      f.text("prompt"),
-                      (int) f.integer("maxPieces", 256, 1, MOST_PIECES),
-                      f.has("repeatable") ? f.flag("repeatable", false) : null);
-              f.done();
-              return Result.of(findings, () -> a);
+              LocatedJson.Fields fields = json.fields(findings);
+              RequestBody body =
+                  new RequestBody(
+                      fields.text("prompt"),
+                      (int) fields.integer("maxPieces", 256, 1, MAX_PIECES),
+                      fields.has("repeatable") ? fields.flag("repeatable", false) : null);
+              fields.done();
+              return Result.of(findings, () -> body);
             });
   }
 
-  private void body(RoutingContext context, String hash, long came) {
+  private void acceptBody(RoutingContext context, String hash, long arrivedAtMs) {
     byte[] bytes =
         context.body().buffer() == null ? new byte[0] : context.body().buffer().getBytes();
-    Result<Asked> a = read(new String(bytes, StandardCharsets.UTF_8));
-    if (a instanceof Result.Bad<Asked> bad) {
+    Result<RequestBody> parsed = parseBody(new String(bytes, StandardCharsets.UTF_8));
+    if (parsed instanceof Result.Bad<RequestBody> bad) {
       refuse(context, 400, "the body is not an order", bad.findings(), 0);
       return;
     }
-    Asked x = ((Result.Good<Asked>) a).value();
+    RequestBody body = ((Result.Good<RequestBody>) parsed).value();
     Request request =
-        new Request(decisions.begin(came), came, hash, context.request().path(), this);
-    request.prompt = new Prompt.Text(x.prompt);
-    request.maxPieces = x.maxPieces;
-    calls.put(request, context);
-    tellId(context, request.id());
-    context.response().closeHandler(v -> gone(request));
-    context.response().exceptionHandler(failure -> gone(request));
-    r.begin(request);
-    if (x.repeatable != null) request.askedRepeatable = x.repeatable;
-    way.go(request);
+        new Request(
+            decisions.begin(arrivedAtMs), arrivedAtMs, hash, context.request().path(), this);
+    request.prompt = new Prompt.Text(body.prompt);
+    request.maxPieces = body.maxPieces;
+    contexts.put(request, context);
+    setRequestIdHeaders(context, request.id());
+    context.response().closeHandler(v -> callerDisconnected(request));
+    context.response().exceptionHandler(failure -> callerDisconnected(request));
+    relay.begin(request);
+    if (body.repeatable != null) request.askedRepeatable = body.repeatable;
+    filterChain.go(request);
   }
 
   /** The request's id; the second name is the earlier one, sent for one release. */
-  private static void tellId(RoutingContext context, String id) {
+  private static void setRequestIdHeaders(RoutingContext context, String id) {
     context.response().putHeader("Gladelug-Request", id).putHeader("Gladelug-Order", id);
   }
 
-  private void gone(Request request) {
-    if (calls.remove(request) != null) r.gone(request);
+  private void callerDisconnected(Request request) {
+    if (contexts.remove(request) != null) relay.callerGone(request);
   }
 
   private void refuse(
-      RoutingContext context, int status, String reason, List<Finding> fs, long retryMs) {
+      RoutingContext context, int status, String reason, List<Finding> findings, long retryMs) {
     if (context.response().ended() || context.response().closed()) return;
     JsonObject json = Json.object().add("outcome", "not-run").add("reason", reason);
     if (status != 401) {
       // whoever has no key leaves no record, so that strangers can't push out those of requests
-      Decision decision = decisions.begin(r.clock.now());
+      Decision decision = decisions.begin(relay.clock.now());
       decision.add(
-          "turned-away", r.clock.now(), Json.object().add("status", status).add("reason", reason));
+          "turned-away",
+          relay.clock.now(),
+          Json.object().add("status", status).add("reason", reason));
       decision.outcome("not-run");
       decision.end();
-      r.reasons.accept(decision);
+      relay.decisionSink.accept(decision);
       json.add("order", decision.id);
-      tellId(context, decision.id);
+      setRequestIdHeaders(context, decision.id);
     }
-    if (fs != null) {
+    if (findings != null) {
       JsonArray array = new JsonArray();
-      for (Finding f : fs) array.add(Json.object().add("place", f.place()).add("what", f.what()));
+      for (Finding finding : findings)
+        array.add(Json.object().add("place", finding.place()).add("what", finding.what()));
       json.add("findings", array);
     }
-    if (retryMs > 0) context.response().putHeader("Retry-After", seconds(retryMs));
+    if (retryMs > 0) context.response().putHeader("Retry-After", toSeconds(retryMs));
     if (!context.request().isEnded()) context.response().putHeader("Connection", "close");
     context
         .response()
@@ -181,30 +189,31 @@
         .end(json + "\n");
   }
 
-  private static String seconds(long ms) {
+  private static String toSeconds(long ms) {
     return String.valueOf(Math.max(1, (ms + 999) / 1000));
   }
 
   // ---- the caller's side of a request
 
   @Override
-  public void refuse(Request request, FilterResult.Refuse v) {
-    RoutingContext context = calls.remove(request);
+  public void refuse(Request request, FilterResult.Refuse refusal) {
+    RoutingContext context = contexts.remove(request);
     if (context == null || context.response().ended() || context.response().closed()) return;
-    if (v.retryMs() > 0) context.response().putHeader("Retry-After", seconds(v.retryMs()));
+    if (refusal.retryMs() > 0)
+      context.response().putHeader("Retry-After", toSeconds(refusal.retryMs()));
     context
         .response()
-        .setStatusCode(v.status())
+        .setStatusCode(refusal.status())
         .putHeader("Content-Type", "application/json")
         .end(
             Json.object()
-                    .add("outcome", v.outcome())
+                    .add("outcome", refusal.outcome())
                     .add("order", request.id())
-                    .add("reason", v.reason())
+                    .add("reason", refusal.reason())
                 + "\n");
   }
 
-  private static HttpServerResponse begun(RoutingContext context) {
+  private static HttpServerResponse startResponse(RoutingContext context) {
     HttpServerResponse response = context.response();
     if (!response.headWritten())
       response
@@ -216,9 +225,9 @@
 
   @Override
   public boolean piece(Request request, Buffer piece, Runnable ready) {
-    RoutingContext context = calls.get(request);
+    RoutingContext context = contexts.get(request);
     if (context == null) return true;
-    HttpServerResponse response = begun(context);
+    HttpServerResponse response = startResponse(context);
     response.write(Buffer.buffer(piece.length() + 1).appendBuffer(piece).appendByte((byte) '\n'));
     if (!response.writeQueueFull()) return true;
     response.drainHandler(v -> ready.run());
@@ -227,9 +236,9 @@
 
   @Override
   public void complete(Request request, int pieces) {
-    RoutingContext context = calls.remove(request);
+    RoutingContext context = contexts.remove(request);
     if (context != null && !context.response().closed())
-      begun(context)
+      startResponse(context)
           .end(
               Json.object()
                       .add("end", true)
@@ -241,9 +250,9 @@
 
   @Override
   public void cutOff(Request request, String why) {
-    RoutingContext context = calls.remove(request);
+    RoutingContext context = contexts.remove(request);
     if (context == null || context.response().closed()) return;
-    begun(context)
+    startResponse(context)
         .write(
             Json.object()
                     .add("error", "cut-off")
@@ -252,6 +261,6 @@
                     .add("pieces", request.piecesOut)
                     .add("reason", why)
                 + "\n")
-        .onComplete(x -> context.request().connection().close());
+        .onComplete(written -> context.request().connection().close());
   }
 }
--- /dev/null
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerTimeouts.java
@@ -0,0 +1,108 @@
+package gladelug.data.relay;
+
+import gladelug.common.Clock;
+import gladelug.common.configuration.Configuration;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.vertx.core.http.HttpConnection;
+import io.vertx.core.http.HttpServerRequest;
+import io.vertx.core.net.impl.ConnectionBase;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Supplier;
+
+/**
+ * How long callers may take over the head of a request and stay idle: connections beyond the
+ * configuration's time-outs are closed, those with a request under way only where nothing comes of
+ * a body that is awaited. Confined to the request thread.
+ */
+public final class CallerTimeouts {
+  /**
+   * A look that comes so late says that this process stood still: what came may not be read yet.
+   */
+  private static final long STALL_THRESHOLD_MS = 1000;
+
+  private final Clock clock;
+  private final Supplier<Configuration.Limits> limits;
+  private final Map<HttpConnection, ConnectionState> connections = new HashMap<>();
+  private long lastTickMs;
+
+  public CallerTimeouts(Clock clock, Supplier<Configuration.Limits> limits) {
+    this.lastTickMs = clock.now();
+    this.clock = clock;
+    this.limits = limits;
+  }
+
+  /**
+   * One connection: since when it is idle, and since when a head is on its way; -1 where none is.
+   */
+  private final class ConnectionState extends ChannelInboundHandlerAdapter {
+    int activeRequests;
+    boolean awaitingBody;
+    long lastReadMs = clock.now();
+    long idleSinceMs = clock.now();
+    long headSinceMs = -1;
+
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object message) {
+      lastReadMs = clock.now();
+      if (activeRequests == 0 && headSinceMs < 0) headSinceMs = lastReadMs;
+      context.fireChannelRead(message);
+    }
+  }
+
+  public void connectionOpened(HttpConnection connection) {
+    ConnectionState state = new ConnectionState();
+    connections.put(connection, state);
+    if (connection instanceof ConnectionBase base)
+      base.channelHandlerContext().pipeline().addFirst(state);
+    connection.closeHandler(v -> connections.remove(connection));
+  }
+
+  /** The head of a request is here. */
+  public void headReceived(HttpServerRequest request) {
+    ConnectionState state = connections.get(request.connection());
+    if (state == null) return;
+    state.activeRequests++;
+    state.headSinceMs = -1;
+  }
+
+  /** The rest of a request is awaited. */
+  public void bodyExpected(HttpServerRequest request) {
+    ConnectionState state = connections.get(request.connection());
+    if (state != null) state.awaitingBody = true;
+  }
+
+  /** The request is here to its end. */
+  public void bodyReceived(HttpServerRequest request) {
+    ConnectionState state = connections.get(request.connection());
+    if (state != null) state.awaitingBody = false;
+  }
+
+  /** Its answer is out. */
+  public void responseEnded(HttpServerRequest request) {
+    ConnectionState state = connections.get(request.connection());
+    if (state == null) return;
+    state.activeRequests = Math.max(0, state.activeRequests - 1);
+    state.awaitingBody = false;
+    state.idleSinceMs = clock.now();
+  }
+
+  /** Called a few times a second. */
+  public void tick() {
+    long nowMs = clock.now();
+    boolean stalled = nowMs - lastTickMs > STALL_THRESHOLD_MS;
+    lastTickMs = nowMs;
+    Configuration.Limits timeouts = limits.get();
+    for (Map.Entry<HttpConnection, ConnectionState> entry : Map.copyOf(connections).entrySet()) {
+      ConnectionState state = entry.getValue();
+      if (state.activeRequests > 0) {
+        if (stalled) state.lastReadMs = nowMs;
+        if (state.awaitingBody && nowMs - state.lastReadMs > timeouts.idleMs())
+          entry.getKey().close();
+      } else if (state.headSinceMs >= 0
+          ? nowMs - state.headSinceMs > timeouts.headerMs()
+          : nowMs - state.idleSinceMs > timeouts.idleMs()) entry.getKey().close();
+    }
+  }
+}
--- a/data-plane/src/main/java/gladelug/data/relay/Exchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Exchange.java
@@ -24,33 +24,33 @@
   /** What comes back for one request. */
   interface Reply {
     /** The last look: false where it must not leave any more; nothing else is told then. */
-    boolean leave(Handle h);
+    boolean beginSend(Handle handle);
 
     /**
      * No byte left: there was no connection, or it was not that replica's; for badMs nothing more
      * goes there.
      */
-    void unreached(String why, long badMs);
+    void connectionFailed(String why, long ejectMs);
 
     /**
      * The replica says that it did not run the request, and for how long it is better left alone.
      */
-    void notRun(String why, long badMs);
+    void notRun(String why, long ejectMs);
 
     /**
      * The same, as it runs other weights, of which it may have told: it can be asked again for
      * those.
      */
-    void otherWeights(String why);
+    void weightsMismatch(String why);
 
     /**
      * The replica ran the request and answered that it failed. True where it goes to another
      * replica instead, and nothing more of this answer counts; false where the answer is the
      * caller's.
      */
-    boolean goesOnAfter(String failure);
+    boolean retryAfterFailure(String failure);
 
-    void head(Head h);
+    void head(Head handle);
 
     /** The next whole piece; event is its name where it has one. */
     void piece(Buffer piece, String event);
@@ -62,5 +62,5 @@
     void broken(String why);
   }
 
-  void send(Request request, Backend backend, Reply to);
+  void send(Request request, Backend backend, Reply reply);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
@@ -24,15 +24,15 @@
  */
 public final class Forwarding implements RequestFilter {
   /** How long a replica is left alone that failed before an answer, or broke off in its middle. */
-  private static final long FAILED_MS = 1000;
+  private static final long FAILURE_EJECTION_MS = 1000;
 
-  private static final long BROKE_OFF_MS = 300;
+  private static final long BROKEN_STREAM_EJECTION_MS = 300;
 
-  private final Relay r;
+  private final Relay relay;
   private final Exchange exchange;
 
-  public Forwarding(Relay r, Exchange exchange) {
-    this.r = r;
+  public Forwarding(Relay relay, Exchange exchange) {
+    this.relay = relay;
     this.exchange = exchange;
   }
 
@@ -45,39 +45,44 @@
   public Uni<FilterResult> pass(Request request) {
     return Uni.createFrom()
         .emitter(
-            e -> exchange.send(request, request.backend, new Handed(request, request.backend, e)));
+            emitter ->
+                exchange.send(
+                    request, request.backend, new ReplyHandler(request, request.backend, emitter)));
   }
 
   /** Everything that may have changed since it was looked at first; null where all still holds. */
-  private FilterResult last(Request request, Backend backend) {
-    FilterResult late = lateOrTriedOut(request, backend);
-    if (late != null) return late;
-    ControlStateSnapshot snapshot = r.tables();
+  private FilterResult recheck(Request request, Backend backend) {
+    FilterResult refusal = checkTimeAndAttempts(request, backend);
+    if (refusal != null) return refusal;
+    ControlStateSnapshot snapshot = relay.snapshot();
     Configuration.Route route = snapshot.configuration().route(request.host, request.path);
-    FilterResult other = otherTenantOrScope(request, backend, snapshot, route);
-    return other != null ? other : otherRouteOrReplica(request, backend, snapshot, route);
+    FilterResult scopeRefusal = checkTenantAndScope(request, backend, snapshot, route);
+    return scopeRefusal != null
+        ? scopeRefusal
+        : checkRouteAndReplica(request, backend, snapshot, route);
   }
 
-  private FilterResult lateOrTriedOut(Request request, Backend backend) {
-    long now = r.clock.now();
-    FilterResult outlasts = request.piecesOut == 0 ? r.refusalIfItMayOutlastThis(request) : null;
-    if (outlasts != null) return outlasts;
-    if (!r.news.leases.valid(now))
-      return FilterResult.notRun(503, "no licence", r.retryAdvice.untilStateMs());
+  private FilterResult checkTimeAndAttempts(Request request, Backend backend) {
+    long now = relay.clock.now();
+    FilterResult refusal = request.piecesOut == 0 ? relay.refusalIfOutlivesRelay(request) : null;
+    if (refusal != null) return refusal;
+    if (!relay.subscription.leases.valid(now))
+      return FilterResult.notRun(503, "no licence", relay.retryAdvice.msUntilState());
     if (now >= request.deadline)
-      return FilterResult.notRun(503, Relay.EXPIRED_UNSENT, r.retryAdvice.untilRoomMs(request));
+      return FilterResult.notRun(
+          503, Relay.EXPIRED_BEFORE_SEND, relay.retryAdvice.msUntilRoom(request));
     // the replica it was to go to once more may have become unreachable meanwhile
     if (request.tries >= request.route.attempts() && backend != request.triedLast)
       return FilterResult.notRun(
-          503, "it went to as many replicas as it may", r.retryAdvice.untilRoomMs(request));
+          503, "it went to as many replicas as it may", relay.retryAdvice.msUntilRoom(request));
     return null;
   }
 
   /** Whether the key is still its tenant's, and may use the cached prefixes it was to use. */
-  private FilterResult otherTenantOrScope(
+  private FilterResult checkTenantAndScope(
       Request request, Backend backend, ControlStateSnapshot snapshot, Configuration.Route route) {
     boolean open = route != null && route.open();
-    Configuration.Tenant tenant = tenantNow(request, snapshot, open);
+    Configuration.Tenant tenant = currentTenant(request, snapshot, open);
     if (tenant == null || !tenant.name().equals(request.tenant.name()))
       return open
           ? FilterResult.notRun(503, "the key's tenant changed", FilterResult.RETRY_AT_ONCE_MS)
@@ -92,14 +97,14 @@
   /** Whose request it is by the newest configuration; null where the key belongs to nobody. */
   // Whoever called an open route without a key is one object; no tenant is.
   @SuppressWarnings("ReferenceEquality")
-  private static Configuration.Tenant tenantNow(
+  private static Configuration.Tenant currentTenant(
       Request request, ControlStateSnapshot snapshot, boolean open) {
     return open && request.tenant == Configuration.ANYBODY
         ? Configuration.ANYBODY
         : snapshot.configuration().tenantOfHash(request.keyHash);
   }
 
-  private FilterResult otherRouteOrReplica(
+  private FilterResult checkRouteAndReplica(
       Request request, Backend backend, ControlStateSnapshot snapshot, Configuration.Route route) {
     Configuration.Service service = snapshot.configuration().service(request.service.name());
     if (route == null || service == null || !route.allows(service.index()))
@@ -111,228 +116,232 @@
         || !replica.service().equals(service.name())
         || !service.allows(replica.address()))
       return new FilterResult.Again(backend.replica.instance() + " is not ready any more");
-    if (service.kind() == Configuration.Kind.MODEL && !r.mayRun(request.model, request.weights))
+    if (service.kind() == Configuration.Kind.MODEL && !relay.mayRun(request.model, request.weights))
       return new FilterResult.Again("other weights are named");
     return null;
   }
 
   /** Whether an event may come after another in one answer: names that are numbers rise. */
-  private static boolean follows(String event, String last) {
-    return Backend.newer(event, last);
+  private static boolean mayFollow(String event, String lastEvent) {
+    return Backend.isNewer(event, lastEvent);
   }
 
-  private final class Handed implements Exchange.Reply {
-    private final Request o;
-    private final Backend b;
-    private final UniEmitter<? super FilterResult> e;
+  private final class ReplyHandler implements Exchange.Reply {
+    private final Request request;
+    private final Backend backend;
+    private final UniEmitter<? super FilterResult> emitter;
     private Exchange.Handle handle;
-    private boolean over;
-    private boolean answered;
+    private boolean finished;
+    private boolean answerStarted;
 
-    Handed(Request request, Backend backend, UniEmitter<? super FilterResult> e) {
-      this.o = request;
-      this.b = backend;
-      this.e = e;
+    ReplyHandler(Request request, Backend backend, UniEmitter<? super FilterResult> emitter) {
+      this.request = request;
+      this.backend = backend;
+      this.emitter = emitter;
     }
 
     /** Nothing new goes to the replica for so many ms. */
-    private void leaveAlone(long ms) {
-      if (ms > 0 && r.settings.has(Mechanism.OUTLIER_EJECTION)) b.bad(r.clock.now(), ms);
+    private void eject(long ms) {
+      if (ms > 0 && relay.settings.isEnabled(Mechanism.OUTLIER_EJECTION))
+        backend.eject(relay.clock.now(), ms);
     }
 
-    private boolean resumes() {
-      return o.piecesOut > 0;
+    private boolean isResuming() {
+      return request.piecesOut > 0;
     }
 
-    private void over(FilterResult v) {
-      over = true;
-      if (handle != null && !answered) b.answered(false, r.clock.now());
-      answered = true;
-      o.cancel = () -> {};
-      e.complete(v);
+    private void finish(FilterResult result) {
+      finished = true;
+      if (handle != null && !answerStarted) backend.recordAnswered(false, relay.clock.now());
+      answerStarted = true;
+      request.cancel = () -> {};
+      emitter.complete(result);
     }
 
     @Override
-    public boolean leave(Exchange.Handle h) {
-      if (over) return false;
-      FilterResult v = last(o, b);
-      boolean goes =
-          v == null
-              && !o.gone
-              && (resumes()
-                  ? o.state.at() == State.At.STREAMING
-                  : o.state.step(State.At.WAITING, State.At.HANDED));
-      if (!goes) {
-        if (o.gone) o.decision.outcome("caller-gone");
-        over(o.gone || v == null ? FilterResult.ENDED : v);
+    public boolean beginSend(Exchange.Handle newHandle) {
+      if (finished) return false;
+      FilterResult result = recheck(request, backend);
+      boolean sends =
+          result == null
+              && !request.gone
+              && (isResuming()
+                  ? request.state.at() == State.At.STREAMING
+                  : request.state.step(State.At.WAITING, State.At.HANDED));
+      if (!sends) {
+        if (request.gone) request.decision.outcome("caller-gone");
+        finish(request.gone || result == null ? FilterResult.ENDED : result);
         return false;
       }
-      handle = h;
-      long now = r.clock.now();
-      o.tries++;
-      o.triedLast = b;
-      o.handedAt = now;
-      b.asked(now);
-      if (o.tries == 1) r.budget.firstTry(o.service.name());
-      o.decision.add(
+      handle = newHandle;
+      long now = relay.clock.now();
+      request.tries++;
+      request.triedLast = backend;
+      request.handedAt = now;
+      backend.recordSent(now);
+      if (request.tries == 1) relay.retryBudget.recordFirstAttempt(request.service.name());
+      request.decision.add(
           "hand-over",
           now,
           Json.object()
-              .add("replica", b.replica.instance())
-              .add("try", o.tries)
-              .add("after", o.lastEvent));
-      o.cancel = h::reset;
-      o.lost = this::broken;
+              .add("replica", backend.replica.instance())
+              .add("try", request.tries)
+              .add("after", request.lastEvent));
+      request.cancel = newHandle::reset;
+      request.lost = this::broken;
       return true;
     }
 
     @Override
-    public void unreached(String why, long badMs) {
-      if (over) return;
-      leaveAlone(badMs);
-      over(new FilterResult.Again(why));
+    public void connectionFailed(String why, long ejectMs) {
+      if (finished) return;
+      eject(ejectMs);
+      finish(new FilterResult.Again(why));
     }
 
     /**
      * Whether it may go to a replica once more, and if so takes that from the budget. Its route
      * bounds to how many replicas it may go; the same one again is no further replica.
      */
-    private boolean again(boolean same) {
-      if (r.clock.now() >= o.deadline
-          || !same && o.tries >= o.route.attempts()
-          || !r.settings.has(Mechanism.RETRIES)
-          || !r.budget.secondTry(o.service.name())) return false;
-      return resumes()
-          ? o.state.at() == State.At.STREAMING
-          : o.state.step(State.At.HANDED, State.At.WAITING);
+    private boolean takeRetry(boolean sameReplica) {
+      if (relay.clock.now() >= request.deadline
+          || !sameReplica && request.tries >= request.route.attempts()
+          || !relay.settings.isEnabled(Mechanism.RETRIES)
+          || !relay.retryBudget.takeRetry(request.service.name())) return false;
+      return isResuming()
+          ? request.state.at() == State.At.STREAMING
+          : request.state.step(State.At.HANDED, State.At.WAITING);
     }
 
     @Override
-    public void notRun(String why, long badMs) {
-      if (over) return;
-      leaveAlone(badMs);
+    public void notRun(String why, long ejectMs) {
+      if (finished) return;
+      eject(ejectMs);
       notRun(why, false);
     }
 
     @Override
-    public void otherWeights(String why) {
-      if (over) return;
+    public void weightsMismatch(String why) {
+      if (finished) return;
       // the same one once more at most, whatever it says of itself
-      notRun(why, o.tries == o.route.attempts());
+      notRun(why, request.tries == request.route.attempts());
     }
 
-    private void notRun(String why, boolean same) {
-      String told = b.replica.instance() + " did not run it: " + why;
-      if (o.state.at() == State.At.ENDED) over(FilterResult.ENDED);
-      else if (again(same)) {
-        o.only = same ? b : null;
-        over(new FilterResult.Again(told));
-      } else if (resumes()) cut(told);
+    private void notRun(String why, boolean sameReplica) {
+      String reason = backend.replica.instance() + " did not run it: " + why;
+      if (request.state.at() == State.At.ENDED) finish(FilterResult.ENDED);
+      else if (takeRetry(sameReplica)) {
+        request.only = sameReplica ? backend : null;
+        finish(new FilterResult.Again(reason));
+      } else if (isResuming()) cutOff(reason);
       else
-        over(
+        finish(
             FilterResult.notRun(
-                503, "the replica did not run it: " + why, r.retryAdvice.untilRoomMs(o)));
+                503, "the replica did not run it: " + why, relay.retryAdvice.msUntilRoom(request)));
     }
 
-    private void cut(String why) {
-      r.cutOff(o, why);
-      over(FilterResult.ENDED);
+    private void cutOff(String why) {
+      relay.cutOff(request, why);
+      finish(FilterResult.ENDED);
     }
 
     @Override
-    public void head(Head h) {
-      if (over) return;
-      first();
-      if (o.piecesOut == 0) o.head = h;
+    public void head(Head newHead) {
+      if (finished) return;
+      recordByte();
+      if (request.piecesOut == 0) request.head = newHead;
     }
 
-    private void first() {
-      if (!answered) b.answered(true, r.clock.now());
-      answered = true;
-      b.heard(r.clock.now());
+    private void recordByte() {
+      if (!answerStarted) backend.recordAnswered(true, relay.clock.now());
+      answerStarted = true;
+      backend.recordByteReceived(relay.clock.now());
     }
 
     @Override
     public void piece(Buffer buffer, String event) {
-      if (over) return;
-      first();
-      if (o.state.at() == State.At.ENDED) {
+      if (finished) return;
+      recordByte();
+      if (request.state.at() == State.At.ENDED) {
         handle.reset();
-        over(FilterResult.ENDED);
+        finish(FilterResult.ENDED);
         return;
       }
-      if (o.resumesAfterLast && !event.isEmpty() && !follows(event, o.lastEvent)) {
-        broken("event " + event + " after event " + o.lastEvent);
+      if (request.resumesAfterLast && !event.isEmpty() && !mayFollow(event, request.lastEvent)) {
+        broken("event " + event + " after event " + request.lastEvent);
         return;
       }
-      if (o.piecesOut == 0) {
-        if (!o.state.step(State.At.HANDED, State.At.STREAMING)) return;
-        long now = r.clock.now();
-        o.decision.add("stream", now, Json.object().add("firstPieceMs", now - o.came));
-        o.firstPieceMs = now - o.came;
-        r.firstPiece(o, b, now - o.handedAt);
-        o.caller.head(o, o.head == null ? Head.PLAIN : o.head);
+      if (request.piecesOut == 0) {
+        if (!request.state.step(State.At.HANDED, State.At.STREAMING)) return;
+        long now = relay.clock.now();
+        request.decision.add("stream", now, Json.object().add("firstPieceMs", now - request.came));
+        request.firstPieceMs = now - request.came;
+        relay.recordFirstPiece(request, backend, now - request.handedAt);
+        request.caller.head(request, request.head == null ? Head.PLAIN : request.head);
       }
-      o.pieceCame(r.clock.now());
-      o.resumesAfterLast = !event.isEmpty();
-      if (o.resumesAfterLast) o.lastEvent = event;
-      if (!o.caller.piece(o, buffer, handle::resume)) handle.pause();
+      request.pieceCame(relay.clock.now());
+      request.resumesAfterLast = !event.isEmpty();
+      if (request.resumesAfterLast) request.lastEvent = event;
+      if (!request.caller.piece(request, buffer, handle::resume)) handle.pause();
     }
 
     @Override
     public void end() {
-      if (over) return;
-      first();
-      if (o.state.end()) {
-        o.decision.outcome("complete");
-        if (!o.gone) {
-          if (o.piecesOut == 0) o.caller.head(o, o.head == null ? Head.PLAIN : o.head);
-          o.caller.complete(o, o.piecesOut);
+      if (finished) return;
+      recordByte();
+      if (request.state.end()) {
+        request.decision.outcome("complete");
+        if (!request.gone) {
+          if (request.piecesOut == 0)
+            request.caller.head(request, request.head == null ? Head.PLAIN : request.head);
+          request.caller.complete(request, request.piecesOut);
         }
       }
-      over(FilterResult.ENDED);
+      finish(FilterResult.ENDED);
     }
 
     @Override
-    public boolean goesOnAfter(String failure) {
-      if (over) return true;
-      if (!o.repeatable || o.piecesOut > 0 || !again(false)) return false;
+    public boolean retryAfterFailure(String failure) {
+      if (finished) return true;
+      if (!request.repeatable || request.piecesOut > 0 || !takeRetry(false)) return false;
       // letting the connection go may tell of a break
-      over = true;
+      finished = true;
       handle.reset();
-      b.failures++;
-      leaveAlone(FAILED_MS);
-      o.mayHaveRun = true;
-      over(new FilterResult.Again(b.replica.instance() + ": " + failure));
+      backend.failures++;
+      eject(FAILURE_EJECTION_MS);
+      request.mayHaveRun = true;
+      finish(new FilterResult.Again(backend.replica.instance() + ": " + failure));
       return true;
     }
 
     /** Before the first piece: once more where that is allowed, else of unknown fate. */
     @Override
-    public void broken(String what) {
-      if (over) return;
+    public void broken(String cause) {
+      if (finished) return;
       // letting the connection go may tell of the break once more
-      over = true;
+      finished = true;
       handle.reset();
-      String why = b.replica.instance() + ": " + what;
-      State.At at = o.state.at();
+      String why = backend.replica.instance() + ": " + cause;
+      State.At at = request.state.at();
       if (at == State.At.ENDED) {
-        over(FilterResult.ENDED);
+        finish(FilterResult.ENDED);
         return;
       }
-      b.failures++;
-      leaveAlone(at == State.At.STREAMING ? BROKE_OFF_MS : FAILED_MS);
+      backend.failures++;
+      eject(at == State.At.STREAMING ? BROKEN_STREAM_EJECTION_MS : FAILURE_EJECTION_MS);
       if (at == State.At.STREAMING) {
-        if (o.route.resumable() && o.resumesAfterLast && again(false)) {
-          o.decision.add(
-              "resume", r.clock.now(), Json.object().add("after", o.lastEvent).add("why", why));
-          over(new FilterResult.Again(why));
-        } else cut(why);
+        if (request.route.resumable() && request.resumesAfterLast && takeRetry(false)) {
+          request.decision.add(
+              "resume",
+              relay.clock.now(),
+              Json.object().add("after", request.lastEvent).add("why", why));
+          finish(new FilterResult.Again(why));
+        } else cutOff(why);
         return;
       }
-      o.mayHaveRun = true;
-      if (o.repeatable && again(false)) over(new FilterResult.Again(why));
-      else over(FilterResult.unknown(502, why, r.retryAdvice.untilRoomMs(o)));
+      request.mayHaveRun = true;
+      if (request.repeatable && takeRetry(false)) finish(new FilterResult.Again(why));
+      else finish(FilterResult.unknown(502, why, relay.retryAdvice.msUntilRoom(request)));
     }
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
+++ b/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
@@ -23,9 +23,9 @@
  * own. The identity found at the other end is remembered with the connection.
  */
 public final class HttpConnections implements ReplicaConnections {
-  private static final int LONGEST_LINE = 1 << 20;
+  private static final int MAX_LINE_BYTES = 1 << 20;
   private final HttpClient http;
-  private final Map<HttpConnection, String> checked = new WeakHashMap<>();
+  private final Map<HttpConnection, String> verifiedIdentities = new WeakHashMap<>();
 
   public HttpConnections(Vertx vertx, BindAddress local) {
     http =
@@ -45,126 +45,131 @@
   }
 
   @Override
-  public void open(Replica to, Consumer<Connection> opened, Consumer<String> failure) {
+  public void open(Replica replica, Consumer<Connection> onOpen, Consumer<String> onFailure) {
     http.request(
             new RequestOptions()
                 .setMethod(HttpMethod.POST)
-                .setHost(to.address().host())
-                .setPort(to.address().port())
+                .setHost(replica.address().host())
+                .setPort(replica.address().port())
                 .setURI("/orders")
                 .setFollowRedirects(false))
         .onComplete(
-            a -> {
-              if (a.failed()) failure.accept(a.cause().toString());
-              else opened.accept(new One(a.result()));
+            opening -> {
+              if (opening.failed()) onFailure.accept(opening.cause().toString());
+              else onOpen.accept(new OpenConnection(opening.result()));
             });
   }
 
-  private final class One implements Connection {
-    private final HttpClientRequest q;
-    private HttpClientResponse p;
-    private boolean over;
+  private final class OpenConnection implements Connection {
+    private final HttpClientRequest request;
+    private HttpClientResponse response;
+    private boolean ended;
 
-    One(HttpClientRequest request) {
-      this.q = request;
+    OpenConnection(HttpClientRequest request) {
+      this.request = request;
     }
 
     @Override
-    public String who() {
-      return checked.getOrDefault(q.connection(), "");
+    public String verifiedIdentity() {
+      return verifiedIdentities.getOrDefault(request.connection(), "");
     }
 
     @Override
-    public void identify(Consumer<String> who) {
-      HttpConnection c = q.connection();
-      q.setMethod(HttpMethod.GET).setURI("/identity");
-      q.setTimeout(1000);
-      q.send()
+    public void identify(Consumer<String> onIdentity) {
+      HttpConnection connection = request.connection();
+      request.setMethod(HttpMethod.GET).setURI("/identity");
+      request.setTimeout(1000);
+      request
+          .send()
           .compose(
-              response ->
-                  response.statusCode() == 200
-                      ? response.body()
-                      : Future.failedFuture("status " + response.statusCode()))
+              reply ->
+                  reply.statusCode() == 200
+                      ? reply.body()
+                      : Future.failedFuture("status " + reply.statusCode()))
           .onComplete(
-              a -> {
-                String is = "";
-                if (a.succeeded()) {
+              result -> {
+                String identity = "";
+                if (result.succeeded()) {
                   try {
-                    JsonObject json = a.result().toJsonObject();
-                    is = json.getString("service") + "/" + json.getString("instance");
+                    JsonObject json = result.result().toJsonObject();
+                    identity = json.getString("service") + "/" + json.getString("instance");
                   } catch (RuntimeException malformed) {
-                    is = "";
+                    identity = "";
                   }
                 }
-                if (!is.isEmpty()) checked.put(c, is);
-                who.accept(is);
+                if (!identity.isEmpty()) verifiedIdentities.put(connection, identity);
+                onIdentity.accept(identity);
               });
     }
 
     @Override
-    public void order(String json, Answer to) {
-      q.putHeader("Content-Type", "application/json");
-      q.send(Buffer.buffer(json))
+    public void send(String json, Answer answer) {
+      request.putHeader("Content-Type", "application/json");
+      request
+          .send(Buffer.buffer(json))
           .onComplete(
-              a -> {
-                if (a.failed()) {
-                  to.over("the circuit broke");
+              opened -> {
+                if (opened.failed()) {
+                  answer.closed("the circuit broke");
                   return;
                 }
-                p = a.result();
-                if (p.statusCode() == 200) {
-                  lines(to);
+                response = opened.result();
+                if (response.statusCode() == 200) {
+                  readLines(answer);
                   return;
                 }
-                p.body()
+                response
+                    .body()
                     .onComplete(
-                        b ->
-                            to.refused(p.statusCode(), b.succeeded() ? b.result().toString() : ""));
+                        body ->
+                            answer.refused(
+                                response.statusCode(),
+                                body.succeeded() ? body.result().toString() : ""));
               });
     }
 
-    private void lines(Answer to) {
+    private void readLines(Answer answer) {
       RecordParser lines =
           RecordParser.newDelimited(
               "\n",
               buffer -> {
-                if (!over) to.line(buffer.toString());
+                if (!ended) answer.line(buffer.toString());
               });
-      lines.maxRecordSize(LONGEST_LINE);
-      lines.exceptionHandler(failure -> over(to, "an endless piece"));
-      p.handler(
+      lines.maxRecordSize(MAX_LINE_BYTES);
+      lines.exceptionHandler(failure -> end(answer, "an endless piece"));
+      response.handler(
           buffer -> {
-            if (!over) lines.handle(buffer);
-            else q.reset();
+            if (!ended) lines.handle(buffer);
+            else request.reset();
           });
-      p.exceptionHandler(failure -> over(to, "the answer broke off"));
-      p.endHandler(v -> over(to, "the answer ended without saying so"));
+      response.exceptionHandler(failure -> end(answer, "the answer broke off"));
+      response.endHandler(v -> end(answer, "the answer ended without saying so"));
     }
 
-    private void over(Answer to, String why) {
-      if (over) return;
-      over = true;
-      to.over(why);
+    private void end(Answer answer, String why) {
+      if (ended) return;
+      ended = true;
+      answer.closed(why);
     }
 
     @Override
     public void reset() {
-      q.reset();
+      request.reset();
     }
 
     @Override
     public void close() {
-      q.connection().close();
+      request.connection().close();
     }
 
     @Override
     public void pause() {
-      p.pause();
+      response.pause();
     }
 
     @Override
     public void resume() {
-      p.resume();
+      response.resume();
     }
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
@@ -19,14 +19,14 @@
 
   @Override
   public FilterResult decide(Request request) {
-    String unready = relay.unready();
+    String unready = relay.unreadyReason();
     if (!unready.isEmpty())
-      return FilterResult.notRun(503, unready, relay.retryAdvice.untilReadyMs());
-    ControlStateSnapshot snapshot = relay.tables();
+      return FilterResult.notRun(503, unready, relay.retryAdvice.msUntilReady());
+    ControlStateSnapshot snapshot = relay.snapshot();
     Configuration.Route route = snapshot.configuration().route(request.host, request.path);
     request.tenant = tenant(request, route, snapshot);
     if (request.tenant == null)
-      return route == null && relay.settings.hidesNoRoutes()
+      return route == null && relay.settings.hidesMissingRoutes()
           ? FilterResult.notRun(404, RouteFilter.NO_ROUTE, 0)
           : FilterResult.notRun(401, "the key is not known", 0);
     request.cacheScope = CacheScope.of(request.tenant, snapshot.prefixSharingSince());
--- a/data-plane/src/main/java/gladelug/data/relay/Lookups.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Lookups.java
@@ -10,33 +10,33 @@
  */
 public interface Lookups {
   /** how: answered, warming, late, no-index or no-block. */
-  record Found(String how, List<Lookup.Match> matches, Lookup.Fleet fleet) {
-    public Found(String how, List<Lookup.Match> matches) {
+  record LookupResult(String outcome, List<Lookup.Match> matches, Lookup.Fleet fleet) {
+    public LookupResult(String how, List<Lookup.Match> matches) {
       this(how, matches, Lookup.Fleet.UNKNOWN);
     }
 
     /** Whether an index that follows its holders answered in time. */
-    public boolean answered() {
-      return how.equals(ANSWERED);
+    public boolean isAnswered() {
+      return outcome.equals(ANSWERED);
     }
   }
 
   /** How an answer came that counts. */
   String ANSWERED = "answered";
 
-  Uni<Found> ask(long[] blocks);
+  Uni<LookupResult> lookUp(long[] blocks);
 
   /**
    * Asks, and has what an answer tells of the fleet though it came too late for this request; best
    * effort.
    */
-  default Uni<Found> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
-    return ask(blocks);
+  default Uni<LookupResult> lookUp(long[] blocks, Consumer<Lookup.Fleet> onLateAnswer) {
+    return lookUp(blocks);
   }
 
   /**
    * Tells index processes where a prompt of these blocks was sent, and what that asks of the
    * holder; best effort.
    */
-  default void placed(String holder, long[] blocks, Lookup.Work work) {}
+  default void recordPlacement(String holder, long[] blocks, Lookup.Work work) {}
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
@@ -60,14 +60,14 @@
 
   /** Those named; an IllegalArgumentException that says which name is unknown. */
   public static Set<Mechanism> parse(List<String> names) {
-    Set<Mechanism> out = EnumSet.noneOf(Mechanism.class);
+    Set<Mechanism> mechanisms = EnumSet.noneOf(Mechanism.class);
     for (String name : names)
-      if (!out.add(one(name)))
+      if (!mechanisms.add(byName(name)))
         throw new IllegalArgumentException("mechanism " + name + " is named twice");
-    return out;
+    return mechanisms;
   }
 
-  private static Mechanism one(String name) {
+  private static Mechanism byName(String name) {
     for (Mechanism mechanism : values()) if (mechanism.settingName().equals(name)) return mechanism;
     throw new IllegalArgumentException("no mechanism " + name + "; there are " + names());
   }
--- /dev/null
+++ b/data-plane/src/main/java/gladelug/data/relay/NativeProtocol.java
@@ -0,0 +1,50 @@
+package gladelug.data.relay;
+
+import gladelug.common.Address;
+import gladelug.data.request.Decisions;
+import gladelug.data.request.FilterChain;
+import io.smallrye.mutiny.Uni;
+import io.vertx.core.http.HttpServer;
+import io.vertx.core.http.HttpServerOptions;
+import io.vertx.ext.web.Router;
+
+/**
+ * The product's own protocol at both ends of a relay: callers' JSON over Vert.x Web, replicas that
+ * report.
+ */
+public record NativeProtocol(Address callers) implements RelayProtocol {
+  @Override
+  public Backends createBackends(Environment environment, Relay relay) {
+    return Backends.overHttp(
+        environment.vertx(), environment.local(), environment.clock(), relay::admitWaiting);
+  }
+
+  @Override
+  public Exchange createExchange(Environment environment, Relay relay) {
+    return new LineExchange(relay, new HttpConnections(environment.vertx(), environment.local()));
+  }
+
+  @Override
+  public Uni<Listener> open(
+      Environment environment, Relay relay, Decisions decisions, FilterChain filterChain) {
+    Router router = Router.router(environment.vertx().getDelegate());
+    new CallerListener(relay, decisions, filterChain).registerRoutes(router);
+    HttpServer server =
+        environment
+            .vertx()
+            .getDelegate()
+            .createHttpServer(
+                new HttpServerOptions()
+                    .setMaxHeaderSize(16384)
+                    .setIdleTimeout(120)
+                    .setTcpNoDelay(true));
+    return Uni.createFrom()
+        .completionStage(
+            () ->
+                server
+                    .requestHandler(router)
+                    .listen(callers.port(), environment.local().ip())
+                    .toCompletionStage())
+        .map(x -> server::close);
+  }
+}
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
@@ -14,7 +14,7 @@
   private static final long[] NO_BLOCKS = {};
 
   /** What text is cut into until a replica told otherwise, in bytes. */
-  static final int USUAL_BLOCK_BYTES = 256;
+  static final int DEFAULT_BLOCK_BYTES = 256;
 
   @Override
   public String name() {
@@ -25,47 +25,49 @@
   public Uni<FilterResult> pass(Request request) {
     if (request.service.kind() != Configuration.Kind.MODEL)
       return Uni.createFrom().item(FilterResult.GO);
-    String[] mayRun = relay.weights(request.model);
-    if (mayRun == null) return Uni.createFrom().item(relay.refusalForWantOfWeights(request));
-    chooseWeights(request, mayRun);
-    boolean hints = relay.settings.has(Mechanism.INDEX_HINTS);
-    long askedAt = relay.clock.now();
+    String[] allowedWeights = relay.allowedWeights(request.model);
+    if (allowedWeights == null)
+      return Uni.createFrom().item(relay.refusalForMissingWeights(request));
+    chooseWeights(request, allowedWeights);
+    boolean hints = relay.settings.isEnabled(Mechanism.INDEX_HINTS);
+    long askedAtMs = relay.clock.now();
     return lookups
-        .ask(
-            hints ? request.blocks : NO_BLOCKS, fleet -> relay.fleet(request.service.name(), fleet))
+        .lookUp(
+            hints ? request.blocks : NO_BLOCKS,
+            fleet -> relay.recordFleetLoad(request.service.name(), fleet))
         .map(
-            found -> {
-              request.lookupMs = relay.clock.now() - askedAt;
-              take(request, found);
+            result -> {
+              request.lookupMs = relay.clock.now() - askedAtMs;
+              applyResult(request, result);
               return FilterResult.GO;
             });
   }
 
   /** The weights that most likely serve it, and the keys of its blocks under those. */
-  private void chooseWeights(Request request, String[] mayRun) {
+  private void chooseWeights(Request request, String[] allowedWeights) {
     long now = relay.clock.now();
-    int blockBytes = USUAL_BLOCK_BYTES;
+    int blockBytes = DEFAULT_BLOCK_BYTES;
     int newest = 0;
     int older = 0;
-    for (Backend backend : relay.backends.of(request.service.name())) {
-      if (!backend.usable(now)) continue;
+    for (Backend backend : relay.backends.readyReplicas(request.service.name())) {
+      if (!backend.isUsable(now)) continue;
       blockBytes = backend.blockBytes;
-      String runs = relay.weightsOf(backend, request.model);
-      if (runs.equals(mayRun[0])) newest++;
-      else if (!mayRun[1].isEmpty() && runs.equals(mayRun[1])) older++;
+      String runs = relay.effectiveWeights(backend, request.model);
+      if (runs.equals(allowedWeights[0])) newest++;
+      else if (!allowedWeights[1].isEmpty() && runs.equals(allowedWeights[1])) older++;
     }
-    boolean toNewest = relay.settings.prefersNewest() ? newest > 0 : newest >= older;
-    request.weights = toNewest || older == 0 ? mayRun[0] : mayRun[1];
+    boolean toNewest = relay.settings.prefersNewestWeights() ? newest > 0 : newest >= older;
+    request.weights = toNewest || older == 0 ? allowedWeights[0] : allowedWeights[1];
     request.blocks =
         request.prompt.keys(request.model, request.weights, request.cacheScope, blockBytes);
   }
 
-  private void take(Request request, Lookups.Found found) {
-    request.matches = found.matches();
-    request.lookupAnswer = found.how();
-    if (found.answered()) relay.fleet(request.service.name(), found.fleet());
+  private void applyResult(Request request, Lookups.LookupResult result) {
+    request.matches = result.matches();
+    request.lookupAnswer = result.outcome();
+    if (result.isAnswered()) relay.recordFleetLoad(request.service.name(), result.fleet());
     JsonArray matches = new JsonArray();
-    for (Lookup.Match match : found.matches())
+    for (Lookup.Match match : result.matches())
       matches.add(
           Json.object()
               .add("holder", match.holder())
@@ -77,7 +79,7 @@
         Json.object()
             .add("weights", request.weights)
             .add("blocks", request.blocks.length)
-            .add("index", found.how())
+            .add("index", result.outcome())
             .add("matches", matches));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Relay.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Relay.java
@@ -38,107 +38,107 @@
    * How long after its lease for configurations or replicas ran out a relay lets streams go on;
    * then it can't know that a key still holds.
    */
-  public static final long GRACE = 2000;
+  public static final long STREAM_GRACE_MS = 2000;
 
-  static final String EXPIRED_UNSENT = "expired before it was handed over";
+  static final String EXPIRED_BEFORE_SEND = "expired before it was handed over";
 
-  private static final String EXPIRED_UNPLACED = "no place came while it could still end in time";
+  private static final String EXPIRED_IN_QUEUE = "no place came while it could still end in time";
 
-  private static final long STALE = 2000;
+  private static final long ALLOTMENT_MAX_AGE_MS = 2000;
 
-  private static final long ASLEEP = 500;
+  private static final long STALL_THRESHOLD_MS = 500;
 
   /** After its turn to take new weights, from when on a replica may be asked for those, in ms. */
-  private static final long LOADS = 1200;
+  private static final long WEIGHT_LOAD_MS = 1200;
 
   /** How long before its turn to take new weights a replica is left alone, in ms. */
-  private static final long BEFORE = 400;
+  private static final long ROLLOUT_LEAD_MS = 400;
 
   public final Clock clock;
-  public final StateSubscription news;
+  public final StateSubscription subscription;
   public final Backends backends;
-  public final RetryBudget budget;
+  public final RetryBudget retryBudget;
   public final String zone;
   public final RetryAdvice retryAdvice = new RetryAdvice(this);
   public RelaySettings settings;
   private final Map<String, WaitQueue> queues = new HashMap<>();
   private final Map<String, Integer> admitted = new HashMap<>();
-  private final Map<Long, Request> live = new LinkedHashMap<>();
-  private ControlStateSnapshot shaped = ControlStateSnapshot.NONE;
+  private final Map<Long, Request> liveRequests = new LinkedHashMap<>();
+  private ControlStateSnapshot appliedSnapshot = ControlStateSnapshot.NONE;
   private UrgencyLevels urgencyLevels = new UrgencyLevels(Configuration.EMPTY);
-  public final IntSupplier relays;
+  public final IntSupplier relayCount;
   public final RecentPlacements placements = new RecentPlacements();
   final PrefixStores stores;
-  final ReuseShare reuse = new ReuseShare();
+  final ReuseShare reuseShare = new ReuseShare();
   final WorkEstimates estimates;
   private double evictedShare;
-  private long ticked;
-  private long awake;
-  private boolean pumping;
-  private boolean pumpAgain;
+  private long lastTickMs;
+  private long awakeSinceMs;
+  private boolean admitting;
+  private boolean admitAgain;
 
   /** Not ready any more, though requests are still taken that end in time. */
-  public boolean leaving;
+  public boolean draining;
 
   /** When whatever still runs is cut off, on this relay's clock, once it is leaving. */
-  private long drainsUntilMs = Long.MAX_VALUE;
+  private long drainDeadlineMs = Long.MAX_VALUE;
 
   /** Records that have ended, for whoever hands them on. */
-  public Consumer<Decision> reasons = decision -> {};
+  public Consumer<Decision> decisionSink = decision -> {};
 
   public Relay(
       Clock clock,
-      StateSubscription news,
+      StateSubscription subscription,
       Function<Relay, Backends> backends,
       String zone,
       RelaySettings settings,
-      IntSupplier relays) {
-    this.relays = relays;
-    this.stores = new PrefixStores(relays);
+      IntSupplier relayCount) {
+    this.relayCount = relayCount;
+    this.stores = new PrefixStores(relayCount);
     this.settings = settings;
-    this.budget = new RetryBudget(() -> this.settings, relays);
-    this.ticked = clock.now();
-    this.awake = ticked;
+    this.retryBudget = new RetryBudget(() -> this.settings, relayCount);
+    this.lastTickMs = clock.now();
+    this.awakeSinceMs = lastTickMs;
     this.clock = clock;
-    this.news = news;
+    this.subscription = subscription;
     this.zone = zone;
     this.backends = backends.apply(this);
-    this.estimates = new WorkEstimates(this.backends, reuse);
+    this.estimates = new WorkEstimates(this.backends, reuseShare);
   }
 
-  public ControlStateSnapshot tables() {
-    return news.tables();
+  public ControlStateSnapshot snapshot() {
+    return subscription.tables();
   }
 
   /** Empty where requests may start now, else the reason why not. */
-  public String unready() {
-    ControlStateSnapshot snapshot = tables();
+  public String unreadyReason() {
+    ControlStateSnapshot snapshot = snapshot();
     if (snapshot.configurationNumber() == 0) return "no policy yet";
     if (snapshot.replicasNumber() == 0) return "no list of replicas yet";
-    if (!news.leases.valid(clock.now())) return "no licence";
+    if (!subscription.leases.valid(clock.now())) return "no licence";
     return "";
   }
 
   /** Not ready from now on; whatever still runs then is cut off at a time on this relay's clock. */
-  public void leave(long untilMs) {
-    leaving = true;
-    drainsUntilMs = untilMs;
+  public void startDraining(long deadlineMs) {
+    draining = true;
+    drainDeadlineMs = deadlineMs;
   }
 
   /**
    * Why a request that nothing was passed on of is better begun elsewhere, as it may last longer
    * than this relay, or null. Its deadline counts, the only end that is certain.
    */
-  FilterResult refusalIfItMayOutlastThis(Request request) {
-    return request.deadline > drainsUntilMs
+  FilterResult refusalIfOutlivesRelay(Request request) {
+    return request.deadline > drainDeadlineMs
         ? FilterResult.notRun(503, "stopping before it has to end", FilterResult.RETRY_AT_ONCE_MS)
         : null;
   }
 
   /** What a request is told for whose model nobody named weights. */
-  FilterResult refusalForWantOfWeights(Request request) {
+  FilterResult refusalForMissingWeights(Request request) {
     return FilterResult.notRun(
-        503, "no weights are named for " + request.model, retryAdvice.untilStateMs());
+        503, "no weights are named for " + request.model, retryAdvice.msUntilState());
   }
 
   /**
@@ -146,24 +146,31 @@
    * before; null where there are none. Where nobody has to name weights first, those that replicas
    * tell of stand until somebody does.
    */
-  public String[] weights(String model) {
-    Weights.Named n = tables().weights().of(model);
-    if (n == null) return settings.anyWeights() ? new String[] {backends.newest(model), ""} : null;
+  public String[] allowedWeights(String model) {
+    Weights.Named named = snapshot().weights().of(model);
+    if (named == null)
+      return settings.allowsUnnamedWeights()
+          ? new String[] {backends.newestWeights(model), ""}
+          : null;
     String before =
-        n.before().isEmpty() && settings.anyWeights()
-            ? backends.newestBelow(model, n.now())
-            : n.before();
-    return new String[] {n.now(), clock.now() < news.leases.cutoffAt() ? before : ""};
+        named.before().isEmpty() && settings.allowsUnnamedWeights()
+            ? backends.newestWeightsBefore(model, named.now())
+            : named.before();
+    return new String[] {named.now(), clock.now() < subscription.leases.cutoffAt() ? before : ""};
   }
 
   /** Whether a request may begin on these weights now. */
-  public boolean mayRun(String model, String w) {
-    return mayRun(weights(model), w);
+  public boolean mayRun(String model, String weights) {
+    return mayRun(allowedWeights(model), weights);
   }
 
-  /** As above, with what {@link #weights} gave for the model; may is null where it gave none. */
-  static boolean mayRun(String[] may, String w) {
-    return may != null && !w.isEmpty() && (w.equals(may[0]) || w.equals(may[1]));
+  /**
+   * As above, with what {@link #allowedWeights} gave for the model; may is null where it gave none.
+   */
+  static boolean mayRun(String[] allowedWeights, String weights) {
+    return allowedWeights != null
+        && !weights.isEmpty()
+        && (weights.equals(allowedWeights[0]) || weights.equals(allowedWeights[1]));
   }
 
   /**
@@ -171,9 +178,11 @@
    * for the newest weights reads all replicas, so a caller that asks about each of them hands in a
    * map that lives for this one look.
    */
-  private boolean runs(Backend backend, Map<String, String[]> may) {
-    for (String m : backend.weights.keySet())
-      if (mayRun(may.computeIfAbsent(m, this::weights), weightsOf(backend, m))) return true;
+  private boolean runsAllowedWeights(Backend backend, Map<String, String[]> allowedWeights) {
+    for (String model : backend.weightsByModel.keySet())
+      if (mayRun(
+          allowedWeights.computeIfAbsent(model, this::allowedWeights),
+          effectiveWeights(backend, model))) return true;
     return false;
   }
 
@@ -182,12 +191,15 @@
    * turn to take newer ones, those; it says so if it doesn't yet, and then is left alone for a
    * moment.
    */
-  public String weightsOf(Backend backend, String model) {
-    String told = backend.weights(model);
-    Weights.Named n = backend.reports ? null : tables().weights().of(model);
-    if (n == null || told.isEmpty() || !Backend.newer(n.now(), told)) return told;
-    long now = clock.now();
-    return !backend.saidOld(now) && now >= turn(backend) + LOADS ? n.now() : told;
+  public String effectiveWeights(Backend backend, String model) {
+    String reported = backend.reportedWeights(model);
+    Weights.Named named = backend.reportsLoad ? null : snapshot().weights().of(model);
+    if (named == null || reported.isEmpty() || !Backend.isNewer(named.now(), reported))
+      return reported;
+    long nowMs = clock.now();
+    return !backend.isOnOldWeights(nowMs) && nowMs >= rolloutTurnMs(backend) + WEIGHT_LOAD_MS
+        ? named.now()
+        : reported;
   }
 
   /**
@@ -195,62 +207,69 @@
    * list has told yet that it runs them. What runs there ends first, and until it has loaded it
    * turns away what is new: better left alone.
    */
-  public boolean loads(Backend backend, String model) {
-    Weights.Named n = backend.reports ? null : tables().weights().of(model);
-    if (n == null
-        || backend.weights(model).isEmpty()
-        || !Backend.newer(n.now(), backend.weights(model))) return false;
-    return clock.now() >= turn(backend) - BEFORE;
+  public boolean isLoadingWeights(Backend backend, String model) {
+    Weights.Named named = backend.reportsLoad ? null : snapshot().weights().of(model);
+    if (named == null
+        || backend.reportedWeights(model).isEmpty()
+        || !Backend.isNewer(named.now(), backend.reportedWeights(model))) return false;
+    return clock.now() >= rolloutTurnMs(backend) - ROLLOUT_LEAD_MS;
   }
 
   /**
    * When a replica's turn to take the named weights comes, on this relay's clock; in the past where
    * it has.
    */
-  private long turn(Backend b) {
-    long named = news.leases.cutoffAt() - settings.cutoffMs();
-    if (clock.now() >= news.leases.cutoffAt()) return clock.now() - LOADS;
-    List<String> all =
-        backends.of(b.replica.service()).stream().map(x -> x.replica.instance()).toList();
-    return named + settings.roll().due(settings.roll().part(b.replica.instance(), all));
+  private long rolloutTurnMs(Backend backend) {
+    long namedAtMs = subscription.leases.cutoffAt() - settings.weightsCutoffMs();
+    if (clock.now() >= subscription.leases.cutoffAt()) return clock.now() - WEIGHT_LOAD_MS;
+    List<String> instances =
+        backends.readyReplicas(backend.replica.service()).stream()
+            .map(each -> each.replica.instance())
+            .toList();
+    return namedAtMs
+        + settings
+            .rolloutPlan()
+            .due(settings.rolloutPlan().part(backend.replica.instance(), instances));
   }
 
   /**
    * Where a holder of kept prompts is called: a replica's or a store's address and zone; or null.
    */
-  public Replica holder(String name) {
-    Replica p = tables().replicas().find(name);
-    if (p != null) return p;
-    Configuration.Service s = tables().configuration().service(name);
-    return s == null || s.store() == null ? null : Holders.store(s);
+  public Replica findHolder(String name) {
+    Replica replica = snapshot().replicas().find(name);
+    if (replica != null) return replica;
+    Configuration.Service service = snapshot().configuration().service(name);
+    return service == null || service.store() == null ? null : Holders.store(service);
   }
 
   /**
    * The first piece of a request came so many ms after it was handed over: what is learned of its
    * replica.
    */
-  public void firstPiece(Request request, Backend backend, long ms) {
-    if (backend.reports) return;
-    double rest = ms - request.queueMs;
+  public void recordFirstPiece(Request request, Backend backend, long firstPieceMs) {
+    if (backend.reportsLoad) return;
+    double excessMs = firstPieceMs - request.queueMs;
     PrefixStore store = stores.find(request.fetchFrom);
-    if (request.fetchBlocks > 0 && rest > 4 * request.workMs + 250) {
-      if (store == null) backend.slowLink(clock.now());
-      else store.link().slow(clock.now());
+    if (request.fetchBlocks > 0 && excessMs > 4 * request.workMs + 250) {
+      if (store == null) backend.markLinkSlow(clock.now());
+      else store.link().markSlow(clock.now());
     }
-    if (request.fetchBlocks > 0 || !settings.has(Mechanism.LEARNED_SPEED)) return;
-    estimates.firstPieceCame(request, ms);
+    if (request.fetchBlocks > 0 || !settings.isEnabled(Mechanism.LEARNED_SPEED)) return;
+    estimates.recordFirstPiece(request, firstPieceMs);
   }
 
   /** What an index told of the replicas of a service; one it doesn't name is free. */
-  void fleet(String service, Lookup.Fleet fleet) {
-    evictedShare = fleet.evictedShare();
-    if (!settings.has(Mechanism.FLEET_LOADS) || fleet.equals(Lookup.Fleet.UNKNOWN)) return;
-    Map<String, Lookup.Load> busy = new HashMap<>();
-    for (Lookup.Load load : fleet.loads()) busy.put(load.holder(), load);
-    long now = clock.now();
-    for (Backend backend : backends.of(service)) {
+  void recordFleetLoad(String service, Lookup.Fleet fleetLoad) {
+    evictedShare = fleetLoad.evictedShare();
+    if (!settings.isEnabled(Mechanism.FLEET_LOADS) || fleetLoad.equals(Lookup.Fleet.UNKNOWN))
+      return;
+    Map<String, Lookup.Load> loadsByInstance = new HashMap<>();
+    for (Lookup.Load load : fleetLoad.loads()) loadsByInstance.put(load.holder(), load);
+    long nowMs = clock.now();
+    for (Backend backend : backends.readyReplicas(service)) {
       String instance = backend.replica.instance();
-      backend.fleetLoad(busy.getOrDefault(instance, new Lookup.Load(instance, 0, 0, 0)), now);
+      backend.recordFleetLoad(
+          loadsByInstance.getOrDefault(instance, new Lookup.Load(instance, 0, 0, 0)), nowMs);
     }
   }
 
@@ -260,39 +279,40 @@
   }
 
   /** How urgent replicas are told that a request is, by the newest configuration; 0 is first. */
-  public int urgency(Request request) {
-    return urgencyLevels.of(request);
+  public int urgencyLevel(Request request) {
+    return urgencyLevels.levelOf(request);
   }
 
   public WaitQueue queue(String service) {
     return queues.computeIfAbsent(
         service,
-        text -> {
-          WaitQueue b = new WaitQueue(settings.queueMost());
-          b.shape(tables().configuration());
-          return b;
+        serviceName -> {
+          WaitQueue queue = new WaitQueue(settings.maxQueuedRequests());
+          queue.configure(snapshot().configuration());
+          return queue;
         });
   }
 
   public void begin(Request request) {
-    live.put(request.decision.nr, request);
+    liveRequests.put(request.decision.nr, request);
   }
 
-  public List<Request> live() {
-    return new ArrayList<>(live.values());
+  public List<Request> liveRequests() {
+    return new ArrayList<>(liveRequests.values());
   }
 
   /** The request's end: its place is free. */
-  public void ended(Request request) {
-    if (live.remove(request.decision.nr) == null) return;
+  public void finish(Request request) {
+    if (liveRequests.remove(request.decision.nr) == null) return;
     request.state.end();
     if (request.admitted) {
       request.admitted = false;
       queue(request.service.name()).release(request);
       if (request.backend == null) admitted.merge(request.service.name(), -1, Integer::sum);
-      if (request.decision.outcome().equals("complete")) estimates.completed(request, clock.now());
+      if (request.decision.outcome().equals("complete"))
+        estimates.recordCompletion(request, clock.now());
     }
-    drop(request);
+    releaseReplica(request);
     if (request.pausedTooLong())
       request.decision.add(
           "paused",
@@ -302,8 +322,8 @@
               .add("endedMs", request.longestPauseEndedMs())
               .add("allowedMs", request.route.gapMs()));
     request.decision.end();
-    reasons.accept(request.decision);
-    pump();
+    decisionSink.accept(request.decision);
+    admitWaiting();
     Log.event(
         "request-ended",
         "order",
@@ -355,227 +375,239 @@
   }
 
   /** The request holds no replica any more. */
-  public void drop(Request request) {
+  public void releaseReplica(Request request) {
     if (request.backend == null) return;
-    request.backend.mine = Math.max(0, request.backend.mine - 1);
-    request.backend.gives(request.units());
+    request.backend.ownRequests = Math.max(0, request.backend.ownRequests - 1);
+    request.backend.releaseUnits(request.units());
     request.backend = null;
     if (request.admitted) admitted.merge(request.service.name(), 1, Integer::sum);
   }
 
-  public void choose(Request request, Backend backend, double ms) {
-    drop(request);
-    backend.takes(request.units());
+  public void assignReplica(Request request, Backend backend, double workMs) {
+    releaseReplica(request);
+    backend.reserveUnits(request.units());
     request.backend = backend;
-    backend.mine++;
-    backend.owes(ms, clock.now());
+    backend.ownRequests++;
+    backend.addWork(workMs, clock.now());
     admitted.merge(request.service.name(), -1, Integer::sum);
   }
 
   private int places(String service) {
-    int n = 0;
-    for (Backend backend : backends.of(service))
-      if (backend.usable(clock.now())) n += backend.places();
-    return n;
+    int slots = 0;
+    for (Backend backend : backends.readyReplicas(service))
+      if (backend.isUsable(clock.now())) slots += backend.admissionSlots();
+    return slots;
   }
 
   /**
    * Tells what waits and is seen here, and takes the fleet's division; with none fresh, an equal
    * part.
    */
-  private void divide(long now, long passed) {
-    List<StateUpdate.QuotaDemand> ds = new ArrayList<>();
-    List<StateUpdate.ServiceCapacity> ps = new ArrayList<>();
-    for (Map.Entry<String, WaitQueue> e : queues.entrySet()) {
-      String text = e.getKey();
-      e.getValue()
+  private void updateShares(long nowMs, long elapsedMs) {
+    List<StateUpdate.QuotaDemand> demands = new ArrayList<>();
+    List<StateUpdate.ServiceCapacity> capacities = new ArrayList<>();
+    for (Map.Entry<String, WaitQueue> entry : queues.entrySet()) {
+      String service = entry.getKey();
+      entry
+          .getValue()
           .waitingAndUsed()
-          .forEach((leaf, n) -> ds.add(new StateUpdate.QuotaDemand(text, leaf, n[0], n[1])));
-      ps.add(new StateUpdate.ServiceCapacity(text, places(text)));
-      StateSubscription.Allotment a = news.allotment(text);
-      if (settings.alone() || a == null || now - a.at() > STALE || !a.full())
-        e.getValue().unbound();
-      else e.getValue().bound(a.milli(), passed, estimates.requestMs(text));
+          .forEach(
+              (leaf, usage) ->
+                  demands.add(new StateUpdate.QuotaDemand(service, leaf, usage[0], usage[1])));
+      capacities.add(new StateUpdate.ServiceCapacity(service, places(service)));
+      StateSubscription.Allotment allotment = subscription.allotment(service);
+      if (settings.localSharesOnly()
+          || allotment == null
+          || nowMs - allotment.at() > ALLOTMENT_MAX_AGE_MS
+          || !allotment.full()) entry.getValue().clearBounds();
+      else
+        entry.getValue().setBounds(allotment.milli(), elapsedMs, estimates.meanRequestMs(service));
     }
-    news.demand(List.copyOf(ds), List.copyOf(ps));
+    subscription.demand(List.copyOf(demands), List.copyOf(capacities));
   }
 
   /**
    * By service and leaf: waiting and using here, and the part of places the fleet's division leaves
    * this relay, if it bounds.
    */
-  public JsonObject shares() {
-    JsonObject o = Json.object();
-    long now = clock.now();
-    for (Map.Entry<String, WaitQueue> e : queues.entrySet()) {
-      StateSubscription.Allotment a = news.allotment(e.getKey());
-      boolean fresh = a != null && now - a.at() <= STALE;
-      JsonObject l = Json.object();
-      e.getValue()
+  public JsonObject sharesJson() {
+    JsonObject services = Json.object();
+    long nowMs = clock.now();
+    for (Map.Entry<String, WaitQueue> entry : queues.entrySet()) {
+      StateSubscription.Allotment allotment = subscription.allotment(entry.getKey());
+      boolean fresh = allotment != null && nowMs - allotment.at() <= ALLOTMENT_MAX_AGE_MS;
+      JsonObject leaves = Json.object();
+      entry
+          .getValue()
           .waitingAndUsed()
           .forEach(
-              (leaf, n) -> {
-                JsonObject x = Json.object().add("waiting", n[0]).add("using", n[1]);
-                if (fresh && a.full()) x.add("part", a.milli().getOrDefault(leaf, 1000) / 1000.0);
-                l.add(leaf, x);
+              (leaf, usage) -> {
+                JsonObject leafUsage =
+                    Json.object().add("waiting", usage[0]).add("using", usage[1]);
+                if (fresh && allotment.full())
+                  leafUsage.add("part", allotment.milli().getOrDefault(leaf, 1000) / 1000.0);
+                leaves.add(leaf, leafUsage);
               });
-      o.add(
-          e.getKey(),
+      services.add(
+          entry.getKey(),
           Json.object()
-              .add("divided", !fresh ? "by nobody" : a.full() ? "full" : "not full")
-              .add("leaves", l));
+              .add("divided", !fresh ? "by nobody" : allotment.full() ? "full" : "not full")
+              .add("leaves", leaves));
     }
-    return o;
+    return services;
   }
 
   /** With nobody dividing, as much of the places as if all relays asked alike. */
-  private int equalPart(String service) {
-    StateSubscription.Allotment a = news.allotment(service);
-    if (settings.alone()) return Integer.MAX_VALUE;
-    if (a != null && clock.now() - a.at() <= STALE) return Integer.MAX_VALUE;
-    int n = Math.max(1, relays.getAsInt());
-    return (places(service) + n - 1) / n;
-  }
-
-  public int free(String service) {
-    Configuration.Service s = tables().configuration().service(service);
-    boolean model = s == null || s.kind() == Configuration.Kind.MODEL;
-    Map<String, String[]> may = new HashMap<>();
+  private int equalShare(String service) {
+    StateSubscription.Allotment allotment = subscription.allotment(service);
+    if (settings.localSharesOnly()) return Integer.MAX_VALUE;
+    if (allotment != null && clock.now() - allotment.at() <= ALLOTMENT_MAX_AGE_MS)
+      return Integer.MAX_VALUE;
+    int relays = Math.max(1, relayCount.getAsInt());
+    return (places(service) + relays - 1) / relays;
+  }
+
+  public int freeSlots(String service) {
+    Configuration.Service configured = snapshot().configuration().service(service);
+    boolean model = configured == null || configured.kind() == Configuration.Kind.MODEL;
+    Map<String, String[]> allowedWeights = new HashMap<>();
     return Math.min(
-        backends.free(service, backend -> !model || runs(backend, may))
+        backends.freeSlots(
+                service, backend -> !model || runsAllowedWeights(backend, allowedWeights))
             - admitted.getOrDefault(service, 0),
-        equalPart(service) - queue(service).used());
+        equalShare(service) - queue(service).used());
   }
 
   /**
    * How long a request would wait for a place if it joined the queue now, in ms: until one comes
    * free, and for what goes before it.
    */
-  double waitMs(Request request) {
+  double estimatedWaitMs(Request request) {
     String service = request.service.name();
     WaitQueue queue = queue(service);
-    if (queue.size() == 0 && free(service) > 0) return 0;
-    return queue.waitMs(request, estimates.requestMs(service), equalPartOfListed(service));
+    if (queue.size() == 0 && freeSlots(service) > 0) return 0;
+    return queue.estimatedWaitMs(
+        request, estimates.meanRequestMs(service), equalShareOfListed(service));
   }
 
   /** As much of the places of all replicas, usable now or not, as if all relays asked alike. */
-  private int equalPartOfListed(String service) {
+  private int equalShareOfListed(String service) {
     int listed = 0;
-    for (Backend backend : backends.of(service)) listed += backend.places();
-    return listed / Math.max(1, relays.getAsInt());
+    for (Backend backend : backends.readyReplicas(service)) listed += backend.admissionSlots();
+    return listed / Math.max(1, relayCount.getAsInt());
   }
 
   /** Gives free places to those that wait, as the share tree says. */
-  public void pump() {
-    if (pumping) {
-      pumpAgain = true;
+  public void admitWaiting() {
+    if (admitting) {
+      admitAgain = true;
       return;
     }
-    pumping = true;
+    admitting = true;
     try {
       do {
-        pumpAgain = false;
-        for (Map.Entry<String, WaitQueue> e : new ArrayList<>(queues.entrySet())) places(e);
-      } while (pumpAgain);
+        admitAgain = false;
+        for (Map.Entry<String, WaitQueue> entry : new ArrayList<>(queues.entrySet())) places(entry);
+      } while (admitAgain);
     } finally {
       // whatever goes wrong with one request, those behind it are not left waiting for ever
-      pumping = false;
+      admitting = false;
     }
   }
 
-  private void places(Map.Entry<String, WaitQueue> e) {
-    while (e.getValue().size() > 0 && free(e.getKey()) > 0) {
-      Request request = e.getValue().next();
+  private void places(Map.Entry<String, WaitQueue> entry) {
+    while (entry.getValue().size() > 0 && freeSlots(entry.getKey()) > 0) {
+      Request request = entry.getValue().next();
       if (request == null) break;
       request.admitted = true;
-      admitted.merge(e.getKey(), 1, Integer::sum);
+      admitted.merge(entry.getKey(), 1, Integer::sum);
       request.leaveQueue.accept(FilterResult.GO);
     }
   }
 
   /** The caller went away: nothing is left to be done for its request. */
-  public void gone(Request request) {
+  public void callerGone(Request request) {
     request.gone = true;
-    State.At at = request.state.at();
-    if (at == State.At.ENDED) return;
+    State.At state = request.state.at();
+    if (state == State.At.ENDED) return;
     request.decision.add(
         "caller-gone", clock.now(), Json.object().add("pieces", request.piecesOut));
-    if (at == State.At.WAITING) stop(request, "the caller went away", 499);
+    if (state == State.At.WAITING) stop(request, "the caller went away", 499);
     else if (request.state.end()) {
       request.decision.outcome("caller-gone");
       request.cancel.run();
-      ended(request);
+      finish(request);
     }
   }
 
   /** The way of a request through this relay. */
-  public FilterChain way(Lookups lookups, ChoiceMode mode, Exchange exchange) {
+  public FilterChain filterChain(Lookups lookups, ChoiceMode choiceMode, Exchange exchange) {
     return new FilterChain(
         List.of(
             new KeyFilter(this),
             new RouteFilter(this),
             new AdmissionFilter(this),
             new PrefixLookupFilter(this, lookups),
-            new ReplicaChoice(this, mode, lookups),
+            new ReplicaChoice(this, choiceMode, lookups),
             new FetchPlanFilter(this),
             new Forwarding(this, exchange)),
         "choice",
         clock,
-        this::ended);
+        this::finish);
   }
 
   /** A new snapshot: back ends, shares, and what it forbids of requests under way. */
-  public void tables(ControlStateSnapshot snapshot) {
-    backends.tables(snapshot);
-    stores.tables(snapshot, clock.now());
-    if (snapshot.configurationNumber() != shaped.configurationNumber()) {
+  public void applySnapshot(ControlStateSnapshot snapshot) {
+    backends.applySnapshot(snapshot);
+    stores.applySnapshot(snapshot, clock.now());
+    if (snapshot.configurationNumber() != appliedSnapshot.configurationNumber()) {
       urgencyLevels = new UrgencyLevels(snapshot.configuration());
-      for (WaitQueue b : queues.values()) b.shape(snapshot.configuration());
-      for (Request request : live()) {
+      for (WaitQueue queue : queues.values()) queue.configure(snapshot.configuration());
+      for (Request request : liveRequests()) {
         if (request.tenant == null || request.route != null && request.route.open()) continue;
-        Configuration.Tenant n = snapshot.configuration().tenantOfHash(request.keyHash);
+        Configuration.Tenant tenant = snapshot.configuration().tenantOfHash(request.keyHash);
         boolean runs =
             request.state.at() == State.At.HANDED || request.state.at() == State.At.STREAMING;
-        if ((n == null || !n.name().equals(request.tenant.name()))
-            && (settings.cutsStreams() || !runs)) stop(request, "key revoked", 401);
+        if ((tenant == null || !tenant.name().equals(request.tenant.name()))
+            && (settings.cutsRevokedStreams() || !runs)) stop(request, "key revoked", 401);
       }
     }
-    shaped = snapshot;
-    pump();
+    appliedSnapshot = snapshot;
+    admitWaiting();
   }
 
   /** Ends a request wherever it is: refused from the queue, or cut off at the replica. */
-  public void stop(Request o, String why, int status) {
-    State.At at = o.state.at();
-    if (at == State.At.WAITING && !o.admitted && o.leaveQueue != null) {
-      for (Request x : queue(o.service.name()).leave(y -> y == o))
-        x.leaveQueue.accept(
-            FilterResult.notRun(status, why, status == 401 ? 0 : retryAdvice.untilStateMs()));
-    } else if (at == State.At.HANDED || at == State.At.STREAMING) cutOff(o, why);
+  public void stop(Request request, String reason, int status) {
+    State.At state = request.state.at();
+    if (state == State.At.WAITING && !request.admitted && request.leaveQueue != null) {
+      for (Request removed : queue(request.service.name()).removeIf(waiting -> waiting == request))
+        removed.leaveQueue.accept(
+            FilterResult.notRun(status, reason, status == 401 ? 0 : retryAdvice.msUntilState()));
+    } else if (state == State.At.HANDED || state == State.At.STREAMING) cutOff(request, reason);
     // an admitted request still waiting meets the same check at the hand-over
   }
 
-  public void cutOff(Request request, String why) {
-    boolean streaming = request.state.at() == State.At.STREAMING;
+  public void cutOff(Request request, String reason) {
+    boolean wasStreaming = request.state.at() == State.At.STREAMING;
     if (!request.state.end()) return;
     // the reason first: letting the replica go may end the request's record on the spot
     request.decision.add(
-        "cut-off", clock.now(), Json.object().add("why", why).add("pieces", request.piecesOut));
-    request.decision.outcome(streaming ? "cut-off" : "unknown");
-    request.why = why;
+        "cut-off", clock.now(), Json.object().add("why", reason).add("pieces", request.piecesOut));
+    request.decision.outcome(wasStreaming ? "cut-off" : "unknown");
+    request.why = reason;
     request.cancel.run();
     if (!request.gone) {
-      if (streaming) request.caller.cutOff(request, why);
+      if (wasStreaming) request.caller.cutOff(request, reason);
       else
         request.caller.refuse(
             request,
             (FilterResult.Refuse)
                 FilterResult.unknown(
                     request.deadline <= clock.now() ? 504 : 502,
-                    why,
-                    retryAdvice.untilRoomMs(request)));
+                    reason,
+                    retryAdvice.msUntilRoom(request)));
     }
-    ended(request);
+    finish(request);
   }
 
   /**
@@ -584,27 +616,27 @@
    */
   private void expireUnsent(Request request) {
     if (!request.state.end()) return;
-    FilterResult.Refuse v =
+    FilterResult.Refuse refusal =
         ((FilterResult.Refuse)
-                FilterResult.notRun(503, EXPIRED_UNSENT, retryAdvice.untilRoomMs(request)))
+                FilterResult.notRun(503, EXPIRED_BEFORE_SEND, retryAdvice.msUntilRoom(request)))
             .afterTriesOf(request);
     request.decision.add(
         "turned-away",
         clock.now(),
-        Json.object().add("status", v.status()).add("reason", v.reason()));
-    request.decision.outcome(v.outcome());
-    request.why = v.reason();
-    if (!request.gone) request.caller.refuse(request, v);
-    ended(request);
+        Json.object().add("status", refusal.status()).add("reason", refusal.reason()));
+    request.decision.outcome(refusal.outcome());
+    request.why = refusal.reason();
+    if (!request.gone) request.caller.refuse(request, refusal);
+    finish(request);
   }
 
   /** What waits and can't end in time any more is told so at once, so that its caller can go on. */
-  private void refuseTooLate(long now) {
-    if (!settings.has(Mechanism.EARLY_REFUSAL)) return;
+  private void refuseOverdue(long nowMs) {
+    if (!settings.isEnabled(Mechanism.EARLY_REFUSAL)) return;
     for (WaitQueue queue : queues.values())
-      for (Request request : queue.leave(waiting -> now > waiting.latestStartMs()))
+      for (Request request : queue.removeIf(waiting -> nowMs > waiting.latestStartMs()))
         request.leaveQueue.accept(
-            FilterResult.notRun(503, EXPIRED_UNPLACED, retryAdvice.untilRoomMs(request)));
+            FilterResult.notRun(503, EXPIRED_IN_QUEUE, retryAdvice.msUntilRoom(request)));
   }
 
   /**
@@ -612,28 +644,33 @@
    * more.
    */
   public void tick() {
-    long now = clock.now();
-    divide(now, now - ticked);
+    long nowMs = clock.now();
+    updateShares(nowMs, nowMs - lastTickMs);
     // after a pause of its own, replicas are given the time to say that they are there
-    if (now - ticked > ASLEEP) awake = now;
-    ticked = now;
-    refuseTooLate(now);
-    for (Request o : live()) {
-      if (o.deadline > 0 && now >= o.deadline) {
-        State.At at = o.state.at();
-        if (at == State.At.WAITING && !o.admitted && o.leaveQueue != null) {
-          for (Request x : queue(o.service.name()).leave(y -> y == o))
-            x.leaveQueue.accept(
-                FilterResult.notRun(503, "expired in the backlog", retryAdvice.untilRoomMs(x)));
-        } else if (at == State.At.HANDED || at == State.At.STREAMING) cutOff(o, "expired");
-        else if (at == State.At.WAITING && o.admitted) expireUnsent(o);
-      } else if (o.backend != null
-          && o.backend.silent(now, awake)
-          && o.state.at() != State.At.WAITING) o.lost.accept("has fallen silent");
+    if (nowMs - lastTickMs > STALL_THRESHOLD_MS) awakeSinceMs = nowMs;
+    lastTickMs = nowMs;
+    refuseOverdue(nowMs);
+    for (Request request : liveRequests()) {
+      if (request.deadline > 0 && nowMs >= request.deadline) {
+        State.At state = request.state.at();
+        if (state == State.At.WAITING && !request.admitted && request.leaveQueue != null) {
+          for (Request removed :
+              queue(request.service.name()).removeIf(waiting -> waiting == request))
+            removed.leaveQueue.accept(
+                FilterResult.notRun(
+                    503, "expired in the backlog", retryAdvice.msUntilRoom(removed)));
+        } else if (state == State.At.HANDED || state == State.At.STREAMING)
+          cutOff(request, "expired");
+        else if (state == State.At.WAITING && request.admitted) expireUnsent(request);
+      } else if (request.backend != null
+          && request.backend.isSilent(nowMs, awakeSinceMs)
+          && request.state.at() != State.At.WAITING) request.lost.accept("has fallen silent");
     }
-    if (settings.cutsStreams() && now - news.leases.until(StateKeys.CONFIGURATION) > GRACE)
-      for (Request o : live())
-        if (o.tenant != null) stop(o, "no licence for so long that keys can't be known", 503);
-    pump();
+    if (settings.cutsRevokedStreams()
+        && nowMs - subscription.leases.until(StateKeys.CONFIGURATION) > STREAM_GRACE_MS)
+      for (Request request : liveRequests())
+        if (request.tenant != null)
+          stop(request, "no licence for so long that keys can't be known", 503);
+    admitWaiting();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
@@ -13,20 +13,21 @@
  */
 public interface RelayProtocol {
   /** The machine under a relay. */
-  record Under(Vertx vertx, BindAddress local, Clock clock) {}
+  record Environment(Vertx vertx, BindAddress local, Clock clock) {}
 
   /** The open door. */
-  interface Door {
+  interface Listener {
     /** From now on callers are told to go elsewhere with their next request. */
-    default void leaving() {}
+    default void startDraining() {}
 
     void close();
   }
 
-  Backends backends(Under u, Relay r);
+  Backends createBackends(Environment environment, Relay relay);
 
-  Exchange exchange(Under u, Relay r);
+  Exchange createExchange(Environment environment, Relay relay);
 
   /** Opens the door; fails where it can't be opened. */
-  Uni<Door> open(Under u, Relay r, Decisions decisions, FilterChain way);
+  Uni<Listener> open(
+      Environment environment, Relay relay, Decisions decisions, FilterChain filterChain);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayService.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayService.java
@@ -36,19 +36,19 @@
  * ready first, then no new requests, then those under way may end.
  */
 public final class RelayService implements ServiceRegistry.Service {
-  public static final long DRAIN = 8000;
-  private static final int REMEMBERED = 16384;
+  public static final long DRAIN_MS = 8000;
+  private static final int REMEMBERED_DECISIONS = 16384;
 
   /** How often deadlines are looked at, ms, and while no request is under way. */
-  private static final long TICK = 50, IDLE_TICK = 200;
+  private static final long TICK_MS = 50, IDLE_TICK_MS = 200;
 
   /**
    * A relay that stops takes what has to end before it does. lingerMs: how long it stays though
    * nothing is under way, as callers may still be sent to it; drainMs: when it has ended at the
    * latest.
    */
-  public record Ends(long lingerMs, long drainMs) {
-    public static final Ends USUAL = new Ends(0, DRAIN);
+  public record ShutdownTimes(long lingerMs, long drainMs) {
+    public static final ShutdownTimes DEFAULT = new ShutdownTimes(0, DRAIN_MS);
   }
 
   private final Vertx vertx;
@@ -56,15 +56,15 @@
   private final String name;
   private final String zone;
   private final RelayProtocol protocol;
-  private final Address index;
+  private final Address ownIndex;
   private final RelaySettings settings;
-  private final ChoiceMode mode;
-  private final Ends ends;
+  private final ChoiceMode choiceMode;
+  private final ShutdownTimes shutdownTimes;
   private Context context;
   private volatile Relay relay;
-  private StallDetector.Watched watched;
+  private StallDetector.Watched stallWatch;
   private Decisions decisions;
-  private RelayProtocol.Door door;
+  private RelayProtocol.Listener listener;
 
   public RelayService(
       Vertx vertx,
@@ -72,89 +72,95 @@
       String name,
       String zone,
       RelayProtocol protocol,
-      Address index,
+      Address ownIndex,
       RelaySettings settings,
-      ChoiceMode mode,
-      Ends ends) {
+      ChoiceMode choiceMode,
+      ShutdownTimes shutdownTimes) {
     this.vertx = vertx;
     this.clock = clock;
     this.name = name;
     this.zone = zone;
     this.protocol = protocol;
-    this.index = index;
+    this.ownIndex = ownIndex;
     this.settings = settings;
-    this.mode = mode;
-    this.ends = ends;
+    this.choiceMode = choiceMode;
+    this.shutdownTimes = shutdownTimes;
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    StateSubscriptionService news = registry.find("news", StateSubscriptionService.class);
-    ConnectionAcceptor doors = registry.find("doors", ConnectionAcceptor.class);
+    StateSubscriptionService subscriptions = registry.find("news", StateSubscriptionService.class);
+    ConnectionAcceptor acceptor = registry.find("doors", ConnectionAcceptor.class);
     PartialViewService views = registry.find("views", PartialViewService.class);
-    DecisionLogService reasons = registry.find("reasons", DecisionLogService.class);
-    reasons.prepare();
-    decisions = new Decisions(REMEMBERED, name, news.run());
+    DecisionLogService decisionLog = registry.find("reasons", DecisionLogService.class);
+    decisionLog.prepare();
+    decisions = new Decisions(REMEMBERED_DECISIONS, name, subscriptions.run());
     context = vertx.getOrCreateContext();
-    watched = ProcessStalls.detector().watch("requests", this::onRequestThread);
-    RelayProtocol.Under under = new RelayProtocol.Under(vertx, doors.local, clock);
-    CompletableFuture<Void> up = new CompletableFuture<>();
+    stallWatch = ProcessStalls.detector().watch("requests", this::onRequestThread);
+    RelayProtocol.Environment environment =
+        new RelayProtocol.Environment(vertx, acceptor.local, clock);
+    CompletableFuture<Void> started = new CompletableFuture<>();
     context.runOnContext(
         () -> {
-          Relay r =
+          Relay newRelay =
               new Relay(
                   clock,
-                  news.held,
-                  x -> protocol.backends(under, x),
+                  subscriptions.held,
+                  created -> protocol.createBackends(environment, created),
                   zone,
                   settings,
                   () ->
                       Math.max(
-                          news.held.relays(),
+                          subscriptions.held.relays(),
                           1
                               + (int)
                                   views.all().stream()
-                                      .filter(d -> d.role().equals("relay"))
+                                      .filter(each -> each.role().equals("relay"))
                                       .count()));
           LookupClient lookups =
               new LookupClient(
                   vertx,
                   context,
-                  doors,
+                  acceptor,
                   views,
                   zone,
-                  index,
-                  settings.lookupMs(),
-                  settings.oneIndexAZone());
-          ticks(r);
+                  ownIndex,
+                  settings.lookupTimeoutMs(),
+                  settings.oneIndexPerZone());
+          scheduleTicks(newRelay);
           List<Decision> ended = new ArrayList<>();
-          r.reasons = ended::add;
+          newRelay.decisionSink = ended::add;
           vertx.setPeriodic(
               DecisionLogService.PERIOD,
-              i -> {
-                for (Request request : r.live())
+              timer -> {
+                for (Request request : newRelay.liveRequests())
                   if (request.state.at() != State.At.WAITING) ended.add(request.decision);
-                reasons.hand(List.copyOf(ended), decisions.run());
+                decisionLog.hand(List.copyOf(ended), decisions.run());
                 ended.clear();
               });
-          relay = r;
+          relay = newRelay;
           protocol
-              .open(under, r, decisions, r.way(lookups, mode, protocol.exchange(under, r)))
+              .open(
+                  environment,
+                  newRelay,
+                  decisions,
+                  newRelay.filterChain(
+                      lookups, choiceMode, protocol.createExchange(environment, newRelay)))
               .subscribe()
               .with(
-                  d -> {
-                    door = d;
-                    up.complete(null);
+                  each -> {
+                    listener = each;
+                    started.complete(null);
                   },
-                  up::completeExceptionally);
+                  started::completeExceptionally);
         });
     try {
-      up.get(10, TimeUnit.SECONDS);
-    } catch (InterruptedException | ExecutionException | TimeoutException e) {
+      started.get(10, TimeUnit.SECONDS);
+    } catch (InterruptedException | ExecutionException | TimeoutException failure) {
       throw new ServiceRegistry.StartupException(
-          "cannot listen for callers: " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for callers: " + ConnectionAcceptor.reason(failure), failure);
     }
-    news.listen(snapshot -> context.runOnContext(() -> relay.tables(snapshot)));
+    subscriptions.listen(snapshot -> context.runOnContext(() -> relay.applySnapshot(snapshot)));
     Log.event("caller-listener-started", "name", name);
   }
 
@@ -164,47 +170,48 @@
   }
 
   /** While nothing is under way there are no deadlines to watch, so the relay wakes less often. */
-  private void ticks(Relay r) {
-    r.tick();
-    vertx.setTimer(r.live().isEmpty() ? IDLE_TICK : TICK, i -> ticks(r));
+  private void scheduleTicks(Relay current) {
+    current.tick();
+    vertx.setTimer(
+        current.liveRequests().isEmpty() ? IDLE_TICK_MS : TICK_MS, timer -> scheduleTicks(current));
   }
 
   /** Other settings from now on. */
-  public void settings(RelaySettings s) {
-    context.runOnContext(() -> relay.settings = s);
+  public void updateSettings(RelaySettings newSettings) {
+    context.runOnContext(() -> relay.settings = newSettings);
   }
 
-  public String unready() {
+  public String unreadyReason() {
     return ProcessStalls.orElse(
-        relay == null ? "starting" : relay.leaving ? "stopping" : relay.unready());
+        relay == null ? "starting" : relay.draining ? "stopping" : relay.unreadyReason());
   }
 
   public Uni<JsonObject> status() {
     return Uni.createFrom()
         .emitter(
-            e ->
+            emitter ->
                 context.runOnContext(
                     () -> {
-                      Relay r = relay;
-                      ControlStateSnapshot snapshot = r.tables();
+                      Relay current = relay;
+                      ControlStateSnapshot snapshot = current.snapshot();
                       long now = clock.now();
-                      JsonObject json = Json.object();
+                      JsonObject leases = Json.object();
                       for (String key : StateKeys.LEASED)
-                        json.add(key, Math.max(-1, r.news.leases.until(key) - now));
-                      e.complete(
+                        leases.add(key, Math.max(-1, current.subscription.leases.until(key) - now));
+                      emitter.complete(
                           Json.object()
                               .add("name", name)
                               .add("domain", zone)
-                              .add("unready", r.unready())
+                              .add("unready", current.unreadyReason())
                               .add("policy", snapshot.configurationNumber())
                               .add("weights", snapshot.weightsNumber())
                               .add("replicas", snapshot.replicasNumber())
                               .add("generation", snapshot.generation())
-                              .add("licenceLeftMs", json)
-                              .add("ordersUnderWay", r.live().size())
+                              .add("licenceLeftMs", leases)
+                              .add("ordersUnderWay", current.liveRequests().size())
                               .add("longestWaitsMs", longestWaits())
-                              .add("shares", r.shares())
-                              .add("backends", r.backends.json()));
+                              .add("shares", current.sharesJson())
+                              .add("backends", current.backends.json()));
                     }));
   }
 
@@ -215,23 +222,24 @@
     return waits;
   }
 
-  public void routes(Router r) {
-    r.get("/operator/requests/:id").handler(this::explain);
+  public void registerRoutes(Router router) {
+    router.get("/operator/requests/:id").handler(this::explain);
     // the earlier path, for one release
-    r.get("/operator/orders/:id").handler(this::explain);
+    router.get("/operator/orders/:id").handler(this::explain);
   }
 
   private void explain(RoutingContext context) {
-    Decisions.Found f = decisions.find(context.pathParam("id"));
-    if (f instanceof Decisions.Found.Yes y) StatusEndpoint.say(context, 200, y.decision().json());
-    else if (f instanceof Decisions.Found.Malformed)
+    Decisions.Found found = decisions.find(context.pathParam("id"));
+    if (found instanceof Decisions.Found.Yes hit)
+      StatusEndpoint.say(context, 200, hit.decision().json());
+    else if (found instanceof Decisions.Found.Malformed)
       StatusEndpoint.say(
           context,
           400,
           Json.object()
               .add(
                   "reason", "a request id is RELAY.RUN.NUMBER, as in the header Gladelug-Request"));
-    else if (f instanceof Decisions.Found.Overwritten)
+    else if (found instanceof Decisions.Found.Overwritten)
       StatusEndpoint.say(
           context,
           410,
@@ -239,8 +247,8 @@
               .add(
                   "reason",
                   "this relay took the request but has overwritten its record; it remembers the last "
-                      + REMEMBERED));
-    else if (f instanceof Decisions.Found.OtherRun)
+                      + REMEMBERED_DECISIONS));
+    else if (found instanceof Decisions.Found.OtherRun)
       StatusEndpoint.say(
           context,
           410,
@@ -255,26 +263,26 @@
 
   @Override
   public void stop() {
-    watched.close();
+    stallWatch.close();
     CompletableFuture<Void> done = new CompletableFuture<>();
     context.runOnContext(
         () -> {
-          long begun = clock.now();
-          relay.leave(begun + ends.drainMs);
-          door.leaving();
+          long startedAtMs = clock.now();
+          relay.startDraining(startedAtMs + shutdownTimes.drainMs);
+          listener.startDraining();
           vertx.setPeriodic(
               20,
-              i -> {
-                long past = clock.now() - begun;
-                if (past >= ends.lingerMs && relay.live().isEmpty() || past > ends.drainMs)
-                  done.complete(null);
+              timer -> {
+                long elapsedMs = clock.now() - startedAtMs;
+                if (elapsedMs >= shutdownTimes.lingerMs && relay.liveRequests().isEmpty()
+                    || elapsedMs > shutdownTimes.drainMs) done.complete(null);
               });
         });
     try {
-      done.get(ends.drainMs + 1000, TimeUnit.MILLISECONDS);
-    } catch (InterruptedException | ExecutionException | TimeoutException e) {
+      done.get(shutdownTimes.drainMs + 1000, TimeUnit.MILLISECONDS);
+    } catch (InterruptedException | ExecutionException | TimeoutException failure) {
       Log.warn("drain-unfinished");
     }
-    door.close();
+    listener.close();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
@@ -18,15 +18,15 @@
 
   @Override
   public FilterResult decide(Request request) {
-    Configuration configuration = relay.tables().configuration();
+    Configuration configuration = relay.snapshot().configuration();
     request.route = configuration.route(request.host, request.path);
     if (request.route == null) return FilterResult.notRun(404, NO_ROUTE, 0);
     request.service = configuration.services.get(request.route.service(request.draw));
-    if (request.model.isEmpty()) request.model = usualModel(request.service);
+    if (request.model.isEmpty()) request.model = defaultModel(request.service);
     request.leaf = Configuration.leaf(request.tenant, request.route);
     request.repeatable =
         request.askedRepeatable == null ? request.route.repeatable() : request.askedRepeatable;
-    request.deadline = request.came + mayTakeMs(request);
+    request.deadline = request.came + timeoutMs(request);
     request.decision.add(
         "mapping",
         relay.clock.now(),
@@ -36,17 +36,17 @@
             .add("share", request.leaf)
             .add("expiryMs", request.deadline - request.came)
             .add("repeatable", request.repeatable));
-    FilterResult outlasts = relay.refusalIfItMayOutlastThis(request);
-    return outlasts == null ? FilterResult.GO : outlasts;
+    FilterResult refusal = relay.refusalIfOutlivesRelay(request);
+    return refusal == null ? FilterResult.GO : refusal;
   }
 
   /** The model of a request that names none: the service's first, or one of the service's name. */
-  private static String usualModel(Configuration.Service service) {
+  private static String defaultModel(Configuration.Service service) {
     List<String> models = service.engine().models();
     return models.isEmpty() ? service.name() : models.get(0);
   }
 
-  private static long mayTakeMs(Request request) {
+  private static long timeoutMs(Request request) {
     long routeMs = request.route.deadlineMs();
     return request.patienceMs > 0 ? Math.min(routeMs, request.patienceMs) : routeMs;
   }
--- a/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
@@ -23,9 +23,9 @@
  */
 public final class WaitQueue {
   /** The least part of a place that a leaf is reckoned to have, as parts are earned in time. */
-  private static final double LEAST_PART = 0.25;
+  private static final double MIN_SLOT_BOUND = 0.25;
 
-  private static final Comparator<Request> NEXT_AT_A_LEAF =
+  private static final Comparator<Request> LEAF_ORDER =
       Comparator.comparingInt(WaitQueue::routeTier)
           .thenComparingLong(Request::latestStartMs)
           .thenComparingLong(request -> request.decision.nr);
@@ -34,7 +34,7 @@
     final String path;
     final Node parent;
     final List<Node> children = new ArrayList<>();
-    final PriorityQueue<Request> queue = new PriorityQueue<>(NEXT_AT_A_LEAF);
+    final PriorityQueue<Request> queue = new PriorityQueue<>(LEAF_ORDER);
     int weight = 1;
     int tier;
     int limit;
@@ -43,9 +43,9 @@
     double pass;
 
     /** Places this leaf may use here, by the fleet's division; negative is no bound. */
-    double part = -1;
+    double slotBound = -1;
 
-    double credit;
+    double slotCredit;
 
     Node(String path, Node parent) {
       this.path = path;
@@ -54,54 +54,54 @@
     }
   }
 
-  private final int most;
+  private final int maxSize;
   private Map<String, Node> nodes = new HashMap<>();
   private Node root = new Node("", null);
 
-  public WaitQueue(int most) {
-    this.most = most;
+  public WaitQueue(int maxSize) {
+    this.maxSize = maxSize;
   }
 
   /** A new configuration's tree; what waits and what is used is carried over by path. */
-  public void shape(Configuration configuration) {
-    Map<String, Node> old = nodes;
+  public void configure(Configuration configuration) {
+    Map<String, Node> oldNodes = nodes;
     Node oldRoot = root;
     nodes = new HashMap<>();
     root = new Node("", null);
-    for (Configuration.Tenant t : configuration.tenants) shape(t.share(), root);
+    for (Configuration.Tenant tenant : configuration.tenants) addShare(tenant.share(), root);
     List<Request> waiting = new ArrayList<>();
-    for (Node n : old.values()) {
-      waiting.addAll(n.queue);
-      Node m = nodes.get(n.path);
-      if (m != null) m.pass = n.pass;
+    for (Node node : oldNodes.values()) {
+      waiting.addAll(node.queue);
+      Node newNode = nodes.get(node.path);
+      if (newNode != null) newNode.pass = node.pass;
     }
-    waiting.sort((a, b) -> Long.compare(a.decision.nr, b.decision.nr));
-    for (Request o : waiting) put(o);
-    for (Map.Entry<String, Node> e : old.entrySet())
-      if (e.getValue().children.isEmpty())
-        for (int i = 0; i < e.getValue().used; i++) use(e.getKey(), 1);
+    waiting.sort((left, right) -> Long.compare(left.decision.nr, right.decision.nr));
+    for (Request request : waiting) put(request);
+    for (Map.Entry<String, Node> entry : oldNodes.entrySet())
+      if (entry.getValue().children.isEmpty())
+        for (int slot = 0; slot < entry.getValue().used; slot++) adjustUsed(entry.getKey(), 1);
     root.used = oldRoot.used;
   }
 
-  private void shape(QuotaShare s, Node under) {
-    Node n = new Node(s.path(), under);
-    n.weight = s.weight();
-    n.tier = s.tier();
-    n.limit = s.limit();
-    nodes.put(s.path(), n);
-    for (QuotaShare c : s.shares()) shape(c, n);
-    if (!s.shares().isEmpty()) {
+  private void addShare(QuotaShare share, Node parent) {
+    Node node = new Node(share.path(), parent);
+    node.weight = share.weight();
+    node.tier = share.tier();
+    node.limit = share.limit();
+    nodes.put(share.path(), node);
+    for (QuotaShare child : share.shares()) addShare(child, node);
+    if (!share.shares().isEmpty()) {
       // requests of a tenant or share that no leaf below names wait beside its children
-      Node rest = new Node(s.path() + "/", n);
+      Node rest = new Node(share.path() + "/", node);
       nodes.put(rest.path, rest);
     }
   }
 
   private Node leaf(String path) {
-    Node n = nodes.get(path);
-    if (n != null && !n.children.isEmpty()) n = nodes.get(path + "/");
-    if (n == null) nodes.put(path, n = new Node(path, root));
-    return n;
+    Node node = nodes.get(path);
+    if (node != null && !node.children.isEmpty()) node = nodes.get(path + "/");
+    if (node == null) nodes.put(path, node = new Node(path, root));
+    return node;
   }
 
   public int size() {
@@ -110,71 +110,81 @@
 
   /** False where the queue is full. */
   public boolean enter(Request request) {
-    if (root.waiting >= most) return false;
+    if (root.waiting >= maxSize) return false;
     put(request);
     return true;
   }
 
   private void put(Request request) {
-    Node l = leaf(request.leaf);
-    l.queue.add(request);
-    for (Node n = l; n != null; n = n.parent) {
-      if (n.waiting == 0 && n.parent != null) {
+    Node leaf = leaf(request.leaf);
+    leaf.queue.add(request);
+    for (Node node = leaf; node != null; node = node.parent) {
+      if (node.waiting == 0 && node.parent != null) {
         double least = Double.MAX_VALUE;
-        for (Node s : n.parent.children)
-          if (s != n && (s.waiting > 0 || s.used > 0)) least = Math.min(least, s.pass);
-        if (least != Double.MAX_VALUE) n.pass = Math.max(n.pass, least);
+        for (Node sibling : node.parent.children)
+          if (sibling != node && (sibling.waiting > 0 || sibling.used > 0))
+            least = Math.min(least, sibling.pass);
+        if (least != Double.MAX_VALUE) node.pass = Math.max(node.pass, least);
       }
-      n.waiting++;
+      node.waiting++;
     }
   }
 
   /** No bounds on leaves: the fleet is not full, or nobody divides. */
-  public void unbound() {
-    for (Node n : nodes.values()) n.part = -1;
+  public void clearBounds() {
+    for (Node node : nodes.values()) node.slotBound = -1;
   }
 
   /**
    * The fleet's division: thousandths of a place by leaf. A part of a place is used in time: it
    * earns credit, one request's worth for each of that part of a request's usual duration.
    */
-  public void bound(Map<String, Integer> milli, double passed, double requestMs) {
-    for (Node n : nodes.values()) {
-      if (!n.children.isEmpty()) continue;
-      Integer m = milli.get(leafName(n));
-      n.part = m == null ? 1 : m / 1000.0;
-      n.credit =
-          Math.min(1, n.credit + (n.part - Math.floor(n.part)) * passed / Math.max(1, requestMs));
+  public void setBounds(
+      Map<String, Integer> milliSlotsByLeaf, double elapsedMs, double meanRequestMs) {
+    for (Node node : nodes.values()) {
+      if (!node.children.isEmpty()) continue;
+      Integer milliSlots = milliSlotsByLeaf.get(leafName(node));
+      node.slotBound = milliSlots == null ? 1 : milliSlots / 1000.0;
+      node.slotCredit =
+          Math.min(
+              1,
+              node.slotCredit
+                  + (node.slotBound - Math.floor(node.slotBound))
+                      * elapsedMs
+                      / Math.max(1, meanRequestMs));
     }
   }
 
-  private static String leafName(Node n) {
-    return n.path.endsWith("/") ? n.path.substring(0, n.path.length() - 1) : n.path;
+  private static String leafName(Node node) {
+    return node.path.endsWith("/") ? node.path.substring(0, node.path.length() - 1) : node.path;
   }
 
-  private static boolean may(Node n) {
-    if (n.waiting == 0 || n.limit > 0 && n.used >= n.limit) return false;
-    if (!n.children.isEmpty()) {
-      for (Node c : n.children) if (may(c)) return true;
+  private static boolean mayServe(Node node) {
+    if (node.waiting == 0 || node.limit > 0 && node.used >= node.limit) return false;
+    if (!node.children.isEmpty()) {
+      for (Node child : node.children) if (mayServe(child)) return true;
       return false;
     }
-    return n.part < 0 || n.used < (int) n.part || n.credit >= 1 && n.used < (int) n.part + 1;
+    return node.slotBound < 0
+        || node.used < (int) node.slotBound
+        || node.slotCredit >= 1 && node.used < (int) node.slotBound + 1;
   }
 
   /** The next request to have a place, taken out and counted as using it; null where none may. */
   public Request next() {
-    Node n = root;
-    if (!may(n)) return null;
-    while (!n.children.isEmpty()) {
+    Node node = root;
+    if (!mayServe(node)) return null;
+    while (!node.children.isEmpty()) {
       Node best = null;
-      for (Node c : n.children) if (may(c) && (best == null || goesBefore(c, best))) best = c;
+      for (Node child : node.children)
+        if (mayServe(child) && (best == null || goesBefore(child, best))) best = child;
       if (best == null) return null;
-      n = best;
+      node = best;
     }
-    if (n.part >= 0 && n.used >= (int) n.part) n.credit = 0;
-    Request request = n.queue.poll();
-    for (Node m = n; m != null; m = m.parent) m.waiting--;
-    use(request.leaf, 1);
+    if (node.slotBound >= 0 && node.used >= (int) node.slotBound) node.slotCredit = 0;
+    Request request = node.queue.poll();
+    for (Node ancestor = node; ancestor != null; ancestor = ancestor.parent) ancestor.waiting--;
+    adjustUsed(request.leaf, 1);
     return request;
   }
 
@@ -189,44 +199,46 @@
   private static int mostUrgentRoute(Node node) {
     if (node.children.isEmpty()) return routeTier(node.queue.element());
     int tier = Integer.MAX_VALUE;
-    for (Node child : node.children) if (may(child)) tier = Math.min(tier, mostUrgentRoute(child));
+    for (Node child : node.children)
+      if (mayServe(child)) tier = Math.min(tier, mostUrgentRoute(child));
     return tier;
   }
 
-  private void use(String path, int by) {
-    for (Node n = leaf(path); n != null; n = n.parent) {
-      n.used = Math.max(0, n.used + by);
-      if (by > 0) n.pass += 1.0 / n.weight;
+  private void adjustUsed(String path, int delta) {
+    for (Node node = leaf(path); node != null; node = node.parent) {
+      node.used = Math.max(0, node.used + delta);
+      if (delta > 0) node.pass += 1.0 / node.weight;
     }
   }
 
   /** A request that next() gave has given its place back. */
   public void release(Request request) {
-    use(request.leaf, -1);
+    adjustUsed(request.leaf, -1);
   }
 
   /** Takes out those that match; they had no place. */
-  public List<Request> leave(Predicate<Request> which) {
+  public List<Request> removeIf(Predicate<Request> filter) {
     if (root.waiting == 0) return List.of();
-    List<Request> out = new ArrayList<>();
-    for (Node l : nodes.values())
-      l.queue.removeIf(
+    List<Request> removed = new ArrayList<>();
+    for (Node leaf : nodes.values())
+      leaf.queue.removeIf(
           request -> {
-            if (!which.test(request)) return false;
-            out.add(request);
-            for (Node m = l; m != null; m = m.parent) m.waiting--;
+            if (!filter.test(request)) return false;
+            removed.add(request);
+            for (Node ancestor = leaf; ancestor != null; ancestor = ancestor.parent)
+              ancestor.waiting--;
             return true;
           });
-    return out;
+    return removed;
   }
 
   /** By leaf: waiting, and using a place. */
   public Map<String, int[]> waitingAndUsed() {
-    Map<String, int[]> m = new TreeMap<>();
-    for (Node n : nodes.values())
-      if (n.children.isEmpty() && (n.waiting > 0 || n.used > 0))
-        m.put(leafName(n), new int[] {n.waiting, n.used});
-    return m;
+    Map<String, int[]> usageByLeaf = new TreeMap<>();
+    for (Node node : nodes.values())
+      if (node.children.isEmpty() && (node.waiting > 0 || node.used > 0))
+        usageByLeaf.put(leafName(node), new int[] {node.waiting, node.used});
+    return usageByLeaf;
   }
 
   public int used() {
@@ -237,14 +249,14 @@
    * How long a request that joins now would wait for a place, in ms: until the first comes free,
    * and for all that goes before it.
    *
-   * @param requestMs what a request usually takes
-   * @param placesWhenIdle how many places are likely to come where none is in use now
+   * @param meanRequestMs what a request usually takes
+   * @param slotsWhenIdle how many places are likely to come where none is in use now
    */
-  double waitMs(Request request, double requestMs, int placesWhenIdle) {
+  double estimatedWaitMs(Request request, double meanRequestMs, int slotsWhenIdle) {
     Node leaf = leaf(request.leaf);
-    double places = root.used > 0 ? root.used : Math.max(1, placesWhenIdle);
-    if (leaf.part >= 0) places = Math.max(LEAST_PART, leaf.part);
-    return (requestMs + workAheadMs(request, leaf)) / places;
+    double slots = root.used > 0 ? root.used : Math.max(1, slotsWhenIdle);
+    if (leaf.slotBound >= 0) slots = Math.max(MIN_SLOT_BOUND, leaf.slotBound);
+    return (meanRequestMs + workAheadMs(request, leaf)) / slots;
   }
 
   /** The expected ms of work that waits and goes before a request of this leaf. */
@@ -252,11 +264,11 @@
     double ownLeafMs = 0;
     for (Request waiting : leaf.queue)
       if (routeTier(waiting) <= routeTier(request)) ownLeafMs += waiting.expectedMs;
-    if (leaf.part >= 0) return ownLeafMs;
+    if (leaf.slotBound >= 0) return ownLeafMs;
     double elsewhereMs = 0;
     for (Node other : nodes.values())
       if (other != leaf && !other.queue.isEmpty())
-        elsewhereMs += elsewhereMs(request, leaf, other, ownLeafMs);
+        elsewhereMs += otherLeafWorkMs(request, leaf, other, ownLeafMs);
     return ownLeafMs + elsewhereMs;
   }
 
@@ -264,7 +276,7 @@
    * Of another leaf's waiting work, what goes before a request: all that is more urgent; of what is
    * as urgent, as much as its share gets while this leaf's own goes before.
    */
-  private double elsewhereMs(Request request, Node leaf, Node other, double ownLeafMs) {
+  private double otherLeafWorkMs(Request request, Node leaf, Node other, double ownLeafMs) {
     Fork fork = Fork.between(leaf, other);
     if (fork.ours.tier < fork.theirs.tier) return 0;
     double moreUrgentMs = 0;
--- a/data-plane/src/test/java/gladelug/data/relay/MechanismTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/MechanismTest.java
@@ -12,8 +12,8 @@
     for (Mechanism mechanism : Mechanism.values()) {
       Set<Mechanism> off = Mechanism.parse(List.of(mechanism.settingName()));
       Assertions.assertEquals(Set.of(mechanism), off);
-      Assertions.assertTrue(RelaySettings.USUAL.has(mechanism));
-      Assertions.assertFalse(RelaySettings.builder().without(off).build().has(mechanism));
+      Assertions.assertTrue(RelaySettings.DEFAULTS.isEnabled(mechanism));
+      Assertions.assertFalse(RelaySettings.builder().without(off).build().isEnabled(mechanism));
     }
   }
 
--- a/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
@@ -17,14 +17,14 @@
     private final List<Consumer<Lookup.Fleet>> asked = new ArrayList<>();
 
     @Override
-    public Uni<Found> ask(long[] blocks) {
-      return Uni.createFrom().item(new Found("late", List.of()));
+    public Uni<LookupResult> lookUp(long[] blocks) {
+      return Uni.createFrom().item(new LookupResult("late", List.of()));
     }
 
     @Override
-    public Uni<Found> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
+    public Uni<LookupResult> lookUp(long[] blocks, Consumer<Lookup.Fleet> late) {
       asked.add(late);
-      return ask(blocks);
+      return lookUp(blocks);
     }
   }
 
@@ -39,12 +39,12 @@
     new PrefixLookupFilter(world.relay, index).pass(request).subscribe().with(result -> {});
     Assertions.assertEquals("late", request.lookupAnswer);
     Assertions.assertEquals(List.of(), request.matches);
-    Backend busy = world.relay.backends.of("m").get(0);
-    Assertions.assertEquals(0, busy.running(world.now));
+    Backend busy = world.relay.backends.readyReplicas("m").get(0);
+    Assertions.assertEquals(0, busy.runningRequests(world.nowMs));
     Lookup.Load load = new Lookup.Load(busy.replica.instance(), 300, 7, 9000);
     index.asked.get(0).accept(new Lookup.Fleet(List.of(load), 0.5));
-    Assertions.assertEquals(7, busy.running(world.now));
-    Assertions.assertEquals(300, busy.prefillAheadMs(world.now));
+    Assertions.assertEquals(7, busy.runningRequests(world.nowMs));
+    Assertions.assertEquals(300, busy.pendingPrefillMs(world.nowMs));
     Assertions.assertEquals(0.5, world.relay.evictedShare());
   }
 }
--- a/data-plane/src/test/java/gladelug/data/relay/RelayTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/RelayTest.java
@@ -27,92 +27,95 @@
  * nothing of the network: what keys, leases and deadlines do to requests that wait and that run.
  */
 final class RelayTest {
-  private static final int LEASE = 60_000, EXPIRY = 30_000, SLOTS = 2, ATTEMPTS = 3;
+  private static final int LEASE_MS = 60_000, EXPIRY_MS = 30_000, SLOTS = 2, ATTEMPTS = 3;
 
   /** One that was sent to a replica. */
-  private record Sent(Request o, Backend b, Exchange.Reply to, List<String> handled)
+  private record Sent(
+      Request request, Backend backend, Exchange.Reply reply, List<String> handleCalls)
       implements Exchange.Handle {
     @Override
     public void reset() {
-      handled.add("reset");
+      handleCalls.add("reset");
       // as connections do that are let go
-      to.broken("reset");
+      reply.broken("reset");
     }
 
     @Override
     public void pause() {
-      handled.add("pause");
+      handleCalls.add("pause");
     }
 
     @Override
     public void resume() {
-      handled.add("resume");
+      handleCalls.add("resume");
     }
   }
 
   /** A relay, what feeds it and what came of it. */
   private static final class World {
     /** What callers were told, in order. */
-    final List<String> told = new ArrayList<>();
+    final List<String> callerEvents = new ArrayList<>();
 
     final List<Sent> sent = new ArrayList<>();
 
     /** Those whose connection is not up yet, where connections don't come up at once. */
     final List<Sent> connecting = new ArrayList<>();
 
-    boolean connects = true;
+    boolean connectsAtOnce = true;
 
     /** What is told with configurations of since when tenants share cached prefixes. */
     long sharingSince;
 
-    final Map<String, Long> numbers = new HashMap<>();
+    final Map<String, Long> versions = new HashMap<>();
     final Decisions decisions = new Decisions(64, "r", 1);
-    long now = 1_000_000;
-    final StateSubscription news;
+    long nowMs = 1_000_000;
+    final StateSubscription subscription;
     final Relay relay;
 
     World(RelaySettings.Builder settings) {
-      news =
+      subscription =
           new StateSubscription(
-              () -> now,
+              () -> nowMs,
               new Shuffle.Descriptor("r", "relay", "1.1.1.1:1", "1.1.1.1:2", "z", 0, 0),
               1,
-              this::tables);
+              this::applySnapshot);
       relay =
           new Relay(
-              () -> now,
-              news,
-              r -> new Backends(() -> now, null, r::pump),
+              () -> nowMs,
+              subscription,
+              newRelay -> new Backends(() -> nowMs, null, newRelay::admitWaiting),
               "z",
-              settings.anyWeights(true).build(),
+              settings.allowsUnnamedWeights(true).build(),
               () -> 1);
       configuration("t", "u");
-      List<Replicas.Replica> l = new ArrayList<>();
-      for (String n : List.of("a", "b"))
-        l.add(
+      List<Replicas.Replica> replicas = new ArrayList<>();
+      for (String name : List.of("a", "b"))
+        replicas.add(
             new Replicas.Replica(
                 "m",
-                n,
-                Address.of("1.1.1.1:" + (int) n.charAt(0)),
+                name,
+                Address.of("1.1.1.1:" + (int) name.charAt(0)),
                 "z",
                 true,
                 SLOTS,
                 Map.of("m", "1")));
-      tell(StateKeys.REPLICAS, new Replicas(l).json());
+      push(StateKeys.REPLICAS, new Replicas(replicas).json());
     }
 
-    void tables(ControlStateSnapshot snapshot) {
-      relay.tables(snapshot);
+    void applySnapshot(ControlStateSnapshot snapshot) {
+      relay.applySnapshot(snapshot);
     }
 
-    void tell(String key, String value) {
-      long n = numbers.merge(key, 1L, Long::sum);
+    void push(String key, String value) {
+      long version = versions.merge(key, 1L, Long::sum);
       byte[] body = value.getBytes(StandardCharsets.UTF_8);
-      news.told(new StateUpdate.ValuePush(key, 1, n, -1, "", body, sharingSince));
-      List<StateUpdate.LeaseGrant> gs = new ArrayList<>();
-      for (String k : StateKeys.LEASED)
-        gs.add(new StateUpdate.LeaseGrant(k, 1, news.number(k), LEASE, LEASE));
-      news.told(new StateUpdate.LeaseGrants(now, gs, 1));
+      subscription.told(new StateUpdate.ValuePush(key, 1, version, -1, "", body, sharingSince));
+      List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
+      for (String leasedKey : StateKeys.LEASED)
+        grants.add(
+            new StateUpdate.LeaseGrant(
+                leasedKey, 1, subscription.number(leasedKey), LEASE_MS, LEASE_MS));
+      subscription.told(new StateUpdate.LeaseGrants(nowMs, grants, 1));
     }
 
     void configuration(String... tenants) {
@@ -120,235 +123,240 @@
     }
 
     void configuration(List<String> isolated, String... tenants) {
-      List<String> ts = new ArrayList<>();
-      for (String t : tenants)
-        ts.add(
+      List<String> tenantJson = new ArrayList<>();
+      for (String tenant : tenants)
+        tenantJson.add(
             "{\"name\":\""
-                + t
+                + tenant
                 + "\",\"isolated\":"
-                + isolated.contains(t)
+                + isolated.contains(tenant)
                 + ",\"keys\":[\"sha256:"
-                + Configuration.hashOf("key-of-" + t)
+                + Configuration.hashOf("key-of-" + tenant)
                 + "\"]}");
-      tell(
+      push(
           StateKeys.CONFIGURATION,
           "{\"services\":[{\"name\":\"m\",\"allow\":[\"1.1.1.1\"]}],"
               + "\"mappings\":[{\"name\":\"x\",\"path\":\"/x\",\"service\":\"m\","
               + "\"repeatable\":true,\"expiryMs\":"
-              + EXPIRY
+              + EXPIRY_MS
               + ",\"attempts\":"
               + ATTEMPTS
               + "}],"
               + "\"tenants\":["
-              + String.join(",", ts)
+              + String.join(",", tenantJson)
               + "]}");
     }
 
     Request ask(String tenant) {
-      Request o =
+      Request request =
           new Request(
-              decisions.begin(now),
-              now,
+              decisions.begin(nowMs),
+              nowMs,
               Configuration.hashOf("key-of-" + tenant),
               "/x",
               new Request.Caller() {
                 @Override
-                public void refuse(Request q, FilterResult.Refuse v) {
-                  told.add("refused " + v.status());
+                public void refuse(Request answered, FilterResult.Refuse refusal) {
+                  callerEvents.add("refused " + refusal.status());
                 }
 
                 @Override
-                public boolean piece(Request q, Buffer piece, Runnable ready) {
-                  return told.add("piece " + piece);
+                public boolean piece(Request answered, Buffer piece, Runnable ready) {
+                  return callerEvents.add("piece " + piece);
                 }
 
                 @Override
-                public void head(Request q, Head h) {
-                  told.add("head " + h.status());
+                public void head(Request answered, Head head) {
+                  callerEvents.add("head " + head.status());
                 }
 
                 @Override
-                public void complete(Request q, int pieces) {
-                  told.add("complete " + pieces);
+                public void complete(Request answered, int pieces) {
+                  callerEvents.add("complete " + pieces);
                 }
 
                 @Override
-                public void cutOff(Request q, String why) {
-                  told.add("cut");
+                public void cutOff(Request answered, String why) {
+                  callerEvents.add("cut");
                 }
               });
-      relay.begin(o);
+      relay.begin(request);
       relay
-          .way(
-              b -> Uni.createFrom().item(new Lookups.Found("no-index", List.of())),
+          .filterChain(
+              blocks -> Uni.createFrom().item(new Lookups.LookupResult("no-index", List.of())),
               ChoiceMode.SUMMARY,
-              (q, backend, to) -> {
-                if (connects) leave(new Sent(q, backend, to, new ArrayList<>()));
-                else connecting.add(new Sent(q, backend, to, new ArrayList<>()));
+              (answered, backend, to) -> {
+                if (connectsAtOnce)
+                  connectionOpened(new Sent(answered, backend, to, new ArrayList<>()));
+                else connecting.add(new Sent(answered, backend, to, new ArrayList<>()));
               })
-          .go(o);
-      return o;
+          .go(request);
+      return request;
     }
 
     /** A connection is up. */
-    void leave(Sent s) {
-      if (s.to.leave(s)) sent.add(s);
+    void connectionOpened(Sent attempt) {
+      if (attempt.reply.beginSend(attempt)) sent.add(attempt);
     }
 
     /** As many as the replicas take at once. */
-    void fill(String tenant) {
+    void fillReplicas(String tenant) {
       for (int i = 0; i < 2 * (SLOTS + 1); i++) ask(tenant);
       Assertions.assertEquals(2 * (SLOTS + 1), sent.size());
     }
 
-    List<String> told() {
-      List<String> l = List.copyOf(told);
-      told.clear();
-      return l;
+    List<String> takeCallerEvents() {
+      List<String> events = List.copyOf(callerEvents);
+      callerEvents.clear();
+      return events;
     }
   }
 
   private static World relay(boolean cutsStreams) {
-    return new World(RelaySettings.builder().cutsStreams(cutsStreams));
+    return new World(RelaySettings.builder().cutsRevokedStreams(cutsStreams));
   }
 
-  private static void piece(Sent s, String x) {
-    s.to.head(new Head(200, List.of()));
-    s.to.piece(Buffer.buffer(x), "");
+  private static void piece(Sent attempt, String text) {
+    attempt.reply.head(new Head(200, List.of()));
+    attempt.reply.piece(Buffer.buffer(text), "");
   }
 
   @Test
   void aRevokedKeyLeavesRunningStreamsAndRefusesThoseThatWait() {
-    World r = relay(false);
-    r.fill("t");
-    piece(r.sent.get(0), "one");
-    r.ask("t");
-    r.ask("u");
-    Assertions.assertEquals(2, r.relay.queue("m").size());
-    Assertions.assertEquals(List.of("head 200", "piece one"), r.told());
-    r.configuration("u");
-    Assertions.assertEquals(List.of("refused 401"), r.told(), "only the one that waited");
-    Assertions.assertEquals(1, r.relay.queue("m").size(), "the other tenant's waits on");
-    piece(r.sent.get(0), "two");
-    r.sent.get(0).to.end();
-    piece(r.sent.get(1), "first");
+    World world = relay(false);
+    world.fillReplicas("t");
+    piece(world.sent.get(0), "one");
+    world.ask("t");
+    world.ask("u");
+    Assertions.assertEquals(2, world.relay.queue("m").size());
+    Assertions.assertEquals(List.of("head 200", "piece one"), world.takeCallerEvents());
+    world.configuration("u");
     Assertions.assertEquals(
-        List.of("piece two", "complete 2", "head 200", "piece first"), r.told());
-    Assertions.assertEquals(7, r.sent.size(), "a place was free");
-    Assertions.assertEquals("u", r.sent.get(6).o.tenant.name());
-    r.ask("t");
-    Assertions.assertEquals(List.of("refused 401"), r.told());
+        List.of("refused 401"), world.takeCallerEvents(), "only the one that waited");
+    Assertions.assertEquals(1, world.relay.queue("m").size(), "the other tenant's waits on");
+    piece(world.sent.get(0), "two");
+    world.sent.get(0).reply.end();
+    piece(world.sent.get(1), "first");
+    Assertions.assertEquals(
+        List.of("piece two", "complete 2", "head 200", "piece first"), world.takeCallerEvents());
+    Assertions.assertEquals(7, world.sent.size(), "a place was free");
+    Assertions.assertEquals("u", world.sent.get(6).request.tenant.name());
+    world.ask("t");
+    Assertions.assertEquals(List.of("refused 401"), world.takeCallerEvents());
   }
 
   @Test
   void whereStreamsAreCutARevokedKeyEndsThemToo() {
-    World r = relay(true);
-    r.fill("t");
-    piece(r.sent.get(0), "one");
-    r.told();
-    r.configuration("u");
-    List<String> l = r.told();
-    Assertions.assertEquals(6, l.size(), l.toString());
-    Assertions.assertEquals("cut", l.get(0));
+    World world = relay(true);
+    world.fillReplicas("t");
+    piece(world.sent.get(0), "one");
+    world.takeCallerEvents();
+    world.configuration("u");
+    List<String> events = world.takeCallerEvents();
+    Assertions.assertEquals(6, events.size(), events.toString());
+    Assertions.assertEquals("cut", events.get(0));
     Assertions.assertEquals(
-        5, l.stream().filter("refused 502"::equals).count(), "handed over, of unknown fate");
-    for (Sent s : r.sent) Assertions.assertTrue(s.handled.contains("reset"));
-    Assertions.assertEquals(0, r.relay.live().size());
-    Assertions.assertEquals(0, r.relay.queue("m").used());
+        5, events.stream().filter("refused 502"::equals).count(), "handed over, of unknown fate");
+    for (Sent attempt : world.sent) Assertions.assertTrue(attempt.handleCalls.contains("reset"));
+    Assertions.assertEquals(0, world.relay.liveRequests().size());
+    Assertions.assertEquals(0, world.relay.queue("m").used());
   }
 
   @Test
   void withoutLeasesNothingStartsAndWhatRunsGoesOnUnlessStreamsAreCut() {
-    for (boolean cuts : new boolean[] {false, true}) {
-      World r = relay(cuts);
-      r.ask("t");
-      piece(r.sent.get(0), "one");
-      r.told();
-      r.now += EXPIRY / 2;
-      r.relay.tick();
-      Assertions.assertEquals(List.of(), r.told());
-      r.sent.get(0).o.deadline = Long.MAX_VALUE;
-      r.now += LEASE;
-      r.ask("t");
-      Assertions.assertEquals(List.of("refused 503"), r.told());
-      Assertions.assertEquals(1, r.sent.size());
-      r.now += Relay.GRACE;
-      r.relay.tick();
-      Assertions.assertEquals(cuts ? List.of("cut") : List.of(), r.told());
+    for (boolean cutsStreams : new boolean[] {false, true}) {
+      World world = relay(cutsStreams);
+      world.ask("t");
+      piece(world.sent.get(0), "one");
+      world.takeCallerEvents();
+      world.nowMs += EXPIRY_MS / 2;
+      world.relay.tick();
+      Assertions.assertEquals(List.of(), world.takeCallerEvents());
+      world.sent.get(0).request.deadline = Long.MAX_VALUE;
+      world.nowMs += LEASE_MS;
+      world.ask("t");
+      Assertions.assertEquals(List.of("refused 503"), world.takeCallerEvents());
+      Assertions.assertEquals(1, world.sent.size());
+      world.nowMs += Relay.STREAM_GRACE_MS;
+      world.relay.tick();
+      Assertions.assertEquals(cutsStreams ? List.of("cut") : List.of(), world.takeCallerEvents());
     }
   }
 
   @Test
   void whatExpiresInTheQueueDidNotRunAndWhatExpiresAtAReplicaMayHave() {
-    World r = relay(false);
-    r.fill("t");
-    r.ask("t");
-    piece(r.sent.get(0), "one");
-    r.told();
-    r.now += EXPIRY;
-    r.relay.tick();
-    List<String> l = r.told();
-    Assertions.assertEquals(1, l.stream().filter("cut"::equals).count(), l.toString());
-    Assertions.assertEquals(5, l.stream().filter("refused 504"::equals).count(), l.toString());
-    Assertions.assertEquals(1, l.stream().filter("refused 503"::equals).count(), l.toString());
-    Assertions.assertEquals(0, r.relay.live().size());
-    Assertions.assertEquals(6, r.sent.size(), "nothing was begun in vain");
+    World world = relay(false);
+    world.fillReplicas("t");
+    world.ask("t");
+    piece(world.sent.get(0), "one");
+    world.takeCallerEvents();
+    world.nowMs += EXPIRY_MS;
+    world.relay.tick();
+    List<String> events = world.takeCallerEvents();
+    Assertions.assertEquals(1, events.stream().filter("cut"::equals).count(), events.toString());
+    Assertions.assertEquals(
+        5, events.stream().filter("refused 504"::equals).count(), events.toString());
+    Assertions.assertEquals(
+        1, events.stream().filter("refused 503"::equals).count(), events.toString());
+    Assertions.assertEquals(0, world.relay.liveRequests().size());
+    Assertions.assertEquals(6, world.sent.size(), "nothing was begun in vain");
   }
 
   @Test
   void aBreakOfWhichTheConnectionTellsTwiceIsOne() {
-    World r = relay(false);
-    r.ask("t");
-    r.sent.get(0).to.broken("it broke");
-    Assertions.assertEquals(2, r.sent.size(), "once more, elsewhere");
-    Assertions.assertEquals(1, r.sent.get(0).b.failures);
-    Assertions.assertNotSame(r.sent.get(0).b, r.sent.get(1).b);
-    Assertions.assertEquals(0, r.sent.get(0).b.mine);
-    piece(r.sent.get(1), "x");
-    r.sent.get(1).to.end();
-    Assertions.assertEquals(List.of("head 200", "piece x", "complete 1"), r.told());
-    Assertions.assertEquals(0, r.relay.live().size());
+    World world = relay(false);
+    world.ask("t");
+    world.sent.get(0).reply.broken("it broke");
+    Assertions.assertEquals(2, world.sent.size(), "once more, elsewhere");
+    Assertions.assertEquals(1, world.sent.get(0).backend.failures);
+    Assertions.assertNotSame(world.sent.get(0).backend, world.sent.get(1).backend);
+    Assertions.assertEquals(0, world.sent.get(0).backend.ownRequests);
+    piece(world.sent.get(1), "x");
+    world.sent.get(1).reply.end();
+    Assertions.assertEquals(List.of("head 200", "piece x", "complete 1"), world.takeCallerEvents());
+    Assertions.assertEquals(0, world.relay.liveRequests().size());
   }
 
   /** Guards against a stopping relay that refuses what was tried before and takes what was not. */
   @Test
   void atAStoppingRelayWhatEndsInTimeIsTriedOnceMoreAndWhatMayOutlastItIsNot() {
     for (boolean outlasts : new boolean[] {false, true}) {
-      World r = relay(false);
-      r.ask("t");
-      r.relay.leave(r.now + EXPIRY + (outlasts ? -1 : 1));
-      r.sent.get(0).to.notRun("full", 0);
-      Assertions.assertEquals(outlasts ? 1 : 2, r.sent.size());
-      Assertions.assertEquals(outlasts ? List.of("refused 503") : List.of(), r.told());
+      World world = relay(false);
+      world.ask("t");
+      world.relay.startDraining(world.nowMs + EXPIRY_MS + (outlasts ? -1 : 1));
+      world.sent.get(0).reply.notRun("full", 0);
+      Assertions.assertEquals(outlasts ? 1 : 2, world.sent.size());
+      Assertions.assertEquals(
+          outlasts ? List.of("refused 503") : List.of(), world.takeCallerEvents());
     }
   }
 
   /** Guards against a stopping relay that refuses what it has the time for. */
   @Test
   void aRelayThatLeavesTakesWhatEndsInTimeUntilItsEndAndNothingElse() {
-    World r = relay(false);
-    r.relay.leave(r.now + 2 * EXPIRY);
+    World world = relay(false);
+    world.relay.startDraining(world.nowMs + 2 * EXPIRY_MS);
     for (int i = 0; i <= 4; i++) {
-      r.ask("t");
-      Assertions.assertEquals(List.of(), r.told());
-      r.sent.get(i).to.end();
-      r.told();
-      r.now += EXPIRY / 4;
+      world.ask("t");
+      Assertions.assertEquals(List.of(), world.takeCallerEvents());
+      world.sent.get(i).reply.end();
+      world.takeCallerEvents();
+      world.nowMs += EXPIRY_MS / 4;
     }
-    r.ask("t");
-    Assertions.assertEquals(List.of("refused 503"), r.told());
+    world.ask("t");
+    Assertions.assertEquals(List.of("refused 503"), world.takeCallerEvents());
   }
 
   @Test
   void theLongestPauseOfAnAnswerIsKnownWithItsEnd() {
-    World r = relay(false);
-    Request request = r.ask("t");
-    piece(r.sent.get(0), "one");
+    World world = relay(false);
+    Request request = world.ask("t");
+    piece(world.sent.get(0), "one");
     Assertions.assertEquals(0, request.longestPauseMs());
     Assertions.assertEquals(-1, request.longestPauseEndedMs());
     for (int wait : new int[] {100, 450, 30}) {
-      r.now += wait;
-      piece(r.sent.get(0), "more");
+      world.nowMs += wait;
+      piece(world.sent.get(0), "more");
     }
     Assertions.assertEquals(450, request.longestPauseMs());
     Assertions.assertEquals(550, request.longestPauseEndedMs());
@@ -357,137 +365,139 @@
 
   @Test
   void theHeadThatGoesOutIsThatOfTheAnswerWhoseBodyFollows() {
-    World r = relay(false);
-    r.ask("t");
-    r.sent.get(0).to.head(new Head(200, List.of(Map.entry("X", "first"))));
-    r.sent.get(0).to.broken("it broke before its body");
-    r.sent.get(1).to.head(new Head(203, List.of(Map.entry("X", "second"))));
-    r.sent.get(1).to.piece(Buffer.buffer("x"), "");
-    Assertions.assertEquals(List.of("head 203", "piece x"), r.told());
-    r.ask("t");
-    r.sent.get(2).to.head(new Head(200, List.of()));
-    r.sent.get(2).to.broken("once more");
+    World world = relay(false);
+    world.ask("t");
+    world.sent.get(0).reply.head(new Head(200, List.of(Map.entry("X", "first"))));
+    world.sent.get(0).reply.broken("it broke before its body");
+    world.sent.get(1).reply.head(new Head(203, List.of(Map.entry("X", "second"))));
+    world.sent.get(1).reply.piece(Buffer.buffer("x"), "");
+    Assertions.assertEquals(List.of("head 203", "piece x"), world.takeCallerEvents());
+    world.ask("t");
+    world.sent.get(2).reply.head(new Head(200, List.of()));
+    world.sent.get(2).reply.broken("once more");
   }
 
   @Test
   void whatWaitsGoesWhenAPlaceIsFreeAndOneWhoseCallerIsGoneNever() {
-    World r = relay(false);
-    r.fill("t");
-    Request gone = r.ask("t");
-    r.ask("u");
-    r.relay.gone(gone);
-    piece(r.sent.get(0), "x");
-    r.sent.get(0).to.end();
-    Assertions.assertEquals(7, r.sent.size());
-    Assertions.assertEquals("u", r.sent.get(6).o.tenant.name());
-    Assertions.assertFalse(r.told().contains("refused 499"), "nobody is there to be told");
+    World world = relay(false);
+    world.fillReplicas("t");
+    Request gone = world.ask("t");
+    world.ask("u");
+    world.relay.callerGone(gone);
+    piece(world.sent.get(0), "x");
+    world.sent.get(0).reply.end();
+    Assertions.assertEquals(7, world.sent.size());
+    Assertions.assertEquals("u", world.sent.get(6).request.tenant.name());
+    Assertions.assertFalse(
+        world.takeCallerEvents().contains("refused 499"), "nobody is there to be told");
   }
 
   @Test
   void whatExpiresWhileItsConnectionIsAwaitedIsToldAtOnceAndNeverLeaves() {
-    World r = relay(false);
-    r.connects = false;
-    Request request = r.ask("t");
-    r.now += EXPIRY - 1;
-    r.relay.tick();
-    Assertions.assertEquals(List.of(), r.told());
-    r.now++;
-    r.relay.tick();
-    Assertions.assertEquals(List.of("refused 503"), r.told());
+    World world = relay(false);
+    world.connectsAtOnce = false;
+    Request request = world.ask("t");
+    world.nowMs += EXPIRY_MS - 1;
+    world.relay.tick();
+    Assertions.assertEquals(List.of(), world.takeCallerEvents());
+    world.nowMs++;
+    world.relay.tick();
+    Assertions.assertEquals(List.of("refused 503"), world.takeCallerEvents());
     Assertions.assertEquals("not-run", request.decision.outcome());
-    Assertions.assertEquals(0, r.relay.live().size());
-    r.leave(r.connecting.get(0));
-    Assertions.assertEquals(0, r.sent.size());
-    Assertions.assertEquals(List.of(), r.told(), "and that but once");
-    Assertions.assertEquals(0, r.connecting.get(0).b.mine);
+    Assertions.assertEquals(0, world.relay.liveRequests().size());
+    world.connectionOpened(world.connecting.get(0));
+    Assertions.assertEquals(0, world.sent.size());
+    Assertions.assertEquals(List.of(), world.takeCallerEvents(), "and that but once");
+    Assertions.assertEquals(0, world.connecting.get(0).backend.ownRequests);
   }
 
   @Test
   void whatExpiresWhileASecondConnectionIsAwaitedMayHaveRun() {
-    World r = relay(false);
-    Request request = r.ask("t");
-    r.connects = false;
-    r.sent.get(0).to.broken("it broke");
-    Assertions.assertEquals(1, r.connecting.size());
-    r.now += EXPIRY;
-    r.relay.tick();
-    Assertions.assertEquals(List.of("refused 502"), r.told());
+    World world = relay(false);
+    Request request = world.ask("t");
+    world.connectsAtOnce = false;
+    world.sent.get(0).reply.broken("it broke");
+    Assertions.assertEquals(1, world.connecting.size());
+    world.nowMs += EXPIRY_MS;
+    world.relay.tick();
+    Assertions.assertEquals(List.of("refused 502"), world.takeCallerEvents());
     Assertions.assertEquals("unknown", request.decision.outcome());
-    r.leave(r.connecting.get(0));
-    Assertions.assertEquals(1, r.sent.size());
+    world.connectionOpened(world.connecting.get(0));
+    Assertions.assertEquals(1, world.sent.size());
   }
 
   @Test
   void aCallerThatLeavesWhileAConnectionIsAwaitedLeavesNothingToSend() {
-    World r = relay(false);
-    r.connects = false;
-    Request request = r.ask("t");
-    r.relay.gone(request);
-    r.leave(r.connecting.get(0));
-    Assertions.assertEquals(0, r.sent.size());
-    Assertions.assertEquals(0, r.relay.live().size());
-    Assertions.assertEquals(List.of(), r.told());
+    World world = relay(false);
+    world.connectsAtOnce = false;
+    Request request = world.ask("t");
+    world.relay.callerGone(request);
+    world.connectionOpened(world.connecting.get(0));
+    Assertions.assertEquals(0, world.sent.size());
+    Assertions.assertEquals(0, world.relay.liveRequests().size());
+    Assertions.assertEquals(List.of(), world.takeCallerEvents());
   }
 
   @Test
   void theReplicaAskedOnceMoreIsNotReplacedByAFurtherOne() {
-    World r = new World(RelaySettings.builder().cutsStreams(false).retries(0.2, 62));
-    r.ask("t");
-    for (int i = 0; i < ATTEMPTS - 1; i++) r.sent.get(i).to.notRun("full", 0);
-    Assertions.assertEquals(ATTEMPTS, r.sent.size());
-    r.connects = false;
-    r.sent.get(ATTEMPTS - 1).to.otherWeights("it runs others");
-    Sent same = r.connecting.get(0);
-    Assertions.assertSame(r.sent.get(ATTEMPTS - 1).b, same.b);
-    r.connects = true;
-    same.to.unreached("no connection", 1000);
-    Assertions.assertEquals(ATTEMPTS, r.sent.size(), "no further replica");
-    Assertions.assertEquals(List.of("refused 503"), r.told());
+    World world = new World(RelaySettings.builder().cutsRevokedStreams(false).retries(0.2, 62));
+    world.ask("t");
+    for (int i = 0; i < ATTEMPTS - 1; i++) world.sent.get(i).reply.notRun("full", 0);
+    Assertions.assertEquals(ATTEMPTS, world.sent.size());
+    world.connectsAtOnce = false;
+    world.sent.get(ATTEMPTS - 1).reply.weightsMismatch("it runs others");
+    Sent same = world.connecting.get(0);
+    Assertions.assertSame(world.sent.get(ATTEMPTS - 1).backend, same.backend);
+    world.connectsAtOnce = true;
+    same.reply.connectionFailed("no connection", 1000);
+    Assertions.assertEquals(ATTEMPTS, world.sent.size(), "no further replica");
+    Assertions.assertEquals(List.of("refused 503"), world.takeCallerEvents());
   }
 
   @Test
   void anAnswerAfterItsCallerLeftReachesNobody() {
-    World r = relay(false);
-    Request request = r.ask("t");
-    r.relay.gone(request);
-    Sent s = r.sent.get(0);
-    Assertions.assertTrue(s.handled.contains("reset"));
-    piece(s, "late");
-    s.to.end();
-    Assertions.assertEquals(List.of(), r.told());
-    Assertions.assertEquals(0, s.b.mine);
+    World world = relay(false);
+    Request request = world.ask("t");
+    world.relay.callerGone(request);
+    Sent attempt = world.sent.get(0);
+    Assertions.assertTrue(attempt.handleCalls.contains("reset"));
+    piece(attempt, "late");
+    attempt.reply.end();
+    Assertions.assertEquals(List.of(), world.takeCallerEvents());
+    Assertions.assertEquals(0, attempt.backend.ownRequests);
   }
 
   @Test
   void anAnswerToATryThatWasGivenUpReachesNobody() {
-    World r = relay(false);
-    r.ask("t");
-    Sent first = r.sent.get(0);
-    first.to.broken("it broke");
+    World world = relay(false);
+    world.ask("t");
+    Sent first = world.sent.get(0);
+    first.reply.broken("it broke");
     piece(first, "late");
-    first.to.end();
-    piece(r.sent.get(1), "own");
-    r.sent.get(1).to.end();
-    Assertions.assertEquals(List.of("head 200", "piece own", "complete 1"), r.told());
+    first.reply.end();
+    piece(world.sent.get(1), "own");
+    world.sent.get(1).reply.end();
+    Assertions.assertEquals(
+        List.of("head 200", "piece own", "complete 1"), world.takeCallerEvents());
   }
 
   @Test
   void aRelayThatWasFrozenBeforeSendingLooksAtEverythingAgain() {
     for (String change : List.of("lease", "key", "deadline", "replica")) {
-      World r = relay(false);
-      r.connects = false;
+      World world = relay(false);
+      world.connectsAtOnce = false;
       // leases of which only a part of a request's time is left
-      if (change.equals("lease")) r.now += LEASE - EXPIRY / 2;
-      r.ask("t");
+      if (change.equals("lease")) world.nowMs += LEASE_MS - EXPIRY_MS / 2;
+      world.ask("t");
       // the connection came up while the process was frozen
-      if (change.equals("lease")) r.now += EXPIRY - 1;
-      if (change.equals("key")) r.configuration("u");
-      if (change.equals("deadline")) r.now += EXPIRY;
-      if (change.equals("replica")) r.tell(StateKeys.REPLICAS, new Replicas(List.of()).json());
-      r.leave(r.connecting.get(0));
-      Assertions.assertEquals(0, r.sent.size(), change);
+      if (change.equals("lease")) world.nowMs += EXPIRY_MS - 1;
+      if (change.equals("key")) world.configuration("u");
+      if (change.equals("deadline")) world.nowMs += EXPIRY_MS;
+      if (change.equals("replica")) world.push(StateKeys.REPLICAS, new Replicas(List.of()).json());
+      world.connectionOpened(world.connecting.get(0));
+      Assertions.assertEquals(0, world.sent.size(), change);
       String status = change.equals("key") ? "401" : "503";
-      Assertions.assertEquals(List.of("refused " + status), r.told(), change);
+      Assertions.assertEquals(List.of("refused " + status), world.takeCallerEvents(), change);
     }
   }
 
@@ -498,91 +508,92 @@
   /** Guards against streams that are cut where a relay that was told to stop still took them. */
   @Test
   void aRelayThatLeavesTakesOnlyWhatHasToEndBeforeIt() {
-    World r = relay(false);
-    r.relay.leave(r.now + EXPIRY);
-    r.ask("t");
-    Assertions.assertEquals(1, r.sent.size(), "its deadline lies before the relay's end");
-    r.now++;
-    Request late = r.ask("t");
-    Assertions.assertEquals(1, r.sent.size());
-    Assertions.assertEquals(List.of("refused 503"), r.told());
+    World world = relay(false);
+    world.relay.startDraining(world.nowMs + EXPIRY_MS);
+    world.ask("t");
+    Assertions.assertEquals(1, world.sent.size(), "its deadline lies before the relay's end");
+    world.nowMs++;
+    Request late = world.ask("t");
+    Assertions.assertEquals(1, world.sent.size());
+    Assertions.assertEquals(List.of("refused 503"), world.takeCallerEvents());
     Assertions.assertEquals("not-run", late.decision.outcome());
   }
 
   @Test
   void whatWaitsAtARelayThatLeavesIsRefusedOnceItMayOutlastIt() {
-    World r = relay(false);
-    r.fill("t");
-    Request waits = r.ask("t");
-    r.relay.leave(r.now + EXPIRY - 1);
-    piece(r.sent.get(0), "one");
-    r.sent.get(0).to.end();
+    World world = relay(false);
+    world.fillReplicas("t");
+    Request waits = world.ask("t");
+    world.relay.startDraining(world.nowMs + EXPIRY_MS - 1);
+    piece(world.sent.get(0), "one");
+    world.sent.get(0).reply.end();
     Assertions.assertEquals(
-        List.of("head 200", "piece one", "complete 1", "refused 503"), r.told());
+        List.of("head 200", "piece one", "complete 1", "refused 503"), world.takeCallerEvents());
     Assertions.assertEquals("not-run", waits.decision.outcome());
-    piece(r.sent.get(1), "two");
-    Assertions.assertEquals(List.of("head 200", "piece two"), r.told(), "what runs goes on");
+    piece(world.sent.get(1), "two");
+    Assertions.assertEquals(
+        List.of("head 200", "piece two"), world.takeCallerEvents(), "what runs goes on");
   }
 
   @Test
   void aSecondTryIsNotMadeByARelayThatItMayOutlast() {
-    World r = relay(false);
-    r.ask("t");
-    r.relay.leave(r.now + EXPIRY - 1);
-    r.sent.get(0).to.notRun("full", 0);
-    Assertions.assertEquals(1, r.sent.size());
-    Assertions.assertEquals(List.of("refused 503"), r.told());
+    World world = relay(false);
+    world.ask("t");
+    world.relay.startDraining(world.nowMs + EXPIRY_MS - 1);
+    world.sent.get(0).reply.notRun("full", 0);
+    Assertions.assertEquals(1, world.sent.size());
+    Assertions.assertEquals(List.of("refused 503"), world.takeCallerEvents());
   }
 
   @Test
   void aRequestThatWaitsWhileAnotherTenantIsIsolatedGoesWithoutWhatWasSharedBefore() {
-    World r = relay(false);
-    r.connects = false;
-    Request shares = r.ask("t"), isolated = r.ask("u");
+    World world = relay(false);
+    world.connectsAtOnce = false;
+    Request shares = world.ask("t"), isolated = world.ask("u");
     Assertions.assertEquals("", shares.cacheScope);
-    r.sharingSince = 2;
-    r.configuration(List.of("u"), "t", "u");
-    r.connects = true;
-    for (Sent s : List.copyOf(r.connecting)) r.leave(s);
-    Assertions.assertEquals(List.of(), r.told(), "neither is refused");
-    Assertions.assertEquals(2, r.sent.size());
+    world.sharingSince = 2;
+    world.configuration(List.of("u"), "t", "u");
+    world.connectsAtOnce = true;
+    for (Sent attempt : List.copyOf(world.connecting)) world.connectionOpened(attempt);
+    Assertions.assertEquals(List.of(), world.takeCallerEvents(), "neither is refused");
+    Assertions.assertEquals(2, world.sent.size());
     Assertions.assertEquals("/shared\n2", shares.cacheScope);
     Assertions.assertEquals("u", isolated.cacheScope);
-    Assertions.assertEquals("/shared\n2", r.ask("t").cacheScope);
-    Assertions.assertEquals("u", r.ask("u").cacheScope);
+    Assertions.assertEquals("/shared\n2", world.ask("t").cacheScope);
+    Assertions.assertEquals("u", world.ask("u").cacheScope);
   }
 
   /** Guards against a second try that uses what the first one was allowed to. */
   @Test
   void aSecondTryGoesByTheConfigurationInForceThen() {
-    World r = relay(false);
-    Request request = r.ask("t");
-    r.sharingSince = 2;
-    r.configuration(List.of("u"), "t", "u");
-    r.sent.get(0).to.notRun("full", 0);
-    Assertions.assertEquals(2, r.sent.size());
+    World world = relay(false);
+    Request request = world.ask("t");
+    world.sharingSince = 2;
+    world.configuration(List.of("u"), "t", "u");
+    world.sent.get(0).reply.notRun("full", 0);
+    Assertions.assertEquals(2, world.sent.size());
     Assertions.assertEquals("/shared\n2", request.cacheScope);
   }
 
   @Test
   void aRequestThatWaitsKeepsItsScopeWhereNobodyIsIsolatedThatShared() {
-    World r = relay(false);
-    r.connects = false;
-    Request request = r.ask("t");
-    r.configuration(List.of("new"), "t", "u", "new");
-    r.leave(r.connecting.get(0));
-    Assertions.assertEquals(1, r.sent.size(), "on the connection it waited for");
+    World world = relay(false);
+    world.connectsAtOnce = false;
+    Request request = world.ask("t");
+    world.configuration(List.of("new"), "t", "u", "new");
+    world.connectionOpened(world.connecting.get(0));
+    Assertions.assertEquals(1, world.sent.size(), "on the connection it waited for");
     Assertions.assertEquals("", request.cacheScope);
   }
 
   /** A core of the release before tells nothing: whoever is isolated may have shared before. */
   @Test
   void whereNothingIsToldOfSharingItBeginsWithAConfigurationThatIsolates() {
-    World r = relay(false);
-    r.sharingSince = -1;
-    r.configuration("t", "u");
-    Assertions.assertEquals("", r.ask("t").cacheScope);
-    r.configuration(List.of("u"), "t", "u");
-    Assertions.assertEquals("/shared\n3", r.ask("t").cacheScope);
+    World world = relay(false);
+    world.sharingSince = -1;
+    world.configuration("t", "u");
+    Assertions.assertEquals("", world.ask("t").cacheScope);
+    world.configuration(List.of("u"), "t", "u");
+    Assertions.assertEquals("/shared\n3", world.ask("t").cacheScope);
   }
 }
--- a/data-plane/src/test/java/gladelug/data/relay/RetryBudgetTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/RetryBudgetTest.java
@@ -1,6 +1,6 @@
 package gladelug.data.relay;
 
-import static gladelug.data.relay.RetryBudget.ALLOWANCE;
+import static gladelug.data.relay.RetryBudget.DEFAULT_ALLOWANCE;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,33 +13,33 @@
   @Test
   void neverAboveAFifthAndTheAllowanceWhateverIsAsked() {
     Random random = new Random(3);
-    RetryBudget b = new RetryBudget(() -> RelaySettings.USUAL, () -> 1);
-    int first = 0, second = 0;
+    RetryBudget budget = new RetryBudget(() -> RelaySettings.DEFAULTS, () -> 1);
+    int firstAttempts = 0, retries = 0;
     for (int i = 0; i < 10_000; i++) {
       if (random.nextInt(5) > 0) {
-        b.firstTry("s");
-        first++;
+        budget.recordFirstAttempt("s");
+        firstAttempts++;
       }
-      for (int j = 0; j < 3; j++) if (b.secondTry("s")) second++;
-      Assertions.assertTrue(second <= first * 0.2 + ALLOWANCE);
+      for (int j = 0; j < 3; j++) if (budget.takeRetry("s")) retries++;
+      Assertions.assertTrue(retries <= firstAttempts * 0.2 + DEFAULT_ALLOWANCE);
     }
-    Assertions.assertTrue(second > first / 10);
+    Assertions.assertTrue(retries > firstAttempts / 10);
   }
 
   @Test
   void allRelaysTogetherStayUnderTheFleetsBound() {
     RelaySettings fleet = RelaySettings.builder().retries(0.2, 62).build();
-    int relays = 11, first = 0, second = 0;
+    int relayCount = 11, firstAttempts = 0, retries = 0;
     List<RetryBudget> all = new ArrayList<>();
-    for (int i = 0; i < relays; i++) all.add(new RetryBudget(() -> fleet, () -> relays));
+    for (int i = 0; i < relayCount; i++) all.add(new RetryBudget(() -> fleet, () -> relayCount));
     Random random = new Random(5);
     for (int i = 0; i < 4000; i++) {
-      RetryBudget b = all.get(random.nextInt(relays));
-      b.firstTry("s");
-      first++;
-      for (int j = 0; j < 3; j++) if (b.secondTry("s")) second++;
-      Assertions.assertTrue(second <= first * 0.2 + 62, second + " of " + first);
+      RetryBudget budget = all.get(random.nextInt(relayCount));
+      budget.recordFirstAttempt("s");
+      firstAttempts++;
+      for (int j = 0; j < 3; j++) if (budget.takeRetry("s")) retries++;
+      Assertions.assertTrue(retries <= firstAttempts * 0.2 + 62, retries + " of " + firstAttempts);
     }
-    Assertions.assertTrue(second > first / 10);
+    Assertions.assertTrue(retries > firstAttempts / 10);
   }
 }
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
@@ -50,7 +50,7 @@
   /** What became of a call: its times are -1 where that didn't happen. */
   static final class Outcome implements Request.Caller {
     final Call call;
-    final long askedAtMs;
+    final long calledAtMs;
     long firstPieceAtMs = -1;
     long completeAtMs = -1;
     long refusedAtMs = -1;
@@ -60,15 +60,15 @@
     Outcome(SimulatedBurst burst, Call call) {
       this.burst = burst;
       this.call = call;
-      this.askedAtMs = burst.nowMs();
+      this.calledAtMs = burst.nowMs();
     }
 
     boolean served() {
-      return completeAtMs >= 0 && completeAtMs - askedAtMs <= call.patienceMs;
+      return completeAtMs >= 0 && completeAtMs - calledAtMs <= call.patienceMs;
     }
 
     long refusedAfterMs() {
-      return refusedAtMs - askedAtMs;
+      return refusedAtMs - calledAtMs;
     }
 
     @Override
@@ -99,7 +99,7 @@
   private final Decisions decisions = new Decisions(64, "r", 1);
   private final List<Relay> relays = new ArrayList<>();
   private int running;
-  private int asked;
+  private int callCount;
 
   /** How long the replica works at a request, in ms. */
   interface Work {
@@ -113,7 +113,8 @@
     Replicas.Replica replica =
         new Replicas.Replica(
             "m", "replica", Address.of("1.1.1.1:100"), "z", true, SLOTS, Map.of("m", "1"));
-    RelaySettings settings = RelaySettings.builder().anyWeights(true).alone(true).build();
+    RelaySettings settings =
+        RelaySettings.builder().allowsUnnamedWeights(true).localSharesOnly(true).build();
     for (int i = 0; i < relayCount; i++)
       relays.add(
           SimulatedRelay.started(time, configuration, List.of(replica), settings, relayCount));
@@ -204,11 +205,11 @@
     request.patienceMs = call.patienceMs;
     request.tokensOut = call.replyTokens;
     request.prompt =
-        new Prompt.Parts(List.of(new Prompt.Part("part-" + asked++, call.promptTokens)));
+        new Prompt.Parts(List.of(new Prompt.Part("part-" + callCount++, call.promptTokens)));
     relay.begin(request);
     relay
-        .way(
-            blocks -> Uni.createFrom().item(new Lookups.Found("no-index", List.of())),
+        .filterChain(
+            blocks -> Uni.createFrom().item(new Lookups.LookupResult("no-index", List.of())),
             ChoiceMode.SUMMARY,
             this::send)
         .go(request);
@@ -216,7 +217,7 @@
   }
 
   private void send(Request request, Backend backend, Exchange.Reply to) {
-    if (!to.leave(new SimulatedRelay.Unheld())) return;
+    if (!to.beginSend(new SimulatedRelay.IgnoringHandle())) return;
     waiting.add(new AtReplica(request, to));
     serveNext();
   }
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedFleet.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedFleet.java
@@ -28,12 +28,12 @@
 final class SimulatedFleet {
   private static final long DEADLINE_MS = 20_000;
   private static final long TICK_MS = 100;
-  private static final double TOLD_AFTER_MS = 3;
+  private static final double INDEX_DELAY_MS = 3;
   private static final int SLOTS = 64;
   private static final int KEPT_TOKENS = 75_996;
   private static final int TOKEN_BYTES = 131_072;
   private static final double LINK_MBPS = 550_000;
-  private static final double[] SLOWNESS = {1, 1, 1.3};
+  private static final double[] SLOWDOWN_FACTORS = {1, 1, 1.3};
 
   /**
    * A kind of request.
@@ -41,19 +41,19 @@
    * @param name its path without the slash
    * @param perSecond how many come in a second
    * @param computedTokens the mean of what is computed of its prompt
-   * @param spread of those, as the deviation of their logarithm
-   * @param mostTokens the most of those
+   * @param logDeviation of those, as the deviation of their logarithm
+   * @param maxTokens the most of those
    * @param replyTokens the mean of a reply's tokens
-   * @param gapMs the longest pause that its callers bear
+   * @param maxPauseMs the longest pause that its callers bear
    */
   record Kind(
       String name,
       double perSecond,
       int computedTokens,
-      double spread,
-      int mostTokens,
+      double logDeviation,
+      int maxTokens,
       int replyTokens,
-      int gapMs) {}
+      int maxPauseMs) {}
 
   private final SimulatedTime time = new SimulatedTime();
   private final Random random;
@@ -74,16 +74,18 @@
       SimulatedEngine[] engine = new SimulatedEngine[1];
       engine[0] =
           new SimulatedEngine(
-              SLOWNESS[i % SLOWNESS.length], ms -> after(ms, () -> engine[0].stepEnded()));
+              SLOWDOWN_FACTORS[i % SLOWDOWN_FACTORS.length],
+              ms -> after(ms, () -> engine[0].stepEnded()));
       engines.put(name, engine[0]);
       replicas.add(
           new Replicas.Replica(
               "m", name, Address.of("1.1.1.1:" + (100 + i)), "z", true, SLOTS, Map.of("m", "1")));
     }
-    RelaySettings settings = RelaySettings.builder().anyWeights(true).without(without).build();
+    RelaySettings settings =
+        RelaySettings.builder().allowsUnnamedWeights(true).without(without).build();
     for (int i = 0; i < relayCount; i++)
       relays.add(SimulatedRelay.started(time, configuration(), replicas, settings, relayCount));
-    for (Kind kind : kinds) nextOf(kind);
+    for (Kind kind : kinds) scheduleNext(kind);
     after(TICK_MS, this::tick);
   }
 
@@ -92,8 +94,8 @@
     after(TICK_MS, this::tick);
   }
 
-  private void after(double ms, Runnable what) {
-    time.after(ms, what);
+  private void after(double ms, Runnable action) {
+    time.after(ms, action);
   }
 
   /** Plays so many ms. */
@@ -102,8 +104,8 @@
   }
 
   /** All requests of a kind that came so far. */
-  List<Request> of(Kind kind) {
-    return requests.stream().filter(x -> x.path.equals("/" + kind.name)).toList();
+  List<Request> requestsOf(Kind kind) {
+    return requests.stream().filter(request -> request.path.equals("/" + kind.name)).toList();
   }
 
   private Configuration configuration() {
@@ -125,58 +127,65 @@
           Configuration.Route.named(kind.name)
               .at("", "/" + kind.name, false)
               .to(0, 1)
-              .times((int) DEADLINE_MS, 0, kind.gapMs)
+              .times((int) DEADLINE_MS, 0, kind.maxPauseMs)
               .open(true)
               .build(routes.size()));
     return new Configuration(1, List.of(service), routes, List.of(), Configuration.Limits.USUAL);
   }
 
-  private void nextOf(Kind kind) {
+  private void scheduleNext(Kind kind) {
     after(
         -Math.log(1 - random.nextDouble()) * 1000 / kind.perSecond,
         () -> {
           ask(kind);
-          nextOf(kind);
+          scheduleNext(kind);
         });
   }
 
   private int tokens(Kind kind) {
-    double normal = random.nextGaussian() * kind.spread - kind.spread * kind.spread / 2;
-    return (int) Math.max(1, Math.min(kind.mostTokens, kind.computedTokens * Math.exp(normal)));
+    double normal =
+        random.nextGaussian() * kind.logDeviation - kind.logDeviation * kind.logDeviation / 2;
+    return (int) Math.max(1, Math.min(kind.maxTokens, kind.computedTokens * Math.exp(normal)));
   }
 
   private void ask(Kind kind) {
     Relay relay = relays.get(random.nextInt(relays.size()));
     Request request =
-        new Request(decisions.begin(time.nowMs()), time.nowMs(), "", "/" + kind.name, new Taker());
+        new Request(
+            decisions.begin(time.nowMs()),
+            time.nowMs(),
+            "",
+            "/" + kind.name,
+            new AcceptingCaller());
     request.model = "m";
     request.tokensOut = Math.max(1, (int) (kind.replyTokens * (0.5 + random.nextDouble())));
     request.prompt =
         new Prompt.Parts(List.of(new Prompt.Part("part-" + requests.size(), tokens(kind))));
     requests.add(request);
     relay.begin(request);
-    relay.way(lookups(), ChoiceMode.SUMMARY, this::send).go(request);
+    relay.filterChain(lookups(), ChoiceMode.SUMMARY, this::send).go(request);
   }
 
   private Lookups lookups() {
     return new Lookups() {
       @Override
-      public Uni<Found> ask(long[] blocks) {
-        return Uni.createFrom().item(new Found(ANSWERED, List.of(), load.told(time.nowMs())));
+      public Uni<LookupResult> lookUp(long[] blocks) {
+        return Uni.createFrom()
+            .item(new LookupResult(ANSWERED, List.of(), load.told(time.nowMs())));
       }
 
       @Override
-      public void placed(String holder, long[] blocks, Lookup.Work work) {
-        after(TOLD_AFTER_MS, () -> load.placed(holder, work, time.nowMs()));
+      public void recordPlacement(String holder, long[] blocks, Lookup.Work work) {
+        after(INDEX_DELAY_MS, () -> load.placed(holder, work, time.nowMs()));
       }
     };
   }
 
   private void send(Request request, Backend backend, Exchange.Reply to) {
-    if (!to.leave(new SimulatedRelay.Unheld())) return;
+    if (!to.beginSend(new SimulatedRelay.IgnoringHandle())) return;
     engines
         .get(backend.replica.instance())
-        .take(
+        .submit(
             request.computeUnits,
             request.tokensOut,
             new SimulatedEngine.Reply() {
@@ -193,7 +202,7 @@
   }
 
   /** A caller that takes whatever comes. */
-  private static final class Taker implements Request.Caller {
+  private static final class AcceptingCaller implements Request.Caller {
     @Override
     public void refuse(Request request, FilterResult.Refuse refusal) {}
 
--- a/data-plane/src/test/java/gladelug/data/relay/StoreLinkTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/StoreLinkTest.java
@@ -13,11 +13,11 @@
 /** A relay's share of a store's link, and what is moved over it. */
 final class StoreLinkTest {
   private static final int TOKEN_BYTES = 20_000;
-  private static final double MBPS = 80_000;
-  private static final int PROMPT = 12_000;
+  private static final double LINK_MBPS = 80_000;
+  private static final int PROMPT_TOKENS = 12_000;
 
   /** A token takes the link two microseconds: 160,000 bits at 80 Gbit/s. */
-  private static final double UNIT_MS = 0.002;
+  private static final double MS_PER_TOKEN = 0.002;
 
   private static Configuration.Engine engine(double mbps) {
     return new Configuration.Engine(12, 100_000, TOKEN_BYTES, mbps, 12, List.of("m"));
@@ -41,35 +41,41 @@
     Replica replica =
         new Replica("m", "r", new Address("1.1.1.2", 1), zone, true, 12, Map.of("m", "1"));
     Backend backend = new Backend(replica, false);
-    backend.listed(
+    backend.applyListing(
         replica,
         new Configuration.Service(
             0, "m", Configuration.Kind.MODEL, List.of(), 1, engine(1e6), null, ""),
         0);
-    backend.unitMs = unitMs;
+    backend.computeMsPerUnit = unitMs;
     return backend;
   }
 
   @Test
   void anotherZonesLinkTakesTwiceAsLong() {
-    PrefixStore store = store(new StoreLink(() -> 1, 0), MBPS);
-    Assertions.assertEquals(UNIT_MS, store.unitMs(backend("here", 1)), 1e-9);
-    Assertions.assertEquals(2 * UNIT_MS, store.unitMs(backend("there", 1)), 1e-9);
-    Assertions.assertTrue(store(new StoreLink(() -> 1, 0), 0).unitMs(backend("here", 1)) < 0);
+    PrefixStore store = store(new StoreLink(() -> 1, 0), LINK_MBPS);
+    Assertions.assertEquals(MS_PER_TOKEN, store.transferMsPerUnit(backend("here", 1)), 1e-9);
+    Assertions.assertEquals(2 * MS_PER_TOKEN, store.transferMsPerUnit(backend("there", 1)), 1e-9);
+    Assertions.assertTrue(
+        store(new StoreLink(() -> 1, 0), 0).transferMsPerUnit(backend("here", 1)) < 0);
   }
 
   @Test
   void aSaveIsAskedForOnlyWhereReadingAgainIsDearerThanMoving() {
     StoreLink link = new StoreLink(() -> 1, 0);
-    PrefixStore store = store(link, MBPS);
-    long idle = 10_000;
-    Assertions.assertTrue(store.sparesTime(backend("here", 0.01), PROMPT, PROMPT, idle));
+    PrefixStore store = store(link, LINK_MBPS);
+    long idleUntilMs = 10_000;
+    Assertions.assertTrue(
+        store.isWorthSaving(backend("here", 0.01), PROMPT_TOKENS, PROMPT_TOKENS, idleUntilMs));
     Assertions.assertFalse(
-        store.sparesTime(backend("here", UNIT_MS), PROMPT, PROMPT, idle), "computes as fast");
+        store.isWorthSaving(
+            backend("here", MS_PER_TOKEN), PROMPT_TOKENS, PROMPT_TOKENS, idleUntilMs),
+        "computes as fast");
     Assertions.assertFalse(
-        store.sparesTime(backend("here", 0.01), 100, 100, idle), "too short to matter");
+        store.isWorthSaving(backend("here", 0.01), 100, 100, idleUntilMs), "too short to matter");
     Assertions.assertFalse(
-        store(link, 0).sparesTime(backend("here", 0.01), PROMPT, PROMPT, idle), "link not known");
+        store(link, 0)
+            .isWorthSaving(backend("here", 0.01), PROMPT_TOKENS, PROMPT_TOKENS, idleUntilMs),
+        "link not known");
   }
 
   @Test
@@ -87,7 +93,7 @@
   @Test
   void aPullThatTookTooLongLeavesTheLinkAloneForAWhile() {
     StoreLink link = new StoreLink(() -> 1, 0);
-    link.slow(1000);
+    link.markSlow(1000);
     Assertions.assertFalse(link.mayPull(1, 3900));
     Assertions.assertTrue(link.mayPull(1, 4000));
   }
@@ -97,24 +103,26 @@
    */
   @Test
   void allRelaysTogetherSpendLessThanTheLinksTimeWhateverTheirNumber() {
-    for (int relays : new int[] {1, 4, 84, 390}) {
+    for (int relayCount : new int[] {1, 4, 84, 390}) {
       for (long seed = 0; seed < 20; seed++) {
         Random random = new Random(seed);
         List<StoreLink> links = new ArrayList<>();
-        for (int i = 0; i < relays; i++) links.add(new StoreLink(() -> relays, 0));
-        double spent = 0;
-        long lasts = 200_000;
-        for (long now = 0; now < lasts; now += 5) {
-          StoreLink link = links.get(random.nextInt(relays));
+        for (int i = 0; i < relayCount; i++) links.add(new StoreLink(() -> relayCount, 0));
+        double spentMs = 0;
+        long durationMs = 200_000;
+        for (long now = 0; now < durationMs; now += 5) {
+          StoreLink link = links.get(random.nextInt(relayCount));
           double ms = 10 + random.nextInt(50);
-          boolean may = random.nextBoolean() ? link.mayPull(ms, now) : link.maySave(ms, now);
-          if (!may) continue;
+          boolean allowed = random.nextBoolean() ? link.mayPull(ms, now) : link.maySave(ms, now);
+          if (!allowed) continue;
           link.spend(ms, now);
-          spent += ms;
+          spentMs += ms;
         }
-        double savedUp = relays * 240.0;
-        Assertions.assertTrue(spent <= 0.7 * lasts + savedUp, relays + " relays, seed " + seed);
-        Assertions.assertTrue(spent > 0.3 * lasts, relays + " relays use it, seed " + seed);
+        double savedUpMs = relayCount * 240.0;
+        Assertions.assertTrue(
+            spentMs <= 0.7 * durationMs + savedUpMs, relayCount + " relays, seed " + seed);
+        Assertions.assertTrue(
+            spentMs > 0.3 * durationMs, relayCount + " relays use it, seed " + seed);
       }
     }
   }
