--- a/data-plane/src/test/java/gladelug/data/relay/WaitQueueTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/WaitQueueTest.java
@@ -14,100 +14,101 @@
 /** Tests of WaitQueue. */
 final class WaitQueueTest {
   private static Configuration configuration(String tenants) {
-    var r =
+    var parsed =
         Configuration.parse(
             "{\"services\":[{\"name\":\"m\",\"allow\":[\"1.1.1.1\"]}],\"mappings\":[{\"name\":\"a\","
                 + "\"path\":\"/a\",\"service\":\"m\"},"
                 + "{\"name\":\"b\",\"path\":\"/b\",\"service\":\"m\"}],\"tenants\":"
                 + tenants
                 + "}");
-    return ((Result.Good<Configuration>) r).value();
+    return ((Result.Good<Configuration>) parsed).value();
   }
 
-  private static int nr;
+  private static int nextNumber;
 
-  private static Request order(String leaf) {
-    Request request = new Request(new Decision("x", nr++, 0), 0, "", "", null);
+  private static Request request(String leaf) {
+    Request request = new Request(new Decision("x", nextNumber++, 0), 0, "", "", null);
     request.leaf = leaf;
     return request;
   }
 
-  private static Map<String, Integer> deal(WaitQueue b, int places) {
-    Map<String, Integer> got = new TreeMap<>();
-    for (int i = 0; i < places; i++) {
-      Request request = b.next();
+  private static Map<String, Integer> serve(WaitQueue queue, int slots) {
+    Map<String, Integer> served = new TreeMap<>();
+    for (int i = 0; i < slots; i++) {
+      Request request = queue.next();
       if (request == null) break;
-      got.merge(request.leaf, 1, Integer::sum);
-      b.release(request);
+      served.merge(request.leaf, 1, Integer::sum);
+      queue.release(request);
     }
-    return got;
+    return served;
   }
 
   @Test
   void whenFullPlacesGoByWeightAtEachLevel() {
-    WaitQueue b = new WaitQueue(1000);
-    b.shape(
+    WaitQueue queue = new WaitQueue(1000);
+    queue.configure(
         configuration(
             "[{\"name\":\"t\",\"keys\":[],\"weight\":3,\"shares\":[{\"name\":\"x\",\"weight\":2,"
                 + "\"mappings\":[\"a\"]},{\"name\":\"y\",\"mappings\":[\"b\"]}]},{\"name\":\"u\",\"keys\":[]}]"));
     for (int i = 0; i < 200; i++)
-      for (String l : new String[] {"t/x", "t/y", "u"}) b.enter(order(l));
-    Map<String, Integer> got = deal(b, 120);
-    Assertions.assertEquals(30, got.get("u"), 1.0, got.toString());
-    Assertions.assertEquals(60, got.get("t/x"), 1.0, got.toString());
-    Assertions.assertEquals(30, got.get("t/y"), 1.0, got.toString());
+      for (String leaf : new String[] {"t/x", "t/y", "u"}) queue.enter(request(leaf));
+    Map<String, Integer> served = serve(queue, 120);
+    Assertions.assertEquals(30, served.get("u"), 1.0, served.toString());
+    Assertions.assertEquals(60, served.get("t/x"), 1.0, served.toString());
+    Assertions.assertEquals(30, served.get("t/y"), 1.0, served.toString());
   }
 
   @Test
   void aLightOneThatComesLateIsNextAndNobodySavesUp() {
-    WaitQueue b = new WaitQueue(1000);
-    b.shape(configuration("[{\"name\":\"t\",\"keys\":[]},{\"name\":\"u\",\"keys\":[]}]"));
-    for (int i = 0; i < 300; i++) b.enter(order("t"));
-    deal(b, 200);
-    for (int i = 0; i < 100; i++) b.enter(order("u"));
-    Map<String, Integer> got = deal(b, 100);
-    Assertions.assertEquals(50, got.get("u"), 1.0, "not all 100 at once: " + got);
+    WaitQueue queue = new WaitQueue(1000);
+    queue.configure(configuration("[{\"name\":\"t\",\"keys\":[]},{\"name\":\"u\",\"keys\":[]}]"));
+    for (int i = 0; i < 300; i++) queue.enter(request("t"));
+    serve(queue, 200);
+    for (int i = 0; i < 100; i++) queue.enter(request("u"));
+    Map<String, Integer> served = serve(queue, 100);
+    Assertions.assertEquals(50, served.get("u"), 1.0, "not all 100 at once: " + served);
   }
 
   @Test
   void theFleetsDivisionBoundsLeavesAndPartsOfAPlaceAreUsedInTime() {
-    WaitQueue b = new WaitQueue(1000);
-    b.shape(configuration("[{\"name\":\"t\",\"keys\":[]},{\"name\":\"u\",\"keys\":[]}]"));
-    for (int i = 0; i < 50; i++) for (String l : new String[] {"t", "u"}) b.enter(order(l));
-    b.bound(Map.of("t", 2000, "u", 250), 0, 100);
-    StringBuilder builder = new StringBuilder();
-    List<Request> out = new ArrayList<>();
+    WaitQueue queue = new WaitQueue(1000);
+    queue.configure(configuration("[{\"name\":\"t\",\"keys\":[]},{\"name\":\"u\",\"keys\":[]}]"));
+    for (int i = 0; i < 50; i++)
+      for (String leaf : new String[] {"t", "u"}) queue.enter(request(leaf));
+    queue.setBounds(Map.of("t", 2000, "u", 250), 0, 100);
+    StringBuilder servedLeaves = new StringBuilder();
+    List<Request> running = new ArrayList<>();
     for (int ms = 0; ms < 4000; ms += 100) {
-      for (Request request : out) b.release(request);
-      out.clear();
-      b.bound(Map.of("t", 2000, "u", 250), 100, 100);
-      for (Request request; (request = b.next()) != null; ) {
-        out.add(request);
-        builder.append(request.leaf);
+      for (Request request : running) queue.release(request);
+      running.clear();
+      queue.setBounds(Map.of("t", 2000, "u", 250), 100, 100);
+      for (Request request; (request = queue.next()) != null; ) {
+        running.add(request);
+        servedLeaves.append(request.leaf);
       }
     }
-    Assertions.assertEquals(50, builder.chars().filter(c -> c == 't').count());
+    Assertions.assertEquals(50, servedLeaves.chars().filter(c -> c == 't').count());
     Assertions.assertEquals(
         10,
-        builder.chars().filter(c -> c == 'u').count(),
+        servedLeaves.chars().filter(c -> c == 'u').count(),
         "a quarter of a place for forty orders' time");
-    b.unbound();
-    Assertions.assertNotNull(b.next());
+    queue.clearBounds();
+    Assertions.assertNotNull(queue.next());
   }
 
   @Test
   void lowerTiersWaitLimitsHoldAndTheBoundHolds() {
-    WaitQueue b = new WaitQueue(5);
-    b.shape(
+    WaitQueue queue = new WaitQueue(5);
+    queue.configure(
         configuration(
             "[{\"name\":\"t\",\"keys\":[],\"tier\":1},{\"name\":\"u\",\"keys\":[],\"limit\":2}]"));
-    for (String l : new String[] {"t", "u", "u", "u", "t"})
-      Assertions.assertTrue(b.enter(order(l)));
-    Assertions.assertFalse(b.enter(order("u")));
-    StringBuilder builder = new StringBuilder();
-    for (Request request; (request = b.next()) != null; ) builder.append(request.leaf);
-    Assertions.assertEquals("uutt", builder.toString());
-    Assertions.assertEquals(1, b.leave(request -> request.leaf.equals("u")).size());
-    Assertions.assertEquals(0, b.size());
+    for (String leaf : new String[] {"t", "u", "u", "u", "t"})
+      Assertions.assertTrue(queue.enter(request(leaf)));
+    Assertions.assertFalse(queue.enter(request("u")));
+    StringBuilder servedLeaves = new StringBuilder();
+    for (Request request; (request = queue.next()) != null; ) servedLeaves.append(request.leaf);
+    Assertions.assertEquals("uutt", servedLeaves.toString());
+    Assertions.assertEquals(1, queue.removeIf(request -> request.leaf.equals("u")).size());
+    Assertions.assertEquals(0, queue.size());
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
@@ -83,24 +83,24 @@
             this::now,
             new Shuffle.Descriptor(name, "relay", "1.1.1.1:1", "1.1.1.1:2", "z", 0, 0),
             l,
-            snapshot -> relay.tables(snapshot));
+            snapshot -> relay.applySnapshot(snapshot));
     connections = new SimConnections(sim, this);
     decisions = new Decisions(512, name, l);
     relay =
         new Relay(
             this::now,
             news,
-            x -> new Backends(this::now, (r, told) -> sim.load(this, r, told), x::pump),
+            x -> new Backends(this::now, (r, told) -> sim.load(this, r, told), x::admitWaiting),
             "z",
-            RelaySettings.builder().queueMost(64).build(),
+            RelaySettings.builder().maxQueuedRequests(64).build(),
             () -> sim.fronts.size());
     way =
-        relay.way(
+        relay.filterChain(
             blocks -> Uni.createFrom().emitter(e -> sim.lookup(this, blocks, e::complete)),
             ChoiceMode.SUMMARY,
             new LineExchange(relay, connections));
     every(l, 50, () -> relay.tick());
-    every(l, Backends.PERIOD, () -> relay.backends.askAll());
+    every(l, Backends.POLL_INTERVAL_MS, () -> relay.backends.pollAll());
     every(l, 400, this::ask);
   }
 
@@ -228,7 +228,7 @@
     Ledger.Call c = calls.remove(request);
     if (c == null) return;
     end(c, "gone");
-    relay.gone(request);
+    relay.callerGone(request);
   }
 
   /** What a caller is told, checked as a caller would. */
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
@@ -296,7 +296,7 @@
           });
   }
 
-  void lookup(RequestRelay by, long[] blocks, Consumer<Lookups.Found> found) {
+  void lookup(RequestRelay by, long[] blocks, Consumer<Lookups.LookupResult> found) {
     int l = by.life;
     Lookup.Answer a = index.answer(blocks);
     passes(
@@ -310,7 +310,7 @@
                         l,
                         () ->
                             found.accept(
-                                new Lookups.Found(
+                                new Lookups.LookupResult(
                                     a.warm() ? Lookups.ANSWERED : "warming", a.matches())))));
   }
 
