--- a/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
@@ -9,9 +9,9 @@
 import io.smallrye.mutiny.subscription.UniEmitter;
 
 /**
- * When: a place at once, or the queue by the share tree, or refused at once where, behind the work
- * that waits already, it could not end before its caller's deadline. Whoever is let into the queue
- * could therefore be served in the order of arrival.
+ * Admits a request at once, queues it by the tree of quota shares, or refuses it when the work
+ * queued ahead of it would make it miss its deadline. Every queued request could therefore still
+ * finish in time if it were served in order of arrival.
  */
 record AdmissionFilter(Relay relay) implements RequestFilter {
   @Override
@@ -32,7 +32,7 @@
     return Uni.createFrom().emitter(emitter -> enqueue(request, emitter));
   }
 
-  /** The refusal where nobody can run it now, or null. */
+  /** Returns the refusal when no replica can run the request now, or null. */
   private FilterResult refusalIfUnservable(Request request) {
     String service = request.service.name();
     if (request.service.kind() == Configuration.Kind.MODEL
@@ -46,7 +46,10 @@
     return null;
   }
 
-  /** Whether it would end after its deadline, the only time that its caller is known to have. */
+  /**
+   * Returns whether the request would finish after its deadline, the only time limit its caller is
+   * known to have.
+   */
   private boolean endsTooLate(Request request, double waitMs) {
     return relay.clock.now() + waitMs > request.latestStartMs();
   }
@@ -54,11 +57,11 @@
   private FilterResult refusalTooLate(Request request) {
     String service = request.service.name();
     String reason =
-        "the backlog is longer than the order may wait: "
+        "the queue is too long to meet the deadline: "
             + relay.queue(service).size()
-            + " wait, "
+            + " requests queued, "
             + relay.freeSlots(service)
-            + " places";
+            + " slots free";
     return FilterResult.notRun(503, reason, relay.retryAdvice.msUntilRoom(request));
   }
 
@@ -75,12 +78,12 @@
               Json.object().add("waitedMs", nowMs - enteredAtMs).add("backlogThen", queue.size()));
           emitter.complete(result);
         };
-    if (queue.enter(request)) {
+    if (queue.offer(request)) {
       relay.admitWaiting();
       return;
     }
     request.leaveQueue = null;
     emitter.complete(
-        FilterResult.notRun(503, "the backlog is full", relay.retryAdvice.msUntilRoom(request)));
+        FilterResult.notRun(503, "the queue is full", relay.retryAdvice.msUntilRoom(request)));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Backend.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Backend.java
@@ -7,93 +7,111 @@
 import java.util.Map;
 
 /**
- * One replica as a relay sees it: what the platform lists, what it last reported of itself, and
- * what this relay has sent it since. Replicas either report (the product's own protocol: load,
- * waiting time, links) or are known by the instance list and by what their answers say. Confined to
- * the request thread.
+ * A replica as seen by one relay: what the platform lists, what the replica last reported, and what
+ * this relay has sent it since. Replicas either report their load (native protocol: load, waiting
+ * time, links) or are known only from the instance list and from their answers. Confined to the
+ * request thread.
  */
 public final class Backend {
-  /** After how long a link that was found slow is tried again, in ms. */
+  /** Interval after which a link that was found slow is tried again, in ms. */
   private static final long LINK_RETRY_MS = 20_000;
 
-  /** After how long without a report one that reports is taken for gone, in ms. */
+  /** Time without a report after which a reporting replica is considered gone, in ms. */
   private static final long REPORT_TIMEOUT_MS = 2000;
 
-  /** After how long without a byte one that was given something is taken for slow, in ms. */
+  /** Time without any received byte after which a replica with requests counts as slow, in ms. */
   private static final long UNANSWERED_TIMEOUT_MS = 1200;
 
-  /** Over how long the prefill that was told of is averaged, in ms. */
+  /** Averaging time of the share of time spent on prefill, in ms. */
   private static final double PREFILL_SHARE_AVERAGING_MS = 2000;
 
-  /** How long what the index told of its load counts, in ms. */
+  /** Maximum age of the fleet load reported by the index, in ms. */
   private static final long FLEET_LOAD_MAX_AGE_MS = 1000;
 
-  /** Work given lately is averaged over so long, in ms. */
+  /** Averaging time of the rate of work sent to the replica, in ms. */
   private static final double WORK_RATE_AVERAGING_MS = 1000;
 
-  /** Waiting requests that an answer told of are done after about so long, in ms. */
+  /** Time constant with which a reported number of queued requests decays, in ms. */
   private static final double REPORTED_QUEUE_DECAY_MS = 800;
 
-  /** How long a request waits for each that waits there before it, in ms. */
+  /** Estimated wait per request already queued at the replica, in ms. */
   private static final double QUEUED_REQUEST_WAIT_MS = 25;
 
-  /** How long a request waits for memory that others hold, in ms. */
+  /** Estimated wait per unit of memory excess (1 is the replica's whole memory), in ms. */
   private static final double FULL_MEMORY_WAIT_MS = 2000;
 
-  /** How long a request is likely to wait for one that leaves others unanswered, in ms. */
+  /** Estimated wait at a replica that leaves requests unanswered, in ms. */
   private static final double UNRESPONSIVE_WAIT_MS = 1500;
 
-  /** The share of its memory from which on requests wait there or put others back. */
+  /** Share of the replica's memory above which requests are queued or preempted. */
   private static final double MEMORY_PRESSURE_THRESHOLD = 0.8;
 
-  /** The most of its memory beyond that share that is reckoned with. */
+  /** Upper bound of the excess over that share used in the estimate, as a share of memory. */
   private static final double MAX_MEMORY_EXCESS = 1.5;
 
-  /** Of a relay's own work at a replica, what each other relay is reckoned to give it beside. */
+  /** Work that each other relay is assumed to send to a replica, relative to this relay's own. */
   private static final double OTHER_RELAY_LOAD_RATIO = 0.8;
 
-  /** The most that a replica is reckoned to be busy, as the wait grows without end towards 1. */
+  /** Upper bound of the estimated utilization, as the estimated wait diverges towards 1. */
   private static final double MAX_UTILIZATION = 0.9;
 
-  /** How long the work of one request usually is, of those that others wait for, in ms. */
+  /** Typical duration of a request that others queue behind, in ms. */
   private static final double TYPICAL_REQUEST_MS = 40;
 
   public Replica replica;
+
+  /** Whether the replica was listed or has identified itself in its last report. */
   public boolean stateKnown;
 
-  /** Whether it reports by itself; else silence means nothing. */
+  /** Whether the replica reports its load; if not, silence is no sign of failure. */
   public final boolean reportsLoad;
 
-  /** By model. */
+  /** Version of the weights the replica runs, by model. */
   public Map<String, String> weightsByModel = new HashMap<>();
 
   public int slots = 1;
   public int blockBytes = 256;
 
-  /** Estimated ms to compute a unit of a prompt. */
+  /** Estimated time to compute one unit (token or block) of a prompt, in ms. */
   public double computeMsPerUnit = 1;
 
+  /** Wait of a new request as last reported by the replica, in ms. */
   public double reportedWaitMs;
+
+  /** Running and queued requests of all relays as last reported by the replica. */
   public int reportedRequests;
+
+  /** This relay's requests at the replica, now and at the time of the last report. */
   public int ownRequests;
+
   public int ownRequestsAtReport;
+
+  /** Work sent by this relay since the last report, in ms. */
   public double addedWorkMs;
+
   public long reportedAtMs = Long.MIN_VALUE / 2;
+
+  /** Until when the replica receives no new requests after a failure or refusal. */
   public long ejectedUntilMs = Long.MIN_VALUE / 2;
 
-  /** Told to be ill by its own answers rather than by a moment's refusal; for people. */
+  /** Failures seen in the replica's answers, excluding temporary refusals. */
   public int failures;
 
+  /** Measured time to pull a unit, in ms, by the holder it is pulled from. */
   public Map<String, Double> linkMsByHolder = new HashMap<>();
 
-  /** Estimated ms to pull a unit over its link, 0 where each link is measured by itself. */
+  /**
+   * Estimated time to pull a unit over the engine's link, in ms; 0 if each link is measured
+   * separately.
+   */
   private double engineLinkMsPerUnit;
 
   private int tokenBytes;
 
+  /** Until when the work sent by this relay keeps the replica busy. */
   private long ownWorkUntilMs;
 
-  /** Until when it is busy by what all relays gave it, and when that was told. */
+  /** Until when the work sent by all relays keeps the replica busy, as reported by the index. */
   private long fleetBusyUntilMs;
 
   private long fleetLoadAtMs = Long.MIN_VALUE / 2;
@@ -101,22 +119,22 @@
   private int fleetRunning;
   private int fleetUnits;
 
-  /** Ms of work a ms that this relay gave it lately, and when that was last reckoned. */
+  /** Work this relay sent recently, in ms of work per ms of time, as of workRateAtMs. */
   private double workRate;
 
   private long workRateAtMs;
 
-  /** Units under way there of this relay's, and the most it keeps (0: not known). */
+  /** Units of this relay's running requests at the replica. */
   public int ownUnits;
 
+  /** Units that fit into the replica's memory; 0 if unknown. */
   private long memoryUnits;
+
   private double averageRequestUnits = 1500;
   private int reportedWaiting;
   private long oldWeightsUntilMs = Long.MIN_VALUE / 2;
 
-  /**
-   * When bytes last came from it, and since when something it was given has waited for the first.
-   */
+  /** When the last byte was received from the replica. */
   private long lastByteAtMs = Long.MIN_VALUE / 2;
 
   private long unansweredSinceMs = Long.MIN_VALUE / 2;
@@ -128,19 +146,19 @@
     this(replica, true);
   }
 
-  public Backend(Replica replica, boolean reports) {
+  public Backend(Replica replica, boolean reportsLoad) {
     this.replica = replica;
-    this.reportsLoad = reports;
+    this.reportsLoad = reportsLoad;
   }
 
   public String reportedWeights(String model) {
     return weightsByModel.getOrDefault(model, "");
   }
 
-  /** What the list and the configuration say of one that doesn't report. */
+  /** Applies the instance list and the configuration of a replica that does not report its load. */
   void applyListing(Replica replica, Configuration.Service service, long nowMs) {
     for (Map.Entry<String, String> weights : replica.weights().entrySet()) {
-      // an answer since may have told of newer weights than the list, which lags
+      // an answer may have reported newer weights than the list, which lags behind
       if (isNewer(weights.getValue(), reportedWeights(weights.getKey())))
         weightsByModel.put(weights.getKey(), weights.getValue());
     }
@@ -158,8 +176,8 @@
   }
 
   /**
-   * Whether weights named a come after those named b; those that are numbers go by their value.
-   * Where none are told, that comes after nothing.
+   * Returns whether one version of weights is newer than another. Versions that are numbers are
+   * compared by value. Any version is newer than an empty one.
    */
   public static boolean isNewer(String candidate, String reference) {
     if (candidate.isEmpty() || reference.isEmpty()) return !candidate.isEmpty();
@@ -176,12 +194,12 @@
     return !text.isEmpty() && text.length() < 19;
   }
 
-  /** Bytes of a token that it keeps; 0 where not known. */
+  /** Returns the size of a cached token in bytes, or 0 if unknown. */
   int tokenBytes() {
     return tokenBytes;
   }
 
-  /** What an answer's head told: requests running and waiting there. */
+  /** Records the numbers of running and queued requests reported in an answer's header. */
   public void recordLoad(int running, int waiting, long nowMs) {
     reportedWaiting = waiting;
     reportedRequests = running + waiting;
@@ -190,43 +208,51 @@
     reportedWaitMs = 0;
   }
 
-  /** Requests it has, by its last report and what this relay did since. */
+  /**
+   * Returns the number of requests at the replica: its last report plus what this relay sent and
+   * finished since.
+   */
   public int load() {
     return ownRequests + Math.max(0, reportedRequests - ownRequestsAtReport);
   }
 
-  /** Its slots and one more, so that the next request is there when one ends. */
+  /**
+   * Returns one more than the number of slots, so that the next request is already there when one
+   * ends.
+   */
   public int admissionSlots() {
     return slots + 1;
   }
 
+  /** Returns how many more requests the replica may be given now. */
   public int freeSlots() {
     return Math.max(0, admissionSlots() - load());
   }
 
+  /** Returns whether the replica may be given requests now. */
   public boolean isUsable(long nowMs) {
     return stateKnown
         && nowMs >= ejectedUntilMs
         && (!reportsLoad || nowMs - reportedAtMs < REPORT_TIMEOUT_MS);
   }
 
-  /** In how many ms it may be given requests again, as far as is known; 0 where it may now. */
+  /** Returns the time until the replica may receive requests again, in ms; 0 if it may now. */
   long msUntilUsable(long nowMs) {
     if (isUsable(nowMs)) return 0;
     return nowMs < ejectedUntilMs ? ejectedUntilMs - nowMs : Backends.POLL_INTERVAL_MS;
   }
 
   /**
-   * Has told nothing of itself for so long that what it was given is given up; not by a relay just
-   * awake.
+   * Returns whether the replica has sent no report for so long that its requests are given up. The
+   * time in which the relay itself was stalled does not count.
    */
   public boolean isSilent(long nowMs, long awakeSinceMs) {
     return reportsLoad && nowMs - Math.max(reportedAtMs, awakeSinceMs) > REPORT_TIMEOUT_MS;
   }
 
   /**
-   * Was given something and no byte of anything came since: others are better, but it may only be
-   * busy.
+   * Returns whether the replica has sent no byte since it was given a request. Other replicas are
+   * preferred then, but it may only be busy.
    */
   private boolean isUnresponsive(long nowMs) {
     return unansweredRequests > 0
@@ -234,12 +260,12 @@
         && nowMs - unansweredSinceMs < 10 * UNANSWERED_TIMEOUT_MS;
   }
 
-  /** A request went there. */
+  /** Records that a request was sent to the replica. */
   public void recordSent(long nowMs) {
     if (unansweredRequests++ == 0) unansweredSinceMs = nowMs;
   }
 
-  /** The first byte of an answer came, or the request ended without one. */
+  /** Records that the first byte of an answer arrived, or that the request ended without one. */
   public void recordAnswered(boolean byteReceived, long nowMs) {
     unansweredRequests = Math.max(0, unansweredRequests - 1);
     if (byteReceived) recordByteReceived(nowMs);
@@ -250,10 +276,10 @@
   }
 
   /**
-   * Estimated wait there of a request of so many units, in ms. One that reports says so itself. Of
-   * another it is what this relay gave it and isn't done, what as busy a server makes one wait if
-   * the other relays give it as much lately, what it told of waiting ones, and the room in its
-   * memory.
+   * Returns the estimated wait of a request of this many units, in ms. A reporting replica states
+   * its wait itself. For others it is the sum of the unfinished work this relay sent, the queueing
+   * delay at the utilization that results if the other relays send as much, the reported queue, and
+   * the wait for memory.
    */
   public double estimatedQueueMs(long nowMs, int relayCount, int units, RelaySettings settings) {
     if (reportsLoad) return Math.max(0, reportedWaitMs - (nowMs - reportedAtMs)) + addedWorkMs;
@@ -264,7 +290,10 @@
         + (settings.isEnabled(Mechanism.MEMORY_ESTIMATES) ? memoryWaitMs(units, nowMs) : 0);
   }
 
-  /** Work that it was given and isn't done, this relay's and by its example that of the others. */
+  /**
+   * Returns the unfinished work at the replica, in ms: this relay's own, and the other relays'
+   * estimated from it unless the index reported it recently.
+   */
   private double outstandingWorkMs(long nowMs, int relayCount) {
     if (hasFreshFleetLoad(nowMs))
       return Math.max(0, fleetBusyUntilMs - nowMs) + reportedQueueMs(nowMs);
@@ -277,13 +306,14 @@
         + reportedQueueMs(nowMs);
   }
 
+  /** Returns the estimated wait for the reported queue, which decays with the report's age. */
   private double reportedQueueMs(long nowMs) {
     return reportedWaiting
         * QUEUED_REQUEST_WAIT_MS
         * Math.exp(-(nowMs - reportedAtMs) / REPORTED_QUEUE_DECAY_MS);
   }
 
-  /** The index told what all relays gave it; this relay's own was among it. */
+  /** Records the load from all relays as reported by the index; this relay's own is part of it. */
   void recordFleetLoad(Lookup.Load load, long nowMs) {
     double sampleWeight = 1 - Math.exp(-(nowMs - fleetLoadAtMs) / PREFILL_SHARE_AVERAGING_MS);
     recentPrefillShare += ((load.busyMs() > 0 ? 1 : 0) - recentPrefillShare) * sampleWeight;
@@ -293,12 +323,15 @@
     fleetLoadAtMs = nowMs;
   }
 
-  /** The part of the time in which it reads prompts, by what was told of it lately. */
+  /** Returns the recent share of time the replica spends on prefill, from 0 to 1. */
   double recentPrefillShare() {
     return recentPrefillShare;
   }
 
-  /** How long the prompts that it has keep it busy from now, in ms; 0 of one that reports. */
+  /**
+   * Returns how long the prompts already at the replica keep it busy from now, in ms; 0 for a
+   * replica that reports its load.
+   */
   double pendingPrefillMs(long nowMs) {
     if (reportsLoad) return 0;
     return Math.max(0, (hasFreshFleetLoad(nowMs) ? fleetBusyUntilMs : ownWorkUntilMs) - nowMs);
@@ -308,12 +341,15 @@
     return nowMs - fleetLoadAtMs < FLEET_LOAD_MAX_AGE_MS;
   }
 
-  /** Requests it has, as far as this relay and a fresh answer of the index know. */
+  /**
+   * Returns the number of requests at the replica as known to this relay and from a recent answer
+   * of the index.
+   */
   int runningRequests(long nowMs) {
     return hasFreshFleetLoad(nowMs) ? Math.max(load(), fleetRunning) : load();
   }
 
-  /** What a request of so many units waits for room in its memory. */
+  /** Returns the estimated wait of a request of this many units for memory, in ms. */
   private double memoryWaitMs(int units, long nowMs) {
     double usedUnits =
         ownUnits + Math.max(0, reportedRequests - ownRequestsAtReport) * averageRequestUnits;
@@ -331,7 +367,7 @@
     return workRate;
   }
 
-  /** This relay gave it work of so many ms. */
+  /** Records work of this many ms sent by this relay. */
   public void addWork(double workMs, long nowMs) {
     addedWorkMs += workMs;
     ownWorkUntilMs = Math.max(ownWorkUntilMs, nowMs) + Math.round(workMs);
@@ -339,34 +375,39 @@
     workRate = decayedWorkRate(nowMs) + workMs / WORK_RATE_AVERAGING_MS;
   }
 
-  /** A request of so many units goes there. */
+  /** Records that a request of this many units was assigned to the replica. */
   public void reserveUnits(int units) {
     ownUnits += units;
     averageRequestUnits += (units - averageRequestUnits) / 64;
   }
 
+  /** Records that a request of this many units has left the replica. */
   public void releaseUnits(int units) {
     ownUnits = Math.max(0, ownUnits - units);
   }
 
-  /** It said that it still runs older weights than was thought. */
+  /** Records that the replica reported older weights than assumed. */
   public void markOnOldWeights(long untilMs) {
     oldWeightsUntilMs = untilMs;
   }
 
+  /** Returns whether the replica recently reported older weights than assumed. */
   public boolean isOnOldWeights(long nowMs) {
     return nowMs < oldWeightsUntilMs;
   }
 
-  /** A pull took far longer than its link should need: for a while units are computed here. */
+  /**
+   * Records that a pull took far longer than its link should need; for a while its units are
+   * computed instead.
+   */
   public void markLinkSlow(long nowMs) {
     slowLinkUntilMs = nowMs + LINK_RETRY_MS / 4;
   }
 
   /**
-   * Estimated ms to pull a unit from a holder: as this replica measured it, else by its engine's
-   * link and where the holder stands, else hopefully a quarter of computing it. Negative: not to be
-   * tried now.
+   * Returns the estimated time to pull a unit from a holder, in ms: as measured by this replica,
+   * else from its engine's link and the holder's zone, else assumed to be a quarter of computing
+   * it. Negative if no pull should be tried now.
    */
   public double pullMsPerUnit(String holder, String holderZone, long nowMs) {
     if (engineLinkMsPerUnit > 0)
@@ -377,8 +418,9 @@
   }
 
   /**
-   * A link never measured, or found slow a while ago: only a pull shows what it is now. Such a pull
-   * takes a block or two and no more, so that a slow link costs little each time.
+   * Returns whether the link was never measured or was found slow a while ago. Only another pull
+   * shows its present speed; such a probe is limited to a few blocks so that a slow link costs
+   * little each time.
    */
   public boolean isLinkSpeedUnknown(String holder, long nowMs) {
     if (engineLinkMsPerUnit > 0) return false;
@@ -388,10 +430,12 @@
             && nowMs - pulledAtMs.getOrDefault(holder, nowMs - 1) > LINK_RETRY_MS;
   }
 
+  /** Records that a pull from this holder was requested. */
   public void recordPull(String holder, long nowMs) {
     pulledAtMs.put(holder, nowMs);
   }
 
+  /** Excludes the replica from new requests for this long. */
   public void eject(long nowMs, long durationMs) {
     ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + durationMs);
   }
--- a/data-plane/src/main/java/gladelug/data/relay/Backends.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Backends.java
@@ -25,17 +25,19 @@
 import java.util.function.Predicate;
 
 /**
- * The replicas of this relay's snapshot with their state: those that report are polled for identity
- * and load a few times a second. Only services the configuration lists, at endpoints it allows, are
- * ever called, this polling included. Confined to the request thread.
+ * The replicas of the current snapshot and their state. Replicas that report their load are polled
+ * several times a second. Only services in the configuration are called, at the endpoints it
+ * allows; this holds for polling as well. Confined to the request thread.
  */
 public final class Backends {
-  /** Asks a replica for its load; told is given the answer, or null where none came. */
+  /** Asks a replica for its load; the callback receives the answer, or null if there was none. */
   public interface LoadProbe {
-    void probe(Replica replica, Consumer<io.vertx.core.json.JsonObject> onAnswer);
+    void load(Replica replica, Consumer<io.vertx.core.json.JsonObject> onAnswer);
   }
 
+  /** Interval at which replicas are polled, in ms. */
   public static final long POLL_INTERVAL_MS = 250;
+
   private static final int MAX_LOAD_ANSWER_BYTES = 1 << 16, LOAD_TIMEOUT_MS = 1000;
   private final Clock clock;
   private final LoadProbe loadProbe;
@@ -43,18 +45,23 @@
   private final Map<String, Backend> byInstance = new HashMap<>();
   private Map<String, List<Backend>> byService = Map.of();
 
-  /** asker is null where replicas don't report and are known by the list and their answers. */
+  /**
+   * Creates the set of replicas.
+   *
+   * @param loadProbe null if replicas do not report and are known only from the list and their
+   *     answers
+   */
   public Backends(Clock clock, LoadProbe loadProbe, Runnable onChange) {
     this.clock = clock;
     this.onChange = onChange;
     this.loadProbe = loadProbe;
   }
 
-  static Backends overHttp(Vertx vertx, BindAddress local, Clock clock, Runnable onChange) {
+  static Backends overHttp(Vertx vertx, BindAddress localAddress, Clock clock, Runnable onChange) {
     BoundedHttpCalls calls =
         new BoundedHttpCalls(
             vertx.getDelegate(),
-            local.withLocalAddress(
+            localAddress.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(500)
                     .setMaxPoolSize(2)
@@ -82,7 +89,7 @@
         .setURI("/occupancy");
   }
 
-  /** What a replica says of its load; empty where that makes no sense. */
+  /** Returns the load in a replica's answer, or an empty object if the answer is malformed. */
   private static io.vertx.core.json.JsonObject parseLoad(HttpAnswer answer) {
     try (answer) {
       return answer.status() == 200
@@ -97,6 +104,7 @@
     for (Backend backend : byInstance.values()) poll(backend);
   }
 
+  /** Applies the replicas of a new snapshot. */
   public void applySnapshot(ControlStateSnapshot snapshot) {
     Set<String> listedInstances = new HashSet<>();
     Map<String, List<Backend>> readyByService = new HashMap<>();
@@ -118,7 +126,8 @@
       if (replica.ready())
         readyByService.computeIfAbsent(replica.service(), x -> new ArrayList<>()).add(backend);
     }
-    // who is listed no more gets nothing new, but is asked on while requests of ours run there
+    // an unlisted replica gets no new requests but is polled while requests of this relay run
+    // there
     for (Backend backend : byInstance.values()) {
       Configuration.Service service = snapshot.configuration().service(backend.replica.service());
       if (backend.ownRequests > 0 && service != null && service.allows(backend.replica.address()))
@@ -129,16 +138,20 @@
     onChange.run();
   }
 
+  /** Returns the replicas of a service that are listed as ready. */
   public List<Backend> readyReplicas(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  /** Of the weights replicas tell of for a model, the newest; empty where none does. */
+  /** Returns the newest weights that replicas report for a model, or an empty string. */
   public String newestWeights(String model) {
     return newestWeightsBefore(model, "");
   }
 
-  /** The newest that come before those given; any where those are empty. */
+  /**
+   * Returns the newest reported weights older than the given ones; with an empty bound, the newest
+   * of all.
+   */
   public String newestWeightsBefore(String model, String below) {
     String newest = "";
     for (Backend backend : byInstance.values()) {
@@ -150,7 +163,7 @@
     return newest;
   }
 
-  /** Places free at those replicas of a service. */
+  /** Returns the number of free slots at the matching replicas of a service. */
   public int freeSlots(String service, Predicate<Backend> filter) {
     long nowMs = clock.now();
     int slots = 0;
@@ -161,7 +174,7 @@
 
   private void poll(Backend backend) {
     int ownRequestsAtPoll = backend.ownRequests;
-    loadProbe.probe(
+    loadProbe.load(
         backend.replica,
         json -> {
           if (byInstance.get(backend.replica.instance()) != backend) return;
@@ -208,6 +221,7 @@
     return Math.max(min, Math.min(max, value));
   }
 
+  /** Returns the state of all replicas for the status endpoint. */
   public JsonObject json() {
     long nowMs = clock.now();
     JsonObject json = Json.object();
--- a/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
@@ -27,10 +27,10 @@
 import java.util.Map;
 
 /**
- * The listener for callers: HTTP/1.1, a JSON body in, numbered pieces out as lines of JSON in a
- * chunked body with an explicit last line. An answer that can't be finished ends with an error line
- * and a body that is not terminated, so nothing truncated looks complete. Every refusal says in
- * "outcome" whether the request ran, and Retry-After when to retry.
+ * The listener for callers, over HTTP/1.1: a JSON body in, numbered pieces out as JSON lines in a
+ * chunked body with an explicit last line. An answer that cannot be finished ends with an error
+ * line and an unterminated body, so that a truncated answer never looks complete. Every refusal
+ * states in "outcome" whether the request ran, and in Retry-After when to retry.
  */
 public final class CallerListener implements Request.Caller {
   private static final int MAX_PIECES = 100_000;
@@ -46,7 +46,10 @@
     this.filterChain = filterChain;
   }
 
-  /** Once the head is known and before the body is read: what can be refused already is. */
+  /**
+   * Registers the handlers. Requests are checked once their head is read and before their body is,
+   * so that they are refused early.
+   */
   public void registerRoutes(Router router) {
     router
         .route()
@@ -54,8 +57,7 @@
         .handler(this::readBody)
         .handler(context -> acceptBody(context, context.get("hash"), context.get("came")));
     router.errorHandler(
-        413,
-        context -> refuse(context, 413, "the body is larger than the mapping allows", null, 0));
+        413, context -> refuse(context, 413, "the body is larger than the route allows", null, 0));
     router.errorHandler(400, context -> refuse(context, 400, "the request is malformed", null, 0));
     router.errorHandler(
         500,
@@ -63,7 +65,7 @@
             refuse(
                 context,
                 503,
-                "an internal problem before the order was taken",
+                "internal error before the request was accepted",
                 null,
                 FilterResult.RETRY_AT_ONCE_MS));
   }
@@ -83,7 +85,7 @@
     }
     String hash = Configuration.hashOf(key(context.request()));
     if (relay.snapshot().configuration().tenantOfHash(hash) == null) {
-      refuse(context, 401, "the key is not known", null, 0);
+      refuse(context, 401, "unknown API key", null, 0);
       return;
     }
     Configuration.Route route = relay.snapshot().configuration().route(context.request().path());
@@ -93,7 +95,7 @@
     }
     if (!context.request().method().name().equals("POST")) {
       context.response().putHeader("Allow", "POST");
-      refuse(context, 405, "orders are sent with POST", null, 0);
+      refuse(context, 405, "requests must be sent with POST", null, 0);
       return;
     }
     long arrivedAtMs = relay.clock.now();
@@ -130,7 +132,7 @@
         context.body().buffer() == null ? new byte[0] : context.body().buffer().getBytes();
     Result<RequestBody> parsed = parseBody(new String(bytes, StandardCharsets.UTF_8));
     if (parsed instanceof Result.Bad<RequestBody> bad) {
-      refuse(context, 400, "the body is not an order", bad.findings(), 0);
+      refuse(context, 400, "the body is not a valid request", bad.findings(), 0);
       return;
     }
     RequestBody body = ((Result.Good<RequestBody>) parsed).value();
@@ -148,7 +150,10 @@
     filterChain.go(request);
   }
 
-  /** The request's id; the second name is the earlier one, sent for one release. */
+  /**
+   * Sets the headers with the request's id. Gladelug-Order is the earlier name, sent for one
+   * release.
+   */
   private static void setRequestIdHeaders(RoutingContext context, String id) {
     context.response().putHeader("Gladelug-Request", id).putHeader("Gladelug-Order", id);
   }
@@ -162,7 +167,7 @@
     if (context.response().ended() || context.response().closed()) return;
     JsonObject json = Json.object().add("outcome", "not-run").add("reason", reason);
     if (status != 401) {
-      // whoever has no key leaves no record, so that strangers can't push out those of requests
+      // unauthenticated callers leave no record, so that they cannot push out those of requests
       Decision decision = decisions.begin(relay.clock.now());
       decision.add(
           "turned-away",
@@ -193,7 +198,7 @@
     return String.valueOf(Math.max(1, (ms + 999) / 1000));
   }
 
-  // ---- the caller's side of a request
+  // Request.Caller
 
   @Override
   public void refuse(Request request, FilterResult.Refuse refusal) {
--- a/data-plane/src/main/java/gladelug/data/relay/CallerTimeouts.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerTimeouts.java
@@ -12,13 +12,14 @@
 import java.util.function.Supplier;
 
 /**
- * How long callers may take over the head of a request and stay idle: connections beyond the
- * configuration's time-outs are closed, those with a request under way only where nothing comes of
- * a body that is awaited. Confined to the request thread.
+ * Closes caller connections that exceed the configured time-outs for sending a request head or
+ * staying idle. A connection with an active request is closed only if an expected body makes no
+ * progress. Confined to the request thread.
  */
 public final class CallerTimeouts {
   /**
-   * A look that comes so late says that this process stood still: what came may not be read yet.
+   * A tick delayed by this much means that the process was stalled, so received data may not have
+   * been read yet.
    */
   private static final long STALL_THRESHOLD_MS = 1000;
 
@@ -33,9 +34,7 @@
     this.limits = limits;
   }
 
-  /**
-   * One connection: since when it is idle, and since when a head is on its way; -1 where none is.
-   */
+  /** State of one connection. headSinceMs is -1 while no request head is being received. */
   private final class ConnectionState extends ChannelInboundHandlerAdapter {
     int activeRequests;
     boolean awaitingBody;
@@ -51,6 +50,7 @@
     }
   }
 
+  /** Starts to watch a new connection. */
   public void connectionOpened(HttpConnection connection) {
     ConnectionState state = new ConnectionState();
     connections.put(connection, state);
@@ -59,7 +59,7 @@
     connection.closeHandler(v -> connections.remove(connection));
   }
 
-  /** The head of a request is here. */
+  /** Records that the head of a request was received. */
   public void headReceived(HttpServerRequest request) {
     ConnectionState state = connections.get(request.connection());
     if (state == null) return;
@@ -67,19 +67,19 @@
     state.headSinceMs = -1;
   }
 
-  /** The rest of a request is awaited. */
+  /** Records that the body of a request is expected. */
   public void bodyExpected(HttpServerRequest request) {
     ConnectionState state = connections.get(request.connection());
     if (state != null) state.awaitingBody = true;
   }
 
-  /** The request is here to its end. */
+  /** Records that the body of a request was received completely. */
   public void bodyReceived(HttpServerRequest request) {
     ConnectionState state = connections.get(request.connection());
     if (state != null) state.awaitingBody = false;
   }
 
-  /** Its answer is out. */
+  /** Records that the response was sent completely. */
   public void responseEnded(HttpServerRequest request) {
     ConnectionState state = connections.get(request.connection());
     if (state == null) return;
@@ -88,7 +88,7 @@
     state.idleSinceMs = clock.now();
   }
 
-  /** Called a few times a second. */
+  /** Closes connections that exceeded a time-out. Called several times a second. */
   public void tick() {
     long nowMs = clock.now();
     boolean stalled = nowMs - lastTickMs > STALL_THRESHOLD_MS;
--- a/data-plane/src/main/java/gladelug/data/relay/ChoiceMode.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ChoiceMode.java
@@ -1,11 +1,13 @@
 package gladelug.data.relay;
 
-/** How replicas are compared. All but SUMMARY are there to be measured against it. */
+/**
+ * Criteria by which replicas are compared. All but SUMMARY exist for comparison in measurements.
+ */
 public enum ChoiceMode {
-  /** By estimated ms, with what the Cuckoo Summary tells of kept prefixes. */
+  /** By estimated time, using the cached prefixes reported by the Cuckoo Summary. */
   SUMMARY,
-  /** By the number of requests that each has. */
+  /** By the number of requests at each replica. */
   LEAST_LOAD,
-  /** By the number of blocks that each keeps, whatever it has to do. */
+  /** By the number of cached blocks at each replica, regardless of load. */
   HOLDER_ALWAYS
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Exchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Exchange.java
@@ -5,14 +5,14 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * The interface between forwarding and the protocols that replicas speak: a request is sent to a
- * replica once, and its answer comes back as calls of Reply. An implementation makes sure that the
- * connection is that replica's own, calls leave() on the turn of the event loop in which the bytes
- * leave, and reports not-run only where no byte left or the replica said so of this very request.
- * All on the request thread.
+ * The interface between forwarding and the protocols that replicas speak. A request is sent to a
+ * replica once, and its answer is delivered through calls of {@link Reply}. An implementation
+ * verifies that the connection belongs to that replica, calls {@link Reply#beginSend} on the
+ * event-loop turn in which the bytes are written, and reports not-run only if no byte was written
+ * or the replica reported it for this very request. Runs on the request thread.
  */
 public interface Exchange {
-  /** How to let go of a request that is at a replica, and how to hold its answer up. */
+  /** Cancels a request at a replica, or pauses and resumes its answer. */
   interface Handle {
     void reset();
 
@@ -21,46 +21,51 @@
     void resume();
   }
 
-  /** What comes back for one request. */
+  /** Receives the outcome of one request. */
   interface Reply {
-    /** The last look: false where it must not leave any more; nothing else is told then. */
+    /**
+     * Performs the last checks before sending. Returns false if the request must not be sent any
+     * more; nothing else is reported then.
+     */
     boolean beginSend(Handle handle);
 
     /**
-     * No byte left: there was no connection, or it was not that replica's; for badMs nothing more
-     * goes there.
+     * Reports that no byte was sent because there was no connection or it led to another process.
+     * The replica is not used for ejectMs.
      */
     void connectionFailed(String why, long ejectMs);
 
     /**
-     * The replica says that it did not run the request, and for how long it is better left alone.
+     * Reports that the replica did not run the request, and for how many ms it should not be used.
      */
     void notRun(String why, long ejectMs);
 
     /**
-     * The same, as it runs other weights, of which it may have told: it can be asked again for
-     * those.
+     * Reports that the replica did not run the request because it runs other weights, which it may
+     * have reported. It may be asked again for those.
      */
     void weightsMismatch(String why);
 
     /**
-     * The replica ran the request and answered that it failed. True where it goes to another
-     * replica instead, and nothing more of this answer counts; false where the answer is the
-     * caller's.
+     * Reports that the replica ran the request and answered that it failed. Returns true if the
+     * request is retried elsewhere and the rest of this answer is ignored; false if the answer is
+     * passed to the caller.
      */
     boolean retryAfterFailure(String failure);
 
-    void head(Head handle);
+    /** Delivers the head of the answer. */
+    void head(Head head);
 
-    /** The next whole piece; event is its name where it has one. */
+    /** Delivers the next complete piece; event is its id, or empty. */
     void piece(Buffer piece, String event);
 
-    /** The explicit end. */
+    /** Reports the explicit end of the answer. */
     void end();
 
-    /** Nothing more will come that counts; the request may have run. */
+    /** Reports that the answer broke off; the request may have run. */
     void broken(String why);
   }
 
+  /** Sends a request to a replica once; its outcome is reported to reply. */
   void send(Request request, Backend backend, Reply reply);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/FetchPlanFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/FetchPlanFilter.java
@@ -6,7 +6,7 @@
 import gladelug.data.request.Request;
 import gladelug.data.request.RequestFilter;
 
-/** Records what is pulled in place of computed, as the choice of the replica found it cheaper. */
+/** Records which blocks are pulled instead of computed, as decided by the choice of the replica. */
 record FetchPlanFilter(Relay relay) implements RequestFilter.AtOnce {
   @Override
   public String name() {
--- a/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
@@ -15,17 +15,18 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * The last filter: the request goes to its replica, once, and the answer's pieces come back. Lease,
- * key, whose cached prefixes it may use, route, replica and weights are checked again on the same
- * turn of the event loop in which the request leaves. From then on only the replica's own "not run"
- * makes it not run; anything else before the first piece is unknown. A stream that may be resumed
- * and breaks goes back to the choice and is resumed after its last event, inside the same answer,
- * under the head of its first replica.
+ * The last filter: sends the request to its replica once and passes the answer on. Lease, key,
+ * cache scope, route, replica and weights are checked again on the event-loop turn in which the
+ * request is sent. From then on only the replica's own "not run" counts as not run; any other
+ * failure before the first piece leaves the outcome unknown. A resumable stream that breaks goes
+ * back to the choice of a replica and is resumed after its last event within the same answer, under
+ * the head of its first replica.
  */
 public final class Forwarding implements RequestFilter {
-  /** How long a replica is left alone that failed before an answer, or broke off in its middle. */
+  /** How long a replica is not used after it failed before an answer, in ms. */
   private static final long FAILURE_EJECTION_MS = 1000;
 
+  /** How long a replica is not used after it broke off in the middle of an answer, in ms. */
   private static final long BROKEN_STREAM_EJECTION_MS = 300;
 
   private final Relay relay;
@@ -50,7 +51,7 @@
                     request, request.backend, new ReplyHandler(request, request.backend, emitter)));
   }
 
-  /** Everything that may have changed since it was looked at first; null where all still holds. */
+  /** Repeats the checks whose result may have changed since; returns null if all still hold. */
   private FilterResult recheck(Request request, Backend backend) {
     FilterResult refusal = checkTimeAndAttempts(request, backend);
     if (refusal != null) return refusal;
@@ -63,39 +64,48 @@
   }
 
   private FilterResult checkTimeAndAttempts(Request request, Backend backend) {
-    long now = relay.clock.now();
+    long nowMs = relay.clock.now();
     FilterResult refusal = request.piecesOut == 0 ? relay.refusalIfOutlivesRelay(request) : null;
     if (refusal != null) return refusal;
-    if (!relay.subscription.leases.valid(now))
+    if (!relay.subscription.leases.valid(nowMs))
       return FilterResult.notRun(503, "no licence", relay.retryAdvice.msUntilState());
-    if (now >= request.deadline)
+    if (nowMs >= request.deadline)
       return FilterResult.notRun(
           503, Relay.EXPIRED_BEFORE_SEND, relay.retryAdvice.msUntilRoom(request));
-    // the replica it was to go to once more may have become unreachable meanwhile
+    // the replica of the repeated attempt may have become unreachable in the meantime
     if (request.tries >= request.route.attempts() && backend != request.triedLast)
       return FilterResult.notRun(
-          503, "it went to as many replicas as it may", relay.retryAdvice.msUntilRoom(request));
+          503,
+          "the request was already sent to the maximum number of replicas",
+          relay.retryAdvice.msUntilRoom(request));
     return null;
   }
 
-  /** Whether the key is still its tenant's, and may use the cached prefixes it was to use. */
+  /**
+   * Checks that the key still belongs to its tenant and may use the cached prefixes found for it.
+   */
   private FilterResult checkTenantAndScope(
       Request request, Backend backend, ControlStateSnapshot snapshot, Configuration.Route route) {
     boolean open = route != null && route.open();
     Configuration.Tenant tenant = currentTenant(request, snapshot, open);
     if (tenant == null || !tenant.name().equals(request.tenant.name()))
       return open
-          ? FilterResult.notRun(503, "the key's tenant changed", FilterResult.RETRY_AT_ONCE_MS)
-          : FilterResult.notRun(401, "key revoked", 0);
+          ? FilterResult.notRun(
+              503, "the key belongs to another tenant now", FilterResult.RETRY_AT_ONCE_MS)
+          : FilterResult.notRun(401, "the API key was revoked", 0);
     String scope = CacheScope.of(tenant, snapshot.prefixSharingSince());
     boolean model = request.service.kind() == Configuration.Kind.MODEL;
     if (!model || scope.equals(request.cacheScope)) return null;
     request.moveTo(scope, backend.blockBytes);
-    return new FilterResult.Again("cached prefixes are shared among others now");
+    return new FilterResult.Again("the scope of cached prefixes changed");
   }
 
-  /** Whose request it is by the newest configuration; null where the key belongs to nobody. */
-  // Whoever called an open route without a key is one object; no tenant is.
+  /**
+   * Returns the tenant of the request by the newest configuration; null if the key belongs to no
+   * tenant.
+   */
+  // All requests to open routes without a key share the object ANYBODY; no other tenant is that
+  // object.
   @SuppressWarnings("ReferenceEquality")
   private static Configuration.Tenant currentTenant(
       Request request, ControlStateSnapshot snapshot, boolean open) {
@@ -117,11 +127,11 @@
         || !service.allows(replica.address()))
       return new FilterResult.Again(backend.replica.instance() + " is not ready any more");
     if (service.kind() == Configuration.Kind.MODEL && !relay.mayRun(request.model, request.weights))
-      return new FilterResult.Again("other weights are named");
+      return new FilterResult.Again("other weights are named now");
     return null;
   }
 
-  /** Whether an event may come after another in one answer: names that are numbers rise. */
+  /** Returns whether an event id may follow another in one answer: numeric ids must increase. */
   private static boolean mayFollow(String event, String lastEvent) {
     return Backend.isNewer(event, lastEvent);
   }
@@ -140,7 +150,7 @@
       this.emitter = emitter;
     }
 
-    /** Nothing new goes to the replica for so many ms. */
+    /** Excludes the replica from new requests for this many ms. */
     private void eject(long ms) {
       if (ms > 0 && relay.settings.isEnabled(Mechanism.OUTLIER_EJECTION))
         backend.eject(relay.clock.now(), ms);
@@ -174,15 +184,15 @@
         return false;
       }
       handle = newHandle;
-      long now = relay.clock.now();
+      long nowMs = relay.clock.now();
       request.tries++;
       request.triedLast = backend;
-      request.handedAt = now;
-      backend.recordSent(now);
+      request.handedAt = nowMs;
+      backend.recordSent(nowMs);
       if (request.tries == 1) relay.retryBudget.recordFirstAttempt(request.service.name());
       request.decision.add(
           "hand-over",
-          now,
+          nowMs,
           Json.object()
               .add("replica", backend.replica.instance())
               .add("try", request.tries)
@@ -200,8 +210,9 @@
     }
 
     /**
-     * Whether it may go to a replica once more, and if so takes that from the budget. Its route
-     * bounds to how many replicas it may go; the same one again is no further replica.
+     * Takes a retry from the budget, and returns whether the request may be sent again. The route
+     * limits the number of replicas; repeating the attempt at the same replica does not count as
+     * another one.
      */
     private boolean takeRetry(boolean sameReplica) {
       if (relay.clock.now() >= request.deadline
@@ -223,7 +234,7 @@
     @Override
     public void weightsMismatch(String why) {
       if (finished) return;
-      // the same one once more at most, whatever it says of itself
+      // at most one more attempt at the same replica, whatever weights it reports
       notRun(why, request.tries == request.route.attempts());
     }
 
@@ -268,15 +279,16 @@
         return;
       }
       if (request.resumesAfterLast && !event.isEmpty() && !mayFollow(event, request.lastEvent)) {
-        broken("event " + event + " after event " + request.lastEvent);
+        broken("received event " + event + " after event " + request.lastEvent);
         return;
       }
       if (request.piecesOut == 0) {
         if (!request.state.step(State.At.HANDED, State.At.STREAMING)) return;
-        long now = relay.clock.now();
-        request.decision.add("stream", now, Json.object().add("firstPieceMs", now - request.came));
-        request.firstPieceMs = now - request.came;
-        relay.recordFirstPiece(request, backend, now - request.handedAt);
+        long nowMs = relay.clock.now();
+        request.decision.add(
+            "stream", nowMs, Json.object().add("firstPieceMs", nowMs - request.came));
+        request.firstPieceMs = nowMs - request.came;
+        relay.recordFirstPiece(request, backend, nowMs - request.handedAt);
         request.caller.head(request, request.head == null ? Head.PLAIN : request.head);
       }
       request.pieceCame(relay.clock.now());
@@ -304,7 +316,7 @@
     public boolean retryAfterFailure(String failure) {
       if (finished) return true;
       if (!request.repeatable || request.piecesOut > 0 || !takeRetry(false)) return false;
-      // letting the connection go may tell of a break
+      // resetting the connection may report a break
       finished = true;
       handle.reset();
       backend.failures++;
@@ -314,11 +326,14 @@
       return true;
     }
 
-    /** Before the first piece: once more where that is allowed, else of unknown fate. */
+    /**
+     * Retries a request that broke before its first piece where that is allowed; otherwise its
+     * outcome is unknown.
+     */
     @Override
     public void broken(String cause) {
       if (finished) return;
-      // letting the connection go may tell of the break once more
+      // resetting the connection may report the break again
       finished = true;
       handle.reset();
       String why = backend.replica.instance() + ": " + cause;
--- a/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
+++ b/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
@@ -19,20 +19,20 @@
 import java.util.function.Consumer;
 
 /**
- * Connections to replicas by HTTP/1.1: no pipelining, no redirects, no retries of the library's
- * own. The identity found at the other end is remembered with the connection.
+ * Connections to replicas over HTTP/1.1, without pipelining, redirects or automatic retries. The
+ * verified identity of the other end is remembered per connection.
  */
 public final class HttpConnections implements ReplicaConnections {
   private static final int MAX_LINE_BYTES = 1 << 20;
   private final HttpClient http;
   private final Map<HttpConnection, String> verifiedIdentities = new WeakHashMap<>();
 
-  public HttpConnections(Vertx vertx, BindAddress local) {
+  public HttpConnections(Vertx vertx, BindAddress localAddress) {
     http =
         vertx
             .getDelegate()
             .createHttpClient(
-                local.withLocalAddress(
+                localAddress.withLocalAddress(
                     new HttpClientOptions()
                         .setConnectTimeout(500)
                         .setKeepAlive(true)
@@ -63,7 +63,7 @@
   private final class OpenConnection implements Connection {
     private final HttpClientRequest request;
     private HttpClientResponse response;
-    private boolean ended;
+    private boolean closed;
 
     OpenConnection(HttpClientRequest request) {
       this.request = request;
@@ -108,12 +108,12 @@
       request
           .send(Buffer.buffer(json))
           .onComplete(
-              opened -> {
-                if (opened.failed()) {
-                  answer.closed("the circuit broke");
+              result -> {
+                if (result.failed()) {
+                  answer.closed("the connection broke");
                   return;
                 }
-                response = opened.result();
+                response = result.result();
                 if (response.statusCode() == 200) {
                   readLines(answer);
                   return;
@@ -133,22 +133,22 @@
           RecordParser.newDelimited(
               "\n",
               buffer -> {
-                if (!ended) answer.line(buffer.toString());
+                if (!closed) answer.line(buffer.toString());
               });
       lines.maxRecordSize(MAX_LINE_BYTES);
-      lines.exceptionHandler(failure -> end(answer, "an endless piece"));
+      lines.exceptionHandler(failure -> close(answer, "a line exceeds the maximum length"));
       response.handler(
           buffer -> {
-            if (!ended) lines.handle(buffer);
+            if (!closed) lines.handle(buffer);
             else request.reset();
           });
-      response.exceptionHandler(failure -> end(answer, "the answer broke off"));
-      response.endHandler(v -> end(answer, "the answer ended without saying so"));
+      response.exceptionHandler(failure -> close(answer, "the answer broke off"));
+      response.endHandler(v -> close(answer, "the answer ended without an end line"));
     }
 
-    private void end(Answer answer, String why) {
-      if (ended) return;
-      ended = true;
+    private void close(Answer answer, String why) {
+      if (closed) return;
+      closed = true;
       answer.closed(why);
     }
 
--- a/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
@@ -9,7 +9,8 @@
 import gladelug.data.state.ControlStateSnapshot;
 
 /**
- * Whose request it is: by the hash of its key; the key itself went no further than the listener.
+ * Determines the tenant of a request by the hash of its key; the key itself does not go beyond the
+ * listener.
  */
 record KeyFilter(Relay relay) implements RequestFilter.AtOnce {
   @Override
@@ -28,7 +29,7 @@
     if (request.tenant == null)
       return route == null && relay.settings.hidesMissingRoutes()
           ? FilterResult.notRun(404, RouteFilter.NO_ROUTE, 0)
-          : FilterResult.notRun(401, "the key is not known", 0);
+          : FilterResult.notRun(401, "unknown API key", 0);
     request.cacheScope = CacheScope.of(request.tenant, snapshot.prefixSharingSince());
     request.decision.add(
         "key",
--- a/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
@@ -13,9 +13,9 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * The product's own protocol to replicas: a request as JSON, an answer of lines. A new connection
- * to a replica verifies the peer's identity before it carries anything. Pieces are numbered and
- * checked, the end is explicit, and a replica's bytes after it are discarded.
+ * The native protocol to replicas: a JSON request and an answer of JSON lines. The identity of the
+ * replica is verified before a new connection carries a request. Pieces are numbered and checked,
+ * the end is explicit, and bytes after it are discarded.
  */
 public final class LineExchange implements Exchange {
   private static final int MAX_IDENTITY_CHECKS = 4;
@@ -41,10 +41,10 @@
           else if (checksLeft == 0) {
             connection.reset();
             reply.connectionFailed(
-                "circuits to " + backend.replica.instance() + " could not be checked", 0);
+                "the identity of " + backend.replica.instance() + " could not be verified", 0);
           } else verify(request, backend, connection, checksLeft, reply);
         },
-        why -> reply.connectionFailed("no circuit to " + backend.replica.instance(), 1000));
+        why -> reply.connectionFailed("no connection to " + backend.replica.instance(), 1000));
   }
 
   private static String identityOf(Backend backend) {
@@ -52,7 +52,8 @@
   }
 
   /**
-   * The first use of a new connection asks who is there; only the right answer lets requests on it.
+   * Asks a new connection for the identity of the other end; requests are sent only if it is the
+   * expected one.
    */
   private void verify(
       Request request,
@@ -76,7 +77,7 @@
               "address",
               backend.replica.address());
           reply.connectionFailed(
-              "the address of " + backend.replica.instance() + " is not that replica's", 2000);
+              "the address of " + backend.replica.instance() + " belongs to another process", 2000);
         });
   }
 
@@ -114,7 +115,7 @@
             .add("instance", backend.replica.instance())
             .add("weights", request.weights)
             .add("wall", request.cacheScope)
-            .add("prompt", request.prompt instanceof Prompt.Text t ? t.text() : "")
+            .add("prompt", request.prompt instanceof Prompt.Text text ? text.text() : "")
             .add("maxPieces", request.maxPieces);
     if (request.fetchBlocks > 0) {
       JsonArray keys = new JsonArray();
@@ -158,12 +159,12 @@
         JsonObject json = Json.parse(body).asObject();
         if (request.id().equals(json.getString("order", ""))
             && "not-run".equals(json.getString("outcome", "")))
-          why = json.getString("reason", "none given");
+          why = json.getString("reason", "no reason given");
       } catch (RuntimeException malformed) {
         why = "";
       }
       if (why.isEmpty()) {
-        broken("answered 409 without saying not-run of this order");
+        broken("answered 409 without reporting not-run for this request");
         return;
       }
       ended = true;
@@ -189,14 +190,14 @@
       try {
         json = Json.parse(line).asObject();
       } catch (RuntimeException malformed) {
-        broken("a line that is no piece");
+        broken("a line of the answer is not a JSON object");
         return;
       }
       if (!headRead) {
         if (!request.id().equals(json.getString("order", ""))
             || !backend.replica.instance().equals(json.getString("instance", ""))
             || !request.weights.equals(json.getString("weights", ""))) {
-          broken("the answer is not to this order, from this replica, under these weights");
+          broken("the answer is for another request, replica or weights");
           return;
         }
         headRead = true;
@@ -217,7 +218,7 @@
           || text == null
           || !text.isString()
           || !number.toString().equals(Integer.toString(pieceCount))) {
-        broken("piece " + number + " where " + pieceCount + " was due");
+        broken("piece " + number + " received, piece " + pieceCount + " expected");
         return;
       }
       pieceCount++;
@@ -230,7 +231,7 @@
       if (value == null
           || !value.isNumber()
           || !value.toString().equals(Integer.toString(pieceCount))) {
-        broken("the end speaks of " + value + " pieces after " + pieceCount);
+        broken("the end reports " + value + " pieces, received " + pieceCount);
         return;
       }
       ended = true;
--- a/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
@@ -25,24 +25,28 @@
 import java.util.stream.Collectors;
 
 /**
- * Looks up at an index process where a prompt's blocks are: this machine's own, else one of the
- * same zone, else any of the partial view. An answer later than a few milliseconds is dropped; the
- * request goes on without a hint. Confined to the request thread.
+ * Looks up the holders of a prompt's blocks at an index process: the one on this machine, else one
+ * of the same zone, else any in the partial view. Late answers are dropped and the request
+ * continues without a hint. Confined to the request thread.
  */
 public final class LookupClient implements Lookups {
-  /** How long an answer is waited for unless a setting says otherwise, in ms. */
+  /** Default time to wait for an answer, in ms. */
   public static final long DEFAULT_WAIT_MS = 8;
 
-  /** How often it is looked which indexes there are, in ms. */
+  /** Interval at which the list of indexes is refreshed, in ms. */
   private static final long REFRESH_INTERVAL_MS = 500;
 
+  /** Penalty points for a late answer, and for an answer without hints. */
   private static final int LATE_ANSWER_PENALTY = 2;
+
   private static final int NO_HINTS_PENALTY = 5;
 
-  /** With more points than these an index is not asked. */
+  /** An index with more penalty points than this is not asked. */
   private static final int MAX_PENALTY = 3;
 
+  /** Maximum number of late answers that are remembered. */
   private static final int MAX_OVERDUE = 256;
+
   private final long waitMs;
   private final Vertx vertx;
   private final Context context;
@@ -52,12 +56,15 @@
   private final Address ownIndex;
   private final Map<Address, PersistentConnection> connections = new HashMap<>();
 
-  /** Points of an index that was late or had no hints; one fades with each look. */
+  /**
+   * Penalty points of indexes that answered late or had no hints; one point is removed at each
+   * refresh.
+   */
   private final Map<Address, Integer> penalties = new HashMap<>();
 
   private final Map<Long, Consumer<LookupResult>> pending = new HashMap<>();
 
-  /** Who wants what late answers tell of the fleet; the eldest give way. */
+  /** Callbacks for the fleet load in late answers; the oldest are dropped. */
   private final Map<Long, Consumer<Lookup.Fleet>> overdue =
       new LinkedHashMap<>() {
         @Override
@@ -72,9 +79,12 @@
   private long lastSequence;
 
   /**
-   * own may be null: no index on this machine. waitMs: how long an answer is waited for.
-   * oneFollowsAZone: of a zone's indexes only the first by name follows holders, as {@link
-   * ZoneFollower} has it, so that only that one has use for placements.
+   * Creates a client and starts to refresh its list of indexes.
+   *
+   * @param ownIndex the index on this machine, or null
+   * @param waitMs how long to wait for an answer
+   * @param oneFollowerPerZone whether only the first index of a zone by name follows holders (see
+   *     {@link ZoneFollower}), so that only that one is told of placements
    */
   public LookupClient(
       Vertx vertx,
@@ -97,14 +107,17 @@
     refreshIndexes();
   }
 
-  /** The indexes that follow holders where one a zone does. */
+  /** Returns the indexes that follow holders if one per zone does. */
   static Set<Address> followingIndexes(Collection<Shuffle.Descriptor> seen) {
     return ZoneFollower.byZone(seen).values().stream()
         .map(index -> Address.of(index.records()))
         .collect(Collectors.toSet());
   }
 
-  /** Goes by the indexes that are seen now: own machine's first, then the zone's, then others. */
+  /**
+   * Applies the indexes in the current view, in order of preference: own machine, same zone,
+   * others.
+   */
   private void refreshIndexes() {
     preferredIndexes = inPreferenceOrder(views.all());
     followingIndexes =
@@ -144,14 +157,14 @@
         Hello.LOOKUP,
         (connection, record) -> {
           if (!(WireRecord.read(record, Lookup::read) instanceof Lookup.Answer answer))
-            throw new IOException("a question where an answer was due");
+            throw new IOException("received a question instead of an answer");
           context.runOnContext(() -> handleAnswer(index, answer));
         },
         connection -> {});
   }
 
   private void handleAnswer(Address index, Lookup.Answer answer) {
-    // one that is warming or stands by is left alone for a while, as one that is late
+    // an index that is warming up or standing by is avoided for a while, like a late one
     if (answer.warm()) penalties.remove(index);
     else penalties.put(index, NO_HINTS_PENALTY);
     Consumer<LookupResult> onResult = pending.remove(answer.sequence());
@@ -171,12 +184,12 @@
   }
 
   @Override
-  public Uni<LookupResult> lookUp(long[] blocks) {
-    return lookUp(blocks, fleet -> {});
+  public Uni<LookupResult> ask(long[] blocks) {
+    return ask(blocks, fleet -> {});
   }
 
   @Override
-  public Uni<LookupResult> lookUp(long[] blocks, Consumer<Lookup.Fleet> onLateAnswer) {
+  public Uni<LookupResult> ask(long[] blocks, Consumer<Lookup.Fleet> onLateAnswer) {
     if (blocks.length == 0) return Uni.createFrom().item(new LookupResult("no-block", List.of()));
     return Uni.createFrom()
         .emitter(
@@ -186,7 +199,10 @@
             });
   }
 
-  /** Whether an index could be asked: the first in order that is connected and seldom late. */
+  /**
+   * Asks the first connected index in order of preference that is not penalized. Returns false if
+   * there is none.
+   */
   private boolean askFirstAvailable(
       long[] blocks, Consumer<LookupResult> onResult, Consumer<Lookup.Fleet> onLateAnswer) {
     long sequence = ++lastSequence;
@@ -204,7 +220,7 @@
     return false;
   }
 
-  /** The request goes on without a hint, unless the answer came. */
+  /** Lets the request continue without a hint unless the answer arrived. */
   private void giveUp(long sequence, Address index, Consumer<Lookup.Fleet> onLateAnswer) {
     Consumer<LookupResult> onResult = pending.remove(sequence);
     if (onResult == null) return;
--- a/data-plane/src/main/java/gladelug/data/relay/Lookups.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Lookups.java
@@ -5,38 +5,41 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/**
- * Where a prompt's blocks are, as a relay looks them up: an answer within milliseconds, or none.
- */
+/** Looks up which holders have the blocks of a prompt cached. */
 public interface Lookups {
-  /** how: answered, warming, late, no-index or no-block. */
+  /**
+   * The result of a lookup.
+   *
+   * @param outcome answered, warming, late, no-index or no-block
+   */
   record LookupResult(String outcome, List<Lookup.Match> matches, Lookup.Fleet fleet) {
-    public LookupResult(String how, List<Lookup.Match> matches) {
-      this(how, matches, Lookup.Fleet.UNKNOWN);
+    public LookupResult(String outcome, List<Lookup.Match> matches) {
+      this(outcome, matches, Lookup.Fleet.UNKNOWN);
     }
 
-    /** Whether an index that follows its holders answered in time. */
+    /** Returns whether an index that follows its holders answered in time. */
     public boolean isAnswered() {
       return outcome.equals(ANSWERED);
     }
   }
 
-  /** How an answer came that counts. */
+  /** The outcome of a lookup whose answer is usable. */
   String ANSWERED = "answered";
 
-  Uni<LookupResult> lookUp(long[] blocks);
+  /** Looks up which holders have these blocks cached. */
+  Uni<LookupResult> ask(long[] blocks);
 
   /**
-   * Asks, and has what an answer tells of the fleet though it came too late for this request; best
-   * effort.
+   * Looks up blocks and passes on the fleet load of an answer that came too late for this request.
+   * Best effort.
    */
-  default Uni<LookupResult> lookUp(long[] blocks, Consumer<Lookup.Fleet> onLateAnswer) {
-    return lookUp(blocks);
+  default Uni<LookupResult> ask(long[] blocks, Consumer<Lookup.Fleet> onLateAnswer) {
+    return ask(blocks);
   }
 
   /**
-   * Tells index processes where a prompt of these blocks was sent, and what that asks of the
-   * holder; best effort.
+   * Reports to index processes where a prompt of these blocks was sent and the work it causes at
+   * the holder. Best effort.
    */
   default void recordPlacement(String holder, long[] blocks, Lookup.Work work) {}
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * The mechanisms of the data plane that can be switched off one by one, to measure what callers get
- * by each. For experiments only: a deployment runs with all of them.
+ * Mechanisms of the data plane that can be switched off individually to measure their effect. For
+ * experiments only; a deployment runs with all of them.
  */
 public enum Mechanism {
-  /** Lookups at the Cuckoo Summary. */
+  /** Use of lookups at the Cuckoo Summary. */
   INDEX_HINTS,
-  /** What was sent to a replica a moment ago counts as kept there. */
+  /** Treating blocks recently sent to a replica as cached there. */
   RECENT_PLACEMENTS,
   /** Pulling kept blocks from another replica instead of computing them. */
   REPLICA_FETCH,
@@ -21,44 +21,48 @@
   STORE_FETCH,
   /** Having replicas save what they computed to a store. */
   STORE_SAVE,
-  /** Waits estimated from the work that this relay gave a replica. */
+  /** Estimating waits from the work this relay sent to a replica. */
   LOAD_ESTIMATES,
-  /** Waits as the index knows them from what all relays gave a replica. */
+  /** Estimating waits from the work all relays sent to a replica, as reported by the index. */
   FLEET_LOADS,
-  /** The speed of prefill is learned from answers. */
+  /** Learning the speed of prefill from answers. */
   LEARNED_SPEED,
-  /** What a copy would drive out of scarce memory counts in its cost. */
+  /** Adding the cost of evicting other blocks from scarce memory. */
   DISPLACEMENT_COST,
-  /** The room left in a replica's memory counts in its cost. */
+  /** Adding the cost of waiting for a replica's memory. */
   MEMORY_ESTIMATES,
-  /** A replica that leaves requests unanswered counts as slow. */
+  /** Treating a replica that leaves requests unanswered as slow. */
   SILENCE_ESTIMATES,
-  /** Replicas of the relay's own zone are a little cheaper. */
+  /** Preferring replicas in the relay's own zone slightly. */
   ZONE_PREFERENCE,
-  /** Long prompts and streams that run at the same replica hold each other up. */
+  /** Adding the delay that prompts and streams at a replica cause each other. */
   STREAM_INTERFERENCE,
-  /** A replica about to load other weights is avoided. */
+  /** Avoiding a replica that is about to load other weights. */
   ROLLOUT_AVOIDANCE,
-  /** A replica that failed or refused is left alone for a moment. */
+  /** Avoiding a replica for a moment after it failed or refused a request. */
   OUTLIER_EJECTION,
-  /** A second attempt after one that did not run or broke. */
+  /** Retrying a request that did not run or broke off. */
   RETRIES,
-  /** Requests that would begin too late are refused at once. */
+  /** Refusing requests at once that would miss their deadline. */
   EARLY_REFUSAL,
-  /** The urgency of tenant and route is sent to the replica. */
+  /** Sending the urgency of tenant and route to the replica. */
   PRIORITY;
 
-  /** Its name in settings: small letters and hyphens. */
+  /** Returns the name used in settings: lower case with hyphens. */
   public String settingName() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** All names, for a command line's help. */
+  /** Returns all names, for a command's help text. */
   public static List<String> names() {
     return Arrays.stream(values()).map(Mechanism::settingName).toList();
   }
 
-  /** Those named; an IllegalArgumentException that says which name is unknown. */
+  /**
+   * Returns the mechanisms of the given names.
+   *
+   * @throws IllegalArgumentException if a name is unknown or given twice
+   */
   public static Set<Mechanism> parse(List<String> names) {
     Set<Mechanism> mechanisms = EnumSet.noneOf(Mechanism.class);
     for (String name : names)
@@ -69,6 +73,7 @@
 
   private static Mechanism byName(String name) {
     for (Mechanism mechanism : values()) if (mechanism.settingName().equals(name)) return mechanism;
-    throw new IllegalArgumentException("no mechanism " + name + "; there are " + names());
+    throw new IllegalArgumentException(
+        "unknown mechanism " + name + "; known mechanisms: " + names());
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/NativeProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/NativeProtocol.java
@@ -9,19 +9,20 @@
 import io.vertx.ext.web.Router;
 
 /**
- * The product's own protocol at both ends of a relay: callers' JSON over Vert.x Web, replicas that
- * report.
+ * The native protocol at both ends of a relay: JSON from callers over Vert.x Web, and replicas that
+ * report their load.
  */
 public record NativeProtocol(Address callers) implements RelayProtocol {
   @Override
   public Backends createBackends(Environment environment, Relay relay) {
     return Backends.overHttp(
-        environment.vertx(), environment.local(), environment.clock(), relay::admitWaiting);
+        environment.vertx(), environment.localAddress(), environment.clock(), relay::admitWaiting);
   }
 
   @Override
   public Exchange createExchange(Environment environment, Relay relay) {
-    return new LineExchange(relay, new HttpConnections(environment.vertx(), environment.local()));
+    return new LineExchange(
+        relay, new HttpConnections(environment.vertx(), environment.localAddress()));
   }
 
   @Override
@@ -43,7 +44,7 @@
             () ->
                 server
                     .requestHandler(router)
-                    .listen(callers.port(), environment.local().ip())
+                    .listen(callers.port(), environment.localAddress().ip())
                     .toCompletionStage())
         .map(x -> server::close);
   }
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
@@ -9,11 +9,14 @@
 import gladelug.data.request.RequestFilter;
 import io.smallrye.mutiny.Uni;
 
-/** Where the prompt's prefix already is: a hint of the Cuckoo Summary, awaited for milliseconds. */
+/**
+ * Looks up where the prefix of the prompt is cached: a hint of the Cuckoo Summary, awaited for
+ * milliseconds.
+ */
 record PrefixLookupFilter(Relay relay, Lookups lookups) implements RequestFilter {
   private static final long[] NO_BLOCKS = {};
 
-  /** What text is cut into until a replica told otherwise, in bytes. */
+  /** Block size assumed until a replica reports its own, in bytes. */
   static final int DEFAULT_BLOCK_BYTES = 256;
 
   @Override
@@ -32,7 +35,7 @@
     boolean hints = relay.settings.isEnabled(Mechanism.INDEX_HINTS);
     long askedAtMs = relay.clock.now();
     return lookups
-        .lookUp(
+        .ask(
             hints ? request.blocks : NO_BLOCKS,
             fleet -> relay.recordFleetLoad(request.service.name(), fleet))
         .map(
@@ -43,18 +46,21 @@
             });
   }
 
-  /** The weights that most likely serve it, and the keys of its blocks under those. */
+  /**
+   * Sets the weights that will most likely serve the request, and the keys of its blocks under
+   * those weights.
+   */
   private void chooseWeights(Request request, String[] allowedWeights) {
-    long now = relay.clock.now();
+    long nowMs = relay.clock.now();
     int blockBytes = DEFAULT_BLOCK_BYTES;
     int newest = 0;
     int older = 0;
     for (Backend backend : relay.backends.readyReplicas(request.service.name())) {
-      if (!backend.isUsable(now)) continue;
+      if (!backend.isUsable(nowMs)) continue;
       blockBytes = backend.blockBytes;
-      String runs = relay.effectiveWeights(backend, request.model);
-      if (runs.equals(allowedWeights[0])) newest++;
-      else if (!allowedWeights[1].isEmpty() && runs.equals(allowedWeights[1])) older++;
+      String weights = relay.effectiveWeights(backend, request.model);
+      if (weights.equals(allowedWeights[0])) newest++;
+      else if (!allowedWeights[1].isEmpty() && weights.equals(allowedWeights[1])) older++;
     }
     boolean toNewest = relay.settings.prefersNewestWeights() ? newest > 0 : newest >= older;
     request.weights = toNewest || older == 0 ? allowedWeights[0] : allowedWeights[1];
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixStore.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixStore.java
@@ -3,14 +3,14 @@
 import gladelug.common.configuration.Configuration;
 
 /**
- * A store of kept prompts as a relay sees it: where it stands, how long its link takes a unit, and
- * this relay's share of that link. Confined to the request thread.
+ * A store of cached prefixes as seen by a relay: its address, the transfer time per unit, and this
+ * relay's share of its link. Confined to the request thread.
  */
 final class PrefixStore {
-  /** Another zone's link takes twice as long. */
+  /** Factor of the transfer time to another zone. */
   private static final double OTHER_ZONE_FACTOR = 2;
 
-  /** What a save has to spare the next caller who asks for the same, in ms. */
+  /** Minimum time that a save has to save the next request for the same prefix, in ms. */
   private static final double MIN_SAVED_MS = 10;
 
   private final Configuration.Service service;
@@ -33,7 +33,10 @@
     return link;
   }
 
-  /** Ms that moving a unit between it and a replica takes its link; negative where not known. */
+  /**
+   * Returns the link time to move one unit between the store and a replica, in ms; negative if
+   * unknown.
+   */
   double transferMsPerUnit(Backend backend) {
     double mbps = service.engine().linkMbps();
     if (mbps <= 0 || backend.tokenBytes() <= 0) return -1;
@@ -42,16 +45,16 @@
   }
 
   /**
-   * Whether a replica should save what it is about to compute: the next caller is spared some time
-   * by pulling it, and there is time left on the link.
+   * Returns whether a replica should save the prefix it is about to compute: the next request gains
+   * enough time by pulling it, and the link has time left.
    *
-   * @param sharedUnits units of the prompt that other requests may ask for
-   * @param totalUnits units that a save moves
+   * @param sharedUnits units of the prompt that other requests may have in common
+   * @param totalUnits units that a save transfers
    */
-  boolean isWorthSaving(Backend backend, int sharedUnits, int totalUnits, long now) {
+  boolean isWorthSaving(Backend backend, int sharedUnits, int totalUnits, long nowMs) {
     double msPerUnit = transferMsPerUnit(backend);
     if (msPerUnit < 0 || sharedUnits * (backend.computeMsPerUnit - msPerUnit) < MIN_SAVED_MS)
       return false;
-    return link.maySave(totalUnits * msPerUnit, now);
+    return link.maySave(totalUnits * msPerUnit, nowMs);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixStores.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixStores.java
@@ -9,9 +9,9 @@
 import java.util.function.IntSupplier;
 
 /**
- * The stores of kept prompts that the configuration names, and the one decision of what is saved to
- * them. A store is a holder like a replica; what it is said to keep is a hint. Confined to the
- * request thread.
+ * The configured stores of cached prefixes, and the decision what is saved to them. A store is a
+ * holder like a replica; what it is reported to hold is only a hint. Confined to the request
+ * thread.
  */
 final class PrefixStores {
   private final IntSupplier relayCount;
@@ -21,35 +21,37 @@
     this.relayCount = relayCount;
   }
 
-  /** Those of a new configuration; the share of a link that stays goes on as it was. */
-  void applySnapshot(ControlStateSnapshot snapshot, long now) {
+  /**
+   * Applies the stores of a new configuration; stores that remain keep the state of their links.
+   */
+  void applySnapshot(ControlStateSnapshot snapshot, long nowMs) {
     Map<String, PrefixStore> next = new HashMap<>();
     for (Configuration.Service service : snapshot.configuration().services) {
       if (service.store() == null) continue;
       PrefixStore previous = stores.get(service.name());
-      StoreLink link = previous == null ? new StoreLink(relayCount, now) : previous.link();
+      StoreLink link = previous == null ? new StoreLink(relayCount, nowMs) : previous.link();
       next.put(service.name(), new PrefixStore(service, link));
     }
     stores = next;
   }
 
-  /** The store of this name, or null. */
+  /** Returns the store of this name, or null. */
   PrefixStore find(String holder) {
     return stores.get(holder);
   }
 
   /**
-   * To which store the chosen replica is to save the prompt, or null: one that keeps less of its
-   * shared blocks than the request has, from which the next caller pulls sooner than it computes,
-   * with the least time on its link.
+   * Returns the store to which the chosen replica should save the prompt, or null: one that holds
+   * less than the shared blocks of the request, from which pulling is faster than computing, with
+   * the shortest transfer time.
    */
-  PrefixStore chooseSaveTarget(Request request, ReplicaOption chosen, long now) {
+  PrefixStore chooseSaveTarget(Request request, ReplicaOption chosen, long nowMs) {
     int sharedUnits = ReplicaCosts.sharedUnits(request);
     if (stores.isEmpty() || chosen.computeUnits() < sharedUnits) return null;
     PrefixStore best = null;
     for (PrefixStore store : stores.values())
       if (keptUnits(request, store) < sharedUnits
-          && store.isWorthSaving(chosen.backend(), sharedUnits, request.promptUnits(), now)
+          && store.isWorthSaving(chosen.backend(), sharedUnits, request.promptUnits(), nowMs)
           && (best == null
               || store.transferMsPerUnit(chosen.backend())
                   < best.transferMsPerUnit(chosen.backend()))) best = store;
--- a/data-plane/src/main/java/gladelug/data/relay/Relay.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Relay.java
@@ -29,29 +29,35 @@
 import java.util.function.IntSupplier;
 
 /**
- * What the filters of one relay share: snapshot and leases, replicas, queues, retry budget, the
- * requests under way. All on the request thread, one event loop; what other threads bring (a new
- * snapshot, a lookup's answer) is posted to it.
+ * The state shared by the filters of one relay: snapshot and leases, replicas, queues, retry
+ * budget, and running requests. Everything runs on the request thread, one event loop; input from
+ * other threads (a new snapshot, the answer to a lookup) is posted to it.
  */
 public final class Relay {
   /**
-   * How long after its lease for configurations or replicas ran out a relay lets streams go on;
-   * then it can't know that a key still holds.
+   * How long streams may continue after the lease for configuration or replicas has expired, in ms.
+   * After that the relay cannot know whether a key is still valid.
    */
   public static final long STREAM_GRACE_MS = 2000;
 
-  static final String EXPIRED_BEFORE_SEND = "expired before it was handed over";
+  static final String EXPIRED_BEFORE_SEND =
+      "the deadline passed before the request was sent to a replica";
 
-  private static final String EXPIRED_IN_QUEUE = "no place came while it could still end in time";
+  private static final String EXPIRED_IN_QUEUE = "no slot became free in time to meet the deadline";
 
+  /** Maximum age of the fleet's division of slots, in ms. */
   private static final long ALLOTMENT_MAX_AGE_MS = 2000;
 
+  /** Time between ticks above which this process counts as stalled, in ms. */
   private static final long STALL_THRESHOLD_MS = 500;
 
-  /** After its turn to take new weights, from when on a replica may be asked for those, in ms. */
+  /**
+   * Time after a replica's turn in a rollout from which on it may be asked for the new weights, in
+   * ms.
+   */
   private static final long WEIGHT_LOAD_MS = 1200;
 
-  /** How long before its turn to take new weights a replica is left alone, in ms. */
+  /** Time before a replica's turn in a rollout from which on it is avoided, in ms. */
   private static final long ROLLOUT_LEAD_MS = 400;
 
   public final Clock clock;
@@ -62,7 +68,10 @@
   public final RetryAdvice retryAdvice = new RetryAdvice(this);
   public RelaySettings settings;
   private final Map<String, WaitQueue> queues = new HashMap<>();
-  private final Map<String, Integer> admitted = new HashMap<>();
+
+  /** Admitted requests that have no replica yet, by service. */
+  private final Map<String, Integer> admittedByService = new HashMap<>();
+
   private final Map<Long, Request> liveRequests = new LinkedHashMap<>();
   private ControlStateSnapshot appliedSnapshot = ControlStateSnapshot.NONE;
   private UrgencyLevels urgencyLevels = new UrgencyLevels(Configuration.EMPTY);
@@ -73,17 +82,20 @@
   final WorkEstimates estimates;
   private double evictedShare;
   private long lastTickMs;
+
+  /** End of this process's last stall. */
   private long awakeSinceMs;
+
   private boolean admitting;
   private boolean admitAgain;
 
-  /** Not ready any more, though requests are still taken that end in time. */
+  /** Whether the relay is shutting down. Requests that end in time are still accepted. */
   public boolean draining;
 
-  /** When whatever still runs is cut off, on this relay's clock, once it is leaving. */
+  /** When the requests still running during shutdown are cut off, on this relay's clock. */
   private long drainDeadlineMs = Long.MAX_VALUE;
 
-  /** Records that have ended, for whoever hands them on. */
+  /** Receives the decision records of ended requests. */
   public Consumer<Decision> decisionSink = decision -> {};
 
   public Relay(
@@ -110,41 +122,45 @@
     return subscription.tables();
   }
 
-  /** Empty where requests may start now, else the reason why not. */
+  /** Returns the reason why no requests may start now, or an empty string if they may. */
   public String unreadyReason() {
     ControlStateSnapshot snapshot = snapshot();
-    if (snapshot.configurationNumber() == 0) return "no policy yet";
-    if (snapshot.replicasNumber() == 0) return "no list of replicas yet";
+    if (snapshot.configurationNumber() == 0) return "no configuration received yet";
+    if (snapshot.replicasNumber() == 0) return "no replica list received yet";
     if (!subscription.leases.valid(clock.now())) return "no licence";
     return "";
   }
 
-  /** Not ready from now on; whatever still runs then is cut off at a time on this relay's clock. */
+  /**
+   * Marks the relay as shutting down. Requests still running at the deadline (on this relay's
+   * clock) are cut off.
+   */
   public void startDraining(long deadlineMs) {
     draining = true;
     drainDeadlineMs = deadlineMs;
   }
 
   /**
-   * Why a request that nothing was passed on of is better begun elsewhere, as it may last longer
-   * than this relay, or null. Its deadline counts, the only end that is certain.
+   * Returns the refusal of a request that may outlive this relay and of which no piece has been
+   * passed on, or null. The deadline of the request decides, as it is the only certain end.
    */
   FilterResult refusalIfOutlivesRelay(Request request) {
     return request.deadline > drainDeadlineMs
-        ? FilterResult.notRun(503, "stopping before it has to end", FilterResult.RETRY_AT_ONCE_MS)
+        ? FilterResult.notRun(
+            503, "this relay stops before the request's deadline", FilterResult.RETRY_AT_ONCE_MS)
         : null;
   }
 
-  /** What a request is told for whose model nobody named weights. */
+  /** Returns the refusal of a request for whose model no weights are named. */
   FilterResult refusalForMissingWeights(Request request) {
     return FilterResult.notRun(
-        503, "no weights are named for " + request.model, retryAdvice.msUntilState());
+        503, "no weights are named for model " + request.model, retryAdvice.msUntilState());
   }
 
   /**
-   * The weights of a model that a request may run on now: the newest, and until the cutoff those
-   * before; null where there are none. Where nobody has to name weights first, those that replicas
-   * tell of stand until somebody does.
+   * Returns the weights on which requests for a model may run now: the newest and, until the
+   * cutoff, the previous ones; null if there are none. Unless weights have to be named first, the
+   * weights reported by replicas count until some are named.
    */
   public String[] allowedWeights(String model) {
     Weights.Named named = snapshot().weights().of(model);
@@ -159,13 +175,14 @@
     return new String[] {named.now(), clock.now() < subscription.leases.cutoffAt() ? before : ""};
   }
 
-  /** Whether a request may begin on these weights now. */
+  /** Returns whether a request may start on these weights now. */
   public boolean mayRun(String model, String weights) {
     return mayRun(allowedWeights(model), weights);
   }
 
   /**
-   * As above, with what {@link #allowedWeights} gave for the model; may is null where it gave none.
+   * Like {@link #mayRun(String, String)}, with the result of {@link #allowedWeights}, which may be
+   * null.
    */
   static boolean mayRun(String[] allowedWeights, String weights) {
     return allowedWeights != null
@@ -174,9 +191,9 @@
   }
 
   /**
-   * Whether a replica runs weights on which requests may begin now, of any model it serves. Looking
-   * for the newest weights reads all replicas, so a caller that asks about each of them hands in a
-   * map that lives for this one look.
+   * Returns whether a replica runs weights of any of its models on which requests may start now.
+   * Determining the newest weights reads all replicas, so callers that check many replicas pass a
+   * map that caches the result during one pass.
    */
   private boolean runsAllowedWeights(Backend backend, Map<String, String[]> allowedWeights) {
     for (String model : backend.weightsByModel.keySet())
@@ -187,9 +204,9 @@
   }
 
   /**
-   * The weights a replica is taken to run: what it or the list last told, but once it has had its
-   * turn to take newer ones, those; it says so if it doesn't yet, and then is left alone for a
-   * moment.
+   * Returns the weights a replica is assumed to run: those last reported by it or the list, or the
+   * newer ones once its turn to load them has come. If the replica reports that it does not run
+   * them yet, the reported weights count for a moment.
    */
   public String effectiveWeights(Backend backend, String model) {
     String reported = backend.reportedWeights(model);
@@ -203,9 +220,9 @@
   }
 
   /**
-   * Whether a replica's turn to take newer weights has come, or is about to, and neither it nor the
-   * list has told yet that it runs them. What runs there ends first, and until it has loaded it
-   * turns away what is new: better left alone.
+   * Returns whether a replica's turn to load newer weights has come or is about to, and neither it
+   * nor the list has reported yet that it runs them. Running requests finish first, and until the
+   * weights are loaded the replica refuses new ones, so it is better avoided.
    */
   public boolean isLoadingWeights(Backend backend, String model) {
     Weights.Named named = backend.reportsLoad ? null : snapshot().weights().of(model);
@@ -216,8 +233,8 @@
   }
 
   /**
-   * When a replica's turn to take the named weights comes, on this relay's clock; in the past where
-   * it has.
+   * Returns when a replica's turn to load the named weights comes, on this relay's clock; in the
+   * past if it has come.
    */
   private long rolloutTurnMs(Backend backend) {
     long namedAtMs = subscription.leases.cutoffAt() - settings.weightsCutoffMs();
@@ -232,9 +249,7 @@
             .due(settings.rolloutPlan().part(backend.replica.instance(), instances));
   }
 
-  /**
-   * Where a holder of kept prompts is called: a replica's or a store's address and zone; or null.
-   */
+  /** Returns the address and zone of a holder of cached prefixes, a replica or a store, or null. */
   public Replica findHolder(String name) {
     Replica replica = snapshot().replicas().find(name);
     if (replica != null) return replica;
@@ -242,10 +257,7 @@
     return service == null || service.store() == null ? null : Holders.store(service);
   }
 
-  /**
-   * The first piece of a request came so many ms after it was handed over: what is learned of its
-   * replica.
-   */
+  /** Learns from the time between sending a request and the first piece of its answer, in ms. */
   public void recordFirstPiece(Request request, Backend backend, long firstPieceMs) {
     if (backend.reportsLoad) return;
     double excessMs = firstPieceMs - request.queueMs;
@@ -258,7 +270,9 @@
     estimates.recordFirstPiece(request, firstPieceMs);
   }
 
-  /** What an index told of the replicas of a service; one it doesn't name is free. */
+  /**
+   * Applies the load of a service's replicas reported by an index; replicas not listed are idle.
+   */
   void recordFleetLoad(String service, Lookup.Fleet fleetLoad) {
     evictedShare = fleetLoad.evictedShare();
     if (!settings.isEnabled(Mechanism.FLEET_LOADS) || fleetLoad.equals(Lookup.Fleet.UNKNOWN))
@@ -273,16 +287,20 @@
     }
   }
 
-  /** Of the blocks that holders stored lately, the share that drove another out. */
+  /** Returns the share of recently stored blocks that evicted another one. */
   double evictedShare() {
     return evictedShare;
   }
 
-  /** How urgent replicas are told that a request is, by the newest configuration; 0 is first. */
+  /**
+   * Returns the urgency level sent to replicas for a request, by the newest configuration; 0 is the
+   * most urgent.
+   */
   public int urgencyLevel(Request request) {
     return urgencyLevels.levelOf(request);
   }
 
+  /** Returns the queue of a service. */
   public WaitQueue queue(String service) {
     return queues.computeIfAbsent(
         service,
@@ -293,6 +311,7 @@
         });
   }
 
+  /** Registers a running request. */
   public void begin(Request request) {
     liveRequests.put(request.decision.nr, request);
   }
@@ -301,14 +320,15 @@
     return new ArrayList<>(liveRequests.values());
   }
 
-  /** The request's end: its place is free. */
+  /** Ends a request: frees its slot, completes its record and logs it. */
   public void finish(Request request) {
     if (liveRequests.remove(request.decision.nr) == null) return;
     request.state.end();
     if (request.admitted) {
       request.admitted = false;
       queue(request.service.name()).release(request);
-      if (request.backend == null) admitted.merge(request.service.name(), -1, Integer::sum);
+      if (request.backend == null)
+        admittedByService.merge(request.service.name(), -1, Integer::sum);
       if (request.decision.outcome().equals("complete"))
         estimates.recordCompletion(request, clock.now());
     }
@@ -374,25 +394,27 @@
         request.why);
   }
 
-  /** The request holds no replica any more. */
+  /** Releases the replica assigned to the request, if any. */
   public void releaseReplica(Request request) {
     if (request.backend == null) return;
     request.backend.ownRequests = Math.max(0, request.backend.ownRequests - 1);
     request.backend.releaseUnits(request.units());
     request.backend = null;
-    if (request.admitted) admitted.merge(request.service.name(), 1, Integer::sum);
+    if (request.admitted) admittedByService.merge(request.service.name(), 1, Integer::sum);
   }
 
+  /** Assigns a replica to a request that causes workMs of work there. */
   public void assignReplica(Request request, Backend backend, double workMs) {
     releaseReplica(request);
     backend.reserveUnits(request.units());
     request.backend = backend;
     backend.ownRequests++;
     backend.addWork(workMs, clock.now());
-    admitted.merge(request.service.name(), -1, Integer::sum);
+    admittedByService.merge(request.service.name(), -1, Integer::sum);
   }
 
-  private int places(String service) {
+  /** Returns the number of slots at the usable replicas of a service. */
+  private int admissionSlots(String service) {
     int slots = 0;
     for (Backend backend : backends.readyReplicas(service))
       if (backend.isUsable(clock.now())) slots += backend.admissionSlots();
@@ -400,8 +422,8 @@
   }
 
   /**
-   * Tells what waits and is seen here, and takes the fleet's division; with none fresh, an equal
-   * part.
+   * Reports local demand and capacity, and applies the fleet's division of slots; without a recent
+   * one, an equal share.
    */
   private void updateShares(long nowMs, long elapsedMs) {
     List<StateUpdate.QuotaDemand> demands = new ArrayList<>();
@@ -414,7 +436,7 @@
           .forEach(
               (leaf, usage) ->
                   demands.add(new StateUpdate.QuotaDemand(service, leaf, usage[0], usage[1])));
-      capacities.add(new StateUpdate.ServiceCapacity(service, places(service)));
+      capacities.add(new StateUpdate.ServiceCapacity(service, admissionSlots(service)));
       StateSubscription.Allotment allotment = subscription.allotment(service);
       if (settings.localSharesOnly()
           || allotment == null
@@ -427,8 +449,8 @@
   }
 
   /**
-   * By service and leaf: waiting and using here, and the part of places the fleet's division leaves
-   * this relay, if it bounds.
+   * Returns, by service and leaf, the queued and running requests, and the share of slots that the
+   * fleet's division leaves this relay if it sets one.
    */
   public JsonObject sharesJson() {
     JsonObject services = Json.object();
@@ -457,16 +479,20 @@
     return services;
   }
 
-  /** With nobody dividing, as much of the places as if all relays asked alike. */
+  /**
+   * Returns an equal share of the slots if no recent division by the fleet is known, assuming the
+   * same demand at all relays.
+   */
   private int equalShare(String service) {
     StateSubscription.Allotment allotment = subscription.allotment(service);
     if (settings.localSharesOnly()) return Integer.MAX_VALUE;
     if (allotment != null && clock.now() - allotment.at() <= ALLOTMENT_MAX_AGE_MS)
       return Integer.MAX_VALUE;
     int relays = Math.max(1, relayCount.getAsInt());
-    return (places(service) + relays - 1) / relays;
+    return (admissionSlots(service) + relays - 1) / relays;
   }
 
+  /** Returns how many more requests of a service may be admitted now. */
   public int freeSlots(String service) {
     Configuration.Service configured = snapshot().configuration().service(service);
     boolean model = configured == null || configured.kind() == Configuration.Kind.MODEL;
@@ -474,13 +500,13 @@
     return Math.min(
         backends.freeSlots(
                 service, backend -> !model || runsAllowedWeights(backend, allowedWeights))
-            - admitted.getOrDefault(service, 0),
-        equalShare(service) - queue(service).used());
+            - admittedByService.getOrDefault(service, 0),
+        equalShare(service) - queue(service).usedSlots());
   }
 
   /**
-   * How long a request would wait for a place if it joined the queue now, in ms: until one comes
-   * free, and for what goes before it.
+   * Returns how long a request would wait for a slot if it joined the queue now, in ms, including
+   * the work queued ahead of it.
    */
   double estimatedWaitMs(Request request) {
     String service = request.service.name();
@@ -490,14 +516,14 @@
         request, estimates.meanRequestMs(service), equalShareOfListed(service));
   }
 
-  /** As much of the places of all replicas, usable now or not, as if all relays asked alike. */
+  /** Returns an equal share of the slots of all listed replicas, whether usable now or not. */
   private int equalShareOfListed(String service) {
     int listed = 0;
     for (Backend backend : backends.readyReplicas(service)) listed += backend.admissionSlots();
     return listed / Math.max(1, relayCount.getAsInt());
   }
 
-  /** Gives free places to those that wait, as the share tree says. */
+  /** Assigns free slots to queued requests in the order of the tree of quota shares. */
   public void admitWaiting() {
     if (admitting) {
       admitAgain = true;
@@ -507,32 +533,33 @@
     try {
       do {
         admitAgain = false;
-        for (Map.Entry<String, WaitQueue> entry : new ArrayList<>(queues.entrySet())) places(entry);
+        for (Map.Entry<String, WaitQueue> entry : new ArrayList<>(queues.entrySet()))
+          admitWaiting(entry);
       } while (admitAgain);
     } finally {
-      // whatever goes wrong with one request, those behind it are not left waiting for ever
+      // a failure of one request must not leave those behind it queued forever
       admitting = false;
     }
   }
 
-  private void places(Map.Entry<String, WaitQueue> entry) {
+  private void admitWaiting(Map.Entry<String, WaitQueue> entry) {
     while (entry.getValue().size() > 0 && freeSlots(entry.getKey()) > 0) {
-      Request request = entry.getValue().next();
+      Request request = entry.getValue().poll();
       if (request == null) break;
       request.admitted = true;
-      admitted.merge(entry.getKey(), 1, Integer::sum);
+      admittedByService.merge(entry.getKey(), 1, Integer::sum);
       request.leaveQueue.accept(FilterResult.GO);
     }
   }
 
-  /** The caller went away: nothing is left to be done for its request. */
+  /** Handles a caller that disconnected: its request is dropped or cancelled. */
   public void callerGone(Request request) {
     request.gone = true;
     State.At state = request.state.at();
     if (state == State.At.ENDED) return;
     request.decision.add(
         "caller-gone", clock.now(), Json.object().add("pieces", request.piecesOut));
-    if (state == State.At.WAITING) stop(request, "the caller went away", 499);
+    if (state == State.At.WAITING) stop(request, "the caller disconnected", 499);
     else if (request.state.end()) {
       request.decision.outcome("caller-gone");
       request.cancel.run();
@@ -540,7 +567,7 @@
     }
   }
 
-  /** The way of a request through this relay. */
+  /** Creates the chain of filters that requests pass in this relay. */
   public FilterChain filterChain(Lookups lookups, ChoiceMode choiceMode, Exchange exchange) {
     return new FilterChain(
         List.of(
@@ -556,7 +583,10 @@
         this::finish);
   }
 
-  /** A new snapshot: back ends, shares, and what it forbids of requests under way. */
+  /**
+   * Applies a new snapshot to replicas and quota shares, and stops requests that it no longer
+   * permits.
+   */
   public void applySnapshot(ControlStateSnapshot snapshot) {
     backends.applySnapshot(snapshot);
     stores.applySnapshot(snapshot, clock.now());
@@ -569,14 +599,15 @@
         boolean runs =
             request.state.at() == State.At.HANDED || request.state.at() == State.At.STREAMING;
         if ((tenant == null || !tenant.name().equals(request.tenant.name()))
-            && (settings.cutsRevokedStreams() || !runs)) stop(request, "key revoked", 401);
+            && (settings.cutsRevokedStreams() || !runs))
+          stop(request, "the API key was revoked", 401);
       }
     }
     appliedSnapshot = snapshot;
     admitWaiting();
   }
 
-  /** Ends a request wherever it is: refused from the queue, or cut off at the replica. */
+  /** Stops a request: refuses it if it is queued, cuts it off if it is at a replica. */
   public void stop(Request request, String reason, int status) {
     State.At state = request.state.at();
     if (state == State.At.WAITING && !request.admitted && request.leaveQueue != null) {
@@ -584,13 +615,14 @@
         removed.leaveQueue.accept(
             FilterResult.notRun(status, reason, status == 401 ? 0 : retryAdvice.msUntilState()));
     } else if (state == State.At.HANDED || state == State.At.STREAMING) cutOff(request, reason);
-    // an admitted request still waiting meets the same check at the hand-over
+    // an admitted request that is not sent yet meets the same check before it is sent
   }
 
+  /** Cuts off a request that was sent to a replica and tells its caller. */
   public void cutOff(Request request, String reason) {
     boolean wasStreaming = request.state.at() == State.At.STREAMING;
     if (!request.state.end()) return;
-    // the reason first: letting the replica go may end the request's record on the spot
+    // add the reason first: cancelling may end the request's record at once
     request.decision.add(
         "cut-off", clock.now(), Json.object().add("why", reason).add("pieces", request.piecesOut));
     request.decision.outcome(wasStreaming ? "cut-off" : "unknown");
@@ -611,8 +643,8 @@
   }
 
   /**
-   * Its deadline passed while a connection was awaited: the caller is told at once, and when the
-   * connection is up nothing leaves on it.
+   * Refuses a request whose deadline passed while it awaited a connection. The caller is told at
+   * once, and nothing is sent when the connection is established.
    */
   private void expireUnsent(Request request) {
     if (!request.state.end()) return;
@@ -630,7 +662,10 @@
     finish(request);
   }
 
-  /** What waits and can't end in time any more is told so at once, so that its caller can go on. */
+  /**
+   * Refuses queued requests that can no longer finish in time, so that their callers need not wait
+   * for the deadline.
+   */
   private void refuseOverdue(long nowMs) {
     if (!settings.isEnabled(Mechanism.EARLY_REFUSAL)) return;
     for (WaitQueue queue : queues.values())
@@ -640,13 +675,13 @@
   }
 
   /**
-   * Called a few times a second: deadlines, and streams whose right to go on can't be known any
-   * more.
+   * Enforces deadlines, and cuts off streams whose permission cannot be known any more. Called
+   * several times a second.
    */
   public void tick() {
     long nowMs = clock.now();
     updateShares(nowMs, nowMs - lastTickMs);
-    // after a pause of its own, replicas are given the time to say that they are there
+    // after a stall of this process, replicas are given time to report again
     if (nowMs - lastTickMs > STALL_THRESHOLD_MS) awakeSinceMs = nowMs;
     lastTickMs = nowMs;
     refuseOverdue(nowMs);
@@ -658,19 +693,20 @@
               queue(request.service.name()).removeIf(waiting -> waiting == request))
             removed.leaveQueue.accept(
                 FilterResult.notRun(
-                    503, "expired in the backlog", retryAdvice.msUntilRoom(removed)));
+                    503, "the deadline passed in the queue", retryAdvice.msUntilRoom(removed)));
         } else if (state == State.At.HANDED || state == State.At.STREAMING)
           cutOff(request, "expired");
         else if (state == State.At.WAITING && request.admitted) expireUnsent(request);
       } else if (request.backend != null
           && request.backend.isSilent(nowMs, awakeSinceMs)
-          && request.state.at() != State.At.WAITING) request.lost.accept("has fallen silent");
+          && request.state.at() != State.At.WAITING)
+        request.lost.accept("sent no load report for too long");
     }
     if (settings.cutsRevokedStreams()
         && nowMs - subscription.leases.until(StateKeys.CONFIGURATION) > STREAM_GRACE_MS)
       for (Request request : liveRequests())
         if (request.tenant != null)
-          stop(request, "no licence for so long that keys can't be known", 503);
+          stop(request, "no licence for so long that keys may have been revoked", 503);
     admitWaiting();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
@@ -8,16 +8,16 @@
 import io.vertx.mutiny.core.Vertx;
 
 /**
- * What a relay speaks: to callers at its listener, to replicas, and how it learns their state. The
- * filters between are the same whatever is spoken. Called on the request thread.
+ * The protocols of a relay: to callers at its listener, to replicas, and for learning the state of
+ * replicas. The filters in between do not depend on them. Called on the request thread.
  */
 public interface RelayProtocol {
-  /** The machine under a relay. */
-  record Environment(Vertx vertx, BindAddress local, Clock clock) {}
+  /** The event loop, local address and clock of a relay. */
+  record Environment(Vertx vertx, BindAddress localAddress, Clock clock) {}
 
-  /** The open door. */
+  /** The open listener for callers. */
   interface Listener {
-    /** From now on callers are told to go elsewhere with their next request. */
+    /** Tells callers from now on to send their next request elsewhere. */
     default void startDraining() {}
 
     void close();
@@ -27,7 +27,7 @@
 
   Exchange createExchange(Environment environment, Relay relay);
 
-  /** Opens the door; fails where it can't be opened. */
+  /** Opens the listener; fails if it cannot be opened. */
   Uni<Listener> open(
       Environment environment, Relay relay, Decisions decisions, FilterChain filterChain);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayService.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayService.java
@@ -32,20 +32,26 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Puts a relay together on one event loop, the request thread, and shuts it down gracefully: not
- * ready first, then no new requests, then those under way may end.
+ * Assembles a relay on one event loop, the request thread, and shuts it down gracefully: it becomes
+ * unready first, then refuses new requests, then lets running ones finish.
  */
 public final class RelayService implements ServiceRegistry.Service {
+  /** Default maximum duration of a shutdown, in ms. */
   public static final long DRAIN_MS = 8000;
+
+  /** Number of decision records kept for the operator. */
   private static final int REMEMBERED_DECISIONS = 16384;
 
-  /** How often deadlines are looked at, ms, and while no request is under way. */
+  /** Interval at which deadlines are checked, in ms; the second one while no request is running. */
   private static final long TICK_MS = 50, IDLE_TICK_MS = 200;
 
   /**
-   * A relay that stops takes what has to end before it does. lingerMs: how long it stays though
-   * nothing is under way, as callers may still be sent to it; drainMs: when it has ended at the
-   * latest.
+   * Times of a shutdown, in ms. A stopping relay still accepts requests that have to end before it
+   * does.
+   *
+   * @param lingerMs how long it stays though no request is running, as callers may still be sent to
+   *     it
+   * @param drainMs when it has ended at the latest
    */
   public record ShutdownTimes(long lingerMs, long drainMs) {
     public static final ShutdownTimes DEFAULT = new ShutdownTimes(0, DRAIN_MS);
@@ -148,8 +154,8 @@
                       lookups, choiceMode, protocol.createExchange(environment, newRelay)))
               .subscribe()
               .with(
-                  each -> {
-                    listener = each;
+                  opened -> {
+                    listener = opened;
                     started.complete(null);
                   },
                   started::completeExceptionally);
@@ -169,23 +175,28 @@
     return true;
   }
 
-  /** While nothing is under way there are no deadlines to watch, so the relay wakes less often. */
+  /**
+   * Schedules the next tick. Without running requests there are no deadlines to check, so ticks are
+   * less frequent.
+   */
   private void scheduleTicks(Relay current) {
     current.tick();
     vertx.setTimer(
         current.liveRequests().isEmpty() ? IDLE_TICK_MS : TICK_MS, timer -> scheduleTicks(current));
   }
 
-  /** Other settings from now on. */
+  /** Replaces the settings. */
   public void updateSettings(RelaySettings newSettings) {
     context.runOnContext(() -> relay.settings = newSettings);
   }
 
+  /** Returns why the relay accepts no requests now, or an empty string if it does. */
   public String unreadyReason() {
     return ProcessStalls.orElse(
         relay == null ? "starting" : relay.draining ? "stopping" : relay.unreadyReason());
   }
 
+  /** Returns the status of the relay, collected on the request thread. */
   public Uni<JsonObject> status() {
     return Uni.createFrom()
         .emitter(
@@ -194,10 +205,11 @@
                     () -> {
                       Relay current = relay;
                       ControlStateSnapshot snapshot = current.snapshot();
-                      long now = clock.now();
+                      long nowMs = clock.now();
                       JsonObject leases = Json.object();
                       for (String key : StateKeys.LEASED)
-                        leases.add(key, Math.max(-1, current.subscription.leases.until(key) - now));
+                        leases.add(
+                            key, Math.max(-1, current.subscription.leases.until(key) - nowMs));
                       emitter.complete(
                           Json.object()
                               .add("name", name)
@@ -215,16 +227,17 @@
                     }));
   }
 
-  /** By thread, the longest that a task waited for the one before it. */
+  /** Returns, by thread, the longest time a task waited for the one before it, in ms. */
   private static JsonObject longestWaits() {
     JsonObject waits = Json.object();
     ProcessStalls.detector().longestWaitsMs().forEach(waits::add);
     return waits;
   }
 
+  /** Registers the operator's paths. */
   public void registerRoutes(Router router) {
     router.get("/operator/requests/:id").handler(this::explain);
-    // the earlier path, for one release
+    // the earlier path, kept for one release
     router.get("/operator/orders/:id").handler(this::explain);
   }
 
@@ -246,7 +259,7 @@
           Json.object()
               .add(
                   "reason",
-                  "this relay took the request but has overwritten its record; it remembers the last "
+                  "this relay accepted the request but has overwritten its record; it keeps the last "
                       + REMEMBERED_DECISIONS));
     else if (found instanceof Decisions.Found.OtherRun)
       StatusEndpoint.say(
@@ -255,7 +268,7 @@
           Json.object()
               .add(
                   "reason",
-                  "the request was taken by an earlier run of this relay, whose records are gone"));
+                  "the request was accepted by an earlier run of this relay, whose records are lost"));
     else
       StatusEndpoint.say(
           context, 404, Json.object().add("reason", "this relay never took such a request"));
--- a/data-plane/src/main/java/gladelug/data/relay/RelaySettings.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelaySettings.java
@@ -5,14 +5,15 @@
 import java.util.Set;
 
 /**
- * Settings of a relay beside its addresses: bounds of its queue, of retries and of streams without
- * a lease, and how replicas are known. The defaults are the product's own; a deployment's come from
- * its settings file.
+ * Settings of a relay other than its addresses: bounds of its queue, of retries and of streams
+ * without a lease, and how replicas are known. The defaults apply to the native protocol; a
+ * deployment's values come from its settings file.
  */
 public final class RelaySettings {
+  /** The settings with all defaults. */
   public static final RelaySettings DEFAULTS = builder().build();
 
-  /** What a replica in another zone is usually reckoned to cost beside its work, in ms. */
+  /** Default extra cost of a replica in another zone, in ms. */
   private static final double DEFAULT_OTHER_ZONE_MS = 2;
 
   private final int maxQueuedRequests;
@@ -49,87 +50,92 @@
     oneIndexPerZone = builder.oneIndexPerZone;
   }
 
-  /** Whether of a zone's indexes only the first by name follows holders; else all do. */
+  /** Returns whether only the first index of a zone by name follows holders; otherwise all do. */
   public boolean oneIndexPerZone() {
     return oneIndexPerZone;
   }
 
-  /** Whether a mechanism is on; all are but in experiments. */
+  /** Returns whether a mechanism is enabled; all are except in experiments. */
   public boolean isEnabled(Mechanism mechanism) {
     return !disabledMechanisms.contains(mechanism);
   }
 
-  /** How many requests of a service may wait here. */
+  /** Returns how many requests of a service may be queued here. */
   public int maxQueuedRequests() {
     return maxQueuedRequests;
   }
 
-  /** Shares kept by this relay alone, to be measured against the fleet's division. */
+  /**
+   * Returns whether this relay enforces quota shares alone, for comparison with the fleet's
+   * division.
+   */
   public boolean localSharesOnly() {
     return localSharesOnly;
   }
 
-  /** Whether requests may run on the weights replicas tell of while nobody has named any. */
+  /** Returns whether requests may run on the weights reported by replicas while none are named. */
   public boolean allowsUnnamedWeights() {
     return allowsUnnamedWeights;
   }
 
   /**
-   * Whether running streams end when their key is revoked, and some time after the lease did, as it
-   * may be.
+   * Returns whether running streams are cut off when their key is revoked, and some time after the
+   * lease has expired, as the key may have been revoked by then.
    */
   public boolean cutsRevokedStreams() {
     return cutsRevokedStreams;
   }
 
-  /** Second tries a first try, over the fleet. */
+  /** Returns the number of retries allowed per first attempt, over the fleet. */
   public double retryRatio() {
     return retryRatio;
   }
 
   /**
-   * Second tries in a window beyond that, over the fleet; negative for the product's own allowance.
+   * Returns the number of retries allowed beyond that in a window, over the fleet; negative for the
+   * built-in allowance.
    */
   public double retrySlack() {
     return retrySlack;
   }
 
-  /** How often the core is asked for leases and newer state, in ms. */
+  /** Returns the interval at which the core is asked for leases and newer state, in ms. */
   public long stateRenewalIntervalMs() {
     return stateRenewalIntervalMs;
   }
 
-  /** What a replica in another zone is reckoned to cost beside its work, in ms. */
+  /** Returns the extra cost of a replica in another zone, in ms. */
   public double otherZoneMs() {
     return otherZoneMs;
   }
 
   /**
-   * Whether a single replica with the newest weights gets everything, or both run side by side
-   * until the cutoff.
+   * Returns whether all requests go to replicas with the newest weights as soon as there is one;
+   * otherwise old and new weights serve side by side until the cutoff.
    */
   public boolean prefersNewestWeights() {
     return prefersNewestWeights;
   }
 
-  /**
-   * After a naming, how long requests may begin on older weights, in ms, and when replicas take the
-   * new ones.
-   */
+  /** Returns how long after weights are named requests may still start on older ones, in ms. */
   public long weightsCutoffMs() {
     return weightsCutoffMs;
   }
 
+  /** Returns when replicas load newly named weights. */
   public RolloutPlan rolloutPlan() {
     return rolloutPlan;
   }
 
-  /** How long an index's answer is waited for, in ms. */
+  /** Returns how long an index's answer is awaited, in ms. */
   public long lookupTimeoutMs() {
     return lookupTimeoutMs;
   }
 
-  /** Whether a path without a route is 404 also for those without a key. */
+  /**
+   * Returns whether a path without a route is answered with 404 also to callers without a valid
+   * key.
+   */
   public boolean hidesMissingRoutes() {
     return hidesMissingRoutes;
   }
@@ -138,7 +144,7 @@
     return new Builder();
   }
 
-  /** Begins with the product's own values. */
+  /** Builds settings, starting from the defaults. */
   public static final class Builder {
     private int maxQueuedRequests = 256;
     private boolean localSharesOnly;
@@ -162,7 +168,7 @@
       return this;
     }
 
-    /** For experiments: mechanisms that are off. */
+    /** Switches off mechanisms, for experiments. */
     public Builder without(Set<Mechanism> mechanisms) {
       disabledMechanisms = mechanisms;
       return this;
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaChoice.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaChoice.java
@@ -12,16 +12,19 @@
 import java.util.List;
 
 /**
- * The filter that chooses the replica: of those that may run the request, the one with the least
- * estimated ms of queue, prefill or pull, and distance, as {@link ReplicaCosts} has it.
+ * Chooses the replica with the lowest estimated cost, by queueing, prefill or pull, and distance as
+ * computed by {@link ReplicaCosts}, among those that may run the request.
  */
 public final class ReplicaChoice implements RequestFilter.AtOnce {
   private static final String[] NO_WEIGHTS = {"", ""};
 
-  /** Spreads equal options over replicas, differently for each request (Knuth's constant). */
+  /**
+   * Multiplier that spreads equal options over replicas differently for each request (Knuth's
+   * multiplicative hash).
+   */
   private static final int SPREAD_MULTIPLIER = 0x9E3779B1;
 
-  /** How many options a decision record shows. */
+  /** Maximum number of options in a decision record. */
   private static final int MAX_RECORDED_OPTIONS = 4;
 
   private final Relay relay;
@@ -43,36 +46,38 @@
 
   @Override
   public FilterResult decide(Request request) {
-    long now = relay.clock.now();
-    if (now >= request.deadline)
+    long nowMs = relay.clock.now();
+    if (nowMs >= request.deadline)
       return FilterResult.notRun(
-          503, "expired before a replica was chosen", relay.retryAdvice.msUntilRoom(request));
+          503,
+          "the deadline passed before a replica was chosen",
+          relay.retryAdvice.msUntilRoom(request));
     boolean model = request.service.kind() == Configuration.Kind.MODEL;
     String[] allowedWeights = model ? relay.allowedWeights(request.model) : NO_WEIGHTS;
     if (allowedWeights == null) return relay.refusalForMissingWeights(request);
-    List<ReplicaOption> options = options(request, model, allowedWeights, now);
-    if (options.isEmpty()) return refusal(request, now);
+    List<ReplicaOption> options = options(request, model, allowedWeights, nowMs);
+    if (options.isEmpty()) return refusal(request, nowMs);
     ReplicaOption chosen = cheapest(request, options);
-    assign(request, chosen, model, now);
-    record(request, chosen, options, now);
+    assign(request, chosen, model, nowMs);
+    record(request, chosen, options, nowMs);
     return FilterResult.GO;
   }
 
   private List<ReplicaOption> options(
-      Request request, boolean model, String[] allowedWeights, long now) {
+      Request request, boolean model, String[] allowedWeights, long nowMs) {
     Backend only = request.only;
     request.only = null;
     List<ReplicaOption> options = new ArrayList<>();
     boolean newestAvailable = false;
     for (Backend backend : relay.backends.readyReplicas(request.service.name())) {
-      if (!backend.isUsable(now) || backend.freeSlots() == 0 && backend != request.backend)
+      if (!backend.isUsable(nowMs) || backend.freeSlots() == 0 && backend != request.backend)
         continue;
       if (only != null && backend != only) continue;
       String weights = relay.effectiveWeights(backend, request.model);
       if (model && !Relay.mayRun(allowedWeights, weights)) continue;
       newestAvailable |=
           model && relay.settings.prefersNewestWeights() && weights.equals(allowedWeights[0]);
-      options.add(costs.estimate(request, backend, now));
+      options.add(costs.estimate(request, backend, nowMs));
     }
     if (newestAvailable)
       options.removeIf(
@@ -81,14 +86,14 @@
     return options;
   }
 
-  private FilterResult refusal(Request request, long now) {
+  private FilterResult refusal(Request request, long nowMs) {
     List<Backend> all = relay.backends.readyReplicas(request.service.name());
     return FilterResult.notRun(
         503,
-        all.stream().anyMatch(backend -> backend.isUsable(now))
-            ? "no replica with the right weights has a place"
-            : all.stream().anyMatch(backend -> backend.stateKnown && now < backend.ejectedUntilMs)
-                ? "every replica has just failed or turned an order away"
+        all.stream().anyMatch(backend -> backend.isUsable(nowMs))
+            ? "no replica with permitted weights has a free slot"
+            : all.stream().anyMatch(backend -> backend.stateKnown && nowMs < backend.ejectedUntilMs)
+                ? "every replica recently failed or refused a request"
                 : "no replica answers",
         relay.retryAdvice.msUntilRoom(request));
   }
@@ -111,7 +116,7 @@
     return (backend.replica.instance().hashCode() ^ (int) request.decision.nr) * SPREAD_MULTIPLIER;
   }
 
-  private void assign(Request request, ReplicaOption chosen, boolean model, long now) {
+  private void assign(Request request, ReplicaOption chosen, boolean model, long nowMs) {
     Backend backend = chosen.backend();
     request.heldUnits = 0;
     for (Lookup.Match match : request.matches)
@@ -120,36 +125,37 @@
       assignPrompt(request, chosen);
       relay.reuseShare.recordRequest(request.promptUnits(), request.heldUnits);
     }
-    if (request.fetchBlocks > 0) reservePull(request, chosen, now);
-    if (model && relay.settings.isEnabled(Mechanism.STORE_SAVE)) reserveSave(request, chosen, now);
+    if (request.fetchBlocks > 0) reservePull(request, chosen, nowMs);
+    if (model && relay.settings.isEnabled(Mechanism.STORE_SAVE))
+      reserveSave(request, chosen, nowMs);
     request.computeUnits = chosen.computeUnits();
     request.workMs = chosen.prefillMs();
     request.queueMs = chosen.queueMs();
-    request.runningThere = backend.runningRequests(now);
+    request.runningThere = backend.runningRequests(nowMs);
     relay.assignReplica(request, backend, chosen.prefillMs());
     if (backend.reportsLoad) return;
     if (!relay.settings.isEnabled(Mechanism.RECENT_PLACEMENTS)) return;
-    relay.placements.sent(request.blocks, backend.replica.instance(), now);
+    relay.placements.sent(request.blocks, backend.replica.instance(), nowMs);
     lookups.recordPlacement(
         backend.replica.instance(), request.blocks, relay.estimates.placedWork(request));
   }
 
-  private void reservePull(Request request, ReplicaOption chosen, long now) {
+  private void reservePull(Request request, ReplicaOption chosen, long nowMs) {
     Backend backend = chosen.backend();
-    backend.recordPull(request.fetchFrom, now);
+    backend.recordPull(request.fetchFrom, nowMs);
     PrefixStore store = relay.stores.find(request.fetchFrom);
     if (store == null) return;
     int units = request.promptUnits() - chosen.computeUnits();
-    store.link().spend(units * store.transferMsPerUnit(backend), now);
+    store.link().spend(units * store.transferMsPerUnit(backend), nowMs);
   }
 
-  private void reserveSave(Request request, ReplicaOption chosen, long now) {
+  private void reserveSave(Request request, ReplicaOption chosen, long nowMs) {
     Backend backend = chosen.backend();
     request.saveTo = "";
-    PrefixStore store = relay.stores.chooseSaveTarget(request, chosen, now);
+    PrefixStore store = relay.stores.chooseSaveTarget(request, chosen, nowMs);
     if (store == null) return;
     request.saveTo = store.name();
-    store.link().spend(request.promptUnits() * store.transferMsPerUnit(backend), now);
+    store.link().spend(request.promptUnits() * store.transferMsPerUnit(backend), nowMs);
   }
 
   private void assignPrompt(Request request, ReplicaOption chosen) {
@@ -166,13 +172,13 @@
   }
 
   private void record(
-      Request request, ReplicaOption chosen, List<ReplicaOption> options, long now) {
+      Request request, ReplicaOption chosen, List<ReplicaOption> options, long nowMs) {
     JsonArray shown = new JsonArray();
     for (ReplicaOption option : options.subList(0, Math.min(MAX_RECORDED_OPTIONS, options.size())))
       shown.add(option.json(option.equals(chosen)));
     request.decision.add(
         "choice",
-        now,
+        nowMs,
         Json.object()
             .add("replica", chosen.backend().replica.instance())
             .add("weights", request.weights)
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaConnections.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaConnections.java
@@ -5,23 +5,27 @@
 
 /**
  * The interface between forwarding and the network: connections to replicas, which can be opened,
- * verified, sent a request, and reset, and which answer with lines, a status or a break. Vert.x is
- * one implementation, the simulator another. All on the request thread.
+ * verified, used for a request and reset, and which answer with lines, a status or a break.
+ * Implemented over Vert.x and by the simulator. Runs on the request thread.
  */
 public interface ReplicaConnections {
-  /** For one use: one asking who is there, or one request. */
+  /** A connection for one exchange: either one identity check or one request. */
   interface Connection {
-    /** Who the other end of this very connection was found to be, or an empty text. */
+    /** Returns the verified identity of the other end of this connection, or an empty string. */
     String verifiedIdentity();
 
-    /** Asks SERVICE/INSTANCE on this connection; an empty text where nobody says so in time. */
+    /**
+     * Asks the other end for its identity, SERVICE/INSTANCE; passes an empty string if none arrives
+     * in time.
+     */
     void identify(Consumer<String> onIdentity);
 
-    void send(String json, Answer replica);
+    /** Sends a request on this connection and reads its answer. */
+    void send(String json, Answer answer);
 
     void reset();
 
-    /** The connection, with whatever else is on it. */
+    /** Closes the connection, including other exchanges on it. */
     void close();
 
     void pause();
@@ -29,16 +33,17 @@
     void resume();
   }
 
-  /** What comes back for one request. */
+  /** Receives the answer to one request. */
   interface Answer {
-    /** The answer's status, and the body where it is not 200. */
+    /** Reports a status other than 200 and the body. */
     void refused(int status, String body);
 
     void line(String line);
 
-    /** Nothing more will come. */
+    /** Reports that no more lines will arrive. */
     void closed(String why);
   }
 
+  /** Opens a connection to a replica; exactly one of the callbacks is called. */
   void open(Replica replica, Consumer<Connection> onOpen, Consumer<String> onFailure);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaCosts.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaCosts.java
@@ -5,21 +5,22 @@
 import gladelug.data.request.Request;
 
 /**
- * What a request costs at a replica, in estimated ms: the wait there, what isn't kept to be pulled
- * or computed, distance, and what prompts and streams there hold each other up. The matches of the
- * Cuckoo Summary say what is kept; a wrong one costs a recompute. Used on the request thread.
+ * Estimates the cost of a request at a replica, in ms: queueing, pulling or computing the part of
+ * the prompt that is not cached, distance, and the delay that prompts and streams cause each other.
+ * The matches of the Cuckoo Summary tell what is cached; a wrong match costs a recompute. Used on
+ * the request thread.
  */
 final class ReplicaCosts {
-  /** Setting up a pull from another holder, in ms. */
+  /** Setup time of a pull from another holder, in ms. */
   private static final double FETCH_SETUP_MS = 2;
 
-  /** Going to a replica that is about to load other weights, in ms. */
+  /** Cost of a replica that is about to load other weights, in ms. */
   private static final double WEIGHT_LOADING_MS = 600;
 
-  /** A request beyond the slots of a replica, in ms. */
+  /** Cost per request beyond the slots of a replica, in ms. */
   private static final double OVER_SLOTS_MS = 20;
 
-  /** How many blocks are pulled over a link whose speed is not known. */
+  /** Number of blocks pulled over a link of unknown speed. */
   private static final int PROBE_BLOCKS = 2;
 
   private final Relay relay;
@@ -30,13 +31,21 @@
     this.choiceMode = choiceMode;
   }
 
-  /** What a replica keeps of a prompt's first blocks: whole blocks, and units with those. */
+  /**
+   * The cached prefix of a prompt at a replica: whole blocks, and units including a partial block.
+   */
   private record Kept(int blocks, int units) {}
 
-  /** How what isn't kept gets there: from a holder or not, and what is left to compute. */
-  private record Prefill(String from, int fetchBlocks, int computeUnits, double ms) {}
+  /**
+   * How the missing part of a prompt is obtained: the holder to pull from (empty for none), and the
+   * units left to compute.
+   */
+  private record Prefill(String holder, int fetchBlocks, int computeUnits, double ms) {}
 
-  /** Units that a holder keeps of the prompt's first blocks: whole ones, and a part of the next. */
+  /**
+   * Returns the units of the prompt's prefix that a holder has cached: whole blocks and a part of
+   * the next.
+   */
   static int keptUnits(Request request, Lookup.Match match) {
     int wholeBlocks = Math.min(request.blocks.length, match.blocks());
     int units = request.promptUnits(wholeBlocks);
@@ -45,27 +54,30 @@
         : units;
   }
 
-  /** Units of the prompt that other requests may ask for: all blocks but its own last one. */
+  /**
+   * Returns the units of the prompt that other requests may have in common: all blocks except its
+   * own last one.
+   */
   static int sharedUnits(Request request) {
     return request.promptUnits(Math.max(0, request.blocks.length - 1));
   }
 
-  /** The cost of sending the request there now. */
-  ReplicaOption estimate(Request request, Backend backend, long now) {
+  /** Returns the replica with the estimated cost of sending the request there now. */
+  ReplicaOption estimate(Request request, Backend backend, long nowMs) {
     int promptUnits = request.promptUnits();
     boolean sameWeights =
         relay.effectiveWeights(backend, request.model).equals(request.weights)
             && choiceMode != ChoiceMode.LEAST_LOAD;
-    Kept kept = sameWeights ? findKept(request, backend, now) : new Kept(0, 0);
-    int missing = promptUnits - kept.units;
-    Prefill prefill = new Prefill("", 0, missing, missing * backend.computeMsPerUnit);
+    Kept kept = sameWeights ? findKept(request, backend, nowMs) : new Kept(0, 0);
+    int missingUnits = promptUnits - kept.units;
+    Prefill prefill = new Prefill("", 0, missingUnits, missingUnits * backend.computeMsPerUnit);
     if (sameWeights && choiceMode == ChoiceMode.SUMMARY)
       for (Lookup.Match match : request.matches)
-        prefill = cheaperPrefill(prefill, request, backend, kept, match, now);
+        prefill = cheaperPrefill(prefill, request, backend, kept, match, nowMs);
     double queueMs =
         backend.estimatedQueueMs(
-                now, relay.relayCount.getAsInt(), promptUnits + request.tokensOut, relay.settings)
-            + Math.max(0, backend.runningRequests(now) - backend.slots + 1) * OVER_SLOTS_MS
+                nowMs, relay.relayCount.getAsInt(), promptUnits + request.tokensOut, relay.settings)
+            + Math.max(0, backend.runningRequests(nowMs) - backend.slots + 1) * OVER_SLOTS_MS
             + (relay.settings.isEnabled(Mechanism.ROLLOUT_AVOIDANCE)
                     && relay.isLoadingWeights(backend, request.model)
                 ? WEIGHT_LOADING_MS
@@ -78,7 +90,7 @@
     return new ReplicaOption(
         backend,
         kept.blocks,
-        prefill.from,
+        prefill.holder,
         prefill.fetchBlocks,
         queueMs,
         prefill.ms,
@@ -86,30 +98,34 @@
         queueMs
             + prefill.ms
             + distanceMs
-            + displacementMs(missing, backend)
-            + interferenceMs(request, backend, prefill, now));
+            + displacementMs(missingUnits, backend)
+            + interferenceMs(request, backend, prefill, nowMs));
   }
 
   /**
-   * What a copy of so many units drives out there, in ms of computing it again: nothing while
-   * memory is plenty; where every stored block drives another out, as much as is asked for again.
+   * Returns the cost of evicting other blocks by storing a copy, in ms of recomputing them. Nothing
+   * is lost while memory is plentiful; if every stored block evicts another, the cost is the share
+   * that would be requested again.
    */
   private double displacementMs(int storedUnits, Backend backend) {
     if (!relay.settings.isEnabled(Mechanism.DISPLACEMENT_COST)) return 0;
     return relay.evictedShare() * relay.reuseShare.share() * storedUnits * backend.computeMsPerUnit;
   }
 
-  /** What the request and the others at the replica hold each other up. */
-  private double interferenceMs(Request request, Backend backend, Prefill prefill, long now) {
+  /** Returns the delay that the request and the others at the replica cause each other, in ms. */
+  private double interferenceMs(Request request, Backend backend, Prefill prefill, long nowMs) {
     if (!relay.settings.isEnabled(Mechanism.STREAM_INTERFERENCE)) return 0;
     return StreamInterference.causedMs(
-            prefill.computeUnits * backend.computeMsPerUnit, backend.runningRequests(now))
+            prefill.computeUnits * backend.computeMsPerUnit, backend.runningRequests(nowMs))
         + StreamInterference.sufferedMs(
             backend.recentPrefillShare(), relay.estimates.expectedReplyMs(request));
   }
 
-  /** By the index's matches, and by what this relay sent there a moment ago. */
-  private Kept findKept(Request request, Backend backend, long now) {
+  /**
+   * Returns the prefix cached at the replica according to the index's matches and to this relay's
+   * recent placements.
+   */
+  private Kept findKept(Request request, Backend backend, long nowMs) {
     String instance = backend.replica.instance();
     int blocks = 0;
     int units = 0;
@@ -121,21 +137,29 @@
     int sentBlocks =
         backend.reportsLoad || !relay.settings.isEnabled(Mechanism.RECENT_PLACEMENTS)
             ? 0
-            : relay.placements.leading(request.blocks, instance, now);
+            : relay.placements.leading(request.blocks, instance, nowMs);
     return sentBlocks > blocks
         ? new Kept(sentBlocks, request.promptUnits(sentBlocks))
         : new Kept(blocks, units);
   }
 
-  /** Ms a unit over a store's link, negative where a pull of so many isn't to be asked for now. */
-  private static double storeMsPerUnit(PrefixStore store, Backend backend, int units, long now) {
+  /**
+   * Returns the transfer time per unit over a store's link, in ms; negative if no pull of this size
+   * may be requested now.
+   */
+  private static double storeMsPerUnit(PrefixStore store, Backend backend, int units, long nowMs) {
     double msPerUnit = store.transferMsPerUnit(backend);
-    return msPerUnit >= 0 && store.link().mayPull(units * msPerUnit, now) ? msPerUnit : -1;
+    return msPerUnit >= 0 && store.link().mayPull(units * msPerUnit, nowMs) ? msPerUnit : -1;
   }
 
-  /** The prefill by pulling from this holder where that is cheaper, else the one given. */
+  /** Returns the prefill that pulls from this holder if that is cheaper than the given one. */
   private Prefill cheaperPrefill(
-      Prefill cheapest, Request request, Backend backend, Kept kept, Lookup.Match match, long now) {
+      Prefill cheapest,
+      Request request,
+      Backend backend,
+      Kept kept,
+      Lookup.Match match,
+      long nowMs) {
     int blocks = Math.min(request.blocks.length, match.blocks()) - kept.blocks;
     int pulledUnits = keptUnits(request, match) - kept.units;
     Replica holder = relay.findHolder(match.holder());
@@ -143,12 +167,12 @@
     PrefixStore store = relay.stores.find(match.holder());
     if (!relay.settings.isEnabled(store == null ? Mechanism.REPLICA_FETCH : Mechanism.STORE_FETCH))
       return cheapest;
-    if (store == null && backend.isLinkSpeedUnknown(match.holder(), now))
+    if (store == null && backend.isLinkSpeedUnknown(match.holder(), nowMs))
       pulledUnits = blocks = Math.min(blocks, PROBE_BLOCKS);
     double msPerUnit =
         store == null
-            ? backend.pullMsPerUnit(match.holder(), holder.zone(), now)
-            : storeMsPerUnit(store, backend, pulledUnits, now);
+            ? backend.pullMsPerUnit(match.holder(), holder.zone(), nowMs)
+            : storeMsPerUnit(store, backend, pulledUnits, nowMs);
     int remainingUnits = request.promptUnits() - kept.units - pulledUnits;
     double ms =
         FETCH_SETUP_MS + pulledUnits * msPerUnit + remainingUnits * backend.computeMsPerUnit;
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaOption.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaOption.java
@@ -4,16 +4,16 @@
 import com.eclipsesource.json.JsonObject;
 
 /**
- * One replica a request may go to, and what that is estimated to cost.
+ * A replica a request may be sent to, with the estimated cost.
  *
  * @param backend the replica
- * @param matchedBlocks leading blocks of the prompt that it keeps
- * @param fetchFrom the holder from which it is to pull what it doesn't keep; empty for none
+ * @param matchedBlocks leading blocks of the prompt cached there
+ * @param fetchFrom the holder from which it pulls missing blocks; empty for none
  * @param fetchBlocks how many blocks it pulls from there
- * @param queueMs the wait there before the request begins
- * @param prefillMs pulling and computing what isn't kept
- * @param computeUnits units (tokens) that are left to compute
- * @param totalMs all of that with its distance: what options are compared by
+ * @param queueMs the wait before the request starts
+ * @param prefillMs time to pull and compute the missing part
+ * @param computeUnits units (tokens) left to compute
+ * @param totalMs the sum of these and the other costs, by which options are compared
  */
 record ReplicaOption(
     Backend backend,
--- a/data-plane/src/main/java/gladelug/data/relay/ReplySpeed.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplySpeed.java
@@ -1,22 +1,24 @@
 package gladelug.data.relay;
 
 /**
- * How long a reply of a service takes after its first event, for each token that it may have at
- * most: callers tell the most, and learn how much of it comes. Confined to the request thread.
+ * The time a reply of a service takes after its first event, per token of its maximum length.
+ * Callers state the maximum; what share of it is used is learned. Confined to the request thread.
  */
 final class ReplySpeed {
-  /** The weight of one reply against those before it. */
+  /** Weight of a new sample in the moving average. */
   private static final double REPLY_WEIGHT = 1.0 / 32;
 
   private double msPerToken;
 
-  /** A reply that might have so many tokens took so many ms after its first event. */
+  /** Records that a reply of at most maxTokens took durationMs after its first event. */
   void recordReply(long durationMs, int maxTokens) {
     if (maxTokens <= 0 || durationMs < 0) return;
     msPerToken += ((double) durationMs / maxTokens - msPerToken) * REPLY_WEIGHT;
   }
 
-  /** How long a reply of at most so many tokens is likely to take, in ms; 0 until one was seen. */
+  /**
+   * Returns the expected duration of a reply of at most maxTokens, in ms; 0 until one was recorded.
+   */
   int expectedMs(int maxTokens) {
     return (int) Math.round(msPerToken * Math.max(0, maxTokens));
   }
--- a/data-plane/src/main/java/gladelug/data/relay/RetryAdvice.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RetryAdvice.java
@@ -5,14 +5,13 @@
 import gladelug.data.state.ControlStateSnapshot;
 
 /**
- * When a caller whose request was not served should come back, in ms from now: when there is likely
- * to be what the request lacked. It is told also to callers whose own time ends before, as their
- * next request may need it. Used on the request thread.
+ * Estimates when a caller whose request was not served should retry, in ms from now: when what the
+ * request lacked is likely to be available. Callers are told even if their own deadline passes
+ * earlier, as their next request may need it. Used on the request thread.
  */
 public final class RetryAdvice {
   /**
-   * From the start of all processes at once until relays have the state of a newly elected core, in
-   * ms.
+   * Time from a start of all processes until relays have the state of a newly elected core, in ms.
    */
   private static final long FLEET_STARTS_MS = 2000;
 
@@ -23,9 +22,9 @@
   }
 
   /**
-   * Until a replica is likely to have a place for the request: until one that failed or refused is
-   * asked again, and until what waits here has had its places. No later than the longest that its
-   * route lets a request wait, as all that waits now has ended by then.
+   * Returns the time until a replica is likely to have a slot for the request: until an ejected one
+   * is tried again, and until the queued requests have had their slots. At most the longest time
+   * that the route lets a request wait, as everything queued now has ended by then.
    */
   public long msUntilRoom(Request request) {
     if (request.service == null) return FilterResult.RETRY_AT_ONCE_MS;
@@ -36,21 +35,24 @@
   }
 
   private long msUntilUsable(Request request) {
-    long now = relay.clock.now();
+    long nowMs = relay.clock.now();
     long soonestMs = Long.MAX_VALUE;
     for (Backend backend : relay.backends.readyReplicas(request.service.name()))
-      soonestMs = Math.min(soonestMs, backend.msUntilUsable(now));
+      soonestMs = Math.min(soonestMs, backend.msUntilUsable(nowMs));
     return soonestMs;
   }
 
-  /** Until this relay hears from the core the next time: a lease, named weights, a replica. */
+  /**
+   * Returns the time until this relay next receives state from the core: a lease, named weights or
+   * a replica.
+   */
   public long msUntilState() {
     return relay.settings.stateRenewalIntervalMs();
   }
 
   /**
-   * Until a relay that may start nothing now is likely to: one that knows no state yet gets callers
-   * only where the fleet as a whole starts again.
+   * Returns the time until an unready relay is likely to be ready. A relay without any state
+   * receives callers only when the whole fleet restarts.
    */
   public long msUntilReady() {
     ControlStateSnapshot snapshot = relay.snapshot();
--- a/data-plane/src/main/java/gladelug/data/relay/RetryBudget.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RetryBudget.java
@@ -6,16 +6,17 @@
 import java.util.function.Supplier;
 
 /**
- * The budget of retries: every first attempt of a service earns a fraction of one, and a small
- * allowance stands at the start, so that over the fleet they stay under the bound whatever fails.
- * What the fleet may spend beyond its earnings in a window is divided evenly over the relays.
+ * Limits retries: every first attempt of a service earns a fraction of a retry, and there is a
+ * small initial allowance, so that retries over the fleet stay under the bound whatever fails. What
+ * the fleet may spend in a window beyond its earnings is divided evenly among the relays.
  */
 public final class RetryBudget {
-  /** The product's own figures: 0.15 earned a first try, at most 3 saved up, 1 to begin with. */
+  /** Built-in values: retries earned per first attempt, initial allowance, and maximum saved up. */
   static final double DEFAULT_EARN_RATIO = 0.15, DEFAULT_ALLOWANCE = 1, DEFAULT_MAX_TOKENS = 3;
 
   /**
-   * Of what a bound leaves, how much is used: a relay's share is reckoned from a view that may lag.
+   * Share of the bound that is used, as a relay's part is computed from a view of the fleet that
+   * may lag behind.
    */
   private static final double SAFETY_FACTOR = 0.7;
 
@@ -23,7 +24,11 @@
   private final Supplier<RelaySettings> settings;
   private final IntSupplier relayCount;
 
-  /** By the settings of the moment; relays: over how many the fleet's allowance is shared out. */
+  /**
+   * Creates a budget that follows changes of the settings.
+   *
+   * @param relayCount number of relays that share the fleet's allowance
+   */
   public RetryBudget(Supplier<RelaySettings> settings, IntSupplier relayCount) {
     this.settings = settings;
     this.relayCount = relayCount;
@@ -45,6 +50,7 @@
         service, name -> new double[] {usesDefaults() ? DEFAULT_ALLOWANCE : maxTokens() / 2});
   }
 
+  /** Records a first attempt, which earns a fraction of a retry. */
   public void recordFirstAttempt(String service) {
     double[] tokens = tokensOf(service);
     tokens[0] =
@@ -53,6 +59,7 @@
             tokens[0] + settings.get().retryRatio() * (usesDefaults() ? 1 : SAFETY_FACTOR));
   }
 
+  /** Takes one retry from the budget; returns false if there is none left. */
   public boolean takeRetry(String service) {
     double[] tokens = tokensOf(service);
     if (tokens[0] < 1) return false;
--- a/data-plane/src/main/java/gladelug/data/relay/ReuseShare.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReuseShare.java
@@ -1,23 +1,23 @@
 package gladelug.data.relay;
 
 /**
- * How much of what requests ask for is found kept somewhere: the chance that what is driven out of
- * memory would have been asked for again. Confined to the request thread.
+ * The share of requested units found cached somewhere: the probability that evicted units would
+ * have been requested again. Confined to the request thread.
  */
 final class ReuseShare {
-  /** The weight of one request against those before it. */
+  /** Weight of a new sample in the moving average. */
   private static final double REQUEST_WEIGHT = 1.0 / 64;
 
   private double averageAsked;
   private double averageFound;
 
-  /** A request asked for so many units, of which some holder keeps so many. */
+  /** Records a request of askedUnits, of which some holder has foundUnits cached. */
   void recordRequest(int askedUnits, int foundUnits) {
     averageAsked += (askedUnits - averageAsked) * REQUEST_WEIGHT;
     averageFound += (foundUnits - averageFound) * REQUEST_WEIGHT;
   }
 
-  /** From 0 to 1. */
+  /** Returns the share, from 0 to 1. */
   double share() {
     return averageAsked <= 0 ? 0 : Math.min(1, averageFound / averageAsked);
   }
--- a/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
@@ -7,7 +7,10 @@
 import gladelug.data.request.RequestFilter;
 import java.util.List;
 
-/** Which route and service: by host and path; and with them deadline, share and repeatability. */
+/**
+ * Determines route and service by host and path, and from them deadline, quota share and
+ * repeatability.
+ */
 record RouteFilter(Relay relay) implements RequestFilter.AtOnce {
   static final String NO_ROUTE = "no mapping for this path";
 
@@ -40,7 +43,10 @@
     return refusal == null ? FilterResult.GO : refusal;
   }
 
-  /** The model of a request that names none: the service's first, or one of the service's name. */
+  /**
+   * Returns the model of a request that names none: the service's first, or one of the service's
+   * name.
+   */
   private static String defaultModel(Configuration.Service service) {
     List<String> models = service.engine().models();
     return models.isEmpty() ? service.name() : models.get(0);
--- a/data-plane/src/main/java/gladelug/data/relay/StoreLink.java
+++ b/data-plane/src/main/java/gladelug/data/relay/StoreLink.java
@@ -3,22 +3,22 @@
 import java.util.function.IntSupplier;
 
 /**
- * This relay's share of a store's link, a token bucket in ms of the link's time. All relays have
- * the same share, so that together they leave the link some of its time without asking each other.
- * Pulls, for which a request waits, may spend all of it; saves only what is beyond half, so that
- * they take what pulls leave. Confined to the request thread.
+ * This relay's share of a store's link, as a token bucket in ms of link time. All relays have the
+ * same share, so that together they leave the link some idle time without coordination. Pulls, for
+ * which a request waits, may spend all tokens; saves only those above half, so that they use what
+ * pulls leave. Confined to the request thread.
  */
 final class StoreLink {
-  /** How much of the link's time all relays may spend together: a queue grows beyond that. */
+  /** Share of link time that all relays may spend together; above it a queue grows. */
   private static final double MAX_UTILIZATION = 0.7;
 
-  /** How much of its share a relay that was idle has saved up, in ms of the link's time. */
+  /** Capacity of the bucket, in ms of link time. */
   private static final double MAX_TOKENS_MS = 240;
 
-  /** Below this, only pulls. */
+  /** Tokens reserved for pulls, in ms of link time. */
   private static final double RESERVED_FOR_PULLS_MS = MAX_TOKENS_MS / 2;
 
-  /** A pull that took too long: the store or its link is left alone so long, in ms. */
+  /** How long the store is not used after a pull that took too long, in ms. */
   private static final long SLOW_BACKOFF_MS = 3000;
 
   private final IntSupplier relayCount;
@@ -26,7 +26,11 @@
   private long refilledAtMs;
   private long slowUntilMs = Long.MIN_VALUE / 2;
 
-  /** relays: over how many the link's time is shared out. */
+  /**
+   * Creates a link.
+   *
+   * @param relayCount number of relays that share the link
+   */
   StoreLink(IntSupplier relayCount, long nowMs) {
     this.relayCount = relayCount;
     this.refilledAtMs = nowMs;
@@ -38,25 +42,25 @@
     refilledAtMs = nowMs;
   }
 
-  /** Whether a pull that takes the link so long may be asked for. */
+  /** Returns whether a pull that occupies the link for this long may be requested. */
   boolean mayPull(double linkMs, long nowMs) {
     refill(nowMs);
     return nowMs >= slowUntilMs && tokensMs >= linkMs;
   }
 
-  /** Whether a save that takes the link so long may be asked for. */
+  /** Returns whether a save that occupies the link for this long may be requested. */
   boolean maySave(double linkMs, long nowMs) {
     refill(nowMs);
     return nowMs >= slowUntilMs && tokensMs >= RESERVED_FOR_PULLS_MS + linkMs;
   }
 
-  /** A move that takes the link so long was asked for. */
+  /** Records a requested transfer that occupies the link for this long. */
   void spend(double linkMs, long nowMs) {
     refill(nowMs);
     tokensMs -= linkMs;
   }
 
-  /** A pull took far longer than it should. */
+  /** Records that a pull took far longer than expected. */
   void markSlow(long nowMs) {
     slowUntilMs = nowMs + SLOW_BACKOFF_MS;
   }
--- a/data-plane/src/main/java/gladelug/data/relay/StreamInterference.java
+++ b/data-plane/src/main/java/gladelug/data/relay/StreamInterference.java
@@ -1,20 +1,20 @@
 package gladelug.data.relay;
 
 /**
- * What prompts and streams do to each other at a replica that batches continuously, in ms that
- * callers wait. Prompts are read between the tokens of the streams that run there, so each stream
- * there goes on later by as long as a prompt is read. A request's prompt therefore counts what it
- * holds up all streams of a replica, and its own stream what the prompts that usually come there
- * hold it up. A ms counts the same whoever waits for it and whatever its route names as the longest
- * pause.
+ * The delay that prompts and streams cause each other at a replica with continuous batching, in ms
+ * that callers wait. Prompts are processed between the tokens of the running streams, so each
+ * stream is delayed by the time a prompt takes. The cost of a request therefore includes the delay
+ * its prompt causes to all streams of the replica, and the delay its own stream suffers from the
+ * prompts that usually arrive there. All delays count the same, whichever request waits and
+ * whatever longest pause its route allows.
  */
 final class StreamInterference {
   private StreamInterference() {}
 
   /**
-   * How long the request's prompt holds up the streams that run at a replica, all together.
+   * Returns the total delay that the prompt causes to the running streams of a replica, in ms.
    *
-   * @param computeMs reading this prompt
+   * @param computeMs time to compute the prompt
    * @param running requests at the replica
    */
   static double causedMs(double computeMs, int running) {
@@ -22,10 +22,11 @@
   }
 
   /**
-   * How long the prompts that usually come to a replica hold up the request's own stream.
+   * Returns the delay that the prompts usually arriving at a replica cause to the request's own
+   * stream, in ms.
    *
-   * @param prefillShare the part of the time in which the replica reads prompts
-   * @param replyMs how long the stream goes on after its first event
+   * @param prefillShare share of time the replica spends on prompts
+   * @param replyMs duration of the stream after its first event
    */
   static double sufferedMs(double prefillShare, int replyMs) {
     return prefillShare * replyMs;
--- a/data-plane/src/main/java/gladelug/data/relay/UrgencyLevels.java
+++ b/data-plane/src/main/java/gladelug/data/relay/UrgencyLevels.java
@@ -5,13 +5,13 @@
 import java.util.TreeSet;
 
 /**
- * The urgency that replicas are told of a request, from 0 (first) to {@link #LAST_LEVEL}: by the
- * rank of its tenant, and among tenants of one rank by that of its route. The ranks that a
- * configuration has are numbered, so that a tenant's goes before a route's whatever numbers
- * operators chose; where there are more than levels, neighbours share one. Immutable.
+ * The urgency level of a request sent to replicas, from 0 (most urgent) to {@link #LAST_LEVEL}: by
+ * the tier of its tenant, and among tenants of one tier by that of its route. The tiers of a
+ * configuration are ranked, so that a tenant's tier precedes a route's whatever numbers operators
+ * chose; if there are more ranks than levels, adjacent ranks share one. Immutable.
  */
 final class UrgencyLevels {
-  /** The last level that replicas know. */
+  /** The highest level known to replicas. */
   static final int LAST_LEVEL = 9;
 
   private static final int LEVELS = LAST_LEVEL + 1;
@@ -30,11 +30,12 @@
     levelsPerTenant = Math.max(1, LEVELS / Math.max(1, tenantTiers.size()));
   }
 
-  /** The level of a request that has its tenant and route. */
+  /** Returns the level of a request whose tenant and route are set. */
   int levelOf(Request request) {
     return levelOf(request.tenant.share().tier(), request.route.tier());
   }
 
+  /** Returns the level of a request with these tiers of tenant and route. */
   int levelOf(int tenantTier, int routeTier) {
     int tenantCount = Math.max(1, tenantTiers.size());
     int tenantRank = Math.min(tenantCount - 1, tenantTiers.headSet(tenantTier).size());
--- a/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
@@ -15,14 +15,17 @@
 import java.util.function.Predicate;
 
 /**
- * Requests of one service that wait for a slot, in the tree of quota shares: at each level the
- * lowest tier goes first, within it the lowest tier of a route, and where those are alike slots are
- * allocated by weight (each node's pass grows by 1/weight a slot, the least pass is next). At a
- * leaf, of routes of one tier, the request goes first that has to begin first to end before its
- * deadline. Any node may use what others leave. Bounded; no I/O.
+ * Queue of the requests of one service that wait for a slot, organized as the tree of quota shares.
+ * At each level the lowest tier goes first, within it the lowest route tier, and among equals slots
+ * are allocated by weight (stride scheduling: each node's pass grows by 1/weight per slot, and the
+ * lowest pass is next). At a leaf, among routes of one tier, the request goes first that has to
+ * start first to meet its deadline. Any node may use what others leave. Bounded; performs no I/O.
  */
 public final class WaitQueue {
-  /** The least part of a place that a leaf is reckoned to have, as parts are earned in time. */
+  /**
+   * Minimum slot bound assumed for a leaf when estimating waits, as a fraction of a slot is earned
+   * over time.
+   */
   private static final double MIN_SLOT_BOUND = 0.25;
 
   private static final Comparator<Request> LEAF_ORDER =
@@ -42,7 +45,7 @@
     int used;
     double pass;
 
-    /** Places this leaf may use here, by the fleet's division; negative is no bound. */
+    /** Slots this leaf may use here by the fleet's division; negative if unbounded. */
     double slotBound = -1;
 
     double slotCredit;
@@ -62,7 +65,10 @@
     this.maxSize = maxSize;
   }
 
-  /** A new configuration's tree; what waits and what is used is carried over by path. */
+  /**
+   * Applies the tree of a new configuration; queued requests and used slots are carried over by
+   * path.
+   */
   public void configure(Configuration configuration) {
     Map<String, Node> oldNodes = nodes;
     Node oldRoot = root;
@@ -91,7 +97,8 @@
     nodes.put(share.path(), node);
     for (QuotaShare child : share.shares()) addShare(child, node);
     if (!share.shares().isEmpty()) {
-      // requests of a tenant or share that no leaf below names wait beside its children
+      // requests of a tenant or share that belong to no leaf below it are queued beside its
+      // children
       Node rest = new Node(share.path() + "/", node);
       nodes.put(rest.path, rest);
     }
@@ -104,12 +111,13 @@
     return node;
   }
 
+  /** Returns the number of queued requests. */
   public int size() {
     return root.waiting;
   }
 
-  /** False where the queue is full. */
-  public boolean enter(Request request) {
+  /** Adds a request; returns false if the queue is full. */
+  public boolean offer(Request request) {
     if (root.waiting >= maxSize) return false;
     put(request);
     return true;
@@ -120,24 +128,24 @@
     leaf.queue.add(request);
     for (Node node = leaf; node != null; node = node.parent) {
       if (node.waiting == 0 && node.parent != null) {
-        double least = Double.MAX_VALUE;
+        double lowestPass = Double.MAX_VALUE;
         for (Node sibling : node.parent.children)
           if (sibling != node && (sibling.waiting > 0 || sibling.used > 0))
-            least = Math.min(least, sibling.pass);
-        if (least != Double.MAX_VALUE) node.pass = Math.max(node.pass, least);
+            lowestPass = Math.min(lowestPass, sibling.pass);
+        if (lowestPass != Double.MAX_VALUE) node.pass = Math.max(node.pass, lowestPass);
       }
       node.waiting++;
     }
   }
 
-  /** No bounds on leaves: the fleet is not full, or nobody divides. */
+  /** Removes the bounds of leaves, because the fleet has free slots or no division is known. */
   public void clearBounds() {
     for (Node node : nodes.values()) node.slotBound = -1;
   }
 
   /**
-   * The fleet's division: thousandths of a place by leaf. A part of a place is used in time: it
-   * earns credit, one request's worth for each of that part of a request's usual duration.
+   * Applies the fleet's division, in thousandths of a slot by leaf. A fraction of a slot is used
+   * over time: it earns credit for one request per that fraction of a request's mean duration.
    */
   public void setBounds(
       Map<String, Integer> milliSlotsByLeaf, double elapsedMs, double meanRequestMs) {
@@ -159,6 +167,7 @@
     return node.path.endsWith("/") ? node.path.substring(0, node.path.length() - 1) : node.path;
   }
 
+  /** Returns whether a request below this node may get a slot now. */
   private static boolean mayServe(Node node) {
     if (node.waiting == 0 || node.limit > 0 && node.used >= node.limit) return false;
     if (!node.children.isEmpty()) {
@@ -170,8 +179,11 @@
         || node.slotCredit >= 1 && node.used < (int) node.slotBound + 1;
   }
 
-  /** The next request to have a place, taken out and counted as using it; null where none may. */
-  public Request next() {
+  /**
+   * Removes and returns the next request to get a slot, which counts as used from now on; null if
+   * none may.
+   */
+  public Request poll() {
     Node node = root;
     if (!mayServe(node)) return null;
     while (!node.children.isEmpty()) {
@@ -190,17 +202,17 @@
 
   private static boolean goesBefore(Node node, Node other) {
     if (node.tier != other.tier) return node.tier < other.tier;
-    int route = mostUrgentRoute(node);
-    int otherRoute = mostUrgentRoute(other);
+    int route = mostUrgentRouteTier(node);
+    int otherRoute = mostUrgentRouteTier(other);
     return route != otherRoute ? route < otherRoute : node.pass < other.pass;
   }
 
-  /** The lowest tier of a route whose request may have a place below this node now. */
-  private static int mostUrgentRoute(Node node) {
+  /** Returns the lowest tier of a route with a request below this node that may get a slot now. */
+  private static int mostUrgentRouteTier(Node node) {
     if (node.children.isEmpty()) return routeTier(node.queue.element());
     int tier = Integer.MAX_VALUE;
     for (Node child : node.children)
-      if (mayServe(child)) tier = Math.min(tier, mostUrgentRoute(child));
+      if (mayServe(child)) tier = Math.min(tier, mostUrgentRouteTier(child));
     return tier;
   }
 
@@ -211,12 +223,12 @@
     }
   }
 
-  /** A request that next() gave has given its place back. */
+  /** Releases the slot of a request returned by {@link #poll}. */
   public void release(Request request) {
     adjustUsed(request.leaf, -1);
   }
 
-  /** Takes out those that match; they had no place. */
+  /** Removes and returns the matching queued requests. */
   public List<Request> removeIf(Predicate<Request> filter) {
     if (root.waiting == 0) return List.of();
     List<Request> removed = new ArrayList<>();
@@ -232,7 +244,7 @@
     return removed;
   }
 
-  /** By leaf: waiting, and using a place. */
+  /** Returns by leaf the numbers of queued requests and of used slots. */
   public Map<String, int[]> waitingAndUsed() {
     Map<String, int[]> usageByLeaf = new TreeMap<>();
     for (Node node : nodes.values())
@@ -241,16 +253,17 @@
     return usageByLeaf;
   }
 
-  public int used() {
+  /** Returns the number of slots in use by requests of this queue. */
+  public int usedSlots() {
     return root.used;
   }
 
   /**
-   * How long a request that joins now would wait for a place, in ms: until the first comes free,
-   * and for all that goes before it.
+   * Returns how long a request that joins now would wait for a slot, in ms, including the work
+   * queued ahead of it.
    *
-   * @param meanRequestMs what a request usually takes
-   * @param slotsWhenIdle how many places are likely to come where none is in use now
+   * @param meanRequestMs mean duration of a request
+   * @param slotsWhenIdle number of slots likely to become available if none is in use now
    */
   double estimatedWaitMs(Request request, double meanRequestMs, int slotsWhenIdle) {
     Node leaf = leaf(request.leaf);
@@ -259,7 +272,7 @@
     return (meanRequestMs + workAheadMs(request, leaf)) / slots;
   }
 
-  /** The expected ms of work that waits and goes before a request of this leaf. */
+  /** Returns the expected work queued ahead of a request of this leaf, in ms. */
   private double workAheadMs(Request request, Node leaf) {
     double ownLeafMs = 0;
     for (Request waiting : leaf.queue)
@@ -273,8 +286,9 @@
   }
 
   /**
-   * Of another leaf's waiting work, what goes before a request: all that is more urgent; of what is
-   * as urgent, as much as its share gets while this leaf's own goes before.
+   * Returns how much of another leaf's queued work goes ahead of a request, in ms: all that is more
+   * urgent and, of equally urgent work, what that leaf's weight gets while the work of this leaf is
+   * served.
    */
   private double otherLeafWorkMs(Request request, Node leaf, Node other, double ownLeafMs) {
     Fork fork = Fork.between(leaf, other);
@@ -289,7 +303,7 @@
     return moreUrgentMs + Math.min(asUrgentMs, (ownLeafMs + request.expectedMs) * theirShare);
   }
 
-  /** Where the ways to two leaves part: the two nodes below their nearest common parent. */
+  /** The two nodes below the nearest common ancestor of two leaves. */
   private record Fork(Node ours, Node theirs) {
     static Fork between(Node leaf, Node other) {
       Set<Node> above = new HashSet<>();
--- a/data-plane/src/main/java/gladelug/data/relay/WorkEstimates.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WorkEstimates.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * What is left to do for a request, in estimated ms: computing its prompt, its reply, and what
- * requests of its service usually wait for beside. Learned a service, from answers. Confined to the
- * request thread.
+ * Estimates of a request's work, in ms: computing its prompt, its reply, and what requests of its
+ * service usually wait for in addition. Learned per service from answers. Confined to the request
+ * thread.
  */
 final class WorkEstimates {
   private final Backends backends;
@@ -24,7 +24,10 @@
     this.reuseShare = reuseShare;
   }
 
-  /** The first piece of a request that computed all it lacked came so many ms after it left. */
+  /**
+   * Records that the first piece of a request that computed all it lacked arrived durationMs after
+   * it was sent.
+   */
   void recordFirstPiece(Request request, long durationMs) {
     String service = request.service.name();
     PrefillSpeed speed = prefillSpeeds.computeIfAbsent(service, name -> new PrefillSpeed());
@@ -33,46 +36,48 @@
       backend.computeMsPerUnit = speed.msPerUnit();
   }
 
-  /** A request ended with its whole answer. */
-  void recordCompletion(Request request, long now) {
+  /** Records that a request completed. */
+  void recordCompletion(Request request, long nowMs) {
     String service = request.service.name();
     if (request.firstPieceMs >= 0)
       replySpeed(service)
-          .recordReply(now - request.came - request.firstPieceMs, request.mostTokensOut());
-    durations(service).recordCompletion(now - request.handedAt, request.ownWorkMs);
+          .recordReply(nowMs - request.came - request.firstPieceMs, request.mostTokensOut());
+    durations(service).recordCompletion(nowMs - request.handedAt, request.ownWorkMs);
   }
 
-  /** Notes at a request what is left to do for it, before it is given a place. */
+  /** Sets the estimates of a request before it is queued. */
   void estimate(Request request) {
     request.ownWorkMs = computeMs(request) + expectedReplyMs(request);
     request.expectedMs = durations(request.service.name()).expectedMs(request.ownWorkMs);
   }
 
-  /** Computing the share of its prompt that is usually kept nowhere, in ms. */
+  /** Returns the time to compute the part of the prompt that is usually not cached, in ms. */
   private double computeMs(Request request) {
     if (request.service.kind() != Configuration.Kind.MODEL) return 0;
-    double unitMs = 0;
+    double msPerUnit = 0;
     int blockBytes = PrefixLookupFilter.DEFAULT_BLOCK_BYTES;
     List<Backend> all = backends.readyReplicas(request.service.name());
     for (Backend backend : all) {
-      unitMs += backend.computeMsPerUnit / all.size();
+      msPerUnit += backend.computeMsPerUnit / all.size();
       blockBytes = backend.blockBytes;
     }
-    return request.prompt.totalUnits(blockBytes) * (1 - reuseShare.share()) * unitMs;
+    return request.prompt.totalUnits(blockBytes) * (1 - reuseShare.share()) * msPerUnit;
   }
 
-  /** How long its reply is likely to take after its first event, in ms. */
+  /** Returns the expected duration of the reply after its first event, in ms. */
   int expectedReplyMs(Request request) {
     return replySpeed(request.service.name()).expectedMs(request.mostTokensOut());
   }
 
-  /** What a request that was just placed asks of its replica. */
+  /** Returns the work that a request just placed causes at its replica. */
   Lookup.Work placedWork(Request request) {
     return new Lookup.Work(
         (int) Math.round(request.workMs), expectedReplyMs(request), request.units());
   }
 
-  /** What a request of the service usually takes from its hand-over, in ms. */
+  /**
+   * Returns the mean duration of a request of the service after it was sent to a replica, in ms.
+   */
   double meanRequestMs(String service) {
     return durations(service).meanMs();
   }
--- a/data-plane/src/test/java/gladelug/data/relay/BackendTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/BackendTest.java
@@ -12,7 +12,7 @@
 /** Tests of Backend. */
 final class BackendTest {
   @Test
-  void weightsThatAreNumbersGoByTheirValue() {
+  void numericWeightsAreComparedByValue() {
     Assertions.assertTrue(
         Backend.isNewer("2", "1") && Backend.isNewer("10", "9") && Backend.isNewer("1", ""));
     Assertions.assertFalse(
@@ -20,14 +20,16 @@
   }
 
   @Test
-  void nothingToldIsNewerThanNothing() {
+  void anEmptyVersionIsNeverNewer() {
     Assertions.assertFalse(
         Backend.isNewer("", "1") || Backend.isNewer("", "w") || Backend.isNewer("", ""));
   }
 
   private static final int RELAYS = 84;
 
-  /** One that doesn't report, with memory for 100,000 tokens and 12 slots. */
+  /**
+   * Returns a replica that does not report its load, with memory for 100,000 tokens and 12 slots.
+   */
   private static Backend nonReporting() {
     Configuration.Engine engine =
         new Configuration.Engine(12, 100_000, 20_000, 1e6, 12, List.of("m"));
@@ -44,22 +46,24 @@
   }
 
   @Test
-  void whatTheIndexTellsOfAllRelaysWorkCountsForASecondAndRunsOut() {
+  void theFleetLoadFromTheIndexCountsForASecondAndRunsOut() {
     Backend backend = nonReporting();
     backend.recordFleetLoad(new Lookup.Load("r", 500, 3, 1000), 10_000);
     Assertions.assertEquals(500, estimatedQueueMs(backend, 10_000, 100), 1);
     Assertions.assertEquals(300, estimatedQueueMs(backend, 10_200, 100), 1);
     Assertions.assertEquals(3, backend.runningRequests(10_200));
     Assertions.assertEquals(0, estimatedQueueMs(backend, 12_000, 100), 1);
-    Assertions.assertEquals(0, backend.runningRequests(12_000), "only its own again");
+    Assertions.assertEquals(
+        0, backend.runningRequests(12_000), "only this relay's own requests count again");
   }
 
-  /** With a fresh answer of the index a relay doesn't take its own work for everybody's. */
+  /** With a recent fleet load from the index, a relay does not extrapolate from its own work. */
   @Test
   void aReplicaThatThisRelayUsedLastIsNotAvoidedWhereTheIndexKnowsItIsFree() {
     Backend alone = nonReporting();
     alone.addWork(100, 10_000);
-    Assertions.assertTrue(estimatedQueueMs(alone, 10_200, 100) > 300, "its own work, 84 times");
+    Assertions.assertTrue(
+        estimatedQueueMs(alone, 10_200, 100) > 300, "its own work extrapolated to 84 relays");
     Backend withFleetLoad = nonReporting();
     withFleetLoad.addWork(100, 10_000);
     withFleetLoad.recordFleetLoad(new Lookup.Load("r", 0, 0, 0), 10_150);
@@ -67,7 +71,7 @@
   }
 
   @Test
-  void memoryThatOtherRelaysFilledCostsTheMoreTheLessRoomIsLeft() {
+  void memoryFilledByOtherRelaysCostsMoreTheLessRoomIsLeft() {
     double before = 0;
     for (int units : new int[] {60_000, 85_000, 110_000, 140_000}) {
       Backend backend = nonReporting();
@@ -80,7 +84,7 @@
   }
 
   @Test
-  void oneLeftAloneTellsWhenItIsAskedAgain() {
+  void anEjectedReplicaReportsWhenItIsUsableAgain() {
     Backend backend = nonReporting();
     Assertions.assertEquals(0, backend.msUntilUsable(1000));
     backend.eject(1000, 700);
--- a/data-plane/src/test/java/gladelug/data/relay/CallerDeadlineTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/CallerDeadlineTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Who is served and who is refused follows from the time that callers have and the work left. */
+/** Admission by the time callers have left and the work queued ahead of them. */
 final class CallerDeadlineTest {
   private static final int RELAYS = 3;
   private static final long REQUEST_MS = 500;
@@ -25,7 +25,7 @@
     return outcomes.stream().filter(SimulatedBurst.Outcome::served).count();
   }
 
-  /** Guards against callers sent away by a share of their route's target latency. */
+  /** Guards against refusing callers by a fraction of their route's target latency. */
   @Test
   void callersWithTimeForAllTheWorkAheadAreServedWhateverTheirRoutesTargetIs() {
     for (int targetLatencyMs : new int[] {0, 1, 300, 9000}) {
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void callersBehindMoreWorkThanTheyHaveTimeForAreRefusedAtOnceAndToldWhenToReturn() {
+  void callersBehindMoreWorkThanTheyHaveTimeForAreRefusedAtOnceAndToldWhenToRetry() {
     for (int targetLatencyMs : new int[] {0, 300, 9000}) {
       SimulatedBurst world = burstWithTarget(targetLatencyMs);
       world.burst(CALLERS + 2, SimulatedBurst.Call.waiting(LONG_WAIT_MS), BURST_MS);
@@ -54,9 +54,9 @@
     }
   }
 
-  /** Guards against times to come back that are constants and not when there will be room. */
+  /** Guards against retry times that are constants instead of the time until there is room. */
   @Test
-  void whoComesBackWhenToldFindsRoomAndWhoComesLongBeforeDoesNot() {
+  void retryingAsAdvisedSucceedsAndRetryingMuchEarlierDoesNot() {
     SimulatedBurst world = burstWithTarget(0);
     world.burst(CALLERS + 2, SimulatedBurst.Call.waiting(LONG_WAIT_MS), BURST_MS);
     SimulatedBurst.Call call = SimulatedBurst.Call.waiting(3 * REQUEST_MS);
@@ -66,28 +66,28 @@
     world.run(refused.refusal.retryMs() / 3);
     Assertions.assertNotNull(world.ask(shortCall).refusal);
     world.run(refused.refusal.retryMs() - refused.refusal.retryMs() / 3);
-    SimulatedBurst.Outcome again = world.ask(call);
-    // what is told before the first request has completed is a guess
-    if (again.refusal != null) {
-      world.run(again.refusal.retryMs());
-      again = world.ask(call);
+    SimulatedBurst.Outcome retried = world.ask(call);
+    // the advice given before the first request completed is a guess
+    if (retried.refusal != null) {
+      world.run(retried.refusal.retryMs());
+      retried = world.ask(call);
     }
     world.run(call.patienceMs());
-    Assertions.assertTrue(again.served(), "" + again.refusal);
+    Assertions.assertTrue(retried.served(), "" + retried.refusal);
   }
 
   @Test
-  void whereNothingWaitsACallerMayComeBackAtOnce() {
+  void withAnEmptyQueueACallerMayRetryAtOnce() {
     SimulatedBurst world = burstWithTarget(0);
     world.relay().startDraining(world.nowMs() + REQUEST_MS);
     SimulatedBurst.Outcome refused = world.ask(SimulatedBurst.Call.waiting(LONG_WAIT_MS));
     Assertions.assertEquals(
-        FilterResult.RETRY_AT_ONCE_MS, refused.refusal.retryMs(), "another relay has the time");
+        FilterResult.RETRY_AT_ONCE_MS, refused.refusal.retryMs(), "another relay can accept it");
   }
 
-  /** Guards against one place reckoned with where all replicas are just about to be usable. */
+  /** Guards against assuming a single slot while all replicas are ejected for a moment. */
   @Test
-  void callersAreLetInWhileAllReplicasAreLeftAloneForAMoment() {
+  void callersAreAdmittedWhileAllReplicasAreBrieflyEjected() {
     long requestMs = 100;
     SimulatedBurst world =
         new SimulatedBurst(1, request -> requestMs, SimulatedBurst.configuration(0));
@@ -99,31 +99,37 @@
     Assertions.assertEquals(8, countServed(outcomes));
   }
 
-  /** Guards against a time left that is compared with the mean of requests of all lengths. */
+  /**
+   * Guards against comparing the time left with the mean duration of all requests instead of the
+   * request's own.
+   */
   @Test
-  void whoAsksForLittleIsLetInWhereWhoAsksForMuchCouldNotEndInTime() {
+  void aSmallRequestIsAdmittedWhereALargeOneCouldNotFinishInTime() {
     SimulatedBurst world =
         new SimulatedBurst(
             RELAYS, request -> 10L * request.tokensOut, SimulatedBurst.configuration(0));
-    SimulatedBurst.Call much = SimulatedBurst.Call.waiting(60_000).tokens(0, 400);
-    SimulatedBurst.Call little = SimulatedBurst.Call.waiting(60_000).tokens(0, 5);
+    SimulatedBurst.Call large = SimulatedBurst.Call.waiting(60_000).tokens(0, 400);
+    SimulatedBurst.Call small = SimulatedBurst.Call.waiting(60_000).tokens(0, 5);
     for (int i = 0; i < 40; i++) {
-      world.ask(much);
-      world.ask(little);
+      world.ask(large);
+      world.ask(small);
       world.run(4_100);
     }
-    for (int i = 0; i < 3; i++) world.ask(much);
+    for (int i = 0; i < 3; i++) world.ask(large);
     long waitsMs = 3_500;
     SimulatedBurst.Outcome refused = world.ask(SimulatedBurst.Call.waiting(waitsMs).tokens(0, 400));
-    SimulatedBurst.Outcome letIn = world.ask(SimulatedBurst.Call.waiting(waitsMs).tokens(0, 5));
+    SimulatedBurst.Outcome admitted = world.ask(SimulatedBurst.Call.waiting(waitsMs).tokens(0, 5));
     world.run(IMMEDIATE_MS);
-    Assertions.assertNotNull(refused.refusal, "four seconds of work for one who waits less");
-    Assertions.assertNull(letIn.refusal);
+    Assertions.assertNotNull(refused.refusal, "more work than its caller waits for");
+    Assertions.assertNull(admitted.refusal);
   }
 
-  /** Guards against callers held until their deadline though nothing can come of their wait. */
+  /**
+   * Guards against keeping callers queued until their deadline though they can no longer be served
+   * in time.
+   */
   @Test
-  void whoCanNoLongerEndInTimeIsToldBeforeItsDeadline() {
+  void aRequestThatCanNoLongerFinishInTimeIsRefusedBeforeItsDeadline() {
     long[] requestMs = {REQUEST_MS};
     SimulatedBurst world =
         new SimulatedBurst(RELAYS, request -> requestMs[0], SimulatedBurst.configuration(0));
@@ -136,15 +142,15 @@
     long waitsMs = 4 * REQUEST_MS;
     SimulatedBurst.Outcome waits = world.ask(SimulatedBurst.Call.waiting(waitsMs));
     world.run(IMMEDIATE_MS);
-    Assertions.assertNull(waits.refusal, "by what was known it could be served");
+    Assertions.assertNull(waits.refusal, "expected to be served in time when it arrived");
     world.run(waitsMs);
     Assertions.assertEquals("not-run", waits.refusal.outcome());
     Assertions.assertTrue(waits.refusedAfterMs() < waitsMs - REQUEST_MS / 2, "" + waits.refusal);
   }
 
-  /** Guards against a queue that looks at neither the time that callers have nor their routes. */
+  /** Guards against a queue that ignores the deadlines of callers and the tiers of routes. */
   @Test
-  void ofCallersAlikeInRankTheOneThatHasToBeginFirstGoesFirst() {
+  void amongEqualTiersTheRequestThatHasToStartFirstGoesFirst() {
     SimulatedBurst world = burstWithTarget(0);
     for (int i = 0; i < 3; i++) world.ask(SimulatedBurst.Call.waiting(LONG_WAIT_MS));
     SimulatedBurst.Outcome patient = world.ask(SimulatedBurst.Call.waiting(LONG_WAIT_MS));
@@ -155,7 +161,7 @@
   }
 
   @Test
-  void aTenantsRankGoesBeforeItsRoutesAndARoutesBeforeTheTimeLeft() {
+  void tenantTierPrecedesRouteTierAndRouteTierPrecedesTimeLeft() {
     SimulatedBurst world =
         new SimulatedBurst(
             RELAYS,
@@ -169,12 +175,12 @@
                     SimulatedBurst.route("/urgent").tier(0),
                     SimulatedBurst.route("/usual").tier(7))));
     SimulatedBurst.Call call = SimulatedBurst.Call.waiting(LONG_WAIT_MS);
-    for (int i = 0; i < 3; i++) world.ask(call.of("first").on("/urgent"));
+    for (int i = 0; i < 3; i++) world.ask(call.ofTenant("first").onPath("/urgent"));
     List<SimulatedBurst.Outcome> inOrderOfRank = new ArrayList<>();
-    inOrderOfRank.add(world.ask(call.of("second").on("/usual")));
-    inOrderOfRank.add(0, world.ask(call.of("second").on("/urgent")));
-    inOrderOfRank.add(0, world.ask(call.of("first").on("/usual")));
-    inOrderOfRank.add(0, world.ask(call.of("alike").on("/urgent")));
+    inOrderOfRank.add(world.ask(call.ofTenant("second").onPath("/usual")));
+    inOrderOfRank.add(0, world.ask(call.ofTenant("second").onPath("/urgent")));
+    inOrderOfRank.add(0, world.ask(call.ofTenant("first").onPath("/usual")));
+    inOrderOfRank.add(0, world.ask(call.ofTenant("alike").onPath("/urgent")));
     world.run(LONG_WAIT_MS);
     for (int i = 1; i < inOrderOfRank.size(); i++)
       Assertions.assertTrue(
--- a/data-plane/src/test/java/gladelug/data/relay/LookupClientTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/LookupClientTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** To which indexes placements go where one a zone follows the holders. */
+/** Tests of the indexes that are told of placements if one per zone follows holders. */
 final class LookupClientTest {
   private static Shuffle.Descriptor descriptor(String name, String role, String zone, int port) {
     return new Shuffle.Descriptor(name, role, "1.1.1.1:" + port, "1.1.1.2:" + port, zone, 0, 0);
@@ -28,15 +28,18 @@
   }
 
   @Test
-  void theNextOneIsToldOnceTheFirstIsSeenNoMore() {
+  void theNextIndexFollowsOnceTheFirstIsNoLongerSeen() {
     Shuffle.Descriptor next = descriptor("b-index", "index", "east", 2);
     Assertions.assertEquals(
         Set.of(Address.of("1.1.1.1:2")), LookupClient.followingIndexes(List.of(next)));
   }
 
-  /** Relays tell whom the indexes themselves take to follow, whatever each of them sees. */
+  /**
+   * Relays must choose the same index that the indexes themselves choose as follower, whatever each
+   * of them sees.
+   */
   @Test
-  void theIndexThatIsToldIsTheOneThatDoesNotStandBy() {
+  void theFollowingIndexIsTheOneThatDoesNotStandBy() {
     Shuffle.Descriptor first = descriptor("a-index", "index", "east", 1);
     Shuffle.Descriptor second = descriptor("b-index", "index", "east", 2);
     Shuffle.Descriptor elsewhere = descriptor("0-index", "index", "west", 3);
--- a/data-plane/src/test/java/gladelug/data/relay/MechanismTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/MechanismTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Names of mechanisms that experiments switch off. */
+/** Tests of Mechanism. */
 final class MechanismTest {
   @Test
-  void everyNameIsReadBackAndAllAreOnUnlessNamed() {
+  void everyNameIsParsedAndMechanismsAreOnUnlessNamed() {
     for (Mechanism mechanism : Mechanism.values()) {
       Set<Mechanism> off = Mechanism.parse(List.of(mechanism.settingName()));
       Assertions.assertEquals(Set.of(mechanism), off);
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void anUnknownNameAndOneGivenTwiceAreSaidSo() {
+  void unknownAndRepeatedNamesAreRejected() {
     String unknown =
         Assertions.assertThrows(
                 IllegalArgumentException.class, () -> Mechanism.parse(List.of("luck")))
--- a/data-plane/src/test/java/gladelug/data/relay/PrefillSpeedTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/PrefillSpeedTest.java
@@ -4,10 +4,12 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** The speed of prefill learned from answers that also waited. */
+/**
+ * Tests of the prefill speed learned from answers that were also queued, and of the reuse share.
+ */
 final class PrefillSpeedTest {
   @Test
-  void fastAndSlowReplicasAreLearnedWhateverWasSupposed() {
+  void theSpeedOfFastAndSlowReplicasIsLearnedDespiteQueueing() {
     for (double actualMsPerUnit : new double[] {0.002, 0.0064, 0.026, 0.2}) {
       for (long seed = 0; seed < 20; seed++) {
         Random random = new Random(seed);
@@ -27,14 +29,14 @@
   }
 
   @Test
-  void shortPromptsTellNothing() {
+  void shortPromptsAreIgnored() {
     PrefillSpeed speed = new PrefillSpeed();
     for (int i = 0; i < 100; i++) speed.recordAnswer(400, 300);
     Assertions.assertEquals(PrefillSpeed.DEFAULT_MS_PER_UNIT, speed.msPerUnit());
   }
 
   @Test
-  void reuseIsTheShareOfWhatIsAskedForThatIsFound() {
+  void reuseIsTheShareOfRequestedUnitsThatIsFound() {
     ReuseShare reuse = new ReuseShare();
     Assertions.assertEquals(0, reuse.share());
     for (int i = 0; i < 1000; i++) reuse.recordRequest(100, i % 4 == 0 ? 100 : 0);
--- a/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
@@ -10,29 +10,30 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** What a lookup brings beside the matches of its own request. */
+/** Tests of the fleet load that a lookup returns besides the matches of its own request. */
 final class PrefixLookupFilterTest {
   /** An index whose answers come too late for the requests that asked. */
   private static final class LateIndex implements Lookups {
     private final List<Consumer<Lookup.Fleet>> asked = new ArrayList<>();
 
     @Override
-    public Uni<LookupResult> lookUp(long[] blocks) {
+    public Uni<LookupResult> ask(long[] blocks) {
       return Uni.createFrom().item(new LookupResult("late", List.of()));
     }
 
     @Override
-    public Uni<LookupResult> lookUp(long[] blocks, Consumer<Lookup.Fleet> late) {
+    public Uni<LookupResult> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
       asked.add(late);
-      return lookUp(blocks);
+      return ask(blocks);
     }
   }
 
   /**
-   * Guards against relays that know nothing of the fleet's load as their index is a little slow.
+   * Guards against relays that know nothing of the fleet's load because their index is slightly
+   * slow.
    */
   @Test
-  void anAnswerTooLateForItsRequestStillTellsTheLoadOfTheFleet() {
+  void anAnswerTooLateForItsRequestStillUpdatesTheFleetLoad() {
     ReplicaCostsTest.World world = new ReplicaCostsTest.World(1, 1, 4, Set.of());
     LateIndex index = new LateIndex();
     Request request = world.request();
