--- a/data-plane/src/main/java/gladelug/data/relay/Backends.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Backends.java
@@ -78,7 +78,7 @@
                         answer -> onAnswer.accept(parseLoad(answer)),
                         failure -> onAnswer.accept(null)),
             onChange);
-    vertx.setPeriodic(POLL_INTERVAL_MS, i -> backends.pollAll());
+    vertx.setPeriodic(POLL_INTERVAL_MS, timer -> backends.pollAll());
     return backends;
   }
 
@@ -124,7 +124,7 @@
       backend.replica = replica;
       if (loadProbe == null) backend.applyListing(replica, service, clock.now());
       if (replica.ready())
-        readyByService.computeIfAbsent(replica.service(), x -> new ArrayList<>()).add(backend);
+        readyByService.computeIfAbsent(replica.service(), name -> new ArrayList<>()).add(backend);
     }
     // an unlisted replica gets no new requests but is polled while requests of this relay run
     // there
--- a/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
@@ -143,7 +143,7 @@
     request.maxPieces = body.maxPieces;
     contexts.put(request, context);
     setRequestIdHeaders(context, request.id());
-    context.response().closeHandler(v -> callerDisconnected(request));
+    context.response().closeHandler(closed -> callerDisconnected(request));
     context.response().exceptionHandler(failure -> callerDisconnected(request));
     relay.begin(request);
     if (body.repeatable != null) request.askedRepeatable = body.repeatable;
@@ -235,7 +235,7 @@
     HttpServerResponse response = startResponse(context);
     response.write(Buffer.buffer(piece.length() + 1).appendBuffer(piece).appendByte((byte) '\n'));
     if (!response.writeQueueFull()) return true;
-    response.drainHandler(v -> ready.run());
+    response.drainHandler(drained -> ready.run());
     return false;
   }
 
--- a/data-plane/src/main/java/gladelug/data/relay/CallerTimeouts.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerTimeouts.java
@@ -56,7 +56,7 @@
     connections.put(connection, state);
     if (connection instanceof ConnectionBase base)
       base.channelHandlerContext().pipeline().addFirst(state);
-    connection.closeHandler(v -> connections.remove(connection));
+    connection.closeHandler(closed -> connections.remove(connection));
   }
 
   /** Records that the head of a request was received. */
--- a/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
+++ b/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
@@ -143,7 +143,7 @@
             else request.reset();
           });
       response.exceptionHandler(failure -> close(answer, "the answer broke off"));
-      response.endHandler(v -> close(answer, "the answer ended without an end line"));
+      response.endHandler(ended -> close(answer, "the answer ended without an end line"));
     }
 
     private void close(Answer answer, String why) {
--- a/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
@@ -11,7 +11,7 @@
  * experiments only; a deployment runs with all of them.
  */
 public enum Mechanism {
-  /** Use of lookups at the Cuckoo Summary. */
+  /** Using lookups at the Cuckoo Summary. */
   INDEX_HINTS,
   /** Treating blocks recently sent to a replica as cached there. */
   RECENT_PLACEMENTS,
@@ -67,7 +67,7 @@
     Set<Mechanism> mechanisms = EnumSet.noneOf(Mechanism.class);
     for (String name : names)
       if (!mechanisms.add(byName(name)))
-        throw new IllegalArgumentException("mechanism " + name + " is named twice");
+        throw new IllegalArgumentException("mechanism " + name + " is given twice");
     return mechanisms;
   }
 
--- a/data-plane/src/main/java/gladelug/data/relay/NativeProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/NativeProtocol.java
@@ -46,6 +46,6 @@
                     .requestHandler(router)
                     .listen(callers.port(), environment.localAddress().ip())
                     .toCompletionStage())
-        .map(x -> server::close);
+        .map(listening -> server::close);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
@@ -23,8 +23,10 @@
     void close();
   }
 
+  /** Creates the replicas of a relay and starts to learn their state. */
   Backends createBackends(Environment environment, Relay relay);
 
+  /** Creates the exchange over which requests are sent to replicas. */
   Exchange createExchange(Environment environment, Relay relay);
 
   /** Opens the listener; fails if it cannot be opened. */
--- a/data-plane/src/test/java/gladelug/data/relay/BackendTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/BackendTest.java
@@ -41,8 +41,8 @@
     return backend;
   }
 
-  private static double estimatedQueueMs(Backend backend, long now, int units) {
-    return backend.estimatedQueueMs(now, RELAYS, units, RelaySettings.DEFAULTS);
+  private static double estimatedQueueMs(Backend backend, long nowMs, int units) {
+    return backend.estimatedQueueMs(nowMs, RELAYS, units, RelaySettings.DEFAULTS);
   }
 
   @Test
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedEngine.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedEngine.java
@@ -21,7 +21,7 @@
   /** Tokens per event of a reply after the first event. */
   private static final int EVENT_TOKENS = 5;
 
-  private static final double PAIRS_PER_MILLION = 1e6;
+  private static final double MILLION = 1e6;
 
   /** Receives the events of a reply. */
   interface Reply {
@@ -76,10 +76,7 @@
       int tokens = Math.min(remainingTokens, job.promptTokens - job.prefilledTokens);
       ms += tokens / PREFILL_TOKENS_PER_MS;
       ms +=
-          ATTENTION_MS_PER_MILLION_PAIRS
-              * tokens
-              * (job.prefilledTokens + tokens / 2.0)
-              / PAIRS_PER_MILLION;
+          ATTENTION_MS_PER_MILLION_PAIRS * tokens * (job.prefilledTokens + tokens / 2.0) / MILLION;
       job.prefilledTokens += tokens;
       remainingTokens -= tokens;
       if (remainingTokens == 0) break;
--- a/data-plane/src/test/java/gladelug/data/relay/StoreLinkTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/StoreLinkTest.java
@@ -37,7 +37,7 @@
         link);
   }
 
-  private static Backend backend(String zone, double unitMs) {
+  private static Backend backend(String zone, double computeMsPerUnit) {
     Replica replica =
         new Replica("m", "r", new Address("1.1.1.2", 1), zone, true, 12, Map.of("m", "1"));
     Backend backend = new Backend(replica, false);
@@ -46,7 +46,7 @@
         new Configuration.Service(
             0, "m", Configuration.Kind.MODEL, List.of(), 1, engine(1e6), null, ""),
         0);
-    backend.computeMsPerUnit = unitMs;
+    backend.computeMsPerUnit = computeMsPerUnit;
     return backend;
   }
 
@@ -81,11 +81,11 @@
   @Test
   void savesLeaveHalfOfTheShareToPulls() {
     StoreLink link = new StoreLink(() -> 1, 0);
-    long now = 10_000;
+    long nowMs = 10_000;
     int saves = 0;
-    for (; link.maySave(20, now); saves++) link.spend(20, now);
+    for (; link.maySave(20, nowMs); saves++) link.spend(20, nowMs);
     int pulls = 0;
-    for (; link.mayPull(20, now); pulls++) link.spend(20, now);
+    for (; link.mayPull(20, nowMs); pulls++) link.spend(20, nowMs);
     Assertions.assertEquals(6, saves);
     Assertions.assertEquals(6, pulls);
   }
@@ -111,12 +111,13 @@
         for (int i = 0; i < relayCount; i++) links.add(new StoreLink(() -> relayCount, 0));
         double spentMs = 0;
         long durationMs = 200_000;
-        for (long now = 0; now < durationMs; now += 5) {
+        for (long nowMs = 0; nowMs < durationMs; nowMs += 5) {
           StoreLink link = links.get(random.nextInt(relayCount));
           double ms = 10 + random.nextInt(50);
-          boolean allowed = random.nextBoolean() ? link.mayPull(ms, now) : link.maySave(ms, now);
+          boolean allowed =
+              random.nextBoolean() ? link.mayPull(ms, nowMs) : link.maySave(ms, nowMs);
           if (!allowed) continue;
-          link.spend(ms, now);
+          link.spend(ms, nowMs);
           spentMs += ms;
         }
         double savedUpMs = relayCount * 240.0;
