--- a/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
+++ b/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
@@ -29,14 +29,14 @@
 
   private static final class ConfirmationRound {
     final long number;
-    final long startedAt;
+    final long startedAtMs;
 
     /** By key: the members that confirmed its owner's epoch. */
     final Map<String, Set<String>> confirmedBy = new HashMap<>();
 
-    ConfirmationRound(long number, long startedAt) {
+    ConfirmationRound(long number, long startedAtMs) {
       this.number = number;
-      this.startedAt = startedAt;
+      this.startedAtMs = startedAtMs;
     }
   }
 
@@ -45,7 +45,7 @@
   private final Supplier<MemberSet> members;
   private final Consumer<CoreMessage> sendToAll;
   private final List<ConfirmationRound> rounds = new ArrayList<>();
-  private long lastStartedAt = CoreHost.NEVER;
+  private long lastStartedAtMs = CoreHost.NEVER;
 
   ConfirmationRounds(
       QuorumConfig config,
@@ -64,24 +64,24 @@
   }
 
   /** The next tick starts a round. */
-  void startSoon() {
-    lastStartedAt = CoreHost.NEVER;
+  void startAtNextTick() {
+    lastStartedAtMs = CoreHost.NEVER;
   }
 
   /** Rounds that begin from now on have higher numbers. */
-  long latestRound() {
+  long latestRoundNumber() {
     return requestSequence.latest();
   }
 
   /** Starts a round for the keys that this member serves, once the interval is over. */
-  void tick(Collection<KeyOwner> owners, long now) {
-    if (now - lastStartedAt < config.confirmIntervalMs()) return;
-    lastStartedAt = now;
+  void tick(Collection<KeyOwner> owners, long nowMs) {
+    if (nowMs - lastStartedAtMs < config.confirmIntervalMs()) return;
+    lastStartedAtMs = nowMs;
     List<KeyEpoch> keyEpochs = new ArrayList<>();
     for (KeyOwner owner : owners)
       if (owner.isServing()) keyEpochs.add(new KeyEpoch(owner.key, owner.epoch));
     if (keyEpochs.isEmpty()) return;
-    ConfirmationRound round = new ConfirmationRound(requestSequence.next(), now);
+    ConfirmationRound round = new ConfirmationRound(requestSequence.next(), nowMs);
     rounds.add(round);
     if (rounds.size() > MAX_ROUNDS) rounds.remove(0);
     sendToAll.accept(new ConfirmRequest(round.number, keyEpochs));
@@ -89,18 +89,18 @@
 
   /** Hands each key's answer to its owner; a majority of one round confirms the key's owner. */
   void onResponse(
-      String sender, ConfirmResponse response, Function<String, KeyOwner> ownerOf, long now) {
+      String sender, ConfirmResponse response, Function<String, KeyOwner> ownerOf, long nowMs) {
     ConfirmationRound round = find(response.round());
     for (EpochStatus status : response.statuses()) {
       KeyOwner owner = ownerOf.apply(status.key());
-      owner.onEpochStatus(sender, status, now);
+      owner.onEpochStatus(sender, status, nowMs);
       if (round == null || !status.granted() || owner.epoch != status.epoch() || !owner.isServing())
         continue;
       Set<String> confirmedBy =
           round.confirmedBy.computeIfAbsent(status.key(), key -> new HashSet<>());
       confirmedBy.add(sender);
       if (confirmedBy.size() >= members.get().majority())
-        owner.onRoundConfirmed(round.number, round.startedAt);
+        owner.onRoundConfirmed(round.number, round.startedAtMs);
     }
   }
 
--- a/control-plane/src/main/java/gladelug/control/core/CoreMember.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreMember.java
@@ -67,7 +67,7 @@
   final QuorumConfig config;
   final String self;
   final String disk;
-  final long startedAt;
+  final long startedAtMs;
   final long incarnation;
   private final int weightsAgeCutoffMs;
   private final OwnerTasks ownerTasks;
@@ -88,45 +88,46 @@
   /** Asked to stop, and since when. */
   private boolean draining;
 
-  private long drainingSince;
+  private long drainingSinceMs;
 
-  private long lastHeartbeatAt = CoreHost.NEVER;
-  private long lastAllocationAt = CoreHost.NEVER;
+  private long lastHeartbeatAtMs = CoreHost.NEVER;
+  private long lastAllocationAtMs = CoreHost.NEVER;
 
   public CoreMember(
       CoreHost host,
       QuorumConfig config,
-      MemberSet.Member me,
-      int cutoff,
-      Map<String, byte[]> durable,
-      BootstrapMembers founding,
-      OwnerTasks duties) {
+      MemberSet.Member selfMember,
+      int weightsAgeCutoffMs,
+      Map<String, byte[]> storedState,
+      BootstrapMembers bootstrapMembers,
+      OwnerTasks ownerTasks) {
     this.host = host;
     this.config = config;
-    this.membership = new Membership(this, me, founding);
-    this.self = me.name();
-    this.disk = me.disk();
-    this.weightsAgeCutoffMs = cutoff;
-    this.ownerTasks = duties;
-    this.startedAt = host.now();
+    this.membership = new Membership(this, selfMember, bootstrapMembers);
+    this.self = selfMember.name();
+    this.disk = selfMember.disk();
+    this.weightsAgeCutoffMs = weightsAgeCutoffMs;
+    this.ownerTasks = ownerTasks;
+    this.startedAtMs = host.nowMs();
     this.incarnation = host.random(1L << 40) << 20;
     this.requestSequence = new RequestSequence(incarnation);
     this.confirmationRounds =
         new ConfirmationRounds(config, requestSequence, this::members, this::sendToAll);
     this.forwardedChanges = new ForwardedChanges(config.changeResponseTimeoutMs());
     this.failureDetector =
-        new FailureDetector(self, host, config, this::members, startedAt, incarnation);
-    this.elections = new Elections(self, config, failureDetector, new ElectionContext(), startedAt);
-    this.registers = new RegisterStore(host, durable);
+        new FailureDetector(self, host, config, this::members, startedAtMs, incarnation);
+    this.elections =
+        new Elections(self, config, failureDetector, new ElectionContext(), startedAtMs);
+    this.registers = new RegisterStore(host, storedState);
     this.acceptor = new RegisterAcceptor(self, host, registers, new AcceptorContext());
     this.changeHistory = new ChangeHistory(host);
     this.subscribers = new SubscriberRegistry(host, new SubscriberContext());
     for (String key : StateKeys.PUSHED) owner(key);
     owner(StateKeys.SHARES);
     membership.recover(
-        durable.get(DurableState.ACTIVE_MEMBERS),
-        durable.get(DurableState.SEALED_FOR),
-        durable.get(DurableState.BOOTSTRAP_SET));
+        storedState.get(DurableState.ACTIVE_MEMBERS),
+        storedState.get(DurableState.SEALED_FOR),
+        storedState.get(DurableState.BOOTSTRAP_SET));
   }
 
   /** The members of the active generation; NONE before the first. */
@@ -135,8 +136,8 @@
   }
 
   /** Whether this member knows a generation: it was bootstrapped or let in. */
-  public boolean settled() {
-    return membership.initialized();
+  public boolean isInitialized() {
+    return membership.isInitialized();
   }
 
   int weightsAgeCutoffMs() {
@@ -152,8 +153,8 @@
    * every member would end on it.
    */
   long maxValueBytes(String key) {
-    long room = host.mostState() - registers.sizeWithout(key) - RegisterStore.BESIDE_BODY;
-    return Math.max(0, Math.min(MAX_VALUE_BYTES, room));
+    long availableBytes = host.mostState() - registers.sizeWithout(key) - RegisterStore.BESIDE_BODY;
+    return Math.max(0, Math.min(MAX_VALUE_BYTES, availableBytes));
   }
 
   KeyOwner owner(String key) {
@@ -169,17 +170,17 @@
   }
 
   void stepDownAll(StepDownReason reason) {
-    for (KeyOwner owner : owners.values()) owner.stepDown(reason, host.now());
+    for (KeyOwner owner : owners.values()) owner.stepDown(reason, host.nowMs());
   }
 
   /** A generation begins here: nothing of the one before it counts. */
-  void onGenerationStarted(MemberSet before, MemberSet members) {
+  void onGenerationStarted(MemberSet previous, MemberSet members) {
     stepDownAll(StepDownReason.GENERATION_CHANGED);
-    failureDetector.onGenerationStarted(before, members);
+    failureDetector.onGenerationStarted(previous, members);
     elections.onGenerationStarted();
     confirmationRounds.clear();
-    host.members(members);
-    host.event(
+    host.onMembersChanged(members);
+    host.logEvent(
         "generation-active",
         "generation",
         members.generation(),
@@ -188,13 +189,13 @@
   }
 
   /** The last contact with a member, both ways, ms. */
-  long lastRoundTripAt(String member) {
-    return failureDetector.lastRoundTripAt(member);
+  long lastRoundTripAtMs(String member) {
+    return failureDetector.lastRoundTripAtMs(member);
   }
 
   /** How long there was no contact with a member, ms. */
-  long silenceMs(String member, long now) {
-    return failureDetector.silenceMs(member, now);
+  long silenceMs(String member, long nowMs) {
+    return failureDetector.silenceMs(member, nowMs);
   }
 
   /** Keys come to be when a replica is listed: one commander each. */
@@ -203,9 +204,9 @@
   }
 
   /** What the disk's watch says of the disk; an unhealthy one costs the member its keys. */
-  public void healthy(boolean nowHealthy) {
+  public void updateDiskHealth(boolean nowHealthy) {
     if (!failureDetector.updateHealthy(nowHealthy)) return;
-    host.event(nowHealthy ? "disk-healthy" : "disk-unhealthy");
+    host.logEvent(nowHealthy ? "disk-healthy" : "disk-unhealthy");
     if (!nowHealthy) stepDownAll(StepDownReason.DISK_UNHEALTHY);
   }
 
@@ -216,23 +217,23 @@
   public void startDraining() {
     if (draining) return;
     draining = true;
-    drainingSince = host.now();
-    host.event("draining", "generation", members().generation());
+    drainingSinceMs = host.nowMs();
+    host.logEvent("draining", "generation", members().generation());
   }
 
   /** Whether the process may end: it owns nothing, and the others can do without it. */
-  public boolean safeToStop() {
+  public boolean isSafeToStop() {
     return draining
         && owners.values().stream().noneMatch(KeyOwner::isServing)
-        && membership.safeToStop(host.now());
+        && membership.isSafeToStop(host.nowMs());
   }
 
-  private void releaseKeys(long now) {
-    boolean late = now - drainingSince >= DRAIN_TIMEOUT_MS;
+  private void stepDownForDraining(long nowMs) {
+    boolean timedOut = nowMs - drainingSinceMs >= DRAIN_TIMEOUT_MS;
     for (KeyOwner owner : owners.values()) {
-      if (!owner.isServing() || owner.hasPendingChanges() && !late) continue;
-      owner.stepDown(StepDownReason.DRAINING, now);
-      lastHeartbeatAt = CoreHost.NEVER;
+      if (!owner.isServing() || owner.hasPendingChanges() && !timedOut) continue;
+      owner.stepDown(StepDownReason.DRAINING, nowMs);
+      lastHeartbeatAtMs = CoreHost.NEVER;
     }
   }
 
@@ -245,7 +246,7 @@
   /** Whether commands may be sent in the key's name now; see {@link CommandLease}. */
   public boolean mayCommand(String key) {
     KeyOwner owner = owners.get(key);
-    return owner != null && owner.holdsCommandLease(host.now());
+    return owner != null && owner.holdsCommandLease(host.nowMs());
   }
 
   /** The right to command in a key's name now, with its end. */
@@ -264,180 +265,181 @@
 
   /** Time passes: expires, joins, drains, heartbeats, confirms and elects, in this order. */
   public void tick() {
-    long now = host.now();
-    expireForwarded(now);
-    if (!settled()) {
-      membership.announceForBootstrap(now);
-      membership.requestToJoin(now);
+    long nowMs = host.nowMs();
+    expireForwarded(nowMs);
+    if (!isInitialized()) {
+      membership.announceForBootstrap(nowMs);
+      membership.requestToJoin(nowMs);
       return;
     }
-    if (draining) membership.announceDraining(now);
-    else if (membership.retired() || membership.behind() || isolatedFromMajority(now))
-      membership.requestToJoin(now);
-    if (membership.mustCompleteReconfiguration()) membership.completeReconfiguration(now);
-    if (!membership.active()) return;
-    membership.proposeMembershipChange(now);
-    if (draining) releaseKeys(now);
-    if (now - lastHeartbeatAt >= config.heartbeatMs()) {
-      lastHeartbeatAt = now;
-      List<OwnershipClaim> claims = claims(now);
-      for (MemberSet.Member member : members().all()) sendHeartbeat(member.name(), claims, now);
+    if (draining) membership.announceDraining(nowMs);
+    else if (membership.isRetired() || membership.isBehind() || isIsolatedFromMajority(nowMs))
+      membership.requestToJoin(nowMs);
+    if (membership.mustCompleteReconfiguration()) membership.completeReconfiguration(nowMs);
+    if (!membership.isActive()) return;
+    membership.proposeMembershipChange(nowMs);
+    if (draining) stepDownForDraining(nowMs);
+    if (nowMs - lastHeartbeatAtMs >= config.heartbeatMs()) {
+      lastHeartbeatAtMs = nowMs;
+      List<OwnershipClaim> claims = ownershipClaims(nowMs);
+      for (MemberSet.Member member : members().all()) sendHeartbeat(member.name(), claims, nowMs);
     }
-    confirmationRounds.tick(owners.values(), now);
-    for (KeyOwner owner : owners.values()) owner.tick(now);
-    elections.tick(owners.values(), now);
-    if (owns(StateKeys.SHARES) && now - lastAllocationAt >= ALLOCATION_INTERVAL_MS) {
-      lastAllocationAt = now;
+    confirmationRounds.tick(owners.values(), nowMs);
+    for (KeyOwner owner : owners.values()) owner.tick(nowMs);
+    elections.tick(owners.values(), nowMs);
+    if (owns(StateKeys.SHARES) && nowMs - lastAllocationAtMs >= ALLOCATION_INTERVAL_MS) {
+      lastAllocationAtMs = nowMs;
       ownerTasks
           .allocateCapacity(
               epochOf(StateKeys.SHARES),
-              subscribers.activeRelays(now),
+              subscribers.activeRelays(nowMs),
               storedValue(StateKeys.CONFIGURATION).getValue())
           .forEach((name, grants) -> grants.forEach(grant -> subscribers.send(name, grant)));
     }
-    subscribers.expire(now);
+    subscribers.expire(nowMs);
   }
 
-  private List<OwnershipClaim> claims(long now) {
+  private List<OwnershipClaim> ownershipClaims(long nowMs) {
     List<OwnershipClaim> claims = new ArrayList<>();
     for (KeyOwner owner : owners.values())
-      if (owner.isClaimable(now))
+      if (owner.isClaimable(nowMs))
         claims.add(
             new OwnershipClaim(
                 owner.key,
                 owner.epoch,
                 owner.value().number(),
-                owner.valueAgeMs(now),
+                owner.valueAgeMs(nowMs),
                 owner.hasPendingChanges()));
     return claims;
   }
 
-  private void sendHeartbeat(String receiver, List<OwnershipClaim> claims, long now) {
+  private void sendHeartbeat(String receiver, List<OwnershipClaim> claims, long nowMs) {
     send(
         receiver,
         new Heartbeat(
-            failureDetector.healthy() && !draining,
-            now - startedAt,
+            failureDetector.isHealthy() && !draining,
+            nowMs - startedAtMs,
             claims,
-            new SendTime(incarnation, now),
+            new SendTime(incarnation, nowMs),
             failureDetector.lastSendTime(receiver)));
   }
 
   /** A new connection to a member stands: a sign of life at once, for the time without one. */
   public void onPeerConnected(String member) {
-    long now = host.now();
-    if (membership.active() && members().find(member) != null)
-      sendHeartbeat(member, claims(now), now);
+    long nowMs = host.nowMs();
+    if (membership.isActive() && members().find(member) != null)
+      sendHeartbeat(member, ownershipClaims(nowMs), nowMs);
   }
 
   /**
    * What was handed on and nobody will answer any more is answered here, with the number to ask
    * about.
    */
-  private void expireForwarded(long now) {
-    Predicate<String> alive = member -> member.equals(ANY_MEMBER) || isAlive(member, now);
-    forwardedChanges.tick(now, alive);
-    forwardedReads.tick(now, alive);
+  private void expireForwarded(long nowMs) {
+    Predicate<String> alive = member -> member.equals(ANY_MEMBER) || isAlive(member, nowMs);
+    forwardedChanges.tick(nowMs, alive);
+    forwardedReads.tick(nowMs, alive);
   }
 
-  private boolean isAlive(String member, long now) {
-    return failureDetector.isAlive(member, now);
+  private boolean isAlive(String member, long nowMs) {
+    return failureDetector.isAlive(member, nowMs);
   }
 
   /** Whether a member is alive and is to stay. */
-  boolean isAliveAndStays(String member, long now) {
-    return isAlive(member, now) && !membership.draining(member, now);
+  boolean isAliveAndStays(String member, long nowMs) {
+    return isAlive(member, nowMs) && !membership.isDraining(member, nowMs);
   }
 
   /** Whether there is no contact with a majority, though there could be. */
-  boolean isolatedFromMajority(long now) {
-    return failureDetector.isolatedFromMajority(now);
+  boolean isIsolatedFromMajority(long nowMs) {
+    return failureDetector.isIsolatedFromMajority(nowMs);
   }
 
   /** Whether no change or read can be served here or handed on before contact comes back. */
-  public boolean unavailable() {
-    long now = host.now();
-    if (membership.active()) return isolatedFromMajority(now);
-    return now - startedAt >= 2L * config.peerTimeoutMs()
-        && membership.forwardingAddress(now) == null;
+  public boolean isUnavailable() {
+    long nowMs = host.nowMs();
+    if (membership.isActive()) return isIsolatedFromMajority(nowMs);
+    return nowMs - startedAtMs >= 2L * config.peerTimeoutMs()
+        && membership.forwardingAddress(nowMs) == null;
   }
 
   /** Who claims the key and was heard lately; a claim is kept up only while a majority confirms. */
-  private String claimedOwner(String key, long now) {
-    return failureDetector.claimedOwner(key, register(key).promised(), now);
+  private String claimedOwner(String key, long nowMs) {
+    return failureDetector.claimedOwner(key, register(key).promised(), nowMs);
   }
 
   /** A claimant that what is handed on will reach, and whose answer will reach this member. */
-  private String reachableOwner(String key, long now) {
-    String claimed = claimedOwner(key, now);
-    return claimed == null || !isAlive(claimed, now) ? null : claimed;
+  private String reachableOwner(String key, long nowMs) {
+    String claimed = claimedOwner(key, nowMs);
+    return claimed == null || !isAlive(claimed, nowMs) ? null : claimed;
   }
 
   /** Rounds of confirmation that begin from now on have higher numbers. */
-  long latestRound() {
-    return confirmationRounds.latestRound();
+  long latestRoundNumber() {
+    return confirmationRounds.latestRoundNumber();
   }
 
   /** The next tick starts a round of confirmation. */
-  void confirmSoon() {
-    confirmationRounds.startSoon();
+  void requestConfirmationRound() {
+    confirmationRounds.startAtNextTick();
   }
 
   /** A message of another member; one of another generation is answered with this one's at most. */
   public void onMessage(Envelope envelope) {
-    long now = host.now();
-    if (membership.onMembershipMessage(envelope, now)
-        || handledForStandby(envelope)
-        || !membership.active()) return;
+    long nowMs = host.nowMs();
+    if (membership.onMembershipMessage(envelope, nowMs)
+        || handleForStandby(envelope)
+        || !membership.isActive()) return;
     if (envelope.generation() != members().generation()) {
       if (envelope.generation() < members().generation())
-        membership.sendGeneration(envelope.sender(), now);
+        membership.sendGeneration(envelope.sender(), nowMs);
       return;
     }
     MemberSet.Member member = members().find(envelope.sender());
     if (member == null || !member.disk().equals(envelope.senderDisk())) return;
-    dispatch(envelope.sender(), envelope.message(), now);
+    dispatch(envelope.sender(), envelope.message(), nowMs);
   }
 
   /** Hands a message of a member of this generation to the part whose job it is. */
-  private void dispatch(String sender, CoreMessage message, long now) {
-    if (message instanceof Heartbeat heartbeat) onHeartbeat(sender, heartbeat, now);
+  private void dispatch(String sender, CoreMessage message, long nowMs) {
+    if (message instanceof Heartbeat heartbeat) onHeartbeat(sender, heartbeat, nowMs);
     else if (message instanceof PrepareRequest prepare) onPrepareRequest(sender, prepare);
     else if (message instanceof PrepareResponse response)
-      owner(response.key()).onPrepareResponse(sender, response, now);
+      owner(response.key()).onPrepareResponse(sender, response, nowMs);
     else if (message instanceof AcceptRequest accept) acceptor.onAcceptRequest(sender, accept);
     else if (message instanceof AcceptResponse response)
-      owner(response.key()).onAcceptResponse(sender, response, now);
+      owner(response.key()).onAcceptResponse(sender, response, nowMs);
     else if (message instanceof ConfirmRequest confirm) acceptor.onConfirmRequest(sender, confirm);
     else if (message instanceof ConfirmResponse response)
-      confirmationRounds.onResponse(sender, response, this::owner, now);
+      confirmationRounds.onResponse(sender, response, this::owner, nowMs);
     else if (message instanceof RelayedSubscriptionRequest relayed)
-      subscribers.onRelayedRequest(relayed.request(), sender, now);
+      subscribers.onRelayedRequest(relayed.request(), sender, nowMs);
     else if (message instanceof RelayedStateUpdate relayed)
-      host.news(relayed.subscriber(), relayed.update());
+      host.pushUpdate(relayed.subscriber(), relayed.update());
     else if (message instanceof ForwardedChangeRequest change
         && forwardedChanges.isFirstDelivery(change.requestId()))
-      onForwardedChange(change, sender, now);
+      onForwardedChange(change, sender, nowMs);
     else if (message instanceof ForwardedReadRequest read)
       readHere(
           read.key(),
           result -> send(sender, new ForwardedReadResponse(read.requestId(), result)),
-          now);
+          nowMs);
     else onForwardedResponse(message);
   }
 
-  private void onForwardedChange(ForwardedChangeRequest forwardedChange, String from, long now) {
-    if (isolatedFromMajority(now))
+  private void onForwardedChange(
+      ForwardedChangeRequest forwardedChange, String sender, long nowMs) {
+    if (isIsolatedFromMajority(nowMs))
       send(
-          from,
+          sender,
           new ForwardedChangeResponse(forwardedChange.requestId(), new ChangeResult.NoOwner()));
     else
       owner(forwardedChange.request().key())
           .propose(
               forwardedChange.request(),
               result ->
-                  send(from, new ForwardedChangeResponse(forwardedChange.requestId(), result)),
-              now);
+                  send(sender, new ForwardedChangeResponse(forwardedChange.requestId(), result)),
+              nowMs);
   }
 
   private void onForwardedResponse(CoreMessage message) {
@@ -451,9 +453,9 @@
    * What is said between a machine that stands by and the member it hands on to; true where that
    * was all.
    */
-  private boolean handledForStandby(Envelope envelope) {
+  private boolean handleForStandby(Envelope envelope) {
     CoreMessage message = envelope.message();
-    if (!membership.active()) {
+    if (!membership.isActive()) {
       onForwardedResponse(message);
       return true;
     }
@@ -478,40 +480,40 @@
     host.sendTo(address, new Envelope(members().generation(), self, disk, message));
   }
 
-  private void onHeartbeat(String from, Heartbeat heartbeat, long now) {
-    boolean wasInContact = failureDetector.onHeartbeat(from, heartbeat, now);
-    if (!wasInContact) sendHeartbeat(from, claims(now), now);
+  private void onHeartbeat(String sender, Heartbeat heartbeat, long nowMs) {
+    boolean wasInContact = failureDetector.onHeartbeat(sender, heartbeat, nowMs);
+    if (!wasInContact) sendHeartbeat(sender, ownershipClaims(nowMs), nowMs);
     for (OwnershipClaim claim : heartbeat.claims()) {
       owner(claim.key()).onEpochSeen(claim.epoch());
-      valueAges.onClaim(claim, now);
+      valueAges.onClaim(claim, nowMs);
     }
   }
 
   /** The most the value of this number may be old by what its owners told, ms. */
-  long knownAge(String key, long number, long now) {
-    return valueAges.ageMs(key, number, now);
+  long knownAgeMs(String key, long number, long nowMs) {
+    return valueAges.ageMs(key, number, nowMs);
   }
 
   /**
    * How long ago the value now kept was acknowledged, at the most; for duties whose key this is
    * not.
    */
-  public long knownAge(String key) {
+  public long knownAgeMs(String key) {
     KeyOwner owner = owners.get(key);
     return owner != null && owner.isServing()
-        ? owner.valueAgeMs(host.now())
-        : knownAge(key, register(key).value().number(), host.now());
+        ? owner.valueAgeMs(host.nowMs())
+        : knownAgeMs(key, register(key).value().number(), host.nowMs());
   }
 
   // ---- the member's side: durable before answered
 
-  void store(String key, Register register, Runnable done) {
-    registers.keep(key, register, done);
+  void store(String key, Register register, Runnable onStored) {
+    registers.keep(key, register, onStored);
   }
 
-  private void onPrepareRequest(String from, PrepareRequest prepare) {
+  private void onPrepareRequest(String sender, PrepareRequest prepare) {
     owner(prepare.key()).onEpochSeen(prepare.epoch());
-    acceptor.onPrepareRequest(from, prepare);
+    acceptor.onPrepareRequest(sender, prepare);
   }
 
   /**
@@ -520,52 +522,55 @@
    * signs of life, else a takeover would be held back by those who find the owner silent a moment
    * later.
    */
-  private boolean hasWorkingOwner(String key, String but) {
-    if (but.equals(self)) return false;
-    long now = host.now();
-    if (owners.get(key).isClaimable(now)) return true;
-    String owner = claimedOwner(key, now);
-    long lately = (long) config.peerTimeoutMs() - 2L * config.heartbeatMs();
-    return owner != null && !owner.equals(but) && failureDetector.heardWithin(owner, lately, now);
+  private boolean hasWorkingOwner(String key, String excludedMember) {
+    if (excludedMember.equals(self)) return false;
+    long nowMs = host.nowMs();
+    if (owners.get(key).isClaimable(nowMs)) return true;
+    String owner = claimedOwner(key, nowMs);
+    long withinMs = (long) config.peerTimeoutMs() - 2L * config.heartbeatMs();
+    return owner != null
+        && !owner.equals(excludedMember)
+        && failureDetector.wasHeardWithin(owner, withinMs, nowMs);
   }
 
   /** Another is given the time to serve the key. */
-  void deferElection(String key, long now) {
-    elections.defer(key, now);
+  void deferElection(String key, long nowMs) {
+    elections.defer(key, nowMs);
   }
 
   // ---- changes from operators and duties
 
   /** A change that isn't remembered; see the other. */
-  public void change(String key, long match, byte[] body, Consumer<ChangeResult> answer) {
-    change(ChangeRequest.forgettable(key, match, body), answer);
+  public void change(String key, long match, byte[] body, Consumer<ChangeResult> onResult) {
+    change(ChangeRequest.forgettable(key, match, body), onResult);
   }
 
   /** Has a change taken by the key's owner, here or elsewhere, and answers what became of it. */
-  public void change(ChangeRequest request, Consumer<ChangeResult> answer) {
+  public void change(ChangeRequest request, Consumer<ChangeResult> onResult) {
     String key = request.key();
     KeyOwner owner = owner(key);
-    long now = host.now();
-    if (owner.isServing() && !isolatedFromMajority(now)) {
-      owner.propose(request, answer, now);
+    long nowMs = host.nowMs();
+    if (owner.isServing() && !isIsolatedFromMajority(nowMs)) {
+      owner.propose(request, onResult, nowMs);
       return;
     }
-    String other = membership.active() ? reachableOwner(key, now) : null;
-    Address door = membership.forwardingAddress(now);
-    if (other == null && door == null) {
-      answer.accept(new ChangeResult.NoOwner());
+    String remoteOwner = membership.isActive() ? reachableOwner(key, nowMs) : null;
+    Address forwardingAddress = membership.forwardingAddress(nowMs);
+    if (remoteOwner == null && forwardingAddress == null) {
+      onResult.accept(new ChangeResult.NoOwner());
       return;
     }
     long requestId = requestSequence.next();
-    if (other == null) {
-      forwardedChanges.onForwarded(requestId, ANY_MEMBER, request.expectedNumber(), now, answer);
-      sendToAddress(door, new ForwardedChangeRequest(requestId, request));
+    if (remoteOwner == null) {
+      forwardedChanges.onForwarded(
+          requestId, ANY_MEMBER, request.expectedNumber(), nowMs, onResult);
+      sendToAddress(forwardingAddress, new ForwardedChangeRequest(requestId, request));
       return;
     }
     boolean anyNumber = request.match() == ChangeRequest.ANY_NUMBER;
     long expected = anyNumber ? register(key).value().number() + 1 : request.expectedNumber();
-    forwardedChanges.onForwarded(requestId, other, expected, now, answer);
-    send(other, new ForwardedChangeRequest(requestId, request));
+    forwardedChanges.onForwarded(requestId, remoteOwner, expected, nowMs, onResult);
+    send(remoteOwner, new ForwardedChangeRequest(requestId, request));
   }
 
   /**
@@ -573,33 +578,33 @@
    * confirmed the owner after this was asked; so nothing acknowledged before is missing. With no
    * owner it answers that, within a second.
    */
-  public void readNewest(String key, Consumer<ReadResult> answer) {
-    long now = host.now();
-    String other = membership.active() && !owns(key) ? reachableOwner(key, now) : null;
-    Address door = membership.forwardingAddress(now);
-    if (other == null && door == null) {
-      readHere(key, answer, now);
+  public void readNewest(String key, Consumer<ReadResult> onResult) {
+    long nowMs = host.nowMs();
+    String remoteOwner = membership.isActive() && !owns(key) ? reachableOwner(key, nowMs) : null;
+    Address forwardingAddress = membership.forwardingAddress(nowMs);
+    if (remoteOwner == null && forwardingAddress == null) {
+      readHere(key, onResult, nowMs);
       return;
     }
     long requestId = requestSequence.next();
-    if (other == null) {
-      forwardedReads.onForwarded(requestId, ANY_MEMBER, now, answer);
-      sendToAddress(door, new ForwardedReadRequest(requestId, key));
+    if (remoteOwner == null) {
+      forwardedReads.onForwarded(requestId, ANY_MEMBER, nowMs, onResult);
+      sendToAddress(forwardingAddress, new ForwardedReadRequest(requestId, key));
       return;
     }
-    forwardedReads.onForwarded(requestId, other, now, answer);
-    send(other, new ForwardedReadRequest(requestId, key));
+    forwardedReads.onForwarded(requestId, remoteOwner, nowMs, onResult);
+    send(remoteOwner, new ForwardedReadRequest(requestId, key));
   }
 
-  private void readHere(String key, Consumer<ReadResult> answer, long now) {
+  private void readHere(String key, Consumer<ReadResult> onResult, long nowMs) {
     KeyOwner owner = owners.get(key);
-    if (owner == null || isolatedFromMajority(now)) answer.accept(ReadResult.NO_OWNER);
-    else owner.read(answer, now);
+    if (owner == null || isIsolatedFromMajority(nowMs)) onResult.accept(ReadResult.NO_OWNER);
+    else owner.read(onResult, nowMs);
   }
 
-  void onValueServed(String key, VersionedValue value) {
+  void onValueCommitted(String key, VersionedValue value) {
     if (key.equals(StateKeys.CORE) && membership.pendingMembers(value.body()) != null)
-      membership.seal(membership.pendingMembers(value.body()), host.now());
+      membership.seal(membership.pendingMembers(value.body()), host.nowMs());
   }
 
   // ---- data-plane processes
@@ -609,33 +614,34 @@
    * a process cut off from the owner alone still has its lease, through the others.
    */
   public void onSubscriptionRequest(StateUpdate.SubscriptionRequest request) {
-    long now = host.now();
-    subscribers.onRequest(request, now);
-    if (!membership.active()) return;
-    Set<String> owners = new HashSet<>();
+    long nowMs = host.nowMs();
+    subscribers.onRequest(request, nowMs);
+    if (!membership.isActive()) return;
+    Set<String> notifiedOwners = new HashSet<>();
     for (StateUpdate.KnownVersion version : request.known()) {
-      String o =
+      String owner =
           version.key().equals(StateKeys.CORE) || owns(version.key())
               ? null
-              : reachableOwner(version.key(), now);
-      if (o != null && owners.add(o)) send(o, new RelayedSubscriptionRequest(request));
+              : reachableOwner(version.key(), nowMs);
+      if (owner != null && notifiedOwners.add(owner))
+        send(owner, new RelayedSubscriptionRequest(request));
     }
   }
 
   /** A data-plane process couldn't use a change of a key and asks for the value whole. */
   public void onFullValueRequested(String name, String key) {
-    subscribers.onFullValueRequested(name, key, host.now());
+    subscribers.onFullValueRequested(name, key, host.nowMs());
   }
 
   /** The value of a pushed key changed: to all processes that ask here. */
-  void pushChange(String key, long epoch, VersionedValue before, VersionedValue after) {
-    subscribers.pushChange(key, epoch, before, after);
+  void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value) {
+    subscribers.pushChange(key, epoch, previous, value);
   }
 
   // ---- what operators ask
 
-  String summarize(String key, byte[] old, byte[] now) {
-    String summary = ownerTasks.summarizeChange(key, old, now);
+  String summarize(String key, byte[] oldBody, byte[] newBody) {
+    String summary = ownerTasks.summarizeChange(key, oldBody, newBody);
     return summary.length() > MAX_SUMMARY_LENGTH
         ? summary.substring(0, MAX_SUMMARY_LENGTH) + "..."
         : summary;
@@ -663,47 +669,47 @@
   }
 
   /** An operator's swap; an empty text, or why it can't be, and then nothing changed. */
-  public String replaceMember(String out, String incoming, Consumer<ChangeResult> answer) {
-    return membership.replaceMember(out, incoming, answer);
+  public String replaceMember(String removed, String replacement, Consumer<ChangeResult> onResult) {
+    return membership.replaceMember(removed, replacement, onResult);
   }
 
   /** Whether this member takes part, so that what it shows is the core's state. */
-  public boolean active() {
-    return membership.active();
+  public boolean isActive() {
+    return membership.isActive();
   }
 
   /** Whether the generation is sealed and the next not active yet. */
-  public boolean sealed() {
-    return membership.sealed();
+  public boolean isSealed() {
+    return membership.isSealed();
   }
 
   /** Whether a later generation is active without this member. */
-  public boolean retired() {
-    return membership.retired();
+  public boolean isRetired() {
+    return membership.isRetired();
   }
 
   /** Each key with its owner, as far as known here; for people. */
   public List<KeyStatus> keyStatuses() {
-    long now = host.now();
-    List<KeyStatus> out = new ArrayList<>();
+    long nowMs = host.nowMs();
+    List<KeyStatus> statuses = new ArrayList<>();
     for (KeyOwner owner : owners.values()) {
       if (owner.isServing())
-        out.add(
+        statuses.add(
             new KeyStatus(
                 owner.key,
                 self,
                 owner.epoch,
                 owner.value().number(),
                 owner.value().digest(),
-                owner.activeLeases(now),
-                owner.sinceConfirmedMs(now)));
+                owner.activeLeases(nowMs),
+                owner.sinceConfirmedMs(nowMs)));
       else {
-        String other = settled() ? reachableOwner(owner.key, now) : null;
+        String remoteOwner = isInitialized() ? reachableOwner(owner.key, nowMs) : null;
         Register register = register(owner.key);
-        out.add(
+        statuses.add(
             new KeyStatus(
                 owner.key,
-                other == null ? "" : other,
+                remoteOwner == null ? "" : remoteOwner,
                 register.epoch(),
                 register.value().number(),
                 register.value().digest(),
@@ -711,7 +717,7 @@
                 -1));
       }
     }
-    return out;
+    return statuses;
   }
 
   /** The data-plane processes that asked here lately; for people. */
@@ -720,11 +726,11 @@
   }
 
   /** By member: whether it is alive, as seen from here. */
-  public Map<String, Boolean> membersAlive() {
-    long now = host.now();
+  public Map<String, Boolean> memberLiveness() {
+    long nowMs = host.nowMs();
     Map<String, Boolean> alive = new TreeMap<>();
     for (MemberSet.Member member : members().all())
-      alive.put(member.name(), isAlive(member.name(), now));
+      alive.put(member.name(), isAlive(member.name(), nowMs));
     return alive;
   }
 
@@ -738,8 +744,8 @@
 
   private final class SubscriberContext implements SubscriberRegistry.Context {
     @Override
-    public boolean settled() {
-      return CoreMember.this.settled();
+    public boolean isInitialized() {
+      return CoreMember.this.isInitialized();
     }
 
     @Override
@@ -776,7 +782,7 @@
 
     @Override
     public void onPromisedToOther(String key) {
-      deferElection(key, host.now());
+      deferElection(key, host.nowMs());
     }
   }
 
@@ -787,17 +793,17 @@
     }
 
     @Override
-    public String claimedOwner(String key, long now) {
-      return CoreMember.this.claimedOwner(key, now);
+    public String claimedOwner(String key, long nowMs) {
+      return CoreMember.this.claimedOwner(key, nowMs);
     }
 
     @Override
-    public boolean isAliveAndStays(String member, long now) {
-      return CoreMember.this.isAliveAndStays(member, now);
+    public boolean isAliveAndStays(String member, long nowMs) {
+      return CoreMember.this.isAliveAndStays(member, nowMs);
     }
 
     @Override
-    public boolean draining() {
+    public boolean isDraining() {
       return draining;
     }
   }
--- a/control-plane/src/main/java/gladelug/control/core/CoreService.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreService.java
@@ -74,7 +74,7 @@
   private final QuorumConfig config;
   private final MemberSet.Member self;
   private final List<Address> seeds;
-  private final int cutoffMs;
+  private final int weightsAgeCutoffMs;
   private final BootstrapMembers bootstrapMembers;
   private final OwnerTasks ownerTasks;
   private final Consumer<String> onDiskFailure;
@@ -99,7 +99,7 @@
    * @param ring what is durable, opened
    * @param self this member: name, id of its disk, addresses
    * @param seeds records addresses of other processes
-   * @param cutoffMs after new weights, for how long requests may begin on the old ones
+   * @param weightsAgeCutoffMs after new weights, for how long requests may begin on the old ones
    * @param bootstrapMembers first members of a new fleet, or null for a member that joins or knows
    *     its members
    * @param ownerTasks what the owner of a key does beside the protocol
@@ -111,7 +111,7 @@
       QuorumConfig config,
       MemberSet.Member self,
       List<Address> seeds,
-      int cutoffMs,
+      int weightsAgeCutoffMs,
       BootstrapMembers bootstrapMembers,
       OwnerTasks ownerTasks,
       Consumer<String> onDiskFailure) {
@@ -120,7 +120,7 @@
     this.config = config;
     this.self = self;
     this.seeds = seeds;
-    this.cutoffMs = cutoffMs;
+    this.weightsAgeCutoffMs = weightsAgeCutoffMs;
     this.bootstrapMembers = bootstrapMembers;
     this.ownerTasks = ownerTasks;
     this.onDiskFailure = onDiskFailure;
@@ -132,7 +132,8 @@
     views = registry.find("views", PartialViewService.class);
     disk = new DiskWriter(ring, clock, completion -> worker.offer(completion), onDiskFailure);
     member =
-        new CoreMember(this, config, self, cutoffMs, ring.live(), bootstrapMembers, ownerTasks);
+        new CoreMember(
+            this, config, self, weightsAgeCutoffMs, ring.live(), bootstrapMembers, ownerTasks);
     acceptor.register(
         Hello.CORE,
         (hello, connection) ->
@@ -142,19 +143,19 @@
             });
     acceptor.register(Hello.NEWS, (hello, connection) -> new SubscriberReceiver(connection));
     worker.scheduleEvery(config.heartbeatMs() / 4, this::tick);
-    worker.scheduleEvery(DISK_PROBE_INTERVAL_MS, this::probe);
+    worker.scheduleEvery(DISK_PROBE_INTERVAL_MS, this::probeDisk);
   }
 
   private void tick() {
-    member.healthy(disk.stalled() < DISK_STALL_MS);
+    member.updateDiskHealth(disk.stalled() < DISK_STALL_MS);
     member.tick();
     peers.values().forEach(PersistentConnection::closeIfSilent);
   }
 
   /** An empty write shows whether the disk still answers while nothing changes. */
-  private void probe() {
+  private void probeDisk() {
     disk.want("", new byte[0], () -> {});
-    unknownNodes.values().removeIf(connection -> connection.closeIfIdle(now()));
+    unknownNodes.values().removeIf(connection -> connection.closeIfIdle(nowMs()));
   }
 
   /** What one data-plane process sends on its connection; runs on that connection's event loop. */
@@ -254,7 +255,7 @@
             emitter -> {
               Consumer<ReadResult> answer =
                   result -> {
-                    if (result.owned() || member.unavailable()) emitter.complete(result);
+                    if (result.owned() || member.isUnavailable()) emitter.complete(result);
                     else emitter.fail(new NoOwnerException());
                   };
               if (!worker.offer(() -> member.readNewest(key, answer)))
@@ -268,7 +269,7 @@
             emitter -> {
               Consumer<ChangeResult> answer =
                   result -> {
-                    if (result instanceof ChangeResult.NoOwner && !member.unavailable())
+                    if (result instanceof ChangeResult.NoOwner && !member.isUnavailable())
                       emitter.fail(new NoOwnerException());
                     else emitter.complete(result);
                   };
@@ -298,7 +299,7 @@
     worker.scheduleEvery(
         DRAIN_CHECK_INTERVAL_MS,
         () -> {
-          if (member.safeToStop()) drained.countDown();
+          if (member.isSafeToStop()) drained.countDown();
         });
     try {
       if (requested && !drained.await(config.drainTimeoutMs(), TimeUnit.MILLISECONDS))
@@ -311,7 +312,7 @@
   // ---- the protocol's host
 
   @Override
-  public long now() {
+  public long nowMs() {
     return clock.now();
   }
 
@@ -335,7 +336,7 @@
     unknownNodes
         .computeIfAbsent(
             address, remote -> new UnknownNodeConnection(connect(remote, connection -> {})))
-        .send(message, now());
+        .send(message, nowMs());
   }
 
   private PersistentConnection connect(Address remote, Consumer<PersistentConnection> onOpened) {
@@ -352,12 +353,12 @@
   }
 
   @Override
-  public long wall() {
+  public long wallClockMs() {
     return System.currentTimeMillis();
   }
 
   @Override
-  public List<Address> contacts() {
+  public List<Address> contactAddresses() {
     Set<Address> contacts = new LinkedHashSet<>(seeds);
     for (Shuffle.Descriptor process : views.all()) {
       if (process.role().equals("control")) contacts.add(Address.of(process.records()));
@@ -378,20 +379,20 @@
   }
 
   @Override
-  public void news(String subscriber, StateUpdate update) {
+  public void pushUpdate(String subscriber, StateUpdate update) {
     Connection connection = subscribers.get(subscriber);
     if (connection != null) connection.send(update);
   }
 
   @Override
-  public void members(MemberSet members) {
+  public void onMembersChanged(MemberSet members) {
     views.generation(members.generation());
     peers
         .entrySet()
         .removeIf(
             peer -> {
-              MemberSet.Member still = members.find(peer.getKey());
-              if (still != null && still.records().equals(peer.getValue().remote)) return false;
+              MemberSet.Member current = members.find(peer.getKey());
+              if (current != null && current.records().equals(peer.getValue().remote)) return false;
               peer.getValue().close();
               return true;
             });
@@ -406,7 +407,7 @@
   }
 
   @Override
-  public void event(String name, Object... pairs) {
+  public void logEvent(String name, Object... pairs) {
     Log.event(name, pairs);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/ForwardedChanges.java
+++ b/control-plane/src/main/java/gladelug/control/core/ForwardedChanges.java
@@ -19,7 +19,7 @@
   private static final int MAX_DELIVERED_IDS = 4096;
 
   private record ForwardedChange(
-      String owner, long expectedNumber, long sentAt, Consumer<ChangeResult> onResult) {}
+      String owner, long expectedNumber, long sentAtMs, Consumer<ChangeResult> onResult) {}
 
   private final long responseTimeoutMs;
   private final Map<Long, ForwardedChange> pending = new HashMap<>();
@@ -41,9 +41,9 @@
       long requestId,
       String owner,
       long expectedNumber,
-      long now,
+      long nowMs,
       Consumer<ChangeResult> onResult) {
-    pending.put(requestId, new ForwardedChange(owner, expectedNumber, now, onResult));
+    pending.put(requestId, new ForwardedChange(owner, expectedNumber, nowMs, onResult));
   }
 
   /** The owner answered; late answers are dropped. */
@@ -56,10 +56,10 @@
    * What was forwarded and nobody will answer any more is answered here, with the number to ask
    * about.
    */
-  void tick(long now, Predicate<String> alive) {
+  void tick(long nowMs, Predicate<String> isAlive) {
     for (Map.Entry<Long, ForwardedChange> entry : new ArrayList<>(pending.entrySet())) {
       ForwardedChange change = entry.getValue();
-      if (now - change.sentAt < responseTimeoutMs && alive.test(change.owner)) continue;
+      if (nowMs - change.sentAtMs < responseTimeoutMs && isAlive.test(change.owner)) continue;
       pending.remove(entry.getKey());
       change.onResult.accept(new ChangeResult.Unknown(change.expectedNumber));
     }
--- a/control-plane/src/main/java/gladelug/control/core/ForwardedReads.java
+++ b/control-plane/src/main/java/gladelug/control/core/ForwardedReads.java
@@ -20,8 +20,8 @@
 
   private final Map<Long, PendingRead> pending = new HashMap<>();
 
-  void onForwarded(long requestId, String owner, long now, Consumer<ReadResult> onResult) {
-    pending.put(requestId, new PendingRead(owner, now, onResult));
+  void onForwarded(long requestId, String owner, long nowMs, Consumer<ReadResult> onResult) {
+    pending.put(requestId, new PendingRead(owner, nowMs, onResult));
   }
 
   void onResponse(long requestId, ReadResult result) {
@@ -30,11 +30,11 @@
   }
 
   /** Whose owner is dead, or silent for too long, hears that there is none. */
-  void tick(long now, Predicate<String> alive) {
+  void tick(long nowMs, Predicate<String> isAlive) {
     List<Long> expired = new ArrayList<>();
     pending.forEach(
         (requestId, read) -> {
-          if (now - read.sentAtMs >= READ_TIMEOUT_MS || !alive.test(read.owner))
+          if (nowMs - read.sentAtMs >= READ_TIMEOUT_MS || !isAlive.test(read.owner))
             expired.add(requestId);
         });
     for (long requestId : expired) onResponse(requestId, ReadResult.NO_OWNER);
--- a/control-plane/src/main/java/gladelug/control/core/JoinCandidates.java
+++ b/control-plane/src/main/java/gladelug/control/core/JoinCandidates.java
@@ -16,9 +16,9 @@
   private final Map<String, Long> requestedAtMs = new HashMap<>();
 
   /** Notes a request; true where none of this name was known. */
-  boolean onRequest(MemberSet.Member candidate, long now) {
+  boolean onRequest(MemberSet.Member candidate, long nowMs) {
     boolean isNew = candidates.put(candidate.name(), candidate) == null;
-    requestedAtMs.put(candidate.name(), now);
+    requestedAtMs.put(candidate.name(), nowMs);
     return isNew;
   }
 
@@ -28,10 +28,10 @@
   }
 
   /** Who asked within so many ms and brings a disk that none of these members has; by name. */
-  List<MemberSet.Member> recent(long withinMs, MemberSet members, long now) {
+  List<MemberSet.Member> recent(long withinMs, MemberSet members, long nowMs) {
     List<MemberSet.Member> recent = new ArrayList<>();
     for (MemberSet.Member candidate : candidates.values())
-      if (now - requestedAtMs.get(candidate.name()) < withinMs
+      if (nowMs - requestedAtMs.get(candidate.name()) < withinMs
           && members.all().stream().noneMatch(member -> member.disk().equals(candidate.disk())))
         recent.add(candidate);
     return recent;
--- a/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
+++ b/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
@@ -145,21 +145,21 @@
   }
 
   /** How old the value is at most, ms. */
-  long valueAgeMs(long now) {
-    return Math.max(0, now - changedAtMs);
+  long valueAgeMs(long nowMs) {
+    return Math.max(0, nowMs - changedAtMs);
   }
 
   /** How long ago the newest round began in which a majority confirmed the epoch, ms. */
-  long sinceConfirmedMs(long now) {
-    return now - confirmedAtMs;
+  long sinceConfirmedMs(long nowMs) {
+    return nowMs - confirmedAtMs;
   }
 
   /** Whether others may take it that the key is in good hands: a majority confirmed it lately. */
-  boolean isClaimable(long now) {
+  boolean isClaimable(long nowMs) {
     long withinMs = (long) context.config().peerTimeoutMs() + context.config().confirmIntervalMs();
     return isServing()
-        && !context.isIsolated(now)
-        && now - Math.max(confirmedAtMs, servingSinceMs) < withinMs;
+        && !context.isIsolatedFromMajority(nowMs)
+        && nowMs - Math.max(confirmedAtMs, servingSinceMs) < withinMs;
   }
 
   /** Whether a change waits or is under way. */
@@ -168,8 +168,8 @@
   }
 
   /** How many leases that this owner granted have not lapsed. */
-  int activeLeases(long now) {
-    return leases.active(now);
+  int activeLeases(long nowMs) {
+    return leases.active(nowMs);
   }
 
   /**
@@ -178,8 +178,8 @@
    * began before the promises to this one, by the member that both majorities share, so it fell
    * silent commandLease after them.
    */
-  boolean holdsCommandLease(long now) {
-    return isServing() && now >= commandNotBeforeMs && now < commandLeaseEndMs();
+  boolean holdsCommandLease(long nowMs) {
+    return isServing() && nowMs >= commandNotBeforeMs && nowMs < commandLeaseEndMs();
   }
 
   /** When its right to command ends unless a majority confirms its epoch anew, ms. */
@@ -192,12 +192,12 @@
    *
    * @param reason why it goes to IDLE; null for any other phase
    */
-  private void transitionTo(Phase next, StepDownReason reason, long now) {
+  private void transitionTo(Phase next, StepDownReason reason, long nowMs) {
     Phase previous = phase;
     phase = next;
-    if (next == Phase.PREPARING) context.event("election-started", "key", key, "epoch", epoch);
+    if (next == Phase.PREPARING) context.logEvent("election-started", "key", key, "epoch", epoch);
     else if (next == Phase.SERVING)
-      context.event(
+      context.logEvent(
           "ownership-acquired",
           "key",
           key,
@@ -206,9 +206,9 @@
           "number",
           value.number(),
           "after",
-          now - electionTimerFromMs);
+          nowMs - electionTimerFromMs);
     else if (next == Phase.IDLE && previous == Phase.SERVING)
-      context.event("ownership-lost", "key", key, "epoch", epoch, "reason", reason);
+      context.logEvent("ownership-lost", "key", key, "epoch", epoch, "reason", reason);
   }
 
   /**
@@ -226,18 +226,18 @@
    *
    * @param handover whether the present owner is alive and hands the key over
    */
-  void startElection(boolean handover, long now) {
-    if (phase != Phase.IDLE && now - electionTimerFromMs < electionTimeoutMs()) return;
-    if (now - electionTimerFromMs < electionTimeoutMs() / 2 + context.random(electionTimeoutMs()))
+  void startElection(boolean handover, long nowMs) {
+    if (phase != Phase.IDLE && nowMs - electionTimerFromMs < electionTimeoutMs()) return;
+    if (nowMs - electionTimerFromMs < electionTimeoutMs() / 2 + context.random(electionTimeoutMs()))
       return;
     epoch =
         context
             .members()
             .epoch(Math.max(highestEpochSeen, context.register(key).promised()), context.self());
     highestEpochSeen = epoch;
-    electionTimerFromMs = now;
+    electionTimerFromMs = nowMs;
     election = new Election();
-    transitionTo(Phase.PREPARING, null, now);
+    transitionTo(Phase.PREPARING, null, nowMs);
     for (MemberSet.Member peer : context.members().all())
       if (!peer.name().equals(context.self()))
         context.send(peer.name(), new PrepareRequest(key, epoch, handover));
@@ -252,72 +252,72 @@
   }
 
   /** A member promised an epoch, or refused to. */
-  void onPrepareResponse(String from, PrepareResponse response, long now) {
+  void onPrepareResponse(String sender, PrepareResponse response, long nowMs) {
     onEpochSeen(response.promisedEpoch());
     if (phase != Phase.PREPARING || response.epoch() != epoch) return;
     if (!response.granted()) {
-      if (response.promisedEpoch() < epoch) onElectionDeclined(from, now);
-      else stepDown(StepDownReason.PREPARE_REJECTED, now);
+      if (response.promisedEpoch() < epoch) onElectionDeclined(sender, nowMs);
+      else stepDown(StepDownReason.PREPARE_REJECTED, nowMs);
       return;
     }
-    if (election.onPromise(from, response)) prepareSelfLast();
+    if (election.onPromise(sender, response)) prepareSelfLast();
     if (election.promiseCount() < context.members().majority()) return;
-    preparedAtMs = now;
+    preparedAtMs = nowMs;
     value = election.newestValue();
-    transitionTo(Phase.REWRITING, null, now);
+    transitionTo(Phase.REWRITING, null, nowMs);
     context.broadcast(new AcceptRequest(key, epoch, value));
   }
 
   /** Where a majority can't be had any more, the owner that the others know is left in peace. */
-  private void onElectionDeclined(String from, long now) {
-    election.onDeclined(from);
+  private void onElectionDeclined(String sender, long nowMs) {
+    election.onDeclined(sender);
     int others = context.members().all().size() - context.members().majority();
     if (election.declinedCount() <= others) return;
-    transitionTo(Phase.IDLE, StepDownReason.ELECTION_DECLINED, now);
-    electionTimerFromMs = now;
-    context.deferElection(key, now);
+    transitionTo(Phase.IDLE, StepDownReason.ELECTION_DECLINED, nowMs);
+    electionTimerFromMs = nowMs;
+    context.deferElection(key, nowMs);
   }
 
   /** A member accepted a value, or refused to. */
-  void onAcceptResponse(String from, AcceptResponse response, long now) {
+  void onAcceptResponse(String sender, AcceptResponse response, long nowMs) {
     onEpochSeen(response.promisedEpoch());
     if (phase == Phase.IDLE || response.epoch() != epoch) return;
     if (!response.granted()) {
-      stepDown(StepDownReason.ACCEPT_REJECTED, now);
+      stepDown(StepDownReason.ACCEPT_REJECTED, nowMs);
       return;
     }
     if (phase == Phase.REWRITING && response.number() == value.number()) {
-      election.onAccepted(from);
-      if (election.acceptedCount() >= context.members().majority()) startServing(now);
+      election.onAccepted(sender);
+      if (election.acceptedCount() >= context.members().majority()) startServing(nowMs);
     } else if (phase == Phase.SERVING
         && currentChange != null
         && !currentChange.isDuplicate()
         && response.number() == currentChange.number()) {
-      currentChange.onAcceptedBy(from);
+      currentChange.onAcceptedBy(sender);
       if (!currentChange.isCommitted()
-          && currentChange.acceptedCount() >= context.members().majority()) commit(now);
+          && currentChange.acceptedCount() >= context.members().majority()) commit(nowMs);
     }
   }
 
-  private void startServing(long now) {
+  private void startServing(long nowMs) {
     failedElections = 0;
     acknowledgeNotBeforeMs = preparedAtMs + (isStrict() ? context.config().leaseMs() + 1 : 0);
     commandNotBeforeMs = preparedAtMs + context.config().commandHandoverGapMs() + 1;
-    servingSinceMs = now;
+    servingSinceMs = nowMs;
     confirmedAtMs = CoreHost.NEVER;
     leases.clear();
-    changedAtMs = now - context.knownAgeMs(key, value.number(), now);
-    transitionTo(Phase.SERVING, null, now);
+    changedAtMs = nowMs - context.knownAgeMs(key, value.number(), nowMs);
+    transitionTo(Phase.SERVING, null, nowMs);
     context.onCommitted(key, value);
-    context.confirmSoon();
+    context.requestConfirmationRound();
   }
 
   /** Gives the epoch up; what was under way is answered as unknown, what waits as without owner. */
-  void stepDown(StepDownReason reason, long now) {
+  void stepDown(StepDownReason reason, long nowMs) {
     if (phase == Phase.IDLE) return;
     if (phase != Phase.SERVING) failedElections++;
-    transitionTo(Phase.IDLE, reason, now);
-    electionTimerFromMs = now;
+    transitionTo(Phase.IDLE, reason, nowMs);
+    electionTimerFromMs = nowMs;
     leases.clear();
     if (currentChange != null)
       currentChange.answer(new ChangeResult.Unknown(currentChange.number()));
@@ -334,15 +334,15 @@
   }
 
   /** A member answered a confirmation round: with its promise, and with what it has on disk. */
-  void onEpochStatus(String from, EpochStatus status, long now) {
+  void onEpochStatus(String sender, EpochStatus status, long nowMs) {
     onEpochSeen(status.promisedEpoch());
     if (phase != Phase.SERVING || status.epoch() != epoch) return;
     if (!status.granted()) {
-      stepDown(StepDownReason.CONFIRMATION_REJECTED, now);
+      stepDown(StepDownReason.CONFIRMATION_REJECTED, nowMs);
       return;
     }
     if (status.acceptedEpoch() < epoch || status.acceptedNumber() < value.number())
-      context.send(from, new AcceptRequest(key, epoch, value));
+      context.send(sender, new AcceptRequest(key, epoch, value));
   }
 
   /** A majority confirmed the epoch in the round with this number, begun at this time. */
@@ -352,9 +352,10 @@
   }
 
   /** Has one of the two run, sooner or later; false, and none runs, where too many wait already. */
-  private boolean whenConfirmed(Runnable onConfirmed, Runnable onAbandoned, long now) {
-    if (!pendingConfirmations.add(context.lastRound(), now, onConfirmed, onAbandoned)) return false;
-    context.confirmSoon();
+  private boolean queueForConfirmation(Runnable onConfirmed, Runnable onAbandoned, long nowMs) {
+    if (!pendingConfirmations.add(context.latestRoundNumber(), nowMs, onConfirmed, onAbandoned))
+      return false;
+    context.requestConfirmationRound();
     return true;
   }
 
@@ -363,27 +364,28 @@
    * asking: whatever was acknowledged anywhere before it is then in it. A repeated reader of this
    * moment may be told a newer one.
    */
-  void read(Consumer<ReadResult> onResult, long now) {
+  void read(Consumer<ReadResult> onResult, long nowMs) {
     Runnable onNoOwner = () -> onResult.accept(ReadResult.NO_OWNER);
     boolean accepted =
-        isServing() && whenConfirmed(() -> onResult.accept(ReadResult.of(value)), onNoOwner, now);
+        isServing()
+            && queueForConfirmation(() -> onResult.accept(ReadResult.of(value)), onNoOwner, nowMs);
     if (!accepted) onNoOwner.run();
   }
 
   /** Takes a change, acknowledges again one that was taken, or says why not. */
-  void propose(ChangeRequest request, Consumer<ChangeResult> onResult, long now) {
+  void propose(ChangeRequest request, Consumer<ChangeResult> onResult, long nowMs) {
     if (phase != Phase.SERVING) onResult.accept(new ChangeResult.NoOwner());
     else if (queuedChanges.size() >= context.config().maxPendingChanges())
       onResult.accept(new ChangeResult.QueueFull());
     else {
-      queuedChanges.add(new PendingChange(request, now, onResult));
-      startNextChange(now);
+      queuedChanges.add(new PendingChange(request, nowMs, onResult));
+      startNextChange(nowMs);
     }
   }
 
-  private void startNextChange(long now) {
+  private void startNextChange(long nowMs) {
     while (currentChange == null && !queuedChanges.isEmpty())
-      startChange(queuedChanges.poll(), now);
+      startChange(queuedChanges.poll(), nowMs);
   }
 
   /**
@@ -391,7 +393,7 @@
    * confirms the owner too. To refuse one, or to say that it was taken before, a majority has to
    * confirm first that this owner's value is still the newest.
    */
-  private void startChange(PendingChange change, long now) {
+  private void startChange(PendingChange change, long nowMs) {
     ChangeRequest request = change.request();
     int size = request.body().length;
     long largest = context.maxBodyBytes(key);
@@ -402,9 +404,9 @@
     long appliedNumber = appliedNumber(change);
     boolean follows =
         request.match() == ChangeRequest.ANY_NUMBER || request.match() == value.number();
-    if (appliedNumber == 0 && follows) writeChange(change, now);
-    else if (!change.isOwnershipConfirmed()) confirmThenRetry(change, now);
-    else if (appliedNumber > 0) acknowledgeDuplicate(change, appliedNumber, now);
+    if (appliedNumber == 0 && follows) writeChange(change, nowMs);
+    else if (!change.isOwnershipConfirmed()) confirmThenRetry(change, nowMs);
+    else if (appliedNumber > 0) acknowledgeDuplicate(change, appliedNumber, nowMs);
     else if (value.fate(change.identity(), request.base()) == ChangeStatus.EXPIRED)
       change.answer(new ChangeResult.Unknown(request.expectedNumber()));
     else change.answer(new ChangeResult.Conflict(value.number()));
@@ -417,7 +419,7 @@
     return change.digest().equals(value.digest()) ? value.number() : 0;
   }
 
-  private void writeChange(PendingChange change, long now) {
+  private void writeChange(PendingChange change, long nowMs) {
     currentChange = change;
     byte[] body = change.request().body();
     PrefixSharing sharing = context.prefixSharing(key, value, body);
@@ -431,7 +433,7 @@
                 context.self(),
                 summary(body, sharing))
             .with(sharing);
-    change.write(next, now);
+    change.write(next, nowMs);
     context.broadcast(new AcceptRequest(key, epoch, next));
   }
 
@@ -439,12 +441,12 @@
     String summary = context.summarize(key, value.body(), body);
     long number = value.number() + 1;
     if (sharing.since() != number) return summary;
-    context.event("prefix-sharing-begins-anew", "key", key, "number", number);
+    context.logEvent("prefix-sharing-begins-anew", "key", key, "number", number);
     return summary + SHARING_BEGINS_ANEW;
   }
 
   /** Starts the change again once a majority has confirmed this owner. */
-  private void confirmThenRetry(PendingChange change, long now) {
+  private void confirmThenRetry(PendingChange change, long nowMs) {
     Runnable retry =
         () -> {
           change.onOwnershipConfirmed();
@@ -452,33 +454,34 @@
           startNextChange(context.nowMs());
         };
     Runnable onAbandoned = () -> change.answer(new ChangeResult.NoOwner());
-    if (!whenConfirmed(retry, onAbandoned, now)) change.answer(new ChangeResult.QueueFull());
+    if (!queueForConfirmation(retry, onAbandoned, nowMs))
+      change.answer(new ChangeResult.QueueFull());
   }
 
-  private void acknowledgeDuplicate(PendingChange change, long number, long now) {
+  private void acknowledgeDuplicate(PendingChange change, long number, long nowMs) {
     currentChange = change;
-    change.markDuplicateOf(number, now);
-    acknowledgeIfDue(now);
+    change.markDuplicateOf(number, nowMs);
+    acknowledgeIfDue(nowMs);
   }
 
   /** The change under way is on a majority: it counts from now on, whatever its sender hears. */
-  private void commit(long now) {
+  private void commit(long nowMs) {
     VersionedValue previous = value;
     value = currentChange.value();
-    changedAtMs = now;
-    currentChange.commit(now);
+    changedAtMs = nowMs;
+    currentChange.commit(nowMs);
     context.onCommitted(key, value);
-    if (StateKeys.PUSHED.contains(key)) context.push(key, epoch, previous, value);
-    acknowledgeIfDue(now);
+    if (StateKeys.PUSHED.contains(key)) context.pushChange(key, epoch, previous, value);
+    acknowledgeIfDue(nowMs);
   }
 
   /** Acknowledges the change under way once no lease has to be waited for, and goes on. */
-  private void acknowledgeIfDue(long now) {
+  private void acknowledgeIfDue(long nowMs) {
     PendingChange change = currentChange;
-    if (change == null || !change.isCommitted() || now < acknowledgeNotBeforeMs && !isLeaseless())
+    if (change == null || !change.isCommitted() || nowMs < acknowledgeNotBeforeMs && !isLeaseless())
       return;
     SubscriberLeases.Acknowledgements acknowledgements =
-        leases.acknowledgements(change.number(), change.committedAtMs(), now);
+        leases.acknowledgements(change.number(), change.committedAtMs(), nowMs);
     change.onLeasesLapsed(acknowledgements.lapsed());
     if (!acknowledgements.complete()) return;
     context.onAcknowledged(key, change.number());
@@ -488,9 +491,9 @@
             change.isDuplicate(),
             acknowledgements.acknowledged(),
             change.lapsedLeases() + acknowledgements.notAwaited(),
-            change.ageMs(now)));
+            change.ageMs(nowMs)));
     currentChange = null;
-    startNextChange(now);
+    startNextChange(nowMs);
   }
 
   private boolean isStrict() {
@@ -502,41 +505,41 @@
   }
 
   /** What no majority confirms in time, or can, is answered while its sender listens. */
-  private void abandonUnconfirmed(long now) {
-    if (context.isIsolated(now)) pendingConfirmations.abandonAll();
-    else pendingConfirmations.abandonRequestedUntil(now - ForwardedReads.READ_TIMEOUT_MS);
+  private void abandonUnconfirmed(long nowMs) {
+    if (context.isIsolatedFromMajority(nowMs)) pendingConfirmations.abandonAll();
+    else pendingConfirmations.abandonRequestedUntil(nowMs - ForwardedReads.READ_TIMEOUT_MS);
   }
 
   /** Looks what is due by time alone. */
-  void tick(long now) {
-    if (!pendingConfirmations.isEmpty()) abandonUnconfirmed(now);
-    if (!queuedChanges.isEmpty() && context.isIsolated(now)) refuseQueuedChanges();
-    if (isCandidate() && now - electionTimerFromMs > electionTimeoutMs())
-      stepDown(StepDownReason.ELECTION_TIMED_OUT, now);
-    if (isServing() && isUnconfirmed(now)) stepDown(StepDownReason.CONFIRMATION_TIMED_OUT, now);
-    if (isServing() && currentChange != null) advanceCurrentChange(now);
+  void tick(long nowMs) {
+    if (!pendingConfirmations.isEmpty()) abandonUnconfirmed(nowMs);
+    if (!queuedChanges.isEmpty() && context.isIsolatedFromMajority(nowMs)) refuseQueuedChanges();
+    if (isCandidate() && nowMs - electionTimerFromMs > electionTimeoutMs())
+      stepDown(StepDownReason.ELECTION_TIMED_OUT, nowMs);
+    if (isServing() && isUnconfirmed(nowMs)) stepDown(StepDownReason.CONFIRMATION_TIMED_OUT, nowMs);
+    if (isServing() && currentChange != null) advanceCurrentChange(nowMs);
   }
 
   private boolean isCandidate() {
     return phase == Phase.PREPARING || phase == Phase.REWRITING;
   }
 
-  private boolean isUnconfirmed(long now) {
-    long sinceMs = now - Math.max(confirmedAtMs, servingSinceMs);
+  private boolean isUnconfirmed(long nowMs) {
+    long sinceMs = nowMs - Math.max(confirmedAtMs, servingSinceMs);
     return sinceMs > LEASES_UNTIL_UNCONFIRMED * context.config().leaseMs();
   }
 
-  private void advanceCurrentChange(long now) {
+  private void advanceCurrentChange(long nowMs) {
     if (!currentChange.isCommitted()
-        && currentChange.sinceSentMs(now) > context.config().confirmIntervalMs())
-      resendCurrentChange(now);
-    if (currentChange.ageMs(now) > context.config().changeTimeoutMs())
+        && currentChange.sinceSentMs(nowMs) > context.config().confirmIntervalMs())
+      resendCurrentChange(nowMs);
+    if (currentChange.ageMs(nowMs) > context.config().changeTimeoutMs())
       currentChange.answer(new ChangeResult.Unknown(currentChange.number()));
-    acknowledgeIfDue(now);
+    acknowledgeIfDue(nowMs);
   }
 
-  private void resendCurrentChange(long now) {
-    currentChange.onResent(now);
+  private void resendCurrentChange(long nowMs) {
+    currentChange.onResent(nowMs);
     for (MemberSet.Member peer : context.members().all())
       if (!currentChange.isAcceptedBy(peer.name()))
         context.send(peer.name(), new AcceptRequest(key, epoch, currentChange.value()));
@@ -551,20 +554,20 @@
    * @return a grant where it holds the newest number, else null and a push is due
    */
   StateUpdate.LeaseGrant onSubscription(
-      String subscriber, boolean wantsLease, StateUpdate.KnownVersion known, long now) {
-    leases.onRequest(subscriber, known.number(), now);
+      String subscriber, boolean wantsLease, StateUpdate.KnownVersion known, long nowMs) {
+    leases.onRequest(subscriber, known.number(), nowMs);
     StateUpdate.LeaseGrant grant = null;
-    long remainingMs = confirmedAtMs + context.config().leaseMs() - now;
+    long remainingMs = confirmedAtMs + context.config().leaseMs() - nowMs;
     if (known.number() == value.number() && remainingMs > 0) {
       int cutoffMs =
           key.equals(StateKeys.WEIGHTS)
-              ? (int) Math.max(0, context.weightsCutoffMs() - valueAgeMs(now))
+              ? (int) Math.max(0, context.weightsAgeCutoffMs() - valueAgeMs(nowMs))
               : 0;
       grant = new StateUpdate.LeaseGrant(key, epoch, value.number(), (int) remainingMs, cutoffMs);
       if (wantsLease && StateKeys.LEASED.contains(key))
-        leases.grant(subscriber, known.number(), now + remainingMs, now);
+        leases.grant(subscriber, known.number(), nowMs + remainingMs, nowMs);
     }
-    acknowledgeIfDue(now);
+    acknowledgeIfDue(nowMs);
     return grant;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/Membership.java
+++ b/control-plane/src/main/java/gladelug/control/core/Membership.java
@@ -113,64 +113,66 @@
    */
   void recover(byte[] storedMembers, byte[] storedNextMembers, byte[] storedBootstrapSet) {
     if (storedBootstrapSet != null && bootstrap != null)
-      bootstrap.storedSet(MemberSet.of(storedBootstrapSet));
+      bootstrap.onSetStored(MemberSet.of(storedBootstrapSet));
     if (storedMembers != null) {
       activate(MemberSet.of(storedMembers));
       bootstrap = null;
     }
     if (storedNextMembers != null
         && MemberSet.of(storedNextMembers).generation() > members.generation())
-      reconfiguration.recover(MemberSet.of(storedNextMembers), context.host.now());
+      reconfiguration.recover(MemberSet.of(storedNextMembers), context.host.nowMs());
   }
 
   MemberSet members() {
     return members;
   }
 
-  boolean initialized() {
+  boolean isInitialized() {
     return members.generation() > 0;
   }
 
-  boolean sealed() {
+  boolean isSealed() {
     return reconfiguration.isSealed();
   }
 
-  boolean retired() {
+  boolean isRetired() {
     return retired;
   }
 
   /** Whether this member takes part in its generation. */
-  boolean active() {
-    return initialized() && !sealed() && !retired;
+  boolean isActive() {
+    return isInitialized() && !isSealed() && !retired;
   }
 
   private void activate(MemberSet next) {
     for (MemberSet.Member member : members.all())
       if (next.find(member.name()) == null) formerMembers.put(member.name(), member);
-    MemberSet before = members;
+    MemberSet previous = members;
     members = next;
     reconfiguration.clear();
     retired = false;
-    context.onGenerationStarted(before, next);
+    context.onGenerationStarted(previous, next);
   }
 
-  Envelope envelope(CoreMessage message) {
+  Envelope newEnvelope(CoreMessage message) {
     return new Envelope(members.generation(), context.self, context.disk, message);
   }
 
-  void announceForBootstrap(long now) {
-    if (bootstrap == null || now - lastAnnouncedAtMs < ANNOUNCE_INTERVAL_MS) return;
-    lastAnnouncedAtMs = now;
-    Set<Address> addresses = new HashSet<>(context.host.contacts());
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.remove(founder.records());
+  void announceForBootstrap(long nowMs) {
+    if (bootstrap == null || nowMs - lastAnnouncedAtMs < ANNOUNCE_INTERVAL_MS) return;
+    lastAnnouncedAtMs = nowMs;
+    Set<Address> addresses = new HashSet<>(context.host.contactAddresses());
+    for (MemberSet.Member bootstrapMember : bootstrap.members().all())
+      addresses.remove(bootstrapMember.records());
     addresses.remove(self.records());
     hasOtherContacts = !addresses.isEmpty();
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.add(founder.records());
+    for (MemberSet.Member bootstrapMember : bootstrap.members().all())
+      addresses.add(bootstrapMember.records());
     addresses.remove(self.records());
     for (Address address : addresses)
       context.host.sendTo(
           address,
-          envelope(
+          newEnvelope(
               new BootstrapAnnouncement(
                   self.records().toString(), self.operator().toString(), bootstrap.storedSet())));
     agreeOnBootstrapSet();
@@ -178,12 +180,13 @@
 
   /** One set at a time is put on disk, and is said to the others only from there. */
   private void agreeOnBootstrapSet() {
-    if (initialized() || bootstrap == null) return;
+    if (isInitialized() || bootstrap == null) return;
     // who knows others than the founders gives them the time to say that there is a fleet already
     boolean mayPropose =
         !hasOtherContacts
-            || context.host.now() - context.startedAt >= 2L * context.config.peerTimeoutMs();
-    MemberSet toStore = bootstrapSetBeingStored == null ? bootstrap.nextToStore(mayPropose) : null;
+            || context.host.nowMs() - context.startedAtMs >= 2L * context.config.peerTimeoutMs();
+    MemberSet toStore =
+        bootstrapSetBeingStored == null ? bootstrap.nextSetToStore(mayPropose) : null;
     if (toStore != null) {
       bootstrapSetBeingStored = toStore;
       context.host.sync(
@@ -192,12 +195,12 @@
           () -> {
             bootstrapSetBeingStored = null;
             if (bootstrap == null) return;
-            bootstrap.storedSet(toStore);
+            bootstrap.onSetStored(toStore);
             lastAnnouncedAtMs = CoreHost.NEVER;
             agreeOnBootstrapSet();
           });
     }
-    MemberSet agreed = bootstrap.agreed();
+    MemberSet agreed = bootstrap.agreedSet();
     if (agreed != null) installGeneration(agreed, List.of());
   }
 
@@ -205,38 +208,38 @@
    * A machine that is no member and founds nothing asks to be let in; it votes on nothing
    * meanwhile.
    */
-  void requestToJoin(long now) {
-    if (bootstrap != null || now - lastAnnouncedAtMs < JOIN_INTERVAL_MS) return;
-    lastAnnouncedAtMs = now;
-    Set<Address> addresses = new HashSet<>(context.host.contacts());
+  void requestToJoin(long nowMs) {
+    if (bootstrap != null || nowMs - lastAnnouncedAtMs < JOIN_INTERVAL_MS) return;
+    lastAnnouncedAtMs = nowMs;
+    Set<Address> addresses = new HashSet<>(context.host.contactAddresses());
     for (MemberSet.Member member : newestKnown.all()) addresses.add(member.records());
     for (MemberSet.Member member : members.all()) addresses.add(member.records());
     addresses.remove(self.records());
     for (Address address : addresses)
       context.host.sendTo(
           address,
-          envelope(new JoinRequest(self.records().toString(), self.operator().toString())));
+          newEnvelope(new JoinRequest(self.records().toString(), self.operator().toString())));
   }
 
   /** Whether a later generation than this member's is in force somewhere. */
-  boolean behind() {
+  boolean isBehind() {
     return newestGenerationHeard > members.generation();
   }
 
   /** What is said across generations; true where that was all. */
-  boolean onMembershipMessage(Envelope envelope, long now) {
+  boolean onMembershipMessage(Envelope envelope, long nowMs) {
     CoreMessage message = envelope.message();
     newestGenerationHeard = Math.max(newestGenerationHeard, envelope.generation());
     if (message instanceof BootstrapAnnouncement announcement)
-      onBootstrapAnnouncement(envelope, announcement, now);
+      onBootstrapAnnouncement(envelope, announcement, nowMs);
     else if (message instanceof Activate activation) {
-      generationReceivedAtMs.put(envelope.sender(), now);
+      generationReceivedAtMs.put(envelope.sender(), nowMs);
       activeGenerations.merge(envelope.sender(), envelope.generation(), Math::max);
       onActivate(activation);
-    } else if (message instanceof JoinRequest request) onJoinRequest(envelope, request, now);
-    else if (message instanceof DrainNotice) onDrainNotice(envelope, now);
+    } else if (message instanceof JoinRequest request) onJoinRequest(envelope, request, nowMs);
+    else if (message instanceof DrainNotice) onDrainNotice(envelope, nowMs);
     else if (message instanceof SealRequest request)
-      reconfiguration.onSealRequest(envelope, request, now);
+      reconfiguration.onSealRequest(envelope, request, nowMs);
     else if (message instanceof SealResponse response)
       reconfiguration.onSealResponse(envelope.sender(), response);
     else return false;
@@ -244,22 +247,22 @@
   }
 
   private void onBootstrapAnnouncement(
-      Envelope envelope, BootstrapAnnouncement announcement, long now) {
-    if (initialized()) {
+      Envelope envelope, BootstrapAnnouncement announcement, long nowMs) {
+    if (isInitialized()) {
       MemberSet.Member member = members.find(envelope.sender());
       if (member != null && member.disk().equals(envelope.senderDisk()))
-        sendGeneration(envelope.sender(), now);
+        sendGeneration(envelope.sender(), nowMs);
       else {
         // it founds what was founded already, with another disk or long after: it shall join
-        context.host.event("unknown-node-at-bootstrap", "name", envelope.sender());
+        context.host.logEvent("unknown-node-at-bootstrap", "name", envelope.sender());
         context.host.sendTo(
-            Address.of(announcement.records()), envelope(new Activate(members, List.of())));
+            Address.of(announcement.records()), newEnvelope(new Activate(members, List.of())));
       }
       return;
     }
     if (bootstrap == null) return;
-    MemberSet.Member founder = bootstrap.members().find(envelope.sender());
-    if (founder == null) return;
+    MemberSet.Member bootstrapMember = bootstrap.members().find(envelope.sender());
+    if (bootstrapMember == null) return;
     bootstrap.onAnnouncement(
         envelope.sender(), envelope.senderDisk(), announcement.storedBootstrapSet());
     agreeOnBootstrapSet();
@@ -269,17 +272,17 @@
    * To a member of this generation that seems not to know it: the members, and all that is kept
    * here. A sealed member tells it too: without the one that lags there may be too few to seal.
    */
-  void sendGeneration(String name, long now) {
+  void sendGeneration(String name, long nowMs) {
     MemberSet.Member member = members.find(name);
-    if (now < resendGenerationAtMs.getOrDefault(name, Long.MIN_VALUE)) return;
+    if (nowMs < resendGenerationAtMs.getOrDefault(name, Long.MIN_VALUE)) return;
     List<RegisterRecord> registers = member == null ? List.of() : context.registers.all();
     resendGenerationAtMs.put(
-        name, now + RESEND_GENERATION_INTERVAL_MS + Reconfiguration.transferTimeMs(registers));
+        name, nowMs + RESEND_GENERATION_INTERVAL_MS + Reconfiguration.transferTimeMs(registers));
     if (member != null)
-      context.host.sendTo(member.records(), envelope(new Activate(members, registers)));
+      context.host.sendTo(member.records(), newEnvelope(new Activate(members, registers)));
     else if (formerMembers.containsKey(name))
       context.host.sendTo(
-          formerMembers.get(name).records(), envelope(new Activate(members, List.of())));
+          formerMembers.get(name).records(), newEnvelope(new Activate(members, List.of())));
   }
 
   private void onActivate(Activate activation) {
@@ -288,14 +291,15 @@
     if (received.generation() <= members.generation()) return;
     MemberSet.Member ownEntry = received.find(context.self);
     if (ownEntry == null || !ownEntry.disk().equals(context.disk)) {
-      if (!initialized() && bootstrap != null) {
+      if (!isInitialized() && bootstrap != null) {
         bootstrap = null;
-        context.host.event("bootstrapped-without-this-disk", "generation", received.generation());
+        context.host.logEvent(
+            "bootstrapped-without-this-disk", "generation", received.generation());
       }
-      if (initialized() && !retired) {
+      if (isInitialized() && !retired) {
         retired = true;
         context.stepDownAll(StepDownReason.MEMBER_REMOVED);
-        context.host.event("member-removed", "generation", received.generation());
+        context.host.logEvent("member-removed", "generation", received.generation());
       }
       return;
     }
@@ -323,55 +327,55 @@
         });
   }
 
-  private void onJoinRequest(Envelope envelope, JoinRequest request, long now) {
+  private void onJoinRequest(Envelope envelope, JoinRequest request, long nowMs) {
     MemberSet.Member candidate =
         new MemberSet.Member(
             envelope.sender(),
             envelope.senderDisk(),
             Address.of(request.records()),
             Address.of(request.operator()));
-    if (!initialized() && bootstrap != null) {
+    if (!isInitialized() && bootstrap != null) {
       bootstrap.onJoinRequest(candidate);
       agreeOnBootstrapSet();
     }
-    if (!initialized() || retired) return;
+    if (!isInitialized() || retired) return;
     MemberSet.Member member = members.find(envelope.sender());
     if (member != null && member.disk().equals(envelope.senderDisk())) {
-      if (envelope.generation() < members.generation()) sendGeneration(envelope.sender(), now);
+      if (envelope.generation() < members.generation()) sendGeneration(envelope.sender(), nowMs);
       return;
     }
-    if (sealed()) return;
-    if (joinCandidates.onRequest(candidate, now))
-      context.host.event(
+    if (isSealed()) return;
+    if (joinCandidates.onRequest(candidate, nowMs))
+      context.host.logEvent(
           "join-requested", "name", candidate.name(), "records", candidate.records());
-    context.host.sendTo(candidate.records(), envelope(new Activate(members, List.of())));
+    context.host.sendTo(candidate.records(), newEnvelope(new Activate(members, List.of())));
   }
 
-  private void onDrainNotice(Envelope envelope, long now) {
+  private void onDrainNotice(Envelope envelope, long nowMs) {
     if (envelope.generation() < members.generation()) {
-      sendGeneration(envelope.sender(), now);
+      sendGeneration(envelope.sender(), nowMs);
       return;
     }
     MemberSet.Member member = members.find(envelope.sender());
     if (member != null && member.disk().equals(envelope.senderDisk()))
-      drainNoticeReceivedAtMs.put(member.name(), now);
+      drainNoticeReceivedAtMs.put(member.name(), nowMs);
   }
 
-  boolean draining(String name, long now) {
+  boolean isDraining(String name, long nowMs) {
     Long receivedAtMs = drainNoticeReceivedAtMs.get(name);
-    return receivedAtMs != null && now - receivedAtMs < context.config.peerTimeoutMs();
+    return receivedAtMs != null && nowMs - receivedAtMs < context.config.peerTimeoutMs();
   }
 
   /**
    * Says to all who may be members that this one leaves, and hears from them who took its place.
    */
-  void announceDraining(long now) {
-    if (now - drainNoticeSentAtMs < context.config.heartbeatMs()) return;
-    drainNoticeSentAtMs = now;
+  void announceDraining(long nowMs) {
+    if (nowMs - drainNoticeSentAtMs < context.config.heartbeatMs()) return;
+    drainNoticeSentAtMs = nowMs;
     context.sendToAll(new DrainNotice());
     for (MemberSet.Member member : newestKnown.all())
       if (!member.equals(members.find(member.name())))
-        context.host.sendTo(member.records(), envelope(new DrainNotice()));
+        context.host.sendTo(member.records(), newEnvelope(new DrainNotice()));
   }
 
   /**
@@ -379,13 +383,13 @@
    * member, or its successor's generation is in force at a majority, or nobody stands by to succeed
    * it and a majority lives without it.
    */
-  boolean safeToStop(long now) {
-    if (!initialized()) return true;
+  boolean isSafeToStop(long nowMs) {
+    if (!isInitialized()) return true;
     if (retired) return countActive(newestKnown) >= newestKnown.majority();
-    if (sealed() || hasStandbySuccessor()) return false;
+    if (isSealed() || hasStandbySuccessor()) return false;
     int others = 0;
     for (MemberSet.Member member : members.all())
-      if (!member.name().equals(context.self) && context.isAliveAndStays(member.name(), now))
+      if (!member.name().equals(context.self) && context.isAliveAndStays(member.name(), nowMs))
         others++;
     return others >= Math.min(members.majority(), members.all().size() - 1);
   }
@@ -406,13 +410,13 @@
   /**
    * Where a machine that stands by hands on what operators send it: the member heard last, or null.
    */
-  Address forwardingAddress(long now) {
-    if (initialized() && !retired) return null;
+  Address forwardingAddress(long nowMs) {
+    if (isInitialized() && !retired) return null;
     MemberSet.Member latest = null;
     for (MemberSet.Member member : newestKnown.all()) {
       Long receivedAtMs = generationReceivedAtMs.get(member.name());
       if (receivedAtMs == null
-          || now - receivedAtMs >= 2L * context.config.peerTimeoutMs()
+          || nowMs - receivedAtMs >= 2L * context.config.peerTimeoutMs()
           || member.records().equals(self.records())) continue;
       if (latest == null || receivedAtMs > generationReceivedAtMs.get(latest.name()))
         latest = member;
@@ -422,7 +426,7 @@
 
   /** Where whoever stands by is answered; null for all others and where this member can't help. */
   Address standbyAddress(Envelope envelope) {
-    MemberSet.Member candidate = active() ? joinCandidates.find(envelope.sender()) : null;
+    MemberSet.Member candidate = isActive() ? joinCandidates.find(envelope.sender()) : null;
     return candidate == null
             || !candidate.disk().equals(envelope.senderDisk())
             || members.find(envelope.sender()) != null
@@ -436,31 +440,33 @@
   }
 
   private List<MemberSet.Member> joinCandidates(long withinMs) {
-    return joinCandidates.recent(withinMs, members, context.host.now());
+    return joinCandidates.recent(withinMs, members, context.host.nowMs());
   }
 
   /**
    * A next set can't be taken back, so nobody is let in unasked who may have died since it was
    * heard.
    */
-  private MembershipPlan plan(long now) {
+  private MembershipPlan plan(long nowMs) {
     return new MembershipPlan(
         members,
         joinCandidates(context.config.peerTimeoutMs()),
-        name -> context.isAliveAndStays(name, now));
+        name -> context.isAliveAndStays(name, nowMs));
   }
 
   /** The owner of the key core looks whether the members should change, which needs no operator. */
-  void proposeMembershipChange(long now) {
-    if (now - lastPlannedAtMs < JOIN_INTERVAL_MS
+  void proposeMembershipChange(long nowMs) {
+    if (nowMs - lastPlannedAtMs < JOIN_INTERVAL_MS
         || !context.owns(StateKeys.CORE)
         || context.owner(StateKeys.CORE).hasPendingChanges()) return;
-    lastPlannedAtMs = now;
+    lastPlannedAtMs = nowMs;
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null) return;
     MembershipPlan.MembershipChange change =
-        plan(now)
+        plan(nowMs)
             .nextChange(
-                name -> context.silenceMs(name, now), name -> draining(name, now), context.config);
+                name -> context.silenceMs(name, nowMs),
+                name -> isDraining(name, nowMs),
+                context.config);
     if (change != null) writeMembershipChange(change, result -> {});
   }
 
@@ -469,9 +475,9 @@
    * is sealed.
    */
   private void writeMembershipChange(
-      MembershipPlan.MembershipChange change, Consumer<ChangeResult> answer) {
+      MembershipPlan.MembershipChange change, Consumer<ChangeResult> onResult) {
     KeyOwner owner = context.owner(StateKeys.CORE);
-    context.host.event(
+    context.host.logEvent(
         "membership-change",
         "reason",
         change.reason(),
@@ -483,16 +489,16 @@
         change.next().generation());
     ChangeRequest request =
         ChangeRequest.forgettable(StateKeys.CORE, owner.value().number(), change.next().bytes());
-    owner.propose(request, answer, context.host.now());
+    owner.propose(request, onResult, context.host.nowMs());
   }
 
   /**
    * Replaces a member on an operator's order. Returns why it can't be, and then nothing changed, or
    * an empty text.
    */
-  String replaceMember(String leaver, String replacement, Consumer<ChangeResult> answer) {
-    if (members.find(leaver) == null) return leaver + " is not a member of the core";
-    if (members.find(replacement) != null && !replacement.equals(leaver))
+  String replaceMember(String removed, String replacement, Consumer<ChangeResult> onResult) {
+    if (members.find(removed) == null) return removed + " is not a member of the core";
+    if (members.find(replacement) != null && !replacement.equals(removed))
       return replacement + " is already a member of the core";
     MemberSet.Member candidate =
         joinCandidates().stream()
@@ -513,10 +519,10 @@
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null)
       return "another replacement is under way";
     MembershipPlan.MembershipChange change =
-        plan(context.host.now())
-            .change(MembershipChangeReason.OPERATOR_REQUEST, List.of(leaver), List.of(candidate));
+        plan(context.host.nowMs())
+            .change(MembershipChangeReason.OPERATOR_REQUEST, List.of(removed), List.of(candidate));
     if (change == null) return "fewer than a majority of the members would be alive then";
-    writeMembershipChange(change, answer);
+    writeMembershipChange(change, onResult);
     return "";
   }
 
@@ -532,16 +538,16 @@
    * may be the only copy beside one that may still be lost.
    */
   boolean mustCompleteReconfiguration() {
-    return sealed() && !(retired && countActive(newestKnown) >= newestKnown.majority());
+    return isSealed() && !(retired && countActive(newestKnown) >= newestKnown.majority());
   }
 
   /** The generation is refused from now on, durably; these are to be the next members. */
-  void seal(MemberSet next, long now) {
-    reconfiguration.seal(next, now);
+  void seal(MemberSet next, long nowMs) {
+    reconfiguration.seal(next, nowMs);
   }
 
   /** Brings a sealed generation to its end, once it is this member's turn. */
-  void completeReconfiguration(long now) {
-    reconfiguration.complete(now);
+  void completeReconfiguration(long nowMs) {
+    reconfiguration.complete(nowMs);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
+++ b/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
@@ -25,30 +25,30 @@
 
   private final MemberSet current;
   private final List<MemberSet.Member> joinCandidates;
-  private final Predicate<String> alive;
+  private final Predicate<String> isAlive;
 
   /**
    * Makes a plan from what is known now.
    *
    * @param current the members in force
    * @param joinCandidates who asked lately to be let in, with disks that no member has
-   * @param alive whether a member is alive and to stay, by name
+   * @param isAlive whether a member is alive and to stay, by name
    */
   MembershipPlan(
-      MemberSet current, List<MemberSet.Member> joinCandidates, Predicate<String> alive) {
+      MemberSet current, List<MemberSet.Member> joinCandidates, Predicate<String> isAlive) {
     this.current = current;
     this.joinCandidates = joinCandidates;
-    this.alive = alive;
+    this.isAlive = isAlive;
   }
 
   /**
    * The next change, one at the most, or null.
    *
    * @param silentMs for how long there was no contact with a member, by name
-   * @param draining whether a member said that it was asked to stop, by name
+   * @param isDraining whether a member said that it was asked to stop, by name
    */
   MembershipChange nextChange(
-      ToLongFunction<String> silentMs, Predicate<String> draining, QuorumConfig config) {
+      ToLongFunction<String> silentMs, Predicate<String> isDraining, QuorumConfig config) {
     MembershipChange wiped = replaceWiped(silentMs, config);
     if (wiped != null) return wiped;
     List<MemberSet.Member> unknown =
@@ -59,30 +59,31 @@
     List<String> removed = deadMembers(silentMs, config);
     MembershipChangeReason reason =
         removed.isEmpty() ? MembershipChangeReason.DRAINING : MembershipChangeReason.DEAD;
-    removed.addAll(drainingMembers(draining, config));
+    removed.addAll(drainingMembers(isDraining, config));
     if (!removed.isEmpty()) {
       int replaced = Math.min(removed.size(), unknown.size());
       return change(reason, removed.subList(0, replaced), unknown.subList(0, replaced));
     }
-    int size = current.all().size(), more = size % 2 == 0 ? 1 : 2;
-    if (size + more > config.targetMembers() || unknown.size() < more) return null;
-    return change(MembershipChangeReason.GROWTH, List.of(), unknown.subList(0, more));
+    int size = current.all().size(), growth = size % 2 == 0 ? 1 : 2;
+    if (size + growth > config.targetMembers() || unknown.size() < growth) return null;
+    return change(MembershipChangeReason.GROWTH, List.of(), unknown.subList(0, growth));
   }
 
   /** All at once whose machines came back empty: each change of members costs time of its own. */
   private MembershipChange replaceWiped(ToLongFunction<String> silentMs, QuorumConfig config) {
-    List<MemberSet.Member> back = new ArrayList<>();
+    List<MemberSet.Member> returned = new ArrayList<>();
     for (MemberSet.Member candidate : joinCandidates) {
       MemberSet.Member member = current.find(candidate.name());
       if (member != null
-          && !alive.test(member.name())
-          && silentMs.applyAsLong(member.name()) > 2L * config.peerTimeoutMs()) back.add(candidate);
+          && !isAlive.test(member.name())
+          && silentMs.applyAsLong(member.name()) > 2L * config.peerTimeoutMs())
+        returned.add(candidate);
     }
-    if (back.isEmpty()) return null;
+    if (returned.isEmpty()) return null;
     return change(
         MembershipChangeReason.WIPED_DISK,
-        back.stream().map(MemberSet.Member::name).toList(),
-        back);
+        returned.stream().map(MemberSet.Member::name).toList(),
+        returned);
   }
 
   /** Those silent for `replaceDeadAfterMs` or longer, the longest silent first. */
@@ -90,7 +91,7 @@
     List<String> dead = new ArrayList<>();
     if (config.replaceDeadAfterMs() == 0) return dead;
     for (MemberSet.Member member : current.all())
-      if (!alive.test(member.name())
+      if (!isAlive.test(member.name())
           && silentMs.applyAsLong(member.name()) >= config.replaceDeadAfterMs())
         dead.add(member.name());
     dead.sort(Comparator.comparingLong(silentMs).reversed());
@@ -98,9 +99,9 @@
   }
 
   /** Those whose place has to be taken before they end. */
-  private List<String> drainingMembers(Predicate<String> draining, QuorumConfig config) {
+  private List<String> drainingMembers(Predicate<String> isDraining, QuorumConfig config) {
     if (config.replaceDeadAfterMs() == 0) return List.of();
-    return current.all().stream().map(MemberSet.Member::name).filter(draining).toList();
+    return current.all().stream().map(MemberSet.Member::name).filter(isDraining).toList();
   }
 
   /** The set with these out and those in, or null where a majority of it isn't alive. */
@@ -112,7 +113,7 @@
     MemberSet next = new MemberSet(current.generation() + 1, members);
     int aliveCount = 0;
     for (MemberSet.Member member : next.all())
-      if (added.contains(member) || alive.test(member.name())) aliveCount++;
+      if (added.contains(member) || isAlive.test(member.name())) aliveCount++;
     return aliveCount < next.majority()
         ? null
         : new MembershipChange(reason, List.copyOf(removed), List.copyOf(added), next);
--- a/control-plane/src/main/java/gladelug/control/core/OwnerTasks.java
+++ b/control-plane/src/main/java/gladelug/control/core/OwnerTasks.java
@@ -26,12 +26,12 @@
    * Which cached prefixes tenants share once a body follows a value, which the value of a
    * configuration records; other keys' values record nothing.
    */
-  default PrefixSharing prefixSharing(String key, VersionedValue before, byte[] after) {
+  default PrefixSharing prefixSharing(String key, VersionedValue previous, byte[] nextBody) {
     return PrefixSharing.UNRECORDED;
   }
 
   /** What a change of a key is, in a few words, for people. */
-  default String summarizeChange(String key, byte[] before, byte[] after) {
+  default String summarizeChange(String key, byte[] oldBody, byte[] newBody) {
     return "";
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/PendingChange.java
+++ b/control-plane/src/main/java/gladelug/control/core/PendingChange.java
@@ -50,8 +50,8 @@
   }
 
   /** ms since its receipt. */
-  long ageMs(long now) {
-    return now - receivedAtMs;
+  long ageMs(long nowMs) {
+    return nowMs - receivedAtMs;
   }
 
   /** A majority confirmed the owner after this change's receipt. */
@@ -64,16 +64,16 @@
   }
 
   /** Gives it its value and so its number; it is about to be sent to the members. */
-  void write(VersionedValue next, long now) {
+  void write(VersionedValue next, long nowMs) {
     value = next;
     number = next.number();
-    sentAtMs = now;
+    sentAtMs = nowMs;
   }
 
   /** It was applied before under this number: it is only acknowledged again. */
-  void markDuplicateOf(long appliedNumber, long now) {
+  void markDuplicateOf(long appliedNumber, long nowMs) {
     number = appliedNumber;
-    commit(now);
+    commit(nowMs);
   }
 
   /** Whether it was applied before, so that nothing is written for it. */
@@ -92,12 +92,12 @@
   }
 
   /** ms since it was last sent to the members that have not accepted it. */
-  long sinceSentMs(long now) {
-    return now - sentAtMs;
+  long sinceSentMs(long nowMs) {
+    return nowMs - sentAtMs;
   }
 
-  void onResent(long now) {
-    sentAtMs = now;
+  void onResent(long nowMs) {
+    sentAtMs = nowMs;
   }
 
   void onAcceptedBy(String member) {
@@ -114,9 +114,9 @@
   }
 
   /** It is on a majority's disks. */
-  void commit(long now) {
+  void commit(long nowMs) {
     committed = true;
-    committedAtMs = now;
+    committedAtMs = nowMs;
   }
 
   boolean isCommitted() {
--- a/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
+++ b/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
@@ -25,7 +25,7 @@
  */
 final class Reconfiguration {
   /** Of the links between members, in bytes a ms. */
-  private static final long SLOWEST_LINK_BYTES_PER_MS = 2000;
+  private static final long MIN_LINK_BYTES_PER_MS = 2000;
 
   private final CoreMember context;
   private final Membership membership;
@@ -56,9 +56,9 @@
   }
 
   /** A seal that was found on the disk. */
-  void recover(MemberSet storedNextMembers, long now) {
+  void recover(MemberSet storedNextMembers, long nowMs) {
     nextMembers = storedNextMembers;
-    sealedAtMs = now;
+    sealedAtMs = nowMs;
   }
 
   /** A generation is active: nothing of the change to it is left. */
@@ -69,16 +69,16 @@
   }
 
   /** Another member asks to refuse the present generation; answered once that is durable. */
-  void onSealRequest(Envelope envelope, SealRequest request, long now) {
+  void onSealRequest(Envelope envelope, SealRequest request, long nowMs) {
     MemberSet next = request.next();
-    if (!membership.initialized()) return;
+    if (!membership.isInitialized()) return;
     if (next.generation() <= membership.members().generation()) {
-      membership.sendGeneration(envelope.sender(), now);
+      membership.sendGeneration(envelope.sender(), nowMs);
       return;
     }
     if (next.generation() != membership.members().generation() + 1
         || nextMembers != null && !nextMembers.equals(next)) return;
-    if (nextMembers == null) seal(next, now);
+    if (nextMembers == null) seal(next, nowMs);
     context.host.sync(
         DurableState.SEALED_FOR,
         next.bytes(),
@@ -88,11 +88,11 @@
                 envelope.sender().equals(context.self)
                     ? self.records()
                     : addressOf(envelope.sender()),
-                membership.envelope(sealResponse(next, request)));
+                membership.newEnvelope(newSealResponse(next, request)));
         });
   }
 
-  private SealResponse sealResponse(MemberSet next, SealRequest request) {
+  private SealResponse newSealResponse(MemberSet next, SealRequest request) {
     return new SealResponse(
         next.generation(),
         request.incarnation(),
@@ -106,13 +106,13 @@
   }
 
   /** Refuses the generation from now on, durably; its owners step down. */
-  void seal(MemberSet next, long now) {
+  void seal(MemberSet next, long nowMs) {
     nextMembers = next;
-    sealedAtMs = now;
+    sealedAtMs = nowMs;
     sealResponses.clear();
     resendActivationAtMs.clear();
     context.stepDownAll(StepDownReason.GENERATION_SEALED);
-    context.host.event(
+    context.host.logEvent(
         "generation-sealed",
         "generation",
         membership.members().generation(),
@@ -125,29 +125,30 @@
    * Whoever is sealed brings it to an end, the first live one in the order of the key core at once,
    * the others if that takes long.
    */
-  void complete(long now) {
+  void complete(long nowMs) {
     int rank = 0;
     for (String member : membership.members().order(StateKeys.CORE)) {
       if (member.equals(context.self)) break;
-      if (sealedAtMs - context.lastRoundTripAt(member) < context.config.peerTimeoutMs()) rank++;
+      if (sealedAtMs - context.lastRoundTripAtMs(member) < context.config.peerTimeoutMs()) rank++;
     }
-    if (now - sealedAtMs < (long) rank * context.config.electionRankDelayMs()
-        || now - lastCompletionAttemptAtMs < context.config.confirmIntervalMs()) return;
-    lastCompletionAttemptAtMs = now;
+    if (nowMs - sealedAtMs < (long) rank * context.config.electionRankDelayMs()
+        || nowMs - lastCompletionAttemptAtMs < context.config.confirmIntervalMs()) return;
+    lastCompletionAttemptAtMs = nowMs;
     if (sealResponses.size() < membership.members().majority()) {
       SealRequest request =
           new SealRequest(nextMembers, context.incarnation, context.registers.versions());
       for (MemberSet.Member member : membership.members().all())
-        context.host.sendTo(member.records(), membership.envelope(request));
+        context.host.sendTo(member.records(), membership.newEnvelope(request));
       return;
     }
     Map<String, Register> merged = mergedRegisters();
-    for (MemberSet.Member member : nextMembers.all()) sendActivation(member, merged, now);
+    for (MemberSet.Member member : nextMembers.all()) sendActivation(member, merged, nowMs);
   }
 
   /** A copy is not sent again while the one before it may still be on its way. */
-  private void sendActivation(MemberSet.Member recipient, Map<String, Register> merged, long now) {
-    if (now < resendActivationAtMs.getOrDefault(recipient.name(), Long.MIN_VALUE)) return;
+  private void sendActivation(
+      MemberSet.Member recipient, Map<String, Register> merged, long nowMs) {
+    if (nowMs < resendActivationAtMs.getOrDefault(recipient.name(), Long.MIN_VALUE)) return;
     SealResponse response =
         recipient.equals(membership.members().find(recipient.name()))
             ? sealResponses.get(recipient.name())
@@ -155,16 +156,16 @@
     List<RegisterVersion> stored = response == null ? List.of() : response.versions();
     List<RegisterRecord> registers = RegisterStore.besides(merged, stored);
     resendActivationAtMs.put(
-        recipient.name(), now + context.config.confirmIntervalMs() + transferTimeMs(registers));
+        recipient.name(), nowMs + context.config.confirmIntervalMs() + transferTimeMs(registers));
     context.host.sendTo(
-        recipient.records(), membership.envelope(new Activate(nextMembers, registers)));
+        recipient.records(), membership.newEnvelope(new Activate(nextMembers, registers)));
   }
 
   /** How long registers may take on the slowest link that members are to have, ms. */
   static long transferTimeMs(List<RegisterRecord> registers) {
     long bytes = 0;
     for (RegisterRecord register : registers) bytes += register.register().length;
-    return bytes / SLOWEST_LINK_BYTES_PER_MS;
+    return bytes / MIN_LINK_BYTES_PER_MS;
   }
 
   /** Another member refuses the generation and says what it stores. */
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberLeases.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberLeases.java
@@ -34,9 +34,9 @@
   }
 
   /** How many have not lapsed. */
-  int active(long now) {
+  int active(long nowMs) {
     int count = 0;
-    for (SubscriberLease lease : leases.values()) if (lease.expiresAtMs >= now) count++;
+    for (SubscriberLease lease : leases.values()) if (lease.expiresAtMs >= nowMs) count++;
     return count;
   }
 
@@ -45,19 +45,19 @@
   }
 
   /** A subscriber asked and holds this number; one without a lease is passed over. */
-  void onRequest(String subscriber, long number, long now) {
+  void onRequest(String subscriber, long number, long nowMs) {
     SubscriberLease lease = leases.get(subscriber);
     if (lease == null) return;
     lease.acknowledgedNumber = Math.max(lease.acknowledgedNumber, number);
-    lease.lastRequestAtMs = now;
+    lease.lastRequestAtMs = nowMs;
   }
 
   /** Grants or extends the lease of a subscriber that holds this number; it never gets shorter. */
-  void grant(String subscriber, long number, long expiresAtMs, long now) {
+  void grant(String subscriber, long number, long expiresAtMs, long nowMs) {
     SubscriberLease lease = leases.computeIfAbsent(subscriber, name -> new SubscriberLease());
     lease.expiresAtMs = Math.max(lease.expiresAtMs, expiresAtMs);
     lease.acknowledgedNumber = number;
-    lease.lastRequestAtMs = now;
+    lease.lastRequestAtMs = nowMs;
   }
 
   /**
@@ -66,26 +66,26 @@
    *
    * @param committedAtMs when the change was on a majority
    */
-  Acknowledgements acknowledgements(long number, long committedAtMs, long now) {
+  Acknowledgements acknowledgements(long number, long committedAtMs, long nowMs) {
     int acknowledged = 0;
     int lapsed = 0;
     int notAwaited = 0;
     for (Iterator<SubscriberLease> remaining = leases.values().iterator(); remaining.hasNext(); ) {
       SubscriberLease lease = remaining.next();
       if (lease.acknowledgedNumber >= number) acknowledged++;
-      else if (lease.expiresAtMs < now) {
+      else if (lease.expiresAtMs < nowMs) {
         remaining.remove();
         lapsed++;
-      } else if (isAwaited(lease, committedAtMs, now))
+      } else if (isAwaited(lease, committedAtMs, nowMs))
         return new Acknowledgements(false, acknowledged, lapsed, notAwaited);
       else notAwaited++;
     }
     return new Acknowledgements(true, acknowledged, lapsed, notAwaited);
   }
 
-  private boolean isAwaited(SubscriberLease lease, long committedAtMs, long now) {
+  private boolean isAwaited(SubscriberLease lease, long committedAtMs, long nowMs) {
     return config.acknowledgementMode() == QuorumConfig.AcknowledgementMode.STRICT
-        || now - lease.lastRequestAtMs < config.subscriberContactMs()
-            && now - committedAtMs < config.acknowledgementTimeoutMs();
+        || nowMs - lease.lastRequestAtMs < config.subscriberContactMs()
+            && nowMs - committedAtMs < config.acknowledgementTimeoutMs();
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
@@ -27,7 +27,7 @@
   private static final String DIRECT = "";
 
   /** Says in a push that it is the value whole, not a change of an earlier number. */
-  private static final int NO_BASE = -1;
+  private static final int FULL_VALUE = -1;
 
   /** A relay that has not asked for this long gets no share: three asks missed. */
   private static final long RELAY_TIMEOUT_MS = 2400;
@@ -47,12 +47,12 @@
   /** Unasked, the same value is not pushed whole to the same process again before this. */
   private static final long PUSH_INTERVAL_MS = 300;
 
-  private static final int MAX_PUSHES_REMEMBERED = 4096;
+  private static final int MAX_REMEMBERED_PUSHES = 4096;
 
   /** What the registry needs of the member it is part of. */
   interface Context {
     /** Whether the members are known here. */
-    boolean settled();
+    boolean isInitialized();
 
     /** The members of the generation. */
     MemberSet members();
@@ -72,10 +72,10 @@
   private final Map<String, SubscriberStatus> subscribers = new LinkedHashMap<>();
 
   /** By process, key and number: when it was pushed last. */
-  private final Map<String, Long> pushedAt = new HashMap<>();
+  private final Map<String, Long> pushedAtMs = new HashMap<>();
 
   private int relayCount;
-  private long relaysCountedAt = CoreHost.NEVER;
+  private long relaysCountedAtMs = CoreHost.NEVER;
 
   SubscriberRegistry(CoreHost host, Context context) {
     this.host = host;
@@ -88,10 +88,10 @@
   }
 
   /** The relays that ask, which share the capacity. */
-  List<SubscriberStatus> activeRelays(long now) {
+  List<SubscriberStatus> activeRelays(long nowMs) {
     List<SubscriberStatus> relays = new ArrayList<>();
     for (SubscriberStatus subscriber : subscribers.values())
-      if (isRelay(subscriber) && now - subscriber.lastRequestAt() < RELAY_TIMEOUT_MS)
+      if (isRelay(subscriber) && nowMs - subscriber.lastRequestAtMs() < RELAY_TIMEOUT_MS)
         relays.add(subscriber);
     return relays;
   }
@@ -101,10 +101,10 @@
   }
 
   /** Forgets the processes that no longer ask. */
-  void expire(long now) {
+  void expire(long nowMs) {
     subscribers
         .values()
-        .removeIf(subscriber -> now - subscriber.lastRequestAt() > SUBSCRIBER_EXPIRY_MS);
+        .removeIf(subscriber -> nowMs - subscriber.lastRequestAtMs() > SUBSCRIBER_EXPIRY_MS);
   }
 
   /** To a process that is known, on the way it last asked by; directly where it did so lately. */
@@ -123,13 +123,13 @@
   }
 
   private void send(SubscriberStatus subscriber, StateUpdate update) {
-    if (subscriber.relayedBy().isEmpty()) host.news(subscriber.name(), update);
+    if (subscriber.relayedBy().isEmpty()) host.pushUpdate(subscriber.name(), update);
     else context.send(subscriber.relayedBy(), new RelayedStateUpdate(subscriber.name(), update));
   }
 
   /** A process asks this member itself. */
-  void onRequest(StateUpdate.SubscriptionRequest request, long now) {
-    onRelayedRequest(request, DIRECT, now);
+  void onRequest(StateUpdate.SubscriptionRequest request, long nowMs) {
+    onRelayedRequest(request, DIRECT, nowMs);
   }
 
   /**
@@ -137,13 +137,13 @@
    *
    * @param relayedBy the member that passed the request on
    */
-  void onRelayedRequest(StateUpdate.SubscriptionRequest request, String relayedBy, long now) {
-    SubscriberStatus old = subscribers.get(request.name());
+  void onRelayedRequest(StateUpdate.SubscriptionRequest request, String relayedBy, long nowMs) {
+    SubscriberStatus previous = subscribers.get(request.name());
     if (!relayedBy.isEmpty()
-        && old != null
-        && old.relayedBy().isEmpty()
-        && now - old.lastRequestAt() < DIRECT_PREFERRED_MS) return;
-    SubscriberStatus subscriber = status(request, old, relayedBy, now);
+        && previous != null
+        && previous.relayedBy().isEmpty()
+        && nowMs - previous.lastRequestAtMs() < DIRECT_PREFERRED_MS) return;
+    SubscriberStatus subscriber = newStatus(request, previous, relayedBy, nowMs);
     subscribers.put(request.name(), subscriber);
     List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
     for (StateUpdate.KnownVersion version : request.known()) {
@@ -155,31 +155,35 @@
       if (owner == null) continue;
       String holder = request.name() + "#" + request.incarnation();
       StateUpdate.LeaseGrant grant =
-          owner.onSubscription(holder, isRelay(subscriber), version, now);
+          owner.onSubscription(holder, isRelay(subscriber), version, nowMs);
       if (grant != null) grants.add(grant);
       else if (version.number() < owner.value().number())
-        pushFullValue(subscriber, owner, now, false);
+        pushFullValue(subscriber, owner, nowMs, false);
     }
     if (!grants.isEmpty())
-      send(subscriber, new StateUpdate.LeaseGrants(request.sentAtMs(), grants, relayCount(now)));
+      send(subscriber, new StateUpdate.LeaseGrants(request.sentAtMs(), grants, relayCount(nowMs)));
   }
 
   /** What the request says, with the times since which the process holds its versions. */
-  private SubscriberStatus status(
-      StateUpdate.SubscriptionRequest request, SubscriberStatus old, String relayedBy, long now) {
-    Map<String, Long> versionSince = new HashMap<>();
+  private SubscriberStatus newStatus(
+      StateUpdate.SubscriptionRequest request,
+      SubscriberStatus previous,
+      String relayedBy,
+      long nowMs) {
+    Map<String, Long> versionSinceMs = new HashMap<>();
     for (StateUpdate.KnownVersion version : request.known()) {
       boolean same =
-          old != null
-              && old.incarnation() == request.incarnation()
-              && old.versions().stream()
+          previous != null
+              && previous.incarnation() == request.incarnation()
+              && previous.versions().stream()
                   .anyMatch(
                       other ->
                           other.key().equals(version.key()) && other.number() == version.number());
       if (!same && version.number() > 0)
         context.onNumberSeen(version.key(), version.number(), request.name());
-      versionSince.put(
-          version.key(), same ? old.versionSince().getOrDefault(version.key(), now) : now);
+      versionSinceMs.put(
+          version.key(),
+          same ? previous.versionSinceMs().getOrDefault(version.key(), nowMs) : nowMs);
     }
     return new SubscriberStatus(
         request.name(),
@@ -188,9 +192,9 @@
         request.records(),
         request.operator(),
         request.zone(),
-        now,
+        nowMs,
         request.known(),
-        versionSince,
+        versionSinceMs,
         request.demands(),
         request.capacities(),
         relayedBy);
@@ -198,7 +202,7 @@
 
   /** The members themselves, to a process that knows an earlier generation; no key's owner does. */
   private void pushMembers(SubscriberStatus subscriber, StateUpdate.KnownVersion version) {
-    if (!context.settled() || version.number() >= context.members().generation()) return;
+    if (!context.isInitialized() || version.number() >= context.members().generation()) return;
     long generation = context.members().generation();
     send(
         subscriber,
@@ -206,83 +210,83 @@
             StateKeys.CORE,
             generation,
             generation,
-            NO_BASE,
+            FULL_VALUE,
             "",
             context.members().coreMemberListJson()));
   }
 
-  private int relayCount(long now) {
-    if (now - relaysCountedAt > RELAY_COUNT_INTERVAL_MS) {
-      relaysCountedAt = now;
+  private int relayCount(long nowMs) {
+    if (nowMs - relaysCountedAtMs > RELAY_COUNT_INTERVAL_MS) {
+      relaysCountedAtMs = nowMs;
       relayCount =
           (int)
               subscribers.values().stream()
                   .filter(
                       subscriber ->
                           isRelay(subscriber)
-                              && now - subscriber.lastRequestAt() < RELAY_COUNTED_FOR_MS)
+                              && nowMs - subscriber.lastRequestAtMs() < RELAY_COUNTED_FOR_MS)
                   .count();
     }
     return relayCount;
   }
 
   /** A process couldn't use a change of a key and asks for the value whole. */
-  void onFullValueRequested(String name, String key, long now) {
+  void onFullValueRequested(String name, String key, long nowMs) {
     KeyOwner owner = context.servingOwner(key);
     if (owner != null && subscribers.containsKey(name))
-      pushFullValue(subscribers.get(name), owner, now, true);
+      pushFullValue(subscribers.get(name), owner, nowMs, true);
   }
 
   private void pushFullValue(
-      SubscriberStatus subscriber, KeyOwner owner, long now, boolean requested) {
+      SubscriberStatus subscriber, KeyOwner owner, long nowMs, boolean requested) {
     VersionedValue value = owner.value();
-    String push = subscriber.name() + " " + owner.key + " " + value.number();
-    Long last = pushedAt.get(push);
-    if (!requested && last != null && now - last < PUSH_INTERVAL_MS) return;
-    if (pushedAt.size() > MAX_PUSHES_REMEMBERED) pushedAt.clear();
-    pushedAt.put(push, now);
+    String pushKey = subscriber.name() + " " + owner.key + " " + value.number();
+    Long lastPushAtMs = pushedAtMs.get(pushKey);
+    if (!requested && lastPushAtMs != null && nowMs - lastPushAtMs < PUSH_INTERVAL_MS) return;
+    if (pushedAtMs.size() > MAX_REMEMBERED_PUSHES) pushedAtMs.clear();
+    pushedAtMs.put(pushKey, nowMs);
     push(
         subscriber,
         new StateUpdate.ValuePush(
             owner.key,
             owner.epoch,
             value.number(),
-            NO_BASE,
+            FULL_VALUE,
             value.digest(),
             value.body(),
             value.sharing().since()));
   }
 
   /** The change alone to those who hold the number before it, else the value whole. */
-  void pushChange(String key, long epoch, VersionedValue before, VersionedValue after) {
-    byte[] delta = BinaryDelta.between(before.body(), after.body());
+  void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value) {
+    byte[] delta = BinaryDelta.between(previous.body(), value.body());
     StateUpdate.ValuePush whole =
         new StateUpdate.ValuePush(
             key,
             epoch,
-            after.number(),
-            NO_BASE,
-            after.digest(),
-            after.body(),
-            after.sharing().since());
+            value.number(),
+            FULL_VALUE,
+            value.digest(),
+            value.body(),
+            value.sharing().since());
     StateUpdate.ValuePush change =
         delta == null
             ? whole
             : new StateUpdate.ValuePush(
                 key,
                 epoch,
-                after.number(),
-                before.number(),
-                after.digest(),
+                value.number(),
+                previous.number(),
+                value.digest(),
                 delta,
-                after.sharing().since());
+                value.sharing().since());
     for (SubscriberStatus subscriber : subscribers.values()) {
-      boolean holdsBefore =
+      boolean holdsPrevious =
           subscriber.versions().stream()
               .anyMatch(
-                  version -> version.key().equals(key) && version.number() == before.number());
-      pushedAt.put(subscriber.name() + " " + key + " " + after.number(), host.now());
-      push(subscriber, holdsBefore ? change : whole);
+                  version -> version.key().equals(key) && version.number() == previous.number());
+      pushedAtMs.put(subscriber.name() + " " + key + " " + value.number(), host.nowMs());
+      push(subscriber, holdsPrevious ? change : whole);
     }
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/ValueAges.java
+++ b/control-plane/src/main/java/gladelug/control/core/ValueAges.java
@@ -12,24 +12,26 @@
   /** The age of a key that no owner told of. */
   private static final long UNKNOWN_AGE_MS = Integer.MAX_VALUE;
 
-  private record ValueAge(long number, long receivedAt, long ageMs) {}
+  private record ValueAge(long number, long receivedAtMs, long ageMs) {}
 
   private final Map<String, ValueAge> ages = new HashMap<>();
 
   /** Notes an owner's word on the age of a value, unless of one older than known. */
-  void onClaim(CoreMessage.OwnershipClaim claim, long now) {
+  void onClaim(CoreMessage.OwnershipClaim claim, long nowMs) {
     ValueAge known = ages.get(claim.key());
     if (known == null || claim.number() >= known.number)
-      ages.put(claim.key(), new ValueAge(claim.number(), now, claim.valueAgeMs()));
+      ages.put(claim.key(), new ValueAge(claim.number(), nowMs, claim.valueAgeMs()));
   }
 
   /**
    * The most the value of this number may be old by what its owners told, ms; a number never told
    * of began after the last telling.
    */
-  long ageMs(String key, long number, long now) {
+  long ageMs(String key, long number, long nowMs) {
     ValueAge known = ages.get(key);
     if (known == null) return UNKNOWN_AGE_MS;
-    return known.number == number ? known.ageMs + now - known.receivedAt : now - known.receivedAt;
+    return known.number == number
+        ? known.ageMs + nowMs - known.receivedAtMs
+        : nowMs - known.receivedAtMs;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
@@ -85,7 +85,7 @@
 
   /** Offers the owner of the key what this member observed and nobody accepted. */
   private Uni<?> offerPending() {
-    Optional<PendingObservation.Offer> offer = pending.offer(core.now());
+    Optional<PendingObservation.Offer> offer = pending.offer(core.nowMs());
     if (offer.isEmpty()) return Uni.createFrom().nullItem();
     return core.change(StateKeys.REPLICAS, offer.get().baseNumber(), offer.get().value())
         .invoke(pending::onChangeResult);
@@ -112,7 +112,7 @@
     @Override
     public void onListChanged(StoredList base, Replicas list) {
       byte[] narrowed = InstanceListPoll.narrowed(base.list(), list);
-      pending.observe(base.number(), narrowed, core.now());
+      pending.observe(base.number(), narrowed, core.nowMs());
     }
 
     @Override
--- a/control-plane/src/main/java/gladelug/control/operator/StatusHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/StatusHandler.java
@@ -44,8 +44,8 @@
   }
 
   private static boolean reachesMajority(CoreMember member) {
-    return member.settled()
-        && member.membersAlive().values().stream().filter(alive -> alive).count()
+    return member.isInitialized()
+        && member.memberLiveness().values().stream().filter(alive -> alive).count()
             > member.members().all().size() / 2;
   }
 
@@ -65,14 +65,14 @@
         .add("members", members(member))
         .add("keys", keys(member))
         .add("wouldJoin", joiners(member))
-        .add("sealed", member.sealed())
-        .add("retired", member.retired())
-        .add("active", member.active())
+        .add("sealed", member.isSealed())
+        .add("retired", member.isRetired())
+        .add("active", member.isActive())
         .add("nodes", subscribers(member));
   }
 
   private static JsonArray members(CoreMember member) {
-    Map<String, Boolean> alive = member.membersAlive();
+    Map<String, Boolean> alive = member.memberLiveness();
     JsonArray array = new JsonArray();
     for (MemberSet.Member other : member.members().all())
       array.add(
@@ -118,15 +118,15 @@
                 .add("number", version.number())
                 .add(
                     "forMs",
-                    core.now()
-                        - subscriber.versionSince().getOrDefault(version.key(), core.now())));
+                    core.nowMs()
+                        - subscriber.versionSinceMs().getOrDefault(version.key(), core.nowMs())));
       array.add(
           Json.object()
               .add("name", subscriber.name())
               .add("role", subscriber.role())
               .add("domain", subscriber.zone())
               .add("operator", subscriber.operatorAddress())
-              .add("askedMsAgo", core.now() - subscriber.lastRequestAt())
+              .add("askedMsAgo", core.nowMs() - subscriber.lastRequestAtMs())
               .add("holds", versions));
     }
     return array;
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
@@ -58,7 +58,7 @@
     commands = commandsFactory.apply(services.find("doors", ConnectionAcceptor.class).local);
     context = vertx.getOrCreateContext();
     commandSender =
-        new ReplicaCommandSender(processName, commands, rollout, core::now, this::commandLease);
+        new ReplicaCommandSender(processName, commands, rollout, core::nowMs, this::commandLease);
     context.runOnContext(() -> timerId = vertx.setPeriodic(POLL_INTERVAL_MS, ignored -> poll()));
   }
 
@@ -93,7 +93,7 @@
         member.storedValue(StateKeys.REPLICAS).getValue(),
         member.storedValue(StateKeys.WEIGHTS).getValue(),
         member.storedValue(StateKeys.CONFIGURATION).getValue(),
-        member.knownAge(StateKeys.WEIGHTS));
+        member.knownAgeMs(StateKeys.WEIGHTS));
   }
 
   /**
@@ -107,7 +107,7 @@
 
   private void onPolled(List<Replica> targets) {
     pollInProgress = false;
-    if (!commands.pollsEveryReplica()) rollout.onListed(core.now());
+    if (!commands.pollsEveryReplica()) rollout.onListed(core.nowMs());
     targets.forEach(this::updateReplica);
   }
 
@@ -148,7 +148,7 @@
         .weights()
         .forEach(
             (model, weights) ->
-                rollout.onReported(replica, model, weights, state.loading(), core.now()));
+                rollout.onReported(replica, model, weights, state.loading(), core.nowMs()));
     commandSender.send(replica);
   }
 
--- a/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
@@ -49,12 +49,12 @@
     final List<StateUpdate> pushed = new ArrayList<>();
 
     @Override
-    public long now() {
+    public long nowMs() {
       return now;
     }
 
     @Override
-    public long wall() {
+    public long wallClockMs() {
       return 0;
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public List<Address> contacts() {
+    public List<Address> contactAddresses() {
       return List.of();
     }
 
@@ -90,15 +90,15 @@
     }
 
     @Override
-    public void news(String node, StateUpdate update) {
+    public void pushUpdate(String node, StateUpdate update) {
       pushed.add(update);
     }
 
     @Override
-    public void members(MemberSet members) {}
+    public void onMembersChanged(MemberSet members) {}
 
     @Override
-    public void event(String name, Object... pairs) {}
+    public void logEvent(String name, Object... pairs) {}
 
     void synced() {
       List<Runnable> callbacks = new ArrayList<>(syncs);
@@ -246,7 +246,7 @@
                 third.bytes()),
             null,
             new OwnerTasks() {});
-    Assertions.assertTrue(member.sealed());
+    Assertions.assertTrue(member.isSealed());
     from(member, "b", new JoinRequest(ADDRESS.toString(), ADDRESS.toString()));
     Assertions.assertEquals(1, host.count("address Activate"));
     from(member, "c", new SealRequest(second, 0, List.of()));
@@ -340,7 +340,7 @@
     from(member, "b", new SealRequest(next, 0, List.of()));
     host.synced();
     member.onMessage(new Envelope(2, "d", "dd", new Activate(next, List.of())));
-    Assertions.assertTrue(member.retired());
+    Assertions.assertTrue(member.isRetired());
     for (String sealed : new String[] {"a", "c"})
       from(member, sealed, new SealResponse(2, 0, List.of(), List.of()));
     host.said.clear();
@@ -373,7 +373,7 @@
     host.synced();
     Assertions.assertEquals(List.of(), host.said);
     Assertions.assertFalse(
-        member.settled(), "members with the old disk in its name don't let it in");
+        member.isInitialized(), "members with the old disk in its name don't let it in");
   }
 
   @Test
@@ -611,15 +611,15 @@
           new Heartbeat(
               true, 10_000, List.of(), new SendTime(8, host.now), new SendTime(9, host.now)));
     }
-    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.membersAlive());
+    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.memberLiveness());
     Assertions.assertEquals(
         0, host.count("b PrepareRequest"), "an attempt without contact to a majority");
-    Assertions.assertTrue(member.unavailable());
+    Assertions.assertTrue(member.isUnavailable());
     exchangeSignsOfLife(member, host, "b");
-    Assertions.assertEquals(Map.of("a", true, "b", true, "c", false), member.membersAlive());
-    Assertions.assertFalse(member.unavailable());
+    Assertions.assertEquals(Map.of("a", true, "b", true, "c", false), member.memberLiveness());
+    Assertions.assertFalse(member.isUnavailable());
     host.now += QuorumConfig.DEFAULT.peerTimeoutMs();
-    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.membersAlive());
+    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.memberLiveness());
   }
 
   @Test
@@ -656,9 +656,9 @@
             .findFirst()
             .orElseThrow();
     List<OwnershipClaim> claim = List.of(new OwnershipClaim(key, THREE.epoch(0, "b"), 0, 0, false));
-    member.healthy(false);
+    member.updateDiskHealth(false);
     passWithOwner(member, host, claim, 2L * QuorumConfig.DEFAULT.preferredOwnerUptimeMs());
-    member.healthy(true);
+    member.updateDiskHealth(true);
     passWithOwner(member, host, claim, QuorumConfig.DEFAULT.preferredOwnerUptimeMs() - 100);
     Assertions.assertEquals(0, member.epochOf(key), "taken back at once");
     passWithOwner(member, host, claim, 1000);
@@ -710,7 +710,7 @@
 
   private static void confirmedByTwo(CoreMember member, Paper host) {
     host.messages.clear();
-    member.confirmSoon();
+    member.requestConfirmationRound();
     member.tick();
     ConfirmRequest confirm =
         host.messages.stream()
--- a/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
@@ -259,6 +259,6 @@
     Assertions.assertEquals("policy", StateDecoder.keyOf("epochs/policy"));
     Assertions.assertEquals(
         List.of("members", "sealed", "pinned"),
-        List.of(StateDecoder.MEMBERS, StateDecoder.SEALED, DurableState.BOOTSTRAP_SET));
+        List.of(StateDecoder.MEMBERS_ENTRY, StateDecoder.SEALED_ENTRY, DurableState.BOOTSTRAP_SET));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return 0;
     }
 
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public long wall() {
+    public long wallClockMs() {
       return 0;
     }
 
@@ -91,18 +91,18 @@
     public void sendTo(Address to, CoreMessage.Envelope message) {}
 
     @Override
-    public List<Address> contacts() {
+    public List<Address> contactAddresses() {
       return List.of();
     }
 
     @Override
-    public void news(String node, StateUpdate message) {}
+    public void pushUpdate(String node, StateUpdate message) {}
 
     @Override
-    public void members(MemberSet members) {}
+    public void onMembersChanged(MemberSet members) {}
 
     @Override
-    public void event(String name, Object... pairs) {}
+    public void logEvent(String name, Object... pairs) {}
   }
 
   private static MemberSet.Member member(String name, String disk, int host) {
--- a/control-plane/src/test/java/gladelug/control/core/register/RegisterStoreTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/RegisterStoreTest.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return 0;
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public long wall() {
+    public long wallClockMs() {
       return 0;
     }
 
@@ -72,18 +72,18 @@
     public void sendTo(Address to, CoreMessage.Envelope m) {}
 
     @Override
-    public List<Address> contacts() {
+    public List<Address> contactAddresses() {
       return List.of();
     }
 
     @Override
-    public void news(String node, StateUpdate m) {}
+    public void pushUpdate(String node, StateUpdate m) {}
 
     @Override
-    public void members(MemberSet m) {}
+    public void onMembersChanged(MemberSet m) {}
 
     @Override
-    public void event(String name, Object... pairs) {}
+    public void logEvent(String name, Object... pairs) {}
   }
 
   private static VersionedValue value(VersionedValue before, int size, int content) {
--- a/emulator/src/main/java/gladelug/emulator/check/CheckedNetwork.java
+++ b/emulator/src/main/java/gladelug/emulator/check/CheckedNetwork.java
@@ -135,7 +135,8 @@
 
   private CoreMessage firstAccepted(AcceptRequest a) {
     if (!rewritten.add(a.key() + a.epoch())) return null;
-    return new AcceptResponse(a.key(), a.epoch(), StateDecoder.value(a).number(), true, a.epoch());
+    return new AcceptResponse(
+        a.key(), a.epoch(), StateDecoder.decodeValue(a).number(), true, a.epoch());
   }
 
   private static CoreMessage confirmedByAll(ConfirmRequest c) {
--- a/emulator/src/main/java/gladelug/emulator/check/FaultBudget.java
+++ b/emulator/src/main/java/gladelug/emulator/check/FaultBudget.java
@@ -46,8 +46,8 @@
   /** Notes the sets of members that are proposed. */
   void sent(CoreMessage message) {
     if (message instanceof AcceptRequest a && a.key().equals(StateKeys.CORE)) {
-      byte[] body = StateDecoder.value(a).body();
-      if (body.length > 0) counts(StateDecoder.members(body));
+      byte[] body = StateDecoder.decodeValue(a).body();
+      if (body.length > 0) counts(StateDecoder.decodeMembers(body));
     }
   }
 
@@ -102,7 +102,7 @@
   private Map<String, Long> clocks() {
     Map<String, Long> reading = new HashMap<>();
     for (CheckedMachine m : world.machines())
-      if (m.up()) reading.put(m.name + " " + m.life, m.now());
+      if (m.up()) reading.put(m.name + " " + m.life, m.nowMs());
     return reading;
   }
 
@@ -133,7 +133,7 @@
     for (MemberSet.Member x : members.all()) {
       CheckedMachine m = world.machine(x.name());
       if (!m.disk.id.equals(x.disk())) continue;
-      MemberSet onDisk = StateDecoder.members(m.disk.entry(StateDecoder.MEMBERS));
+      MemberSet onDisk = StateDecoder.decodeMembers(m.disk.entry(StateDecoder.MEMBERS_ENTRY));
       if (onDisk.generation() >= members.generation()) took++;
     }
     return took > members.all().size() / 2;
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
@@ -174,7 +174,7 @@
 
   @Override
   void duty(SimControl control) {
-    if (control.node == null || !control.node.settled()) return;
+    if (control.node == null || !control.node.isInitialized()) return;
     if (control.node.owns(StateKeys.REPLICAS) && !platformSilent) {
       Map<String, String> told = new LinkedHashMap<>(listed);
       if (Replicas.parse(platform()) instanceof Result.Good<Replicas> g) {
@@ -196,7 +196,7 @@
             control.node.storedValue(StateKeys.REPLICAS).getValue(),
             control.node.storedValue(StateKeys.WEIGHTS).getValue(),
             control.node.storedValue(StateKeys.CONFIGURATION).getValue(),
-            control.node.knownAge(StateKeys.WEIGHTS)));
+            control.node.knownAgeMs(StateKeys.WEIGHTS)));
     for (Replicas.Replica r : s.rolloutTargets()) {
       String key = StateKeys.REPLICA_CONTROLLER_PREFIX + r.instance();
       control.node.ensureKey(key);
@@ -413,8 +413,9 @@
       case WEIGHTS_NAMED -> operator.nameWeights(then);
       case OWNER_DIES -> {
         for (SimControl control : controls.values())
-          if (control.up && control.node.settled() && control.node.owns(StateKeys.CONFIGURATION))
-            control.power();
+          if (control.up
+              && control.node.isInitialized()
+              && control.node.owns(StateKeys.CONFIGURATION)) control.power();
         operator.moveApplication(then);
       }
       case REPLICA_CRASHES -> {
--- a/emulator/src/main/java/gladelug/emulator/sim/Sim.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/Sim.java
@@ -495,7 +495,7 @@
       for (SimControl control : controls.values()) {
         if (!control.up
             || control.paused
-            || !control.node.settled()
+            || !control.node.isInitialized()
             || !control.node.mayCommand(key)) continue;
         if (owner != null) violation(owner + " and " + control.name + " may both command " + key);
         owner = control.name;
@@ -649,7 +649,7 @@
   public long generation() {
     long g = 0;
     for (SimControl control : controls.values())
-      if (control.up && control.node.settled())
+      if (control.up && control.node.isInitialized())
         g = Math.max(g, control.node.members().generation());
     return g;
   }
@@ -659,7 +659,7 @@
     long g = generation();
     MemberSet members = null;
     for (SimControl control : controls.values())
-      if (control.up && control.node.settled() && control.node.members().generation() == g)
+      if (control.up && control.node.isInitialized() && control.node.members().generation() == g)
         members = control.node.members();
     if (members == null) return false;
     for (MemberSet.Member x : members.all()) {
@@ -668,7 +668,7 @@
           || control.paused
           || !control.disk.equals(x.disk())
           || control.node.members().generation() != g
-          || control.node.sealed()) return false;
+          || control.node.isSealed()) return false;
     }
     return true;
   }
@@ -682,7 +682,7 @@
       for (SimControl control : controls.values())
         if (control.up
             && !control.paused
-            && control.node.settled()
+            && control.node.isInitialized()
             && control.node.owns(StateKeys.CORE)
             && control.node.replaceMember(out, in, result -> {}).isEmpty()) begun[0] = true;
       if (begun[0]) return;
@@ -698,7 +698,8 @@
   public String owner(String key) {
     String o = "";
     for (SimControl control : controls.values())
-      if (control.up && control.node.settled() && control.node.owns(key)) o = o + control.name;
+      if (control.up && control.node.isInitialized() && control.node.owns(key))
+        o = o + control.name;
     return o;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimOperator.java
@@ -165,7 +165,7 @@
   private void send(String key, long match, String body, Consumer<Boolean> done) {
     List<SimControl> ready =
         sim.controls.values().stream()
-            .filter(control -> control.up && !control.paused && control.node.settled())
+            .filter(control -> control.up && !control.paused && control.node.isInitialized())
             .toList();
     if (ready.isEmpty()) {
       done.accept(false);
@@ -214,7 +214,7 @@
   /** Names the next weights of both models. */
   void nameWeights(Consumer<Boolean> done) {
     SimControl control = sim.controls.get(sim.anyUp());
-    if (control.node == null || !control.node.settled()) {
+    if (control.node == null || !control.node.isInitialized()) {
       done.accept(false);
       return;
     }
--- a/emulator/src/test/java/gladelug/emulator/check/CoreMutationsTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/CoreMutationsTest.java
@@ -29,7 +29,7 @@
    * The slips: in which file, which passage is replaced by what, and what notices it. The passages
    * follow the core when it is renamed; one that is not found fails its test.
    */
-  enum Slip {
+  enum SourceMutation {
     /** Of equal numbers the one heard first. */
     VALUE_BY_NUMBER_FIRST(
         ELECTION,
@@ -187,17 +187,17 @@
         FoundingScenario.class);
 
     final String file;
-    final String passage;
+    final String original;
     final String replacement;
     final Class<? extends Supplier<String>> scenario;
 
-    Slip(
+    SourceMutation(
         String file,
-        String passage,
+        String original,
         String replacement,
         Class<? extends Supplier<String>> scenario) {
       this.file = file;
-      this.passage = passage;
+      this.original = original;
       this.replacement = replacement;
       this.scenario = scenario;
     }
@@ -205,15 +205,15 @@
 
   @ParameterizedTest
   @EnumSource
-  void isNoticed(Slip slip) {
-    long begun = System.nanoTime();
-    MutatedCore core = MutatedCore.with(slip.file, slip.passage, slip.replacement);
+  void isNoticed(SourceMutation mutation) {
+    long startedAtNanos = System.nanoTime();
+    MutatedCore core = MutatedCore.with(mutation.file, mutation.original, mutation.replacement);
 
-    String found = core.run(slip.scenario);
+    String violation = core.run(mutation.scenario);
 
-    long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-    System.out.println(slip + ", " + took + " ms: " + found);
-    Assertions.assertNotEquals("", found, slip + " was not noticed");
+    long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
+    System.out.println(mutation + ", " + elapsedMs + " ms: " + violation);
+    Assertions.assertNotEquals("", violation, mutation + " was not noticed");
   }
 
   @ParameterizedTest
