--- a/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
+++ b/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
@@ -9,36 +9,43 @@
 import java.util.Set;
 
 /**
- * How bootstrap members agree on a fleet's first members, once, though one may lose its disk
- * meanwhile. Pure: it is given what the others announced and returns what to store and when the set
- * is agreed. The first by name proposes the set of names and disks when it has heard from all;
- * every bootstrap member stores it; it is in force when all in it have stored it. A member seen
- * with another disk has lost the one in the set, so it can't store it any more, and a majority of
- * the set that did store it goes on without it. A member that came back empty and asks to be let in
- * stores no set either, as it doesn't know that it bootstrapped: its new disk may be in a set,
- * counts as lost there, and the next by name that does bootstrap proposes in its place.
+ * Agreement of the bootstrap members on the first member set of a fleet. It is reached at most
+ * once, even if a member loses its disk meanwhile. The class does no I/O: it receives what the
+ * other members announced, and returns which set to store and when a set is agreed. The first
+ * member by name proposes the set of names and disk ids once it has heard from all members. Every
+ * bootstrap member stores that set, and it is agreed once all members in it have stored it. A
+ * member that reports another disk than the set lists has lost that disk and can no longer store
+ * the set, so the members that stored it continue without it if they are a majority. A member that
+ * restarted with an empty disk and sends a join request stores no set either, since it does not
+ * know that it took part in the bootstrap: its new disk may be listed in a set, where it counts as
+ * lost, and the next member by name that still bootstraps proposes in its place.
  *
- * <p>Why no two sets come into force: a member stores another set only when it knows that the one
- * it stored never will be in force. That is so when the set's proposer came back with another disk
- * and a member in the set, whose disk it still has, stored another one instead; it never goes back
- * to the first. A proposer with a new disk proposes no set while anybody it heard from has stored
- * one. Who proposes in place of one that came back empty has stored nothing, keeps its own set for
- * good and is in every set that the former proposer can have made, so none of those comes into
- * force. So a fleet is bootstrapped once, as long as its members are not all started on empty disks
- * again.
+ * <p>Why no two sets are ever agreed: a member replaces its stored set only if that set can never
+ * be agreed. This is the case when the set's proposer returned with another disk and a member of
+ * the set that still has its disk stored a different set, because that member never returns to the
+ * first one. A proposer with a new disk proposes no set while any member it heard from has stored
+ * one. A member that proposes in place of one that restarted with an empty disk has stored nothing
+ * before, keeps its own set permanently and is listed in every set that the former proposer can
+ * have made, so none of those can be agreed. A fleet is therefore bootstrapped once, unless all its
+ * members are started on empty disks again.
  */
 final class Bootstrap {
   private final String self;
 
-  /** By name, with no disk yet. */
+  /** The bootstrap members by name; their disk ids are not known yet. */
   private final MemberSet members;
 
   private final Map<String, String> disksByName = new HashMap<>();
 
-  /** Disks of bootstrap members that came back empty and only ask to be let in, by disk. */
+  /**
+   * Bootstrap members that restarted with an empty disk and only send join requests, by disk id.
+   */
   private final Map<String, MemberSet.Member> joiningByDisk = new HashMap<>();
 
-  /** Disks that announced themselves for bootstrap; what they stored counts whatever they ask. */
+  /**
+   * Ids of disks announced for bootstrap. The sets they stored count even if their members send
+   * join requests later.
+   */
   private final Set<String> bootstrapDisks = new HashSet<>();
 
   private final Map<String, MemberSet> storedSets = new HashMap<>();
@@ -54,18 +61,21 @@
     return members;
   }
 
-  /** The set on this member's disk, or none; announced to the others only from then on. */
+  /**
+   * Returns the set on this member's disk, or {@link MemberSet#NONE}. A set is announced to the
+   * other members only once it is on disk.
+   */
   MemberSet storedSet() {
     return storedSet;
   }
 
-  /** The set is on disk now. */
+  /** Records that the set is on this member's disk. */
   void onSetStored(MemberSet set) {
     storedSet = set;
     storedSets.put(self, set);
   }
 
-  /** A bootstrap member announced which disk it has and which set it stored. */
+  /** Records the disk and the stored set that a bootstrap member announced. */
   void onAnnouncement(String name, String memberDisk, MemberSet stored) {
     if (name.equals(self) || members.find(name) == null) return;
     bootstrapDisks.add(memberDisk);
@@ -73,7 +83,10 @@
     storedSets.put(name, stored);
   }
 
-  /** A machine asks to be let in; if it is a bootstrap member by name, it lost the disk it had. */
+  /**
+   * Records a join request. A bootstrap member that sends one from a disk it did not announce has
+   * lost its former disk.
+   */
   void onJoinRequest(MemberSet.Member candidate) {
     if (candidate.name().equals(self)
         || members.find(candidate.name()) == null
@@ -95,14 +108,17 @@
         && hasSameDisk(set, self);
   }
 
-  /** The first by name, of those that can have stored anything. */
+  /** Returns the first member by name that can have stored a set. */
   private String proposerOf(MemberSet set) {
     for (MemberSet.Member member : set.all())
       if (!joiningByDisk.containsKey(member.disk())) return member.name();
     return set.all().get(0).name();
   }
 
-  /** The first by name, as far as it isn't known to have come back empty. */
+  /**
+   * Returns the first bootstrap member by name that is not known to have restarted with an empty
+   * disk.
+   */
   private String nextProposer() {
     for (MemberSet.Member member : members.all())
       if (!joiningByDisk.containsKey(disksByName.getOrDefault(member.name(), "")))
@@ -122,9 +138,9 @@
   }
 
   /**
-   * The set to store now, or null.
+   * Returns the set that this member has to store now, or null for none.
    *
-   * @param mayPropose whether it is time to propose a set, if that is this member's part
+   * @param mayPropose whether this member may propose a set if it is the proposer
    */
   MemberSet nextSetToStore(boolean mayPropose) {
     if (members.find(self) == null) return null;
@@ -162,7 +178,7 @@
     return null;
   }
 
-  /** The first members, once they are in force; or null. */
+  /** Returns the agreed first members, or null while no set is agreed. */
   MemberSet agreedSet() {
     if (storedSet.generation() == 0) return null;
     int storedCount = 0, lostCount = 0;
--- a/control-plane/src/main/java/gladelug/control/core/BootstrapMembers.java
+++ b/control-plane/src/main/java/gladelug/control/core/BootstrapMembers.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * Those who bootstrap a fleet; its first generation begins only once all have met.
+ * The members that bootstrap a fleet. The first generation begins only once all of them have
+ * exchanged announcements.
  *
- * @param members one to nine, by name
+ * @param members the members ordered by name, one to nine
  */
 public record BootstrapMembers(List<MemberSet.Member> members) {}
--- a/control-plane/src/main/java/gladelug/control/core/ChangeHistory.java
+++ b/control-plane/src/main/java/gladelug/control/core/ChangeHistory.java
@@ -10,32 +10,36 @@
 import java.util.TreeMap;
 
 /**
- * When numbers of keys were acknowledged, and when each data-plane process was first seen to hold
- * them: for operators to read, nothing is decided by it. Kept in memory alone. Only the core's
- * thread calls it; times are of the wall clock, in ms since the epoch of Unix.
+ * Records when each version number of a key was acknowledged and when each data-plane process first
+ * reported it. It is shown to operators only and influences no decision. It is kept in memory and
+ * is lost on a restart. Called on the core's thread only; times are wall-clock times in ms since
+ * the Unix epoch.
  */
 final class ChangeHistory {
-  /** Numbers of a key that are remembered, the newest. */
+  /** How many version numbers are remembered for each key; the oldest are dropped first. */
   private static final int MAX_NUMBERS_PER_KEY = 32;
 
-  /** Stands among the processes' names for the acknowledgement; no process is named so. */
+  /**
+   * Entry that holds the time of the acknowledgement among the process names; no process has an
+   * empty name.
+   */
   private static final String ACKNOWLEDGED = "";
 
   private final CoreHost host;
 
-  /** By key and number: when each process first held it. */
+  /** By key, version number and process name: when the process first reported the number. */
   private final Map<String, TreeMap<Long, Map<String, Long>>> firstSeenAtMs = new HashMap<>();
 
   ChangeHistory(CoreHost host) {
     this.host = host;
   }
 
-  /** The change was acknowledged to whoever made it. */
+  /** Records that the change was acknowledged to its sender. */
   void onAcknowledged(String key, long number) {
     onSeen(key, number, ACKNOWLEDGED);
   }
 
-  /** A process says that it holds a number; only the first time counts. */
+  /** Records that a process reported a version number; only its first report counts. */
   void onSeen(String key, long number, String subscriber) {
     TreeMap<Long, Map<String, Long>> numbers =
         firstSeenAtMs.computeIfAbsent(key, newKey -> new TreeMap<>());
@@ -45,7 +49,9 @@
     if (numbers.size() > MAX_NUMBERS_PER_KEY) numbers.pollFirstEntry();
   }
 
-  /** The changes that a value's own history tells of, with what was seen of them here. */
+  /**
+   * Returns the changes in the value's history, with the times recorded for them at this member.
+   */
   List<ChangeRecord> records(String key, VersionedValue value) {
     List<ChangeRecord> records = new ArrayList<>();
     for (HistoryEntry entry : value.history()) {
--- a/control-plane/src/main/java/gladelug/control/core/CommandLease.java
+++ b/control-plane/src/main/java/gladelug/control/core/CommandLease.java
@@ -1,17 +1,20 @@
 package gladelug.control.core;
 
 /**
- * The right to command in a key's name: under which fence, and until when on this process's
- * monotonic clock.
+ * A lease that entitles the owner of a key to send commands, with its fencing token and its end.
  *
  * @param fence the epoch of the key's owner
- * @param untilMs the first moment at which nothing commanded may arrive any more
+ * @param untilMs when the lease ends, on this process's monotonic clock, in ms; a command must
+ *     arrive by then
  */
 public record CommandLease(long fence, long untilMs) {
-  /** No right at all. */
+  /** No lease; it covers no command. */
   public static final CommandLease NONE = new CommandLease(-1, Long.MIN_VALUE);
 
-  /** Whether a command that leaves now and arrives within so many ms arrives under the right. */
+  /**
+   * Returns whether a command that is sent now and arrives within {@code transitMs} arrives before
+   * the lease ends.
+   */
   public boolean covers(long nowMs, long transitMs) {
     return !equals(NONE) && nowMs + transitMs <= untilMs;
   }
--- a/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
+++ b/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
@@ -18,20 +18,20 @@
 import java.util.function.Supplier;
 
 /**
- * Rounds in which a majority confirms that this member still owns its keys, all keys in one
- * message. A lease counts from when the round began that confirmed the owner, and a read waits for
- * a round that began after it. Only the core's thread calls it; times are of the host's monotonic
- * clock, in ms.
+ * Rounds in which a majority of the members confirms that this member still owns its keys. One
+ * message covers all keys. A lease counts from the start of the round that confirmed the owner, and
+ * a read waits for a round that began after it. Called on the core's thread only; times are of the
+ * host's monotonic clock, in ms.
  */
 final class ConfirmationRounds {
-  /** Rounds whose answers still count; older ones are given up. */
-  private static final int MAX_ROUNDS = 16;
+  /** How many rounds are kept open for responses; the oldest is dropped beyond that. */
+  private static final int MAX_OPEN_ROUNDS = 16;
 
   private static final class ConfirmationRound {
     final long number;
     final long startedAtMs;
 
-    /** By key: the members that confirmed its owner's epoch. */
+    /** By key: the names of the members that confirmed its owner's epoch. */
     final Map<String, Set<String>> confirmedBy = new HashMap<>();
 
     ConfirmationRound(long number, long startedAtMs) {
@@ -58,22 +58,28 @@
     this.sendToAll = sendToAll;
   }
 
-  /** A generation begins: answers to rounds of the one before don't count. */
+  /**
+   * Drops all rounds when a generation begins, so that responses to rounds of the previous
+   * generation do not count.
+   */
   void clear() {
     rounds.clear();
   }
 
-  /** The next tick starts a round. */
+  /** Makes the next tick start a round. */
   void startAtNextTick() {
     lastStartedAtMs = CoreHost.NEVER;
   }
 
-  /** Rounds that begin from now on have higher numbers. */
+  /** Returns a number below that of every round that begins from now on. */
   long latestRoundNumber() {
     return requestSequence.latest();
   }
 
-  /** Starts a round for the keys that this member serves, once the interval is over. */
+  /**
+   * Starts a round for the keys that this member serves if {@code confirmIntervalMs} has passed
+   * since the last one.
+   */
   void tick(Collection<KeyOwner> owners, long nowMs) {
     if (nowMs - lastStartedAtMs < config.confirmIntervalMs()) return;
     lastStartedAtMs = nowMs;
@@ -83,11 +89,14 @@
     if (keyEpochs.isEmpty()) return;
     ConfirmationRound round = new ConfirmationRound(requestSequence.next(), nowMs);
     rounds.add(round);
-    if (rounds.size() > MAX_ROUNDS) rounds.remove(0);
+    if (rounds.size() > MAX_OPEN_ROUNDS) rounds.remove(0);
     sendToAll.accept(new ConfirmRequest(round.number, keyEpochs));
   }
 
-  /** Hands each key's answer to its owner; a majority of one round confirms the key's owner. */
+  /**
+   * Passes the status of each key to its owner. A majority of grants in one round confirms the
+   * owner of the key.
+   */
   void onResponse(
       String sender, ConfirmResponse response, Function<String, KeyOwner> ownerOf, long nowMs) {
     ConfirmationRound round = find(response.round());
--- a/control-plane/src/main/java/gladelug/control/core/CoreHost.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreHost.java
@@ -8,54 +8,67 @@
 import java.util.List;
 
 /**
- * The seam between the core's protocol and the world: time, chance, disk, connections. The protocol
- * is pure: it is told of events one at a time and answers by these calls. The simulator is another
- * host.
+ * The environment of the core's protocol: clocks, random numbers, disk and connections. The
+ * protocol is a state machine that receives one event at a time and acts through these calls only.
+ * {@link CoreService} is the host in a running process; the simulator and the model checker provide
+ * others.
  *
- * <p>All methods are called on the protocol's one thread and must not block. None calls back into
- * the protocol before it returns: what comes of a call arrives later as an event of its own.
+ * <p>All methods are called on the protocol's thread and must not block. A method must not call
+ * back into the protocol before it returns: the result of a call arrives later as a separate event.
  */
 public interface CoreHost extends DurableStorage {
-  /** A time before all that the clock gives, from which differences don't overflow. */
+  /**
+   * A time before any time of the clock; differences between it and a time of the clock do not
+   * overflow.
+   */
   long NEVER = Long.MIN_VALUE / 2;
 
-  /** A monotonic clock, ms; its origin means nothing. */
+  /** Returns the time of a monotonic clock with an arbitrary origin, in ms. */
   long nowMs();
 
-  /** A random number from 0 up to, not including, `below`. */
+  /** Returns a random number from 0 (inclusive) to {@code bound} (exclusive). */
   long random(long bound);
 
-  /** The clock on the wall, ms since 1970, which may jump: only for stamps that people read. */
+  /**
+   * Returns the wall-clock time in ms since the Unix epoch. It may jump, so it is used only for
+   * timestamps shown to people.
+   */
   long wallClockMs();
 
   /**
-   * Sends to a member by name; to oneself as well. May be lost; what arrives of one connection
-   * arrives in order.
+   * Sends a message to a member by name; the receiver may be this member. The message may be lost;
+   * messages that arrive on one connection arrive in order.
    */
   void send(String member, CoreMessage.Envelope message);
 
   /**
-   * Sends to an address: while bootstrapping or joining there are no names yet. May be lost; what
-   * arrives of one connection arrives in order.
+   * Sends a message to an address, for use during bootstrap and joining, when member names are not
+   * known yet. The message may be lost; messages that arrive on one connection arrive in order.
    */
   void sendTo(Address address, CoreMessage.Envelope message);
 
-  /** Where other processes may be found by one that knows no members yet; without repeats. */
+  /**
+   * Returns the addresses at which a process that knows no members yet may find others, without
+   * duplicates.
+   */
   List<Address> contactAddresses();
 
   /**
-   * Pushes an update to a data-plane process by its name. May be lost; what arrives of one
-   * connection arrives in order.
+   * Pushes an update to a data-plane process by name. The update may be lost; updates that arrive
+   * on one connection arrive in order.
    */
   void pushUpdate(String subscriber, StateUpdate update);
 
-  /** The members changed or became known: connections to them follow. */
+  /**
+   * Tells the host that the members changed or became known, so that it opens and closes
+   * connections accordingly.
+   */
   void onMembersChanged(MemberSet members);
 
   /**
-   * Tells of an event, for the log.
+   * Logs an event.
    *
-   * @param pairs names and values in turn
+   * @param pairs field names and values, alternating
    */
   void logEvent(String name, Object... pairs);
 }
--- a/control-plane/src/main/java/gladelug/control/core/CoreMember.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreMember.java
@@ -40,27 +40,33 @@
 import java.util.function.Predicate;
 
 /**
- * One core member as a pure state machine: the place where its parts are wired, its tick, and its
- * dispatch of messages. The parts: {@link FailureDetector} (who is alive), {@link Elections} (who
- * tries to own which key), {@link KeyOwner} (one key's owner), {@link ConfirmationRounds}, {@link
- * RegisterAcceptor} (the member's side: all durable before it is answered), {@link Membership},
- * {@link SubscriberRegistry} (the data-plane processes), {@link ForwardedChanges} and {@link
- * ForwardedReads}, {@link ChangeHistory} (for operators). Liveness only chooses who tries to own a
- * key; what is safe rests on epochs and majorities alone. One thread calls it, the core's;
- * everything it does goes through its host. Times are of the host's monotonic clock, in ms.
+ * One core member as a deterministic state machine: it creates the parts, runs their ticks and
+ * dispatches messages to them. The parts are {@link FailureDetector} (which members are alive),
+ * {@link Elections} (which member tries to own which key), {@link KeyOwner} (the owner of one key),
+ * {@link ConfirmationRounds}, {@link RegisterAcceptor} (the acceptor: everything is durable before
+ * it is answered), {@link Membership}, {@link SubscriberRegistry} (the data-plane processes),
+ * {@link ForwardedChanges} and {@link ForwardedReads}, and {@link ChangeHistory} (for operators).
+ * Liveness only decides which member tries to own a key; safety depends on epochs and majorities
+ * alone. Called on the core's thread only; all side effects go through the host. Times are of the
+ * host's monotonic clock, in ms.
  */
 public final class CoreMember {
+  /** Upper bound of a value's body regardless of the free disk space. */
   static final int MAX_VALUE_BYTES = MemoryBudget.largestValueBytes();
 
-  /** Between two allocations of the replicas' slots among relays, ms. */
+  /** Interval between two allocations of the replicas' capacity to the relays. */
   private static final long ALLOCATION_INTERVAL_MS = 200;
 
+  /**
+   * Stands for the unknown owner of a change or read that a standby machine forwarded to a member.
+   */
   private static final String ANY_MEMBER = "";
 
-  /** How long a draining member waits for the changes under way, ms. */
+  /** How long a draining member waits for pending changes before it gives its keys up. */
   private static final long DRAIN_TIMEOUT_MS = 1000;
 
-  private static final int MAX_SUMMARY_LENGTH = 300;
+  /** Longest summary of a change that is stored; longer ones are cut off. */
+  private static final int MAX_SUMMARY_CHARS = 300;
 
   private final Membership membership;
   final CoreHost host;
@@ -85,7 +91,7 @@
   private final ConfirmationRounds confirmationRounds;
   private final RegisterAcceptor acceptor;
 
-  /** Asked to stop, and since when. */
+  /** Whether the process was asked to stop. */
   private boolean draining;
 
   private long drainingSinceMs;
@@ -93,6 +99,17 @@
   private long lastHeartbeatAtMs = CoreHost.NEVER;
   private long lastAllocationAtMs = CoreHost.NEVER;
 
+  /**
+   * Creates a member and restores its durable state.
+   *
+   * @param selfMember this member's name, disk id and addresses
+   * @param weightsAgeCutoffMs how long after a change of the weights requests may still start with
+   *     the old ones, ms
+   * @param storedState the durable entries by name
+   * @param bootstrapMembers the first members of a new fleet, or null for a member that joins or
+   *     already knows its members
+   * @param ownerTasks tasks that the owner of a key runs besides the protocol
+   */
   public CoreMember(
       CoreHost host,
       QuorumConfig config,
@@ -130,12 +147,12 @@
         storedState.get(DurableState.BOOTSTRAP_SET));
   }
 
-  /** The members of the active generation; NONE before the first. */
+  /** Returns the members of the active generation; {@link MemberSet#NONE} before the first. */
   public MemberSet members() {
     return membership.members();
   }
 
-  /** Whether this member knows a generation: it was bootstrapped or let in. */
+  /** Returns whether this member knows a generation, that is, has completed bootstrap or joined. */
   public boolean isInitialized() {
     return membership.isInitialized();
   }
@@ -149,8 +166,8 @@
   }
 
   /**
-   * How large a value of this key may be: with the other keys' it has to fit on the disk, else
-   * every member would end on it.
+   * Returns the largest permitted body of a value of this key, in bytes. It has to fit on the disk
+   * together with the values of all other keys; otherwise every member would stop with a full disk.
    */
   long maxValueBytes(String key) {
     long availableBytes = host.mostState() - registers.sizeWithout(key) - RegisterStore.BESIDE_BODY;
@@ -173,7 +190,10 @@
     for (KeyOwner owner : owners.values()) owner.stepDown(reason, host.nowMs());
   }
 
-  /** A generation begins here: nothing of the one before it counts. */
+  /**
+   * Starts a generation at this member: ownership, elections and rounds of the previous one no
+   * longer count.
+   */
   void onGenerationStarted(MemberSet previous, MemberSet members) {
     stepDownAll(StepDownReason.GENERATION_CHANGED);
     failureDetector.onGenerationStarted(previous, members);
@@ -188,22 +208,28 @@
         members.all().stream().map(MemberSet.Member::name).toList());
   }
 
-  /** The last contact with a member, both ways, ms. */
+  /** Returns the time of the last contact with a member in both directions. */
   long lastRoundTripAtMs(String member) {
     return failureDetector.lastRoundTripAtMs(member);
   }
 
-  /** How long there was no contact with a member, ms. */
+  /** Returns for how many ms there has been no contact with a member. */
   long silenceMs(String member, long nowMs) {
     return failureDetector.silenceMs(member, nowMs);
   }
 
-  /** Keys come to be when a replica is listed: one commander each. */
+  /**
+   * Creates a key if it does not exist. Each listed replica has a key of its own, whose owner is
+   * the replica's commander.
+   */
   public void ensureKey(String key) {
     owner(key);
   }
 
-  /** What the disk's watch says of the disk; an unhealthy one costs the member its keys. */
+  /**
+   * Updates whether this member's disk accepts writes in time. A member with an unhealthy disk
+   * gives up its keys.
+   */
   public void updateDiskHealth(boolean nowHealthy) {
     if (!failureDetector.updateHealthy(nowHealthy)) return;
     host.logEvent(nowHealthy ? "disk-healthy" : "disk-unhealthy");
@@ -211,8 +237,8 @@
   }
 
   /**
-   * The process was asked to stop: its keys go to others as soon as no change of them is under way,
-   * and its place to a machine that stands by.
+   * Starts draining because the process was asked to stop: other members take its keys as soon as
+   * those have no pending change, and a standby machine takes its place as a member.
    */
   public void startDraining() {
     if (draining) return;
@@ -221,7 +247,10 @@
     host.logEvent("draining", "generation", members().generation());
   }
 
-  /** Whether the process may end: it owns nothing, and the others can do without it. */
+  /**
+   * Returns whether the process may stop: it is draining, owns no key and is no longer needed by
+   * the other members.
+   */
   public boolean isSafeToStop() {
     return draining
         && owners.values().stream().noneMatch(KeyOwner::isServing)
@@ -237,33 +266,42 @@
     }
   }
 
-  /** Whether this member owns the key, as far as it knows. */
+  /** Returns whether this member owns the key, as far as it knows. */
   public boolean owns(String key) {
     KeyOwner owner = owners.get(key);
     return owner != null && owner.isServing();
   }
 
-  /** Whether commands may be sent in the key's name now; see {@link CommandLease}. */
+  /**
+   * Returns whether this member may send commands as owner of the key now; see {@link
+   * CommandLease}.
+   */
   public boolean mayCommand(String key) {
     KeyOwner owner = owners.get(key);
     return owner != null && owner.holdsCommandLease(host.nowMs());
   }
 
-  /** The right to command in a key's name now, with its end. */
+  /** Returns the lease to send commands as owner of the key, or {@link CommandLease#NONE}. */
   public CommandLease commandLease(String key) {
     return mayCommand(key)
         ? new CommandLease(epochOf(key), owners.get(key).commandLeaseEndMs())
         : CommandLease.NONE;
   }
 
-  /** The epoch of the newest election that this member began for the key; it must be known. */
+  /**
+   * Returns the epoch of the newest election that this member started for the key. The key must
+   * exist.
+   */
   public long epochOf(String key) {
     return owners.get(key).epoch;
   }
 
   // ---- events
 
-  /** Time passes: expires, joins, drains, heartbeats, confirms and elects, in this order. */
+  /**
+   * Runs everything that is due: expiry of forwarded requests, joining, draining, heartbeats,
+   * confirmation rounds and elections, in this order.
+   */
   public void tick() {
     long nowMs = host.nowMs();
     expireForwarded(nowMs);
@@ -324,7 +362,10 @@
             failureDetector.lastSendTime(receiver)));
   }
 
-  /** A new connection to a member stands: a sign of life at once, for the time without one. */
+  /**
+   * Sends a heartbeat over a new connection to a member at once, since none arrived while there was
+   * no connection.
+   */
   public void onPeerConnected(String member) {
     long nowMs = host.nowMs();
     if (membership.isActive() && members().find(member) != null)
@@ -332,8 +373,8 @@
   }
 
   /**
-   * What was handed on and nobody will answer any more is answered here, with the number to ask
-   * about.
+   * Answers forwarded changes and reads that no owner will answer any more. Changes are answered
+   * with the version number that a later query needs.
    */
   private void expireForwarded(long nowMs) {
     Predicate<String> alive = member -> member.equals(ANY_MEMBER) || isAlive(member, nowMs);
@@ -345,17 +386,23 @@
     return failureDetector.isAlive(member, nowMs);
   }
 
-  /** Whether a member is alive and is to stay. */
+  /** Returns whether a member is alive and not draining. */
   boolean isAliveAndStays(String member, long nowMs) {
     return isAlive(member, nowMs) && !membership.isDraining(member, nowMs);
   }
 
-  /** Whether there is no contact with a majority, though there could be. */
+  /**
+   * Returns whether this member has no contact with a majority although it has had the time to make
+   * contact.
+   */
   boolean isIsolatedFromMajority(long nowMs) {
     return failureDetector.isIsolatedFromMajority(nowMs);
   }
 
-  /** Whether no change or read can be served here or handed on before contact comes back. */
+  /**
+   * Returns whether changes and reads can be neither served nor forwarded until contact with other
+   * members is restored.
+   */
   public boolean isUnavailable() {
     long nowMs = host.nowMs();
     if (membership.isActive()) return isIsolatedFromMajority(nowMs);
@@ -363,28 +410,36 @@
         && membership.forwardingAddress(nowMs) == null;
   }
 
-  /** Who claims the key and was heard lately; a claim is kept up only while a majority confirms. */
+  /**
+   * Returns the member that claims the key and sent a heartbeat recently, or null. An owner keeps
+   * its claim only while a majority confirms it.
+   */
   private String claimedOwner(String key, long nowMs) {
     return failureDetector.claimedOwner(key, register(key).promised(), nowMs);
   }
 
-  /** A claimant that what is handed on will reach, and whose answer will reach this member. */
+  /**
+   * Returns the claimed owner if requests reach it and its responses reach this member, or null.
+   */
   private String reachableOwner(String key, long nowMs) {
     String claimed = claimedOwner(key, nowMs);
     return claimed == null || !isAlive(claimed, nowMs) ? null : claimed;
   }
 
-  /** Rounds of confirmation that begin from now on have higher numbers. */
+  /** Returns a number below that of every confirmation round that begins from now on. */
   long latestRoundNumber() {
     return confirmationRounds.latestRoundNumber();
   }
 
-  /** The next tick starts a round of confirmation. */
+  /** Makes the next tick start a confirmation round. */
   void requestConfirmationRound() {
     confirmationRounds.startAtNextTick();
   }
 
-  /** A message of another member; one of another generation is answered with this one's at most. */
+  /**
+   * Handles a message from another process. A message of an older generation is answered with the
+   * current members at most.
+   */
   public void onMessage(Envelope envelope) {
     long nowMs = host.nowMs();
     if (membership.onMembershipMessage(envelope, nowMs)
@@ -400,7 +455,7 @@
     dispatch(envelope.sender(), envelope.message(), nowMs);
   }
 
-  /** Hands a message of a member of this generation to the part whose job it is. */
+  /** Dispatches a message from a member of this generation to the part that handles it. */
   private void dispatch(String sender, CoreMessage message, long nowMs) {
     if (message instanceof Heartbeat heartbeat) onHeartbeat(sender, heartbeat, nowMs);
     else if (message instanceof PrepareRequest prepare) onPrepareRequest(sender, prepare);
@@ -450,8 +505,8 @@
   }
 
   /**
-   * What is said between a machine that stands by and the member it hands on to; true where that
-   * was all.
+   * Handles messages between a standby machine and the member it forwards requests to. Returns
+   * whether the message needs no further handling.
    */
   private boolean handleForStandby(Envelope envelope) {
     CoreMessage message = envelope.message();
@@ -489,14 +544,17 @@
     }
   }
 
-  /** The most the value of this number may be old by what its owners told, ms. */
+  /**
+   * Returns the maximum age in ms of the value with this number, according to the heartbeats of its
+   * owners.
+   */
   long knownAgeMs(String key, long number, long nowMs) {
     return valueAges.ageMs(key, number, nowMs);
   }
 
   /**
-   * How long ago the value now kept was acknowledged, at the most; for duties whose key this is
-   * not.
+   * Returns the maximum time in ms since the currently stored value was committed, for tasks that
+   * need it for a key this member does not own.
    */
   public long knownAgeMs(String key) {
     KeyOwner owner = owners.get(key);
@@ -505,7 +563,7 @@
         : knownAgeMs(key, register(key).value().number(), host.nowMs());
   }
 
-  // ---- the member's side: durable before answered
+  // ---- acceptor: state is durable before a response is sent
 
   void store(String key, Register register, Runnable onStored) {
     registers.keep(key, register, onStored);
@@ -517,10 +575,10 @@
   }
 
   /**
-   * Whether another than this member is known to own the key and to be well. It has to be heard
-   * more lately than whoever asks needs to have heard it, as that one may have missed its last
-   * signs of life, else a takeover would be held back by those who find the owner silent a moment
-   * later.
+   * Returns whether a member other than {@code excludedMember}, the candidate, is known to own the
+   * key and to work. The owner must have been heard more recently than the candidate's own time-out
+   * requires, since the candidate may have missed the owner's last heartbeats. Otherwise members
+   * that detect the owner's failure a moment later would delay the takeover.
    */
   private boolean hasWorkingOwner(String key, String excludedMember) {
     if (excludedMember.equals(self)) return false;
@@ -533,19 +591,23 @@
         && failureDetector.wasHeardWithin(owner, withinMs, nowMs);
   }
 
-  /** Another is given the time to serve the key. */
+  /** Gives another member the time to serve the key before this one tries for it again. */
   void deferElection(String key, long nowMs) {
     elections.defer(key, nowMs);
   }
 
-  // ---- changes from operators and duties
+  // ---- changes and reads by operators and owner tasks
 
-  /** A change that isn't remembered; see the other. */
+  /**
+   * Applies a change whose sender will not repeat it; see {@link #change(ChangeRequest, Consumer)}.
+   */
   public void change(String key, long match, byte[] body, Consumer<ChangeResult> onResult) {
     change(ChangeRequest.forgettable(key, match, body), onResult);
   }
 
-  /** Has a change taken by the key's owner, here or elsewhere, and answers what became of it. */
+  /**
+   * Proposes a change to the owner of its key, at this or another member, and passes on the result.
+   */
   public void change(ChangeRequest request, Consumer<ChangeResult> onResult) {
     String key = request.key();
     KeyOwner owner = owner(key);
@@ -574,9 +636,9 @@
   }
 
   /**
-   * The newest value of a key as its owner, here or elsewhere, has it, off a majority that
-   * confirmed the owner after this was asked; so nothing acknowledged before is missing. With no
-   * owner it answers that, within a second.
+   * Reads the newest value of a key from its owner, at this or another member. A majority confirms
+   * the owner after the read arrived, so the result includes every change that was acknowledged
+   * before. Without an owner the result says so within a second.
    */
   public void readNewest(String key, Consumer<ReadResult> onResult) {
     long nowMs = host.nowMs();
@@ -610,8 +672,9 @@
   // ---- data-plane processes
 
   /**
-   * A data-plane process asks here. What this member doesn't own it hands on to the owner, so that
-   * a process cut off from the owner alone still has its lease, through the others.
+   * Handles a subscription request of a data-plane process. For keys that this member does not own
+   * the request is relayed to the owners, so that a process that cannot reach an owner directly
+   * still gets its lease.
    */
   public void onSubscriptionRequest(StateUpdate.SubscriptionRequest request) {
     long nowMs = host.nowMs();
@@ -628,22 +691,22 @@
     }
   }
 
-  /** A data-plane process couldn't use a change of a key and asks for the value whole. */
+  /** Sends the full value to a data-plane process that could not apply a delta of a key. */
   public void onFullValueRequested(String name, String key) {
     subscribers.onFullValueRequested(name, key, host.nowMs());
   }
 
-  /** The value of a pushed key changed: to all processes that ask here. */
+  /** Pushes a new value of a key to all processes that subscribe at this member. */
   void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value) {
     subscribers.pushChange(key, epoch, previous, value);
   }
 
-  // ---- what operators ask
+  // ---- operators' requests
 
   String summarize(String key, byte[] oldBody, byte[] newBody) {
     String summary = ownerTasks.summarizeChange(key, oldBody, newBody);
-    return summary.length() > MAX_SUMMARY_LENGTH
-        ? summary.substring(0, MAX_SUMMARY_LENGTH) + "..."
+    return summary.length() > MAX_SUMMARY_CHARS
+        ? summary.substring(0, MAX_SUMMARY_CHARS) + "..."
         : summary;
   }
 
@@ -655,7 +718,7 @@
     changeHistory.onAcknowledged(key, number);
   }
 
-  /** The changes of a key that are remembered, the oldest first. */
+  /** Returns the remembered changes of a key, oldest first. */
   public List<ChangeRecord> changeHistory(String key) {
     KeyOwner owner = owners.get(key);
     VersionedValue value =
@@ -663,32 +726,41 @@
     return changeHistory.records(key, value);
   }
 
-  /** What may be swapped in: machines that ask to join, lately heard. */
+  /** Returns the machines that recently asked to join and may replace a member. */
   public List<MemberSet.Member> joinCandidates() {
     return membership.joinCandidates();
   }
 
-  /** An operator's swap; an empty text, or why it can't be, and then nothing changed. */
+  /**
+   * Replaces a member on an operator's request. Returns an empty string, or the reason for a
+   * refusal, after which nothing has changed and {@code onResult} is not called.
+   */
   public String replaceMember(String removed, String replacement, Consumer<ChangeResult> onResult) {
     return membership.replaceMember(removed, replacement, onResult);
   }
 
-  /** Whether this member takes part, so that what it shows is the core's state. */
+  /**
+   * Returns whether this member takes part in its generation, so that the state it shows is the
+   * core's.
+   */
   public boolean isActive() {
     return membership.isActive();
   }
 
-  /** Whether the generation is sealed and the next not active yet. */
+  /** Returns whether this generation is sealed and the next one is not active yet. */
   public boolean isSealed() {
     return membership.isSealed();
   }
 
-  /** Whether a later generation is active without this member. */
+  /** Returns whether a later generation is active without this member. */
   public boolean isRetired() {
     return membership.isRetired();
   }
 
-  /** Each key with its owner, as far as known here; for people. */
+  /**
+   * Returns the status of each key with its owner, as far as this member knows; shown to operators
+   * only.
+   */
   public List<KeyStatus> keyStatuses() {
     long nowMs = host.nowMs();
     List<KeyStatus> statuses = new ArrayList<>();
@@ -720,12 +792,15 @@
     return statuses;
   }
 
-  /** The data-plane processes that asked here lately; for people. */
+  /**
+   * Returns the data-plane processes that recently sent requests to this member; shown to operators
+   * only.
+   */
   public List<SubscriberStatus> subscribers() {
     return new ArrayList<>(subscribers.all());
   }
 
-  /** By member: whether it is alive, as seen from here. */
+  /** Returns for each member, by name, whether this member considers it alive. */
   public Map<String, Boolean> memberLiveness() {
     long nowMs = host.nowMs();
     Map<String, Boolean> alive = new TreeMap<>();
@@ -734,7 +809,10 @@
     return alive;
   }
 
-  /** The value as last kept here and its number; for reading only, never for deciding. */
+  /**
+   * Returns the version number and body of the value stored at this member. It may be outdated, so
+   * no decision may depend on it.
+   */
   public Map.Entry<Long, byte[]> storedValue(String key) {
     KeyOwner owner = owners.get(key);
     VersionedValue value =
--- a/control-plane/src/main/java/gladelug/control/core/CoreService.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreService.java
@@ -39,32 +39,36 @@
 import java.util.function.Function;
 
 /**
- * Hosts the core's protocol in a process and is what the rest of the process asks of it.
+ * Runs the core's protocol in a process and is the entry point to it for the rest of the process.
  *
- * <p>Threads: one worker, `core`, runs the protocol, and all of {@link CoreHost} is called on it.
- * The disk's thread writes, and hands each completion to the worker. Connections deliver on event
- * loops and hand over to the worker, too. {@link #ask}, {@link #change} and {@link #readNewest} may
- * be called on any thread; their results arrive on the worker or a timer's thread.
+ * <p>Threads: one worker thread, {@code core}, runs the protocol and calls all methods of {@link
+ * CoreHost}. The disk's thread writes and queues each completion on the worker. Connections deliver
+ * messages on event loops, which also queue them on the worker. {@link #ask}, {@link #change} and
+ * {@link #readNewest} may be called on any thread; their results arrive on the worker or a timer's
+ * thread.
  */
 public final class CoreService implements ServiceRegistry.Service, CoreHost {
-  /** A write that takes longer makes the disk count as unhealthy. */
+  /** A disk write that takes longer than this makes the disk unhealthy. */
   private static final long DISK_STALL_MS = 400;
 
+  /** Interval between two writes that check whether the disk responds. */
   private static final long DISK_PROBE_INTERVAL_MS = 1000;
 
-  /** How often a process that was asked to stop looks whether it may end. */
+  /** How often a process that was asked to stop checks whether it may stop. */
   private static final long DRAIN_CHECK_INTERVAL_MS = 50;
 
   /**
-   * How long a change or read is offered again while a key is between two owners: callers give a
-   * connection up after a second of silence.
+   * How long a change or read is retried while a key has no owner. It is below one second because
+   * callers close a connection that is silent for a second.
    */
   private static final long MAX_OWNER_RETRY_MS = 800;
 
-  /** How long a read may take in all. */
+  /** How long a read may take, retries included. */
   private static final long READ_TIMEOUT_MS = 900;
 
   private static final Duration OWNER_RETRY_INTERVAL = Duration.ofMillis(100);
+
+  /** How many tasks may wait for the core's thread. */
   private static final int QUEUE_CAPACITY = 16384;
 
   private final Vertx vertx;
@@ -79,13 +83,16 @@
   private final OwnerTasks ownerTasks;
   private final Consumer<String> onDiskFailure;
 
-  /** To the other members, by name; used on the worker only. */
+  /** Connections to the other members, by name; used on the worker only. */
   private final Map<String, PersistentConnection> peers = new HashMap<>();
 
-  /** To who is no member of this generation, by address; used on the worker only. */
+  /**
+   * Connections to nodes that are no members of this generation, by address; used on the worker
+   * only.
+   */
   private final Map<Address, UnknownNodeConnection> unknownNodes = new HashMap<>();
 
-  /** From data-plane processes, by name; used on any thread. */
+  /** Connections from data-plane processes, by name; used on any thread. */
   private final Map<String, Connection> subscribers = new ConcurrentHashMap<>();
 
   private ConnectionAcceptor acceptor;
@@ -94,16 +101,17 @@
   private CoreMember member;
 
   /**
-   * Runs nothing before {@link #start}.
+   * Creates the service; nothing runs before {@link #start}.
    *
-   * @param ring what is durable, opened
-   * @param self this member: name, id of its disk, addresses
-   * @param seeds records addresses of other processes
-   * @param weightsAgeCutoffMs after new weights, for how long requests may begin on the old ones
-   * @param bootstrapMembers first members of a new fleet, or null for a member that joins or knows
-   *     its members
-   * @param ownerTasks what the owner of a key does beside the protocol
-   * @param onDiskFailure gets the cause when the disk failed; on the disk's thread
+   * @param ring the durable state, opened
+   * @param self this member's name, disk id and addresses
+   * @param seeds addresses at which other processes accept records
+   * @param weightsAgeCutoffMs how long after a change of the weights requests may still start with
+   *     the old ones, ms
+   * @param bootstrapMembers the first members of a new fleet, or null for a member that joins or
+   *     already knows its members
+   * @param ownerTasks tasks that the owner of a key runs besides the protocol
+   * @param onDiskFailure called with the cause when the disk fails, on the disk's thread
    */
   public CoreService(
       Vertx vertx,
@@ -152,13 +160,13 @@
     peers.values().forEach(PersistentConnection::closeIfSilent);
   }
 
-  /** An empty write shows whether the disk still answers while nothing changes. */
+  /** Writes an empty record, which shows whether the disk still responds while nothing changes. */
   private void probeDisk() {
     disk.want("", new byte[0], () -> {});
     unknownNodes.values().removeIf(connection -> connection.closeIfIdle(nowMs()));
   }
 
-  /** What one data-plane process sends on its connection; runs on that connection's event loop. */
+  /** Receives the messages of one data-plane process, on the event loop of its connection. */
   private final class SubscriberReceiver implements Connection.Receiver {
     private final Connection connection;
     private String name;
@@ -176,7 +184,7 @@
         worker.offer(() -> member.onSubscriptionRequest(request));
       } else if (message instanceof StateUpdate.FullValueRequest request && name != null) {
         worker.offer(() -> member.onFullValueRequested(name, request.key()));
-      } else throw new IOException("only control tells this");
+      } else throw new IOException("a subscriber must not send this kind of state update");
     }
 
     @Override
@@ -185,7 +193,7 @@
     }
   }
 
-  /** Asks the protocol something on its own thread; fails where its queue is full. */
+  /** Runs a query against the protocol on its own thread. The result fails if the queue is full. */
   public <T> Uni<T> ask(Function<CoreMember, T> question) {
     return Uni.createFrom()
         .emitter(
@@ -196,23 +204,24 @@
                         try {
                           emitter.complete(question.apply(member));
                         } catch (RuntimeException e) {
-                          // any fault of the question is its asker's, not the worker's
+                          // a failure of the query concerns its caller and must not stop the worker
                           emitter.fail(e);
                         }
                       });
-              if (!queued) emitter.fail(new IllegalStateException("the core's ring is full"));
+              if (!queued) emitter.fail(new IllegalStateException("the core's task queue is full"));
             });
   }
 
-  /** A change that isn't remembered; see {@link #change(ChangeRequest)}. */
+  /** Applies a change whose sender will not repeat it; see {@link #change(ChangeRequest)}. */
   public Uni<ChangeResult> change(String key, long match, byte[] body) {
     return change(ChangeRequest.forgettable(key, match, body));
   }
 
   /**
-   * Changes a key at its owner, wherever that is. While the key is between two owners nothing was
-   * applied, so the change is offered again for a moment; not where this member has no contact with
-   * a majority, and then it says so at once. Never fails: what went wrong is a result.
+   * Applies a change at the owner of its key, at this or another member. While the key has no owner
+   * nothing is applied, so the change is retried for a short time, unless this member has no
+   * contact with a majority: then the result says so at once. The returned Uni never fails; errors
+   * are results.
    */
   public Uni<ChangeResult> change(ChangeRequest request) {
     return retryWhileOwnerless(changeOnce(request), new ChangeResult.NoOwner())
@@ -222,8 +231,9 @@
   }
 
   /**
-   * The newest committed value from its owner, wherever that is; offered again while a key changes
-   * hands, as a change is. Never fails: without an owner the result says so.
+   * Reads the newest committed value from the owner of the key, at this or another member. Like a
+   * change it is retried while the key has no owner. The returned Uni never fails; without an owner
+   * the result says so.
    */
   public Uni<ReadResult> readNewest(String key) {
     return retryWhileOwnerless(readOnce(key), ReadResult.NO_OWNER)
@@ -232,7 +242,10 @@
         .recoverWithItem(ReadResult.NO_OWNER);
   }
 
-  /** Tries again while a key is between two owners; any failure then is that there is none. */
+  /**
+   * Retries an attempt while the key has no owner; a remaining failure becomes the result {@code
+   * noOwner}.
+   */
   private <T> Uni<T> retryWhileOwnerless(Uni<T> attempt, T noOwner) {
     return attempt
         .onFailure(NoOwnerException.class)
@@ -244,7 +257,10 @@
         .recoverWithItem(failure -> noOwner);
   }
 
-  /** So that a change offered again for this long can still be answered in time, ms. */
+  /**
+   * Returns for how many ms an attempt is retried, such that a retried change can still be answered
+   * in time.
+   */
   private long ownerRetryMs() {
     return Math.min(MAX_OWNER_RETRY_MS, config.changeTimeoutMs() / 2);
   }
@@ -278,14 +294,20 @@
             });
   }
 
-  /** The key is between two owners: worth another try. Without a stack, as it is thrown often. */
+  /**
+   * Thrown when a key has no owner and a retry may succeed. It has no stack trace, as it is thrown
+   * often.
+   */
   private static final class NoOwnerException extends RuntimeException {
     NoOwnerException() {
       super("no owner", null, false, false);
     }
   }
 
-  /** A member first hands its keys and, where a machine stands by, its place to others. */
+  /**
+   * Stops the service, after other members took over its keys and a standby machine, if there is
+   * one, its place.
+   */
   @Override
   public void stop() {
     if (member != null) drain();
@@ -347,7 +369,8 @@
         Hello.CORE,
         Liveness.within(config.heartbeatMs(), config.peerTimeoutMs()),
         (connection, bytes) -> {
-          throw new IOException("core connections carry one way");
+          throw new IOException(
+              "a core member does not respond on a connection opened by its peer");
         },
         onOpened);
   }
@@ -372,7 +395,10 @@
     disk.want(key, state, done);
   }
 
-  /** Some of a ring file is left for frames and the members' own records. */
+  /**
+   * Returns the space for registers in bytes: an eighth of a ring file is left for record framing
+   * and the member's own records.
+   */
   @Override
   public long mostState() {
     return ring.fileSize() / 8 * 7L;
--- a/control-plane/src/main/java/gladelug/control/core/Election.java
+++ b/control-plane/src/main/java/gladelug/control/core/Election.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * The members' answers to one candidate of a key under one epoch: who promised it the epoch and
- * with which accepted value, who declined, and who has accepted the newest value again. It counts
- * only; what a majority is, its {@link KeyOwner} knows.
+ * The responses of the members to one candidate for a key under one epoch: which members promised
+ * the epoch and with which accepted value, which declined, and which accepted the rewritten newest
+ * value. It only counts responses; {@link KeyOwner} decides what is a majority.
  */
 final class Election {
   private final Map<String, PrepareResponse> promises = new HashMap<>();
@@ -18,9 +18,9 @@
   private final Set<String> acceptedBy = new HashSet<>();
 
   /**
-   * A member promised the epoch.
+   * Records a member's promise of the epoch.
    *
-   * @return whether it had not before
+   * @return whether it is the member's first promise
    */
   boolean onPromise(String member, PrepareResponse response) {
     return promises.put(member, response) == null;
@@ -34,7 +34,7 @@
     return promises.size();
   }
 
-  /** A member refused the promise, as it knows of a working owner. */
+  /** Records that a member declined to promise because it knows of a working owner. */
   void onDeclined(String member) {
     declinedBy.add(member);
   }
@@ -43,7 +43,7 @@
     return declinedBy.size();
   }
 
-  /** A member accepted the newest value under the new epoch. */
+  /** Records that a member accepted the newest value under the new epoch. */
   void onAccepted(String member) {
     acceptedBy.add(member);
   }
@@ -53,8 +53,9 @@
   }
 
   /**
-   * Of the values that came with the promises the one accepted under the highest epoch, and of
-   * those the one with the highest number; at least one member has promised.
+   * Returns, of the values received with the promises, the one accepted under the highest epoch; of
+   * several under that epoch, the one with the highest number. At least one member must have
+   * promised.
    */
   VersionedValue newestValue() {
     PrepareResponse newest = null;
--- a/control-plane/src/main/java/gladelug/control/core/Elections.java
+++ b/control-plane/src/main/java/gladelug/control/core/Elections.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * Which member tries to own which key when. Members try in an order that each key has, those behind
- * others later, so that mostly one tries; what is safe doesn't rest on it. Only the core's thread
- * calls it; times are of the host's monotonic clock, in ms.
+ * Decides when this member tries to own a key. Each key has its own order of members, and members
+ * later in the order wait longer, so that usually only one tries. Safety does not depend on it.
+ * Called on the core's thread only; times are of the host's monotonic clock, in ms.
  */
 final class Elections {
-  /** What elections need of the member they are part of. */
+  /** The services of the member that elections use. */
   interface Context {
-    /** The members of the generation. */
+    /** Returns the members of the generation. */
     MemberSet members();
 
-    /** Who claims the key and was heard lately, or null. */
+    /** Returns the member that claims the key and sent a heartbeat recently, or null. */
     String claimedOwner(String key, long nowMs);
 
-    /** Whether a member is alive and isn't draining. */
+    /** Returns whether a member is alive and not draining. */
     boolean isAliveAndStays(String member, long nowMs);
 
-    /** Whether this member is to stop. */
+    /** Returns whether this member is draining. */
     boolean isDraining();
   }
 
@@ -33,16 +33,24 @@
   private final Context context;
   private final long startedAtMs;
 
-  /** By key: when another was last promised it, or was found to own it. */
+  /**
+   * By key: when the key was last promised to another member, or another member was found to own
+   * it.
+   */
   private final Map<String, Long> deferredAtMs = new HashMap<>();
 
-  /** By key: since when no member claims it, while this one is in contact with a majority. */
+  /**
+   * By key: since when no member claims it, as long as this member is in contact with a majority.
+   */
   private final Map<String, Long> withoutOwnerSinceMs = new HashMap<>();
 
-  /** By key: the order in which the members of this generation try for it. */
+  /** By key: the order in which the members of this generation try to own it. */
   private final Map<String, List<String>> candidateOrders = new HashMap<>();
 
-  /** Since when this member has had contact with a majority, or NEVER while it has none. */
+  /**
+   * Since when this member has been in contact with a majority; {@link CoreHost#NEVER} while it is
+   * not.
+   */
   private long majoritySinceMs = CoreHost.NEVER;
 
   /**
@@ -61,18 +69,21 @@
     this.startedAtMs = startedAtMs;
   }
 
-  /** A generation begins: its members have their own order. */
+  /** Forgets the candidate orders of the previous generation. */
   void onGenerationStarted() {
     withoutOwnerSinceMs.clear();
     candidateOrders.clear();
   }
 
-  /** Another is given the time to serve the key. */
+  /** Gives another member the time to serve the key before this one tries for it. */
   void defer(String key, long nowMs) {
     deferredAtMs.put(key, nowMs);
   }
 
-  /** Tries for the keys that nobody owns, or that this member is to own rather than another. */
+  /**
+   * Starts elections for keys that no member owns, and for keys whose preferred owner is this
+   * member.
+   */
   void tick(Collection<KeyOwner> owners, long nowMs) {
     if (!failureDetector.reachesMajority(nowMs)) {
       majoritySinceMs = CoreHost.NEVER;
@@ -95,15 +106,14 @@
     }
     withoutOwnerSinceMs.remove(owner.key);
     boolean preferred = rank == 0 && order.indexOf(self) < order.indexOf(other);
-    // taken back without churn: not while the owner is at a change, whose result would then be
-    // unknown to its sender
+    // no takeover while the owner has a change in flight, as the sender would not learn its result
     if (preferred
         && areBothStable(other, nowMs)
         && failureDetector.isAlive(other, nowMs)
         && !failureDetector.hasChangeInFlight(other, owner.key)) owner.startElection(true, nowMs);
   }
 
-  /** How many members that could take the key come before this one. */
+  /** Returns how many members that could own the key come before this one in its order. */
   private int rank(List<String> order, long nowMs) {
     int rank = 0;
     for (String name : order) {
@@ -113,7 +123,10 @@
     return rank;
   }
 
-  /** Whether this member and the key's owner have been well for long enough to hand it over. */
+  /**
+   * Returns whether this member and the key's owner have both been healthy for long enough to hand
+   * the key over.
+   */
   private boolean areBothStable(String owner, long nowMs) {
     long uptimeMs = config.preferredOwnerUptimeMs();
     return nowMs - startedAtMs >= uptimeMs
@@ -123,14 +136,14 @@
 
   private void startWithoutOwnerIfDue(KeyOwner owner, int rank, long nowMs) {
     long sinceMs = withoutOwnerSinceMs.computeIfAbsent(owner.key, key -> nowMs);
-    // whoever was away first hears who owns what
+    // a member that was out of contact first learns from heartbeats which member owns which key
     boolean wasAway =
         failureDetector.isNewcomer()
                 && sinceMs - failureDetector.generationStartedAtMs() < config.peerTimeoutMs()
             || sinceMs - majoritySinceMs < config.heartbeatMs();
     long pauseMs = wasAway ? config.peerTimeoutMs() : 0;
-    // whoever was promised the key a moment ago is given the time to serve it, else all oust one
-    // another for ever
+    // a member that was just promised the key gets the time to serve it; otherwise candidates would
+    // keep replacing one another
     if (nowMs - deferredAtMs.getOrDefault(owner.key, CoreHost.NEVER) < config.electionBackoffMs())
       return;
     if (nowMs - sinceMs >= (long) rank * config.electionRankDelayMs() + pauseMs)
--- a/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
+++ b/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
@@ -10,18 +10,18 @@
 import java.util.function.Supplier;
 
 /**
- * Which members are alive and reachable, from their heartbeats. Its answers only choose who tries
- * to own a key; what is safe rests on epochs and majorities alone. Only the core's thread calls it;
- * all times are of the host's monotonic clock, in ms.
+ * Determines from heartbeats which members are alive and reachable. It only influences which member
+ * tries to own a key; safety depends on epochs and majorities alone. Called on the core's thread
+ * only; all times are of the host's monotonic clock, in ms.
  *
- * <p>Contact with a member is a round trip: heartbeats say which of the receiver's reached the
- * sender last. A member without contact to a majority, itself included, tries for no key, claims
- * none, and answers changes and reads with NoOwner at once. That holds at the latest peer time-out
- * + heartbeat interval after the first direction failed. A key's owner that is still heard while
- * its answers are not claims its key only so long as a majority confirms it, so whoever hears a
- * claim leaves the key be even without contact, and refuses to promise it to a member that doesn't
- * hear the owner. So no partition between two members moves a key from an owner that works for a
- * majority.
+ * <p>Contact with a member means a round trip: each heartbeat names the last heartbeat of the
+ * receiver that reached the sender. A member without contact to a majority (itself included) tries
+ * to own no key, claims none, and answers changes and reads with NoOwner at once. This takes effect
+ * at most {@code peerTimeoutMs + heartbeatMs} after the first direction failed. An owner claims its
+ * key only while a majority confirms it. Therefore a member that hears a claim does not try for the
+ * key even if it has no contact with the owner, and refuses to promise the key to a member that
+ * does not hear the owner. So a partition between two members never moves a key away from an owner
+ * that works for a majority.
  */
 final class FailureDetector {
   private final String self;
@@ -38,9 +38,9 @@
   private long generationStartedAtMs;
 
   /**
-   * @param members the members of the generation this member knows, asked anew each time
+   * @param members supplies the members of the generation that this member knows
    * @param startedAtMs when the process started, ms
-   * @param incarnation tells this run of the process from those before it
+   * @param incarnation distinguishes this run of the process from earlier ones
    */
   FailureDetector(
       String self,
@@ -59,13 +59,14 @@
   }
 
   /**
-   * A generation begins: its members are known from now on, claims of the one before don't count.
+   * Starts a generation: its members are tracked from now on, and claims of the previous one no
+   * longer count.
    */
   void onGenerationStarted(MemberSet previous, MemberSet members) {
-    // who was away for a generation knows as little as a new one
+    // a member that missed a generation knows no more about owners than a new one
     newcomer = previous.generation() + 1 != members.generation() || !members.stays(previous, self);
     generationStartedAtMs = host.nowMs();
-    // who was alive a moment ago still is, so that only the first live one takes a key
+    // members that stay keep their liveness, so that only the first live one takes a key
     peers.keySet().removeIf(name -> newcomer || !members.stays(previous, name));
     for (PeerStatus peer : peers.values()) peer.claims = Map.of();
     for (MemberSet.Member member : members.all())
@@ -73,9 +74,9 @@
   }
 
   /**
-   * Notes a heartbeat and the claims in it.
+   * Records a heartbeat and its claims.
    *
-   * @return whether its sender was in contact before it came
+   * @return whether the sender was in contact before this heartbeat
    */
   boolean onHeartbeat(String sender, Heartbeat heartbeat, long nowMs) {
     PeerStatus peer = peers.computeIfAbsent(sender, name -> new PeerStatus(nowMs));
@@ -97,7 +98,7 @@
     return claimed;
   }
 
-  /** The disk accepts writes again, or no longer; false where that was known. */
+  /** Updates whether this member's disk accepts writes. Returns whether that changed. */
   boolean updateHealthy(boolean nowHealthy) {
     if (healthy == nowHealthy) return false;
     healthy = nowHealthy;
@@ -105,35 +106,45 @@
     return true;
   }
 
-  /** Whether this member's own disk accepts writes. */
+  /** Returns whether this member's own disk accepts writes. */
   boolean isHealthy() {
     return healthy;
   }
 
-  /** When the disk last began or ceased to accept writes; long ago where it never did. */
+  /**
+   * Returns when the disk last began or ceased to accept writes; {@link CoreHost#NEVER} if it never
+   * changed.
+   */
   long healthySinceMs() {
     return healthySinceMs;
   }
 
-  /** Not a member of the generation before: who owns what has to be heard first. */
+  /**
+   * Returns whether this member was not in the previous generation, so that it has to learn first
+   * which member owns which key.
+   */
   boolean isNewcomer() {
     return newcomer;
   }
 
-  /** When this generation began here. */
+  /** Returns when this generation began at this member. */
   long generationStartedAtMs() {
     return generationStartedAtMs;
   }
 
-  /** The send time in the member's last heartbeat, by its clock. */
+  /**
+   * Returns the send time in the last heartbeat of a member, by the clock of that member; {@link
+   * SendTime#NONE} without one.
+   */
   SendTime lastSendTime(String member) {
     PeerStatus peer = peers.get(member);
     return peer == null ? SendTime.NONE : peer.lastSendTime;
   }
 
   /**
-   * The last contact with a member, both ways. What it has heard of this one comes with its next
-   * heartbeat, so that direction may be older by the time between two.
+   * Returns the time of the last contact with a member in both directions. A member reports which
+   * heartbeats it received only with its next heartbeat, so that direction is granted one more
+   * heartbeat interval.
    */
   long lastRoundTripAtMs(String member) {
     if (member.equals(self)) return host.nowMs();
@@ -147,7 +158,7 @@
     return nowMs - lastRoundTripAtMs(member) < config.peerTimeoutMs();
   }
 
-  /** Contact with a majority of the members, this one counted. */
+  /** Returns whether this member is in contact with a majority of the members, itself included. */
   boolean reachesMajority(long nowMs) {
     int reached = 0;
     for (MemberSet.Member member : members.get().all())
@@ -156,8 +167,8 @@
   }
 
   /**
-   * Has had no contact with a majority since it could have: perhaps because the fleet has moved on
-   * without it, so it asks around.
+   * Returns whether this member has no contact with a majority although it has had the time to make
+   * contact. A later generation may be active without it, so it then asks to join.
    */
   boolean isIsolatedFromMajority(long nowMs) {
     return nowMs - Math.max(generationStartedAtMs, startedAtMs) >= 2L * config.peerTimeoutMs()
@@ -165,36 +176,43 @@
   }
 
   /**
-   * How long there was no contact with a member, ms; a change of members that it outlasts doesn't
-   * start this anew.
+   * Returns for how many ms there has been no contact with a member. A change of members does not
+   * restart the count for members that stay.
    */
   long silenceMs(String member, long nowMs) {
     PeerStatus peer = peers.get(member);
     return peer == null ? 0 : nowMs - Math.max(lastRoundTripAtMs(member), peer.knownSinceMs);
   }
 
-  /** Whether a member is in contact and its disk accepts writes. */
+  /** Returns whether a member is in contact and healthy. */
   boolean isAlive(String member, long nowMs) {
     if (member.equals(self)) return healthy;
     PeerStatus peer = peers.get(member);
     return peer != null && peer.healthy && isInContact(member, nowMs);
   }
 
-  /** Since when another member that is known has been alive without a break. */
+  /**
+   * Returns since when another member has been alive without interruption. The member must be
+   * known.
+   */
   long aliveSinceMs(String member) {
     return peers.get(member).aliveSinceMs;
   }
 
-  /** Whether a heartbeat of a known member came within this time, even if it doesn't hear us. */
+  /**
+   * Returns whether a heartbeat of a known member arrived within the last {@code durationMs}, even
+   * if that member does not receive this one's heartbeats.
+   */
   boolean wasHeardWithin(String member, long durationMs, long nowMs) {
     return nowMs - peers.get(member).lastHeartbeatAtMs < durationMs;
   }
 
   /**
-   * Who claims the key and was heard lately, or null; a claim is kept up only while a majority
-   * confirms.
+   * Returns the member that claims the key and sent a heartbeat recently, or null. An owner keeps
+   * its claim only while a majority confirms it.
    *
-   * @param promisedEpoch the epoch that this member promised the key to; older claims are void
+   * @param promisedEpoch the epoch that this member promised for the key; claims of lower epochs
+   *     are ignored
    */
   String claimedOwner(String key, long promisedEpoch, long nowMs) {
     for (MemberSet.Member member : members.get().all()) {
@@ -209,7 +227,9 @@
     return null;
   }
 
-  /** Whether a known member's last heartbeat told of a change of the key under way. */
+  /**
+   * Returns whether the last heartbeat of a known member reported a change of the key in flight.
+   */
   boolean hasChangeInFlight(String owner, String key) {
     OwnershipClaim claim = peers.get(owner).claims.get(key);
     return claim != null && claim.changeInFlight();
--- a/control-plane/src/main/java/gladelug/control/core/ForwardedChanges.java
+++ b/control-plane/src/main/java/gladelug/control/core/ForwardedChanges.java
@@ -10,32 +10,35 @@
 import java.util.function.Predicate;
 
 /**
- * Changes that were forwarded to the key's owner at another member, until it answers, dies or takes
- * too long; and the ids of those forwarded to this member, so that none is applied twice. Only the
- * core's thread calls it; times are of the host's monotonic clock, in ms.
+ * Tracks changes that this member forwarded to the owner at another member until the owner answers,
+ * is no longer alive or exceeds the time-out. It also remembers the ids of changes forwarded to
+ * this member, so that none is applied twice. Called on the core's thread only; times are of the
+ * host's monotonic clock, in ms.
  */
 final class ForwardedChanges {
-  /** So many ids of changes forwarded to this member are remembered. */
+  /** How many ids of changes forwarded to this member are remembered. */
   private static final int MAX_DELIVERED_IDS = 4096;
 
   private record ForwardedChange(
       String owner, long expectedNumber, long sentAtMs, Consumer<ChangeResult> onResult) {}
 
   private final long responseTimeoutMs;
-  private final Map<Long, ForwardedChange> pending = new HashMap<>();
+  private final Map<Long, ForwardedChange> pendingChanges = new HashMap<>();
   private final Set<Long> deliveredIds = new LinkedHashSet<>();
 
   /**
-   * @param responseTimeoutMs after this the result is unknown to whoever asked
+   * @param responseTimeoutMs time after which a forwarded change is answered with an unknown
+   *     result, ms
    */
   ForwardedChanges(long responseTimeoutMs) {
     this.responseTimeoutMs = responseTimeoutMs;
   }
 
   /**
-   * A change is about to be sent on.
+   * Records a change that is about to be forwarded.
    *
-   * @param expectedNumber the number the key has if the change is applied, to ask about later
+   * @param expectedNumber the version number of the key if the change is applied, by which its
+   *     sender can query the outcome
    */
   void onForwarded(
       long requestId,
@@ -43,29 +46,32 @@
       long expectedNumber,
       long nowMs,
       Consumer<ChangeResult> onResult) {
-    pending.put(requestId, new ForwardedChange(owner, expectedNumber, nowMs, onResult));
+    pendingChanges.put(requestId, new ForwardedChange(owner, expectedNumber, nowMs, onResult));
   }
 
-  /** The owner answered; late answers are dropped. */
+  /** Passes on the owner's response; late responses are dropped. */
   void onResponse(long requestId, ChangeResult result) {
-    ForwardedChange change = pending.remove(requestId);
+    ForwardedChange change = pendingChanges.remove(requestId);
     if (change != null) change.onResult.accept(result);
   }
 
   /**
-   * What was forwarded and nobody will answer any more is answered here, with the number to ask
-   * about.
+   * Answers changes that no owner will answer any more with an unknown result and the number to
+   * query.
    */
   void tick(long nowMs, Predicate<String> isAlive) {
-    for (Map.Entry<Long, ForwardedChange> entry : new ArrayList<>(pending.entrySet())) {
+    for (Map.Entry<Long, ForwardedChange> entry : new ArrayList<>(pendingChanges.entrySet())) {
       ForwardedChange change = entry.getValue();
       if (nowMs - change.sentAtMs < responseTimeoutMs && isAlive.test(change.owner)) continue;
-      pending.remove(entry.getKey());
+      pendingChanges.remove(entry.getKey());
       change.onResult.accept(new ChangeResult.Unknown(change.expectedNumber));
     }
   }
 
-  /** A change that comes a second time must not be applied after its first coming was answered. */
+  /**
+   * Records a delivery and returns whether it is the first with this id. A duplicate must not be
+   * applied after the first delivery was answered.
+   */
   boolean isFirstDelivery(long requestId) {
     if (!deliveredIds.add(requestId)) return false;
     if (deliveredIds.size() > MAX_DELIVERED_IDS)
--- a/control-plane/src/main/java/gladelug/control/core/ForwardedReads.java
+++ b/control-plane/src/main/java/gladelug/control/core/ForwardedReads.java
@@ -9,30 +9,37 @@
 import java.util.function.Predicate;
 
 /**
- * Reads of a key's newest value that were handed on to the key's owner at another member, until it
- * answers, dies or takes too long. A read changes nothing, so what is lost is only asked again.
+ * Tracks reads that this member forwarded to the owner at another member until the owner answers,
+ * is no longer alive or exceeds the time-out. A read changes nothing, so a lost one can simply be
+ * retried. Called on the core's thread only.
  */
 final class ForwardedReads {
-  /** Below the second after which a caller gives a silent door up, ms. */
+  /**
+   * How long a forwarded read may take; below the second after which callers close a silent
+   * connection.
+   */
   static final long READ_TIMEOUT_MS = 700;
 
   private record PendingRead(String owner, long sentAtMs, Consumer<ReadResult> onResult) {}
 
-  private final Map<Long, PendingRead> pending = new HashMap<>();
+  private final Map<Long, PendingRead> pendingReads = new HashMap<>();
 
   void onForwarded(long requestId, String owner, long nowMs, Consumer<ReadResult> onResult) {
-    pending.put(requestId, new PendingRead(owner, nowMs, onResult));
+    pendingReads.put(requestId, new PendingRead(owner, nowMs, onResult));
   }
 
   void onResponse(long requestId, ReadResult result) {
-    PendingRead read = pending.remove(requestId);
+    PendingRead read = pendingReads.remove(requestId);
     if (read != null) read.onResult.accept(result);
   }
 
-  /** Whose owner is dead, or silent for too long, hears that there is none. */
+  /**
+   * Answers reads whose owner is not alive or exceeded the time-out with {@link
+   * ReadResult#NO_OWNER}.
+   */
   void tick(long nowMs, Predicate<String> isAlive) {
     List<Long> expired = new ArrayList<>();
-    pending.forEach(
+    pendingReads.forEach(
         (requestId, read) -> {
           if (nowMs - read.sentAtMs >= READ_TIMEOUT_MS || !isAlive.test(read.owner))
             expired.add(requestId);
--- a/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
+++ b/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
@@ -20,16 +20,17 @@
 import java.util.function.Consumer;
 
 /**
- * The owner's side of one key, at one member: its election, the changes it makes and the leases it
- * grants. All calls come on the protocol's thread; now is its monotonic clock, in ms.
+ * The proposer of one key at one member: its election, the changes it writes and the leases it
+ * grants. Called on the core's thread only; times are of the host's monotonic clock, in ms.
  *
- * <p>It becomes owner by having a majority promise a higher epoch, writes the newest value it heard
- * of again under that epoch, and only then serves. A change is on a majority before anybody is told
- * of it. Leases are granted only off a round in which a majority confirmed the epoch, and count
- * from that round's start; so a grant of this owner has run out one lease after any later majority
- * of promises, which is why a new owner waits that long before its first acknowledgement.
+ * <p>A candidate becomes owner when a majority promises it a higher epoch. It then rewrites the
+ * newest value in those promises under its epoch, and serves only after a majority accepted that. A
+ * change is stored at a majority before any process learns of it. Leases are granted only on the
+ * basis of a round in which a majority confirmed the epoch, and count from the start of that round.
+ * All leases of an owner have therefore expired one lease duration after a later majority of
+ * promises, so a new owner waits for that duration before its first acknowledgement.
  *
- * <p>All transitions, each made by {@link #transitionTo}:
+ * <p>All transitions are made by {@link #transitionTo}:
  *
  * <pre>
  * from       to         event                                            logged
@@ -38,7 +39,7 @@
  * REWRITING  PREPARING  the time-out passed and a new election starts    election-started
  * PREPARING  REWRITING  a majority promised the epoch                    -
  * REWRITING  SERVING    a majority accepted the newest value             ownership-acquired
- * PREPARING  IDLE       a majority can't be had: ELECTION_DECLINED       -
+ * PREPARING  IDLE       a majority is impossible: ELECTION_DECLINED      -
  * PREPARING  IDLE       PREPARE_REJECTED                                 -
  * REWRITING  IDLE       ACCEPT_REJECTED                                  -
  * PREPARING  IDLE       no majority in time: ELECTION_TIMED_OUT          -
@@ -49,70 +50,70 @@
  *                       GENERATION_SEALED, MEMBER_REMOVED                it was SERVING
  * </pre>
  *
- * The names in capitals are those of {@link StepDownReason}.
+ * Names such as ELECTION_DECLINED are constants of {@link StepDownReason}.
  */
 final class KeyOwner {
-  /** Where this member stands with the key. */
+  /** The state of this member with respect to the key. */
   enum Phase {
-    /** Another member owns the key, or none. */
+    /** Not a candidate; another member or none owns the key. */
     IDLE,
 
-    /** Asked the members to promise its epoch. */
+    /** Candidate that asked the members to promise its epoch. */
     PREPARING,
 
-    /** Has a majority's promise, and writes the newest value again under its epoch. */
+    /** Candidate with a majority of promises that rewrites the newest value under its epoch. */
     REWRITING,
 
     /** Owns the key. */
     SERVING
   }
 
-  /** The election time-out is doubled at most this often. */
+  /** How many times at most the election time-out is doubled. */
   private static final int MAX_TIMEOUT_DOUBLINGS = 3;
 
-  /** What is added to the summary of a change by which cached prefixes are found no more. */
-  private static final String SHARING_BEGINS_ANEW = "; cached prefixes are shared anew";
+  /** Appended to the summary of a change after which prefixes cached before are no longer found. */
+  private static final String PREFIX_SHARING_RESTARTED = "; cached prefixes are shared anew";
 
-  /** An owner that no majority confirmed for so many leases steps down. */
-  private static final long LEASES_UNTIL_UNCONFIRMED = 2;
+  /** After how many lease durations without confirmation by a majority an owner steps down. */
+  private static final long MAX_UNCONFIRMED_LEASES = 2;
 
   private final OwnershipContext context;
 
-  /** The key that is owned or stood for. */
+  /** The key that this object owns or is a candidate for. */
   final String key;
 
   private Phase phase = Phase.IDLE;
 
-  /** The epoch of the newest election; this member's own, where it serves. */
+  /** The epoch of this member's newest election; the epoch of its ownership while it serves. */
   long epoch;
 
-  /** The highest epoch heard of in any message, so that the next election's is above it. */
+  /** The highest epoch seen in any message; the next election uses a higher one. */
   private long highestEpochSeen;
 
-  /** Elections in a row that did not lead to serving. */
+  /** How many elections in a row failed. */
   private int failedElections;
 
-  /** When the newest election began, or the newest epoch was given up. */
+  /** When the newest election started or the member last stepped down. */
   private long electionTimerFromMs = CoreHost.NEVER;
 
-  /** When a majority had promised the epoch. */
+  /** When a majority had promised the epoch, ms. */
   private long preparedAtMs;
 
   private long servingSinceMs;
 
-  /** When the newest round began in which a majority confirmed the epoch. */
+  /** Start of the newest round in which a majority confirmed the epoch. */
   private long confirmedAtMs = CoreHost.NEVER;
 
-  /** Until then leases that a former owner granted may be valid. */
+  /** Until this time leases granted by a former owner may be valid. */
   private long acknowledgeNotBeforeMs;
 
-  /** Until then a former owner may hold the command lease. */
+  /** Until this time a former owner may hold the command lease. */
   private long commandNotBeforeMs;
 
-  /** The newest committed value; in REWRITING the newest that is known of. */
+  /** The newest committed value; in phase REWRITING the newest known value. */
   private VersionedValue value = VersionedValue.NONE;
 
-  /** When the value was committed, or the earliest that may have been. */
+  /** When the value was committed; the earliest possible time if that is not known exactly. */
   private long changedAtMs;
 
   private Election election = new Election();
@@ -121,7 +122,7 @@
   private PendingChange currentChange;
   private final PendingConfirmations pendingConfirmations;
 
-  /** An owner that waits, as member of its context, until it is to stand for the key. */
+  /** Creates an owner in phase IDLE at the member of the given context. */
   KeyOwner(OwnershipContext context, String key) {
     this.context = context;
     this.key = key;
@@ -129,32 +130,35 @@
     this.pendingConfirmations = new PendingConfirmations(context.config().maxPendingChanges());
   }
 
-  /** An epoch for this key was heard of. */
+  /** Records an epoch seen for this key. */
   void onEpochSeen(long seenEpoch) {
     highestEpochSeen = Math.max(highestEpochSeen, seenEpoch);
   }
 
-  /** Whether this member owns the key, as far as it knows. */
+  /** Returns whether this member owns the key, as far as it knows. */
   boolean isServing() {
     return phase == Phase.SERVING;
   }
 
-  /** The newest committed value, where this member serves. */
+  /** Returns the newest committed value. Meaningful only while this member serves. */
   VersionedValue value() {
     return value;
   }
 
-  /** How old the value is at most, ms. */
+  /** Returns the maximum age of the value in ms. */
   long valueAgeMs(long nowMs) {
     return Math.max(0, nowMs - changedAtMs);
   }
 
-  /** How long ago the newest round began in which a majority confirmed the epoch, ms. */
+  /** Returns the ms since the start of the newest round in which a majority confirmed the epoch. */
   long sinceConfirmedMs(long nowMs) {
     return nowMs - confirmedAtMs;
   }
 
-  /** Whether others may take it that the key is in good hands: a majority confirmed it lately. */
+  /**
+   * Returns whether heartbeats may claim the key: this member serves it and a majority confirmed
+   * that recently.
+   */
   boolean isClaimable(long nowMs) {
     long withinMs = (long) context.config().peerTimeoutMs() + context.config().confirmIntervalMs();
     return isServing()
@@ -162,27 +166,28 @@
         && nowMs - Math.max(confirmedAtMs, servingSinceMs) < withinMs;
   }
 
-  /** Whether a change waits or is under way. */
+  /** Returns whether a change is queued or in progress. */
   boolean hasPendingChanges() {
     return currentChange != null || !queuedChanges.isEmpty();
   }
 
-  /** How many leases that this owner granted have not lapsed. */
+  /** Returns how many leases granted by this owner have not expired. */
   int activeLeases(long nowMs) {
     return leases.active(nowMs);
   }
 
   /**
-   * Whether commands may go out in this owner's name: a majority confirmed its epoch within
-   * commandLease, and every earlier owner's time is over. An earlier one's last confirmed round
-   * began before the promises to this one, by the member that both majorities share, so it fell
-   * silent commandLease after them.
+   * Returns whether this owner may send commands: a majority confirmed its epoch within {@code
+   * commandLeaseMs}, and the command lease of every earlier owner has ended. The majority of an
+   * earlier owner's last confirmed round shares a member with the majority that promised this
+   * owner's epoch, so that round began before the promises, and the earlier owner stopped sending
+   * commands at most {@code commandLeaseMs} after them.
    */
   boolean holdsCommandLease(long nowMs) {
     return isServing() && nowMs >= commandNotBeforeMs && nowMs < commandLeaseEndMs();
   }
 
-  /** When its right to command ends unless a majority confirms its epoch anew, ms. */
+  /** Returns when the command lease ends unless a majority confirms the epoch again, ms. */
   long commandLeaseEndMs() {
     return confirmedAtMs + context.config().commandLeaseMs();
   }
@@ -190,7 +195,7 @@
   /**
    * Makes a transition of the table above and logs it.
    *
-   * @param reason why it goes to IDLE; null for any other phase
+   * @param reason why the next phase is IDLE; null for any other phase
    */
   private void transitionTo(Phase next, StepDownReason reason, long nowMs) {
     Phase previous = phase;
@@ -212,8 +217,8 @@
   }
 
   /**
-   * How long an attempt may take: longer after each that failed, as disks may be slower than it
-   * allows for.
+   * Returns how long an election may take. It is longer after each failed one, since the disks may
+   * be slower than the time-out assumes.
    */
   private long electionTimeoutMs() {
     return (long) context.config().electionTimeoutMs()
@@ -221,10 +226,11 @@
   }
 
   /**
-   * Asks the others first. This member's own promise, which would have it refuse the present owner,
-   * is given only once it makes up the majority; so an attempt that fails leaves no trace here.
+   * Starts an election by asking the other members first. This member's own promise would make it
+   * reject the current owner, so it is given only when it completes the majority. A failed election
+   * thus leaves no promise at this member.
    *
-   * @param handover whether the present owner is alive and hands the key over
+   * @param handover whether the current owner is alive and hands the key over
    */
   void startElection(boolean handover, long nowMs) {
     if (phase != Phase.IDLE && nowMs - electionTimerFromMs < electionTimeoutMs()) return;
@@ -244,14 +250,14 @@
     prepareSelfLast();
   }
 
-  /** Asks this member itself, where its promise is all that a majority lacks. */
+  /** Asks this member itself if only its promise is missing for a majority. */
   private void prepareSelfLast() {
     if (!election.isPromisedBy(context.self())
         && election.promiseCount() == context.members().majority() - 1)
       context.send(context.self(), new PrepareRequest(key, epoch));
   }
 
-  /** A member promised an epoch, or refused to. */
+  /** Handles a member's promise of an epoch, or its refusal. */
   void onPrepareResponse(String sender, PrepareResponse response, long nowMs) {
     onEpochSeen(response.promisedEpoch());
     if (phase != Phase.PREPARING || response.epoch() != epoch) return;
@@ -268,7 +274,10 @@
     context.broadcast(new AcceptRequest(key, epoch, value));
   }
 
-  /** Where a majority can't be had any more, the owner that the others know is left in peace. */
+  /**
+   * Ends the election if so many members declined that a majority is impossible, so that the owner
+   * they know keeps the key.
+   */
   private void onElectionDeclined(String sender, long nowMs) {
     election.onDeclined(sender);
     int others = context.members().all().size() - context.members().majority();
@@ -278,7 +287,7 @@
     context.deferElection(key, nowMs);
   }
 
-  /** A member accepted a value, or refused to. */
+  /** Handles a member's acceptance of a value, or its refusal. */
   void onAcceptResponse(String sender, AcceptResponse response, long nowMs) {
     onEpochSeen(response.promisedEpoch());
     if (phase == Phase.IDLE || response.epoch() != epoch) return;
@@ -312,7 +321,10 @@
     context.requestConfirmationRound();
   }
 
-  /** Gives the epoch up; what was under way is answered as unknown, what waits as without owner. */
+  /**
+   * Gives up the epoch. The change in progress is answered with an unknown result, queued ones with
+   * no owner.
+   */
   void stepDown(StepDownReason reason, long nowMs) {
     if (phase == Phase.IDLE) return;
     if (phase != Phase.SERVING) failedElections++;
@@ -326,14 +338,17 @@
     pendingConfirmations.abandonAll();
   }
 
-  /** Changes that nothing was written for yet. */
+  /** Answers the queued changes, for which nothing was written yet, with no owner. */
   private void refuseQueuedChanges() {
     List<PendingChange> refused = new ArrayList<>(queuedChanges);
     queuedChanges.clear();
     for (PendingChange change : refused) change.answer(new ChangeResult.NoOwner());
   }
 
-  /** A member answered a confirmation round: with its promise, and with what it has on disk. */
+  /**
+   * Handles a member's response in a confirmation round: its promise and the version it has on
+   * disk.
+   */
   void onEpochStatus(String sender, EpochStatus status, long nowMs) {
     onEpochSeen(status.promisedEpoch());
     if (phase != Phase.SERVING || status.epoch() != epoch) return;
@@ -345,13 +360,16 @@
       context.send(sender, new AcceptRequest(key, epoch, value));
   }
 
-  /** A majority confirmed the epoch in the round with this number, begun at this time. */
+  /** Records that a majority confirmed the epoch in a round, given by its number and start time. */
   void onRoundConfirmed(long round, long roundStartMs) {
     confirmedAtMs = Math.max(confirmedAtMs, roundStartMs);
     if (isServing()) pendingConfirmations.onRoundConfirmed(round);
   }
 
-  /** Has one of the two run, sooner or later; false, and none runs, where too many wait already. */
+  /**
+   * Queues callbacks until a majority confirms this owner; one of the two runs eventually. Returns
+   * false, and none runs, if the queue is full.
+   */
   private boolean queueForConfirmation(Runnable onConfirmed, Runnable onAbandoned, long nowMs) {
     if (!pendingConfirmations.add(context.latestRoundNumber(), nowMs, onConfirmed, onAbandoned))
       return false;
@@ -360,9 +378,9 @@
   }
 
   /**
-   * The committed value, once a majority has confirmed this epoch in a round begun after the
-   * asking: whatever was acknowledged anywhere before it is then in it. A repeated reader of this
-   * moment may be told a newer one.
+   * Reads the committed value once a majority has confirmed this epoch in a round begun after the
+   * read arrived. The result then includes every change that was acknowledged before. A later read
+   * may return a newer value.
    */
   void read(Consumer<ReadResult> onResult, long nowMs) {
     Runnable onNoOwner = () -> onResult.accept(ReadResult.NO_OWNER);
@@ -372,7 +390,10 @@
     if (!accepted) onNoOwner.run();
   }
 
-  /** Takes a change, acknowledges again one that was taken, or says why not. */
+  /**
+   * Applies a change, acknowledges a duplicate of one that was applied, or answers why it is
+   * refused.
+   */
   void propose(ChangeRequest request, Consumer<ChangeResult> onResult, long nowMs) {
     if (phase != Phase.SERVING) onResult.accept(new ChangeResult.NoOwner());
     else if (queuedChanges.size() >= context.config().maxPendingChanges())
@@ -389,9 +410,9 @@
   }
 
   /**
-   * A change that follows the newest value is written at once, as a majority that accepts it
-   * confirms the owner too. To refuse one, or to say that it was taken before, a majority has to
-   * confirm first that this owner's value is still the newest.
+   * Starts a change. One that is based on the newest value is written at once, as a majority that
+   * accepts it also confirms the owner. Before a change is refused or acknowledged as a duplicate,
+   * a majority has to confirm that this owner's value is still the newest.
    */
   private void startChange(PendingChange change, long nowMs) {
     ChangeRequest request = change.request();
@@ -412,7 +433,10 @@
     else change.answer(new ChangeResult.Conflict(value.number()));
   }
 
-  /** The number under which the same change, or the same value as the newest, was taken; or 0. */
+  /**
+   * Returns the version number under which the same change, or the same body as the newest value's,
+   * was applied; 0 if none was.
+   */
   private long appliedNumber(PendingChange change) {
     long applied = value.takenNumber(change.identity(), change.request().base());
     if (applied > 0) return applied;
@@ -442,10 +466,10 @@
     long number = value.number() + 1;
     if (sharing.since() != number) return summary;
     context.logEvent("prefix-sharing-begins-anew", "key", key, "number", number);
-    return summary + SHARING_BEGINS_ANEW;
+    return summary + PREFIX_SHARING_RESTARTED;
   }
 
-  /** Starts the change again once a majority has confirmed this owner. */
+  /** Restarts the change once a majority has confirmed this owner. */
   private void confirmThenRetry(PendingChange change, long nowMs) {
     Runnable retry =
         () -> {
@@ -464,7 +488,10 @@
     acknowledgeIfDue(nowMs);
   }
 
-  /** The change under way is on a majority: it counts from now on, whatever its sender hears. */
+  /**
+   * Commits the change in progress, which a majority has stored: it is in effect from now on,
+   * whatever answer its sender receives.
+   */
   private void commit(long nowMs) {
     VersionedValue previous = value;
     value = currentChange.value();
@@ -475,7 +502,9 @@
     acknowledgeIfDue(nowMs);
   }
 
-  /** Acknowledges the change under way once no lease has to be waited for, and goes on. */
+  /**
+   * Acknowledges the change in progress once no lease has to be awaited, and starts the next one.
+   */
   private void acknowledgeIfDue(long nowMs) {
     PendingChange change = currentChange;
     if (change == null || !change.isCommitted() || nowMs < acknowledgeNotBeforeMs && !isLeaseless())
@@ -504,13 +533,16 @@
     return !StateKeys.LEASED.contains(key);
   }
 
-  /** What no majority confirms in time, or can, is answered while its sender listens. */
+  /**
+   * Answers requests that cannot be confirmed, or were not confirmed in time, while their senders
+   * still wait.
+   */
   private void abandonUnconfirmed(long nowMs) {
     if (context.isIsolatedFromMajority(nowMs)) pendingConfirmations.abandonAll();
     else pendingConfirmations.abandonRequestedUntil(nowMs - ForwardedReads.READ_TIMEOUT_MS);
   }
 
-  /** Looks what is due by time alone. */
+  /** Runs everything that is due by time alone. */
   void tick(long nowMs) {
     if (!pendingConfirmations.isEmpty()) abandonUnconfirmed(nowMs);
     if (!queuedChanges.isEmpty() && context.isIsolatedFromMajority(nowMs)) refuseQueuedChanges();
@@ -526,7 +558,7 @@
 
   private boolean isUnconfirmed(long nowMs) {
     long sinceMs = nowMs - Math.max(confirmedAtMs, servingSinceMs);
-    return sinceMs > LEASES_UNTIL_UNCONFIRMED * context.config().leaseMs();
+    return sinceMs > MAX_UNCONFIRMED_LEASES * context.config().leaseMs();
   }
 
   private void advanceCurrentChange(long nowMs) {
@@ -546,12 +578,13 @@
   }
 
   /**
-   * A data-plane process asked for a key's value and its lease.
+   * Handles a data-plane process's request for the value and a lease.
    *
    * @param subscriber its name and incarnation
-   * @param wantsLease whether it is one whose lease an acknowledgement waits for
-   * @param known the version it holds
-   * @return a grant where it holds the newest number, else null and a push is due
+   * @param wantsLease whether acknowledgements have to wait for its lease
+   * @param known the version that it holds
+   * @return a grant if it holds the newest number and a majority confirmed this owner recently,
+   *     else null; a process with an older number then needs a push
    */
   StateUpdate.LeaseGrant onSubscription(
       String subscriber, boolean wantsLease, StateUpdate.KnownVersion known, long nowMs) {
--- a/control-plane/src/main/java/gladelug/control/core/KeyStatus.java
+++ b/control-plane/src/main/java/gladelug/control/core/KeyStatus.java
@@ -1,15 +1,17 @@
 package gladelug.control.core;
 
 /**
- * The state of one key as a member shows it to operators; for reading only, never for deciding.
+ * The status of one key as a member shows it to operators. It may be outdated, so no decision may
+ * depend on it.
  *
- * @param key the key
- * @param owner the member that owns it as far as known; empty where none is reachable
+ * @param key the name of the key
+ * @param owner the name of the member that owns the key as far as known; empty if none is reachable
  * @param epoch the epoch of the value
- * @param number the number of the value
+ * @param number the version number of the value
  * @param digest the digest of the value
- * @param leaseCount leases of it that hold now; -1 at a member that doesn't own it
- * @param confirmedAgoMs when a majority confirmed the owner last; -1 at a member that isn't it
+ * @param leaseCount how many leases are valid; -1 at a member that does not own the key
+ * @param confirmedAgoMs time since a majority last confirmed the owner, ms; -1 at a member that
+ *     does not own the key
  */
 public record KeyStatus(
     String key,
--- a/control-plane/src/main/java/gladelug/control/core/MemberOwnership.java
+++ b/control-plane/src/main/java/gladelug/control/core/MemberOwnership.java
@@ -6,7 +6,7 @@
 import gladelug.control.core.register.Register;
 import gladelug.control.core.register.VersionedValue;
 
-/** A {@link CoreMember} as the owners of its keys see it. */
+/** Adapts a {@link CoreMember} to the interface that the owners of its keys use. */
 final class MemberOwnership implements OwnershipContext {
   private final CoreMember member;
 
--- a/control-plane/src/main/java/gladelug/control/core/Membership.java
+++ b/control-plane/src/main/java/gladelug/control/core/Membership.java
@@ -24,36 +24,42 @@
 import java.util.function.Consumer;
 
 /**
- * Who the core's members are, at one member: bootstrap, joining, draining, and the change to the
- * members of the next generation. All calls come on the core's thread.
+ * The membership of the core as one member sees it: bootstrap, joining, draining, and the change to
+ * the members of the next generation. Called on the core's thread only.
  *
  * <pre>
- * uninitialized  no generation yet: announces for bootstrap, or asks to be let in
+ * uninitialized  no generation yet: sends bootstrap announcements, or asks to join
  *      |         all bootstrap members stored the same set, or a member sent an active generation
  *      v
  * active         takes part in its generation; the owner of the key core proposes the next members,
  *      |         which are written like any value of that key, so there is one next generation
  *      |         the change is committed, or another member asks to seal
  *      v
- * sealed         durably refuses the generation and says what it stores; whoever is sealed brings the
- *      |         change to an end: a majority of seals, then the registers merged (of every key the
- *      |         highest value and promise), then the next members told to activate
- *      |----->   active, where it is a member of the next generation
+ * sealed         durably refuses the generation and reports what it stores; each sealed member can
+ *      |         complete the change: it collects a majority of seal responses, merges the registers
+ *      |         (highest value and promise of each key) and tells the next members to activate
+ *      |----->   active, if it is a member of the next generation
  *      v
- * retired        a generation without this member is active: asks to be let in again
+ * retired        a generation without this member is active: asks to join again
  * </pre>
  */
 final class Membership {
-  /** Between two announcements while a fleet is being bootstrapped. */
+  /** Interval between two announcements while a fleet is being bootstrapped. */
   private static final long ANNOUNCE_INTERVAL_MS = 200;
 
-  /** Between two requests to be let in, and between two looks at the members by the owner. */
+  /**
+   * Interval between two join requests, and between two checks by the owner whether the members
+   * should change.
+   */
   private static final long JOIN_INTERVAL_MS = 300;
 
-  /** For how long a request to be let in counts. */
+  /** How long a join request is valid. */
   private static final long JOIN_REQUEST_LIFETIME_MS = 3000;
 
-  /** Between two transfers of the registers to one that lags; longer where they are large. */
+  /**
+   * Minimum interval between two transfers of the registers to a member that lags behind; the
+   * transfer time of large registers is added.
+   */
   private static final long RESEND_GENERATION_INTERVAL_MS = 500;
 
   private final CoreMember context;
@@ -62,26 +68,26 @@
   private MemberSet members = MemberSet.NONE;
   private boolean retired;
 
-  /** The newest members heard of, though this may be none of them. */
+  /** The members of the newest known generation, to which this member may not belong. */
   private MemberSet newestKnown = MemberSet.NONE;
 
-  /** The newest generation that anything was said in. */
+  /** The newest generation of which a message arrived. */
   private long newestGenerationHeard;
 
   private MemberSet bootstrapSetBeingStored;
 
-  /** Nodes other than the bootstrap members are known to this bootstrap member. */
+  /** Whether this bootstrap member knows nodes other than the bootstrap members. */
   private boolean hasOtherContacts;
 
   private final JoinCandidates joinCandidates = new JoinCandidates();
 
-  /** While this is no member: when each member last told it who the members are. */
+  /** By member: when it last sent this node its generation; used while this node is no member. */
   private final Map<String, Long> generationReceivedAtMs = new HashMap<>();
 
-  /** Members of earlier generations, to be told that they are none any more. */
+  /** Members of earlier generations, which have to be told that they were removed. */
   private final Map<String, MemberSet.Member> formerMembers = new HashMap<>();
 
-  /** By name: when it may be told again of this generation. */
+  /** By name: when this generation may be sent to the member again. */
   private final Map<String, Long> resendGenerationAtMs = new HashMap<>();
 
   /** By member: when its last notice that it is draining arrived. */
@@ -90,7 +96,7 @@
   /** By member: the newest generation that it is known to take part in. */
   private final Map<String, Long> activeGenerations = new HashMap<>();
 
-  /** The change to the next generation, while there is one. */
+  /** The change to the next generation. */
   private final Reconfiguration reconfiguration;
 
   private long lastAnnouncedAtMs = CoreHost.NEVER;
@@ -108,8 +114,8 @@
   }
 
   /**
-   * From what is on disk; each may be missing. What is there goes before what was given at the
-   * start.
+   * Restores the state found on disk; each argument may be null. Stored members take precedence
+   * over the configured bootstrap members.
    */
   void recover(byte[] storedMembers, byte[] storedNextMembers, byte[] storedBootstrapSet) {
     if (storedBootstrapSet != null && bootstrap != null)
@@ -139,7 +145,7 @@
     return retired;
   }
 
-  /** Whether this member takes part in its generation. */
+  /** Returns whether this member takes part in its generation. */
   boolean isActive() {
     return isInitialized() && !isSealed() && !retired;
   }
@@ -178,10 +184,13 @@
     agreeOnBootstrapSet();
   }
 
-  /** One set at a time is put on disk, and is said to the others only from there. */
+  /**
+   * Advances the agreement on the bootstrap set. One set at a time is written to disk, and it is
+   * announced only once it is there.
+   */
   private void agreeOnBootstrapSet() {
     if (isInitialized() || bootstrap == null) return;
-    // who knows others than the founders gives them the time to say that there is a fleet already
+    // other known nodes get the time to report that the fleet exists already
     boolean mayPropose =
         !hasOtherContacts
             || context.host.nowMs() - context.startedAtMs >= 2L * context.config.peerTimeoutMs();
@@ -205,8 +214,8 @@
   }
 
   /**
-   * A machine that is no member and founds nothing asks to be let in; it votes on nothing
-   * meanwhile.
+   * Sends join requests from a machine that is neither a member nor a bootstrap member. It has no
+   * vote until it has joined.
    */
   void requestToJoin(long nowMs) {
     if (bootstrap != null || nowMs - lastAnnouncedAtMs < JOIN_INTERVAL_MS) return;
@@ -221,12 +230,15 @@
           newEnvelope(new JoinRequest(self.records().toString(), self.operator().toString())));
   }
 
-  /** Whether a later generation than this member's is in force somewhere. */
+  /** Returns whether a message of a later generation than this member's has arrived. */
   boolean isBehind() {
     return newestGenerationHeard > members.generation();
   }
 
-  /** What is said across generations; true where that was all. */
+  /**
+   * Handles messages that are valid across generations. Returns whether the message was one of
+   * them.
+   */
   boolean onMembershipMessage(Envelope envelope, long nowMs) {
     CoreMessage message = envelope.message();
     newestGenerationHeard = Math.max(newestGenerationHeard, envelope.generation());
@@ -253,7 +265,9 @@
       if (member != null && member.disk().equals(envelope.senderDisk()))
         sendGeneration(envelope.sender(), nowMs);
       else {
-        // it founds what was founded already, with another disk or long after: it shall join
+        // the fleet exists already, and the sender has another disk or is not one of its members:
+        // it has
+        // to join
         context.host.logEvent("unknown-node-at-bootstrap", "name", envelope.sender());
         context.host.sendTo(
             Address.of(announcement.records()), newEnvelope(new Activate(members, List.of())));
@@ -269,8 +283,9 @@
   }
 
   /**
-   * To a member of this generation that seems not to know it: the members, and all that is kept
-   * here. A sealed member tells it too: without the one that lags there may be too few to seal.
+   * Sends this generation's members to a node that seems not to know them, and all registers too if
+   * it is a member. A sealed member also does so: without the member that lags behind there may be
+   * too few members to seal the generation.
    */
   void sendGeneration(String name, long nowMs) {
     MemberSet.Member member = members.find(name);
@@ -303,13 +318,17 @@
       }
       return;
     }
-    // told as to a stranger, at an address that another machine had before: all that is kept is
-    // still to come
+    // sent as to a non-member, at an address that another machine had before: the registers are
+    // still
+    // to come
     if (received.generation() > 1 && activation.registers().isEmpty()) return;
     installGeneration(received, activation.registers());
   }
 
-  /** The cells first, the members last: only with these on disk does the generation count here. */
+  /**
+   * Stores a generation: first the registers, then the members. The generation becomes active only
+   * once its members are on disk.
+   */
   private void installGeneration(MemberSet received, List<RegisterRecord> registers) {
     for (RegisterRecord register : registers)
       context.store(
@@ -367,7 +386,8 @@
   }
 
   /**
-   * Says to all who may be members that this one leaves, and hears from them who took its place.
+   * Notifies all nodes that may be members that this member is draining. They respond with a newer
+   * generation if there is one.
    */
   void announceDraining(long nowMs) {
     if (nowMs - drainNoticeSentAtMs < context.config.heartbeatMs()) return;
@@ -379,9 +399,9 @@
   }
 
   /**
-   * Whether the others can do without this machine, and lose as many more as they bear: it is no
-   * member, or its successor's generation is in force at a majority, or nobody stands by to succeed
-   * it and a majority lives without it.
+   * Returns whether this member may stop without reducing the fault tolerance of the others: it is
+   * no member, or a majority takes part in a generation without it, or there is no standby machine
+   * to replace it and a majority is alive without it.
    */
   boolean isSafeToStop(long nowMs) {
     if (!isInitialized()) return true;
@@ -408,7 +428,8 @@
   }
 
   /**
-   * Where a machine that stands by hands on what operators send it: the member heard last, or null.
+   * Returns the address to which a standby machine forwards operators' requests: that of the member
+   * heard from last. Null if there is none or this node is a member itself.
    */
   Address forwardingAddress(long nowMs) {
     if (isInitialized() && !retired) return null;
@@ -424,7 +445,10 @@
     return latest == null ? null : latest.records();
   }
 
-  /** Where whoever stands by is answered; null for all others and where this member can't help. */
+  /**
+   * Returns the address at which a standby machine receives responses. Null for other senders, and
+   * if this member is not active.
+   */
   Address standbyAddress(Envelope envelope) {
     MemberSet.Member candidate = isActive() ? joinCandidates.find(envelope.sender()) : null;
     return candidate == null
@@ -434,7 +458,7 @@
         : candidate.records();
   }
 
-  /** What an operator may let in: machines that ask to join, lately heard. */
+  /** Returns the machines that recently asked to join, which an operator may make members. */
   List<MemberSet.Member> joinCandidates() {
     return joinCandidates(JOIN_REQUEST_LIFETIME_MS);
   }
@@ -444,8 +468,8 @@
   }
 
   /**
-   * A next set can't be taken back, so nobody is let in unasked who may have died since it was
-   * heard.
+   * Creates a plan from the recent join candidates. A committed next member set cannot be
+   * withdrawn, so only candidates heard within the peer time-out are added.
    */
   private MembershipPlan plan(long nowMs) {
     return new MembershipPlan(
@@ -454,7 +478,10 @@
         name -> context.isAliveAndStays(name, nowMs));
   }
 
-  /** The owner of the key core looks whether the members should change, which needs no operator. */
+  /**
+   * Checks, if this member owns the key core, whether the members should change without an
+   * operator's request.
+   */
   void proposeMembershipChange(long nowMs) {
     if (nowMs - lastPlannedAtMs < JOIN_INTERVAL_MS
         || !context.owns(StateKeys.CORE)
@@ -471,8 +498,8 @@
   }
 
   /**
-   * One at a time: the next set is written like any value of the key core, then the old generation
-   * is sealed.
+   * Proposes the next member set as a value of the key core; once committed the current generation
+   * is sealed. Only one change is made at a time.
    */
   private void writeMembershipChange(
       MembershipPlan.MembershipChange change, Consumer<ChangeResult> onResult) {
@@ -493,8 +520,8 @@
   }
 
   /**
-   * Replaces a member on an operator's order. Returns why it can't be, and then nothing changed, or
-   * an empty text.
+   * Replaces a member on an operator's request. Returns an empty string, or the reason for a
+   * refusal, after which nothing has changed.
    */
   String replaceMember(String removed, String replacement, Consumer<ChangeResult> onResult) {
     if (members.find(removed) == null) return removed + " is not a member of the core";
@@ -507,21 +534,22 @@
             .orElse(null);
     if (candidate == null)
       return replacement
-          + " is not asking to join; start `control-plane run` there with an empty data folder first";
+          + " has not asked to join; first run `control-plane run` there with an empty data folder";
     if (!context.owns(StateKeys.CORE))
-      return "ask "
+      return "send this request to "
           + context.keyStatuses().stream()
               .filter(key -> key.key().equals(StateKeys.CORE))
               .map(KeyStatus::owner)
               .findFirst()
               .orElse("another machine")
-          + ", which owns the core's members at the moment";
+          + ", which currently owns the core's members";
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null)
-      return "another replacement is under way";
+      return "another change of members is in progress";
     MembershipPlan.MembershipChange change =
         plan(context.host.nowMs())
             .change(MembershipChangeReason.OPERATOR_REQUEST, List.of(removed), List.of(candidate));
-    if (change == null) return "fewer than a majority of the members would be alive then";
+    if (change == null)
+      return "fewer than a majority of the members would be alive after the replacement";
     writeMembershipChange(change, onResult);
     return "";
   }
@@ -533,20 +561,20 @@
   }
 
   /**
-   * Whether this member has to bring a change of members to an end. One that leaves by the change
-   * has to as well, until a majority of those who come next takes part: before, what is kept here
-   * may be the only copy beside one that may still be lost.
+   * Returns whether this member has to work on completing a change of members. A member removed by
+   * the change continues as well until a majority of the next members takes part: before that, its
+   * registers may be the only other copy besides one that may still be lost.
    */
   boolean mustCompleteReconfiguration() {
     return isSealed() && !(retired && countActive(newestKnown) >= newestKnown.majority());
   }
 
-  /** The generation is refused from now on, durably; these are to be the next members. */
+  /** Seals the generation durably for the given next members. */
   void seal(MemberSet next, long nowMs) {
     reconfiguration.seal(next, nowMs);
   }
 
-  /** Brings a sealed generation to its end, once it is this member's turn. */
+  /** Completes the change from a sealed generation, once it is this member's turn. */
   void completeReconfiguration(long nowMs) {
     reconfiguration.complete(nowMs);
   }
--- a/control-plane/src/main/java/gladelug/control/core/MembershipChangeReason.java
+++ b/control-plane/src/main/java/gladelug/control/core/MembershipChangeReason.java
@@ -1,19 +1,19 @@
 package gladelug.control.core;
 
-/** Why a core's members change; logged with each change. */
+/** The reason of a change of the core's members; logged with each change. */
 enum MembershipChangeReason {
-  /** Members whose machines came back with an empty disk are replaced by themselves. */
+  /** Members whose machines restarted with an empty disk rejoin with their new disks. */
   WIPED_DISK,
 
-  /** A member has been silent for longer than the configuration bears. */
+  /** A member has been out of contact for at least {@code replaceDeadAfterMs}. */
   DEAD,
 
-  /** A member was asked to stop and its place is taken before it ends. */
+  /** A member was asked to stop and is replaced before it stops. */
   DRAINING,
 
-  /** The core grows towards the number of members that the configuration wants. */
+  /** The core grows towards the configured number of members. */
   GROWTH,
 
-  /** An operator replaces one member by a machine that asked to join. */
+  /** An operator replaces a member with a machine that asked to join. */
   OPERATOR_REQUEST
 }
--- a/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
+++ b/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
@@ -8,15 +8,19 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Which members should come next. It only decides, from who is a member, who asks to be one, and
- * how long each has been silent; the owner of the key core asks it and then has the change written,
- * sealed and activated. First members whose machines came back empty are replaced by themselves.
- * Then those that have been dead for long or are about to end are replaced by machines unknown to
- * the core, as many at once as there are. Then the core grows towards the number of voters wanted,
- * always to an odd one. Never a next set of which fewer than a majority are alive.
+ * Decides which members the next generation should have, given the current members, the join
+ * candidates and how long each member has been out of contact. The owner of the key core uses it
+ * and then has the change written, sealed and activated. Members whose machines restarted with an
+ * empty disk are replaced first, by the same machines with their new disks. Next, members that are
+ * dead for long or draining are replaced with machines that are no members, as many at once as
+ * there are candidates. Last, the core grows towards the configured number of members, always to an
+ * odd number. A set of which fewer than a majority are alive is never planned.
  */
 final class MembershipPlan {
-  /** One change of members: why, who goes, who comes, and the set of the next generation. */
+  /**
+   * One change of members: its reason, the names removed, the members added, and the set of the
+   * next generation.
+   */
   record MembershipChange(
       MembershipChangeReason reason,
       List<String> removed,
@@ -28,11 +32,11 @@
   private final Predicate<String> isAlive;
 
   /**
-   * Makes a plan from what is known now.
+   * Creates a plan for the current state.
    *
-   * @param current the members in force
-   * @param joinCandidates who asked lately to be let in, with disks that no member has
-   * @param isAlive whether a member is alive and to stay, by name
+   * @param current the members of the active generation
+   * @param joinCandidates nodes that recently asked to join, with disks that no member has
+   * @param isAlive whether the member of this name is alive and not draining
    */
   MembershipPlan(
       MemberSet current, List<MemberSet.Member> joinCandidates, Predicate<String> isAlive) {
@@ -42,10 +46,10 @@
   }
 
   /**
-   * The next change, one at the most, or null.
+   * Returns the next change, or null if none is needed or possible.
    *
-   * @param silentMs for how long there was no contact with a member, by name
-   * @param isDraining whether a member said that it was asked to stop, by name
+   * @param silentMs for how many ms there has been no contact with the member of this name
+   * @param isDraining whether the member of this name announced that it is draining
    */
   MembershipChange nextChange(
       ToLongFunction<String> silentMs, Predicate<String> isDraining, QuorumConfig config) {
@@ -69,7 +73,10 @@
     return change(MembershipChangeReason.GROWTH, List.of(), unknown.subList(0, growth));
   }
 
-  /** All at once whose machines came back empty: each change of members costs time of its own. */
+  /**
+   * Replaces all members whose machines restarted with an empty disk in one change, since each
+   * change of members interrupts the service for a while.
+   */
   private MembershipChange replaceWiped(ToLongFunction<String> silentMs, QuorumConfig config) {
     List<MemberSet.Member> returned = new ArrayList<>();
     for (MemberSet.Member candidate : joinCandidates) {
@@ -86,7 +93,9 @@
         returned);
   }
 
-  /** Those silent for `replaceDeadAfterMs` or longer, the longest silent first. */
+  /**
+   * Returns the members out of contact for at least {@code replaceDeadAfterMs}, the longest first.
+   */
   private List<String> deadMembers(ToLongFunction<String> silentMs, QuorumConfig config) {
     List<String> dead = new ArrayList<>();
     if (config.replaceDeadAfterMs() == 0) return dead;
@@ -98,13 +107,16 @@
     return dead;
   }
 
-  /** Those whose place has to be taken before they end. */
+  /** Returns the draining members, which have to be replaced before they stop. */
   private List<String> drainingMembers(Predicate<String> isDraining, QuorumConfig config) {
     if (config.replaceDeadAfterMs() == 0) return List.of();
     return current.all().stream().map(MemberSet.Member::name).filter(isDraining).toList();
   }
 
-  /** The set with these out and those in, or null where a majority of it isn't alive. */
+  /**
+   * Returns the change that removes and adds the given members, or null if fewer than a majority of
+   * the resulting set would be alive.
+   */
   MembershipChange change(
       MembershipChangeReason reason, List<String> removed, List<MemberSet.Member> added) {
     List<MemberSet.Member> members = new ArrayList<>(current.all());
--- a/control-plane/src/main/java/gladelug/control/core/OwnerTasks.java
+++ b/control-plane/src/main/java/gladelug/control/core/OwnerTasks.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a member does beside keeping state, where it owns the key for it, on the core's thread. */
+/** Tasks besides replication that the owner of a key runs, called on the core's thread. */
 public interface OwnerTasks {
   /**
-   * What each relay may use of each service's capacity; asked of the owner of the key shares a few
-   * times a second.
+   * Allocates the capacity of each service to the relays. Called a few times per second at the
+   * owner of the key shares.
    *
    * @param epoch the owner's epoch
-   * @param relays those that asked lately
-   * @param configuration the configuration as last stored here
-   * @return grants by the relay's name
+   * @param relays the relays that recently sent requests
+   * @param configuration the configuration as last stored at this member
+   * @return the capacity grants by relay name
    */
   default Map<String, List<StateUpdate.CapacityGrant>> allocateCapacity(
       long epoch, List<SubscriberStatus> relays, byte[] configuration) {
@@ -23,14 +23,14 @@
   }
 
   /**
-   * Which cached prefixes tenants share once a body follows a value, which the value of a
-   * configuration records; other keys' values record nothing.
+   * Returns which cached prefixes tenants share after {@code nextBody} replaces a value. Only
+   * values of the configuration record it.
    */
   default PrefixSharing prefixSharing(String key, VersionedValue previous, byte[] nextBody) {
     return PrefixSharing.UNRECORDED;
   }
 
-  /** What a change of a key is, in a few words, for people. */
+  /** Returns a short description of a change, for people. */
   default String summarizeChange(String key, byte[] oldBody, byte[] newBody) {
     return "";
   }
--- a/control-plane/src/main/java/gladelug/control/core/OwnershipContext.java
+++ b/control-plane/src/main/java/gladelug/control/core/OwnershipContext.java
@@ -6,27 +6,30 @@
 import gladelug.control.core.register.Register;
 import gladelug.control.core.register.VersionedValue;
 
-/** What a {@link KeyOwner} needs of the member it belongs to; all on the protocol's thread. */
+/** The services of a member that its {@link KeyOwner}s use; called on the core's thread only. */
 interface OwnershipContext {
-  /** Settings of the quorum. */
+  /** Returns the core's configuration. */
   QuorumConfig config();
 
-  /** This member's name. */
+  /** Returns this member's name. */
   String self();
 
-  /** The members of the active generation. */
+  /** Returns the members of the active generation. */
   MemberSet members();
 
-  /** What this member has on disk for a key. */
+  /** Returns the register that this member stores for a key. */
   Register register(String key);
 
-  /** Monotonic time, ms. */
+  /** Returns the monotonic time, ms. */
   long nowMs();
 
-  /** Time of day, ms since 1970; may jump, so only for stamps that people read. */
+  /**
+   * Returns the wall-clock time in ms since the Unix epoch. It may jump, so it is used only for
+   * timestamps shown to people.
+   */
   long wallClockMs();
 
-  /** A random number from 0 up to this bound, exclusive. */
+  /** Returns a random number from 0 (inclusive) to {@code bound} (exclusive). */
   long random(long bound);
 
   /** Sends to a member by name, this one included; may be lost. */
@@ -35,47 +38,54 @@
   /** Sends to all members, this one included; may be lost. */
   void broadcast(CoreMessage message);
 
-  /** Logs an event with its key and value pairs. */
+  /** Logs an event with its field names and values, alternating. */
   void logEvent(String name, Object... pairs);
 
-  /** Whether contact with a majority has been missing for so long that nothing can be served. */
-  boolean isIsolatedFromMajority(long nowMs);
-
   /**
-   * The number of the newest confirmation round; rounds that begin from now on have higher ones.
+   * Returns whether contact with a majority has been missing for so long that nothing can be
+   * served.
    */
+  boolean isIsolatedFromMajority(long nowMs);
+
+  /** Returns a number below that of every confirmation round that begins from now on. */
   long latestRoundNumber();
 
-  /** Begins the next confirmation round at the next tick. */
+  /** Makes the next tick start a confirmation round. */
   void requestConfirmationRound();
 
   /** Lets another member be elected for a key before this one tries again. */
   void deferElection(String key, long nowMs);
 
-  /** The greatest body a value of this key may have, bytes. */
+  /** Returns the largest permitted body of a value of this key, in bytes. */
   long maxBodyBytes(String key);
 
-  /** How old at most the value with this number is by what its owners told, ms. */
+  /**
+   * Returns the maximum age in ms of the value with this number, according to the heartbeats of its
+   * owners.
+   */
   long knownAgeMs(String key, long number, long nowMs);
 
-  /** How old weights may be at a data-plane process, ms. */
+  /**
+   * Returns for how many ms after a change of the weights data-plane processes may start requests
+   * with the old ones.
+   */
   int weightsAgeCutoffMs();
 
-  /** What a change of a key's body does, in a line for operators. */
+  /** Returns a one-line description of a change of a key's body, for operators. */
   String summarize(String key, byte[] oldBody, byte[] newBody);
 
   /**
-   * Which cached prefixes tenants share once a body follows a value; not recorded for other keys
-   * than the configuration.
+   * Returns which cached prefixes tenants share after {@code nextBody} replaces a value; recorded
+   * for the configuration only.
    */
   PrefixSharing prefixSharing(String key, VersionedValue value, byte[] nextBody);
 
-  /** The value is on a majority of disks and is served from now on. */
+  /** Called when the value is stored at a majority and is served from now on. */
   void onCommitted(String key, VersionedValue value);
 
   /** Pushes a new value to the data-plane processes that subscribe to its key. */
   void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value);
 
-  /** The change with this number was acknowledged to its sender. */
+  /** Called when the change with this number was acknowledged to its sender. */
   void onAcknowledged(String key, long number);
 }
--- a/control-plane/src/main/java/gladelug/control/core/PeerStatus.java
+++ b/control-plane/src/main/java/gladelug/control/core/PeerStatus.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 
 /**
- * What one member knows of another by its heartbeats. All times are of this member's monotonic
- * clock in ms, but for {@link #lastSendTime}. Only the core's thread reads and writes it.
+ * What a member knows of a peer from its heartbeats. Times are of this member's monotonic clock in
+ * ms, except {@link #lastSendTime}. Used on the core's thread only.
  */
 final class PeerStatus {
-  /** Since when the other is a member that this one knows. */
+  /** Since when this member has known the peer as a member. */
   final long knownSinceMs;
 
-  /** When its last heartbeat arrived. */
+  /** When the peer's last heartbeat arrived. */
   long lastHeartbeatAtMs = CoreHost.NEVER;
 
-  /** What it sent last, by its own clock. */
+  /** The send time in the peer's last heartbeat, by the peer's clock. */
   SendTime lastSendTime = SendTime.NONE;
 
-  /** When the newest of this member's heartbeats that reached it was sent, by this clock. */
+  /** When the newest of this member's heartbeats that reached the peer was sent. */
   long newestDeliveredSentAtMs = CoreHost.NEVER;
 
-  /** Since when it has been in contact and healthy without a break. */
+  /** Since when the peer has been in contact and healthy without interruption. */
   long aliveSinceMs;
 
-  /** Whether its disk accepts writes and it isn't draining, by its last heartbeat. */
+  /** Whether the peer's disk accepts writes and the peer is not draining, by its last heartbeat. */
   boolean healthy;
 
-  /** What it claims to own, by key: looked up for each key at each tick. */
+  /** The peer's ownership claims by key, since they are looked up for each key at each tick. */
   Map<String, OwnershipClaim> claims = Map.of();
 
   PeerStatus(long knownSinceMs) {
--- a/control-plane/src/main/java/gladelug/control/core/PendingChange.java
+++ b/control-plane/src/main/java/gladelug/control/core/PendingChange.java
@@ -8,8 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * One change of a key at its owner, from its receipt to its answer: queued, perhaps confirmed, then
- * written to the members, committed on a majority and acknowledged. It is answered once.
+ * A change of a key at its owner from receipt to answer: it is queued, waits for a confirmation of
+ * the owner if it needs one, is written to the members, committed at a majority and acknowledged.
+ * It is answered exactly once.
  */
 final class PendingChange {
   private final ChangeRequest request;
@@ -39,22 +40,22 @@
     return request;
   }
 
-  /** The SHA-256 of the body, in hex. */
+  /** Returns the SHA-256 of the body in hex. */
   String digest() {
     return digest;
   }
 
-  /** The SHA-256 of what its sender sent, in hex, by which it is recognised. */
+  /** Returns the SHA-256 in hex of what the sender sent, by which a duplicate is recognised. */
   String identity() {
     return identity;
   }
 
-  /** ms since its receipt. */
+  /** Returns the time since the change was received, ms. */
   long ageMs(long nowMs) {
     return nowMs - receivedAtMs;
   }
 
-  /** A majority confirmed the owner after this change's receipt. */
+  /** Records that a majority confirmed the owner after this change was received. */
   void onOwnershipConfirmed() {
     ownershipConfirmed = true;
   }
@@ -63,35 +64,40 @@
     return ownershipConfirmed;
   }
 
-  /** Gives it its value and so its number; it is about to be sent to the members. */
+  /** Sets the value, and with it the version number, that is about to be sent to the members. */
   void write(VersionedValue next, long nowMs) {
     value = next;
     number = next.number();
     sentAtMs = nowMs;
   }
 
-  /** It was applied before under this number: it is only acknowledged again. */
+  /**
+   * Marks the change as a duplicate of one that was applied under this number, so that it is only
+   * acknowledged again.
+   */
   void markDuplicateOf(long appliedNumber, long nowMs) {
     number = appliedNumber;
     commit(nowMs);
   }
 
-  /** Whether it was applied before, so that nothing is written for it. */
+  /** Returns whether no value is written for this change, which holds for a duplicate. */
   boolean isDuplicate() {
     return value == null;
   }
 
-  /** The number it got; 0 before. */
+  /** Returns the version number of the change; 0 before it has one. */
   long number() {
     return number;
   }
 
-  /** What is written for it; null before, and where it is a duplicate. */
+  /** Returns the value written for the change; null before it is written and for a duplicate. */
   VersionedValue value() {
     return value;
   }
 
-  /** ms since it was last sent to the members that have not accepted it. */
+  /**
+   * Returns the time since the change was last sent to the members that have not accepted it, ms.
+   */
   long sinceSentMs(long nowMs) {
     return nowMs - sentAtMs;
   }
@@ -108,12 +114,12 @@
     return acceptedBy.contains(member);
   }
 
-  /** How many members have it on disk. */
+  /** Returns how many members have the change on disk. */
   int acceptedCount() {
     return acceptedBy.size();
   }
 
-  /** It is on a majority's disks. */
+  /** Records that the change is on the disks of a majority. */
   void commit(long nowMs) {
     committed = true;
     committedAtMs = nowMs;
@@ -127,7 +133,7 @@
     return committedAtMs;
   }
 
-  /** So many more leases lapsed while it waited for acknowledgements. */
+  /** Adds to the number of leases that expired while the change waited for acknowledgements. */
   void onLeasesLapsed(int count) {
     lapsedLeases += count;
   }
@@ -136,7 +142,7 @@
     return lapsedLeases;
   }
 
-  /** Answers its sender, the first time. */
+  /** Answers the sender. Further calls have no effect. */
   void answer(ChangeResult result) {
     if (!answered) onResult.accept(result);
     answered = true;
--- a/control-plane/src/main/java/gladelug/control/core/PendingConfirmations.java
+++ b/control-plane/src/main/java/gladelug/control/core/PendingConfirmations.java
@@ -5,51 +5,52 @@
 import java.util.function.Predicate;
 
 /**
- * Answers of one key's owner that wait until a majority confirms the owner in a round begun after
- * they were asked for: only then may anything be said that rests on the newest value. Each runs
- * exactly one of its two callbacks, on the protocol's thread.
+ * Requests to one key's owner that wait until a majority confirms the owner in a round begun after
+ * they arrived. Only then may an answer that depends on the newest value be given. Exactly one of
+ * the two callbacks of a request runs, on the core's thread.
  */
 final class PendingConfirmations {
   /**
-   * @param latestRoundAtRequest number of the newest round when it was asked for; only a later one
-   *     counts
-   * @param requestedAtMs when it was asked for
+   * @param latestRoundAtRequest number of the newest round when the request arrived; only a later
+   *     round confirms it
+   * @param requestedAtMs when the request arrived
    */
   private record PendingConfirmation(
       long latestRoundAtRequest, long requestedAtMs, Runnable onConfirmed, Runnable onAbandoned) {}
 
   private final int capacity;
-  private final List<PendingConfirmation> pending = new ArrayList<>();
+  private final List<PendingConfirmation> pendingConfirmations = new ArrayList<>();
 
   /**
-   * @param capacity how many may wait at a time
+   * @param capacity how many requests may wait at a time
    */
   PendingConfirmations(int capacity) {
     this.capacity = capacity;
   }
 
   boolean isEmpty() {
-    return pending.isEmpty();
+    return pendingConfirmations.isEmpty();
   }
 
   /**
-   * Has one wait for a round after the given one.
+   * Adds a request that waits for a round after the given one.
    *
-   * @return false where as many wait already as may; then neither callback runs
+   * @return false if the capacity is reached; then neither callback runs
    */
   boolean add(long latestRoundNumber, long nowMs, Runnable onConfirmed, Runnable onAbandoned) {
-    if (pending.size() >= capacity) return false;
-    pending.add(new PendingConfirmation(latestRoundNumber, nowMs, onConfirmed, onAbandoned));
+    if (pendingConfirmations.size() >= capacity) return false;
+    pendingConfirmations.add(
+        new PendingConfirmation(latestRoundNumber, nowMs, onConfirmed, onAbandoned));
     return true;
   }
 
-  /** A majority confirmed the owner in this round: what waited for it or an earlier one goes on. */
+  /** Confirms the requests that waited for this round or an earlier one. */
   void onRoundConfirmed(long round) {
     removeMatching(confirmation -> confirmation.latestRoundAtRequest < round)
         .forEach(confirmation -> confirmation.onConfirmed.run());
   }
 
-  /** Gives up what was asked for at this time or before. */
+  /** Abandons the requests that arrived at this time or before. */
   void abandonRequestedUntil(long timeMs) {
     removeMatching(confirmation -> confirmation.requestedAtMs <= timeMs)
         .forEach(confirmation -> confirmation.onAbandoned.run());
@@ -59,11 +60,14 @@
     removeMatching(confirmation -> true).forEach(confirmation -> confirmation.onAbandoned.run());
   }
 
-  /** Takes these out before any callback runs, as a callback may add another. */
+  /**
+   * Removes and returns the requests that match, before any callback runs, since a callback may add
+   * another request.
+   */
   private List<PendingConfirmation> removeMatching(Predicate<PendingConfirmation> condition) {
-    if (pending.isEmpty()) return List.of();
-    List<PendingConfirmation> removed = pending.stream().filter(condition).toList();
-    pending.removeAll(removed);
+    if (pendingConfirmations.isEmpty()) return List.of();
+    List<PendingConfirmation> removed = pendingConfirmations.stream().filter(condition).toList();
+    pendingConfirmations.removeAll(removed);
     return removed;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/QuorumConfig.java
+++ b/control-plane/src/main/java/gladelug/control/core/QuorumConfig.java
@@ -4,50 +4,54 @@
 import java.util.List;
 
 /**
- * The core's times and sizes, times in monotonic milliseconds. The lease bounds how long a
- * partitioned relay may act on an old value; takeover has to be well inside it. Measured values
- * stand in docs/measurements.md. A deployment begins from the builder of {@link #DEFAULT} and
- * changes what it must.
+ * The core's times and sizes; times are in ms. The lease bounds how long a partitioned relay may
+ * act on an old value, so a takeover has to take much less time than a lease. Measurements are in
+ * docs/measurements.md. A deployment starts from the builder of {@link #DEFAULT} and overrides
+ * single values.
  *
- * <p>How long a lease has to be. A leased key's owner is confirmed each `confirmIntervalMs`. When
- * it fails, the others find it silent `peerTimeoutMs` after its last heartbeat, or, where they
- * still hear it, see its claim end peerTimeoutMs + confirmIntervalMs after its last confirmation,
- * told by a heartbeat up to `heartbeatMs` later; the first of them in order then needs an election,
- * which with healthy disks ends within `electionTimeoutMs`, and confirms at once. So a key goes
- * without a confirmed owner for at most peerTimeoutMs + confirmIntervalMs + heartbeatMs +
- * electionTimeoutMs and a round trip. Where another member is only just back from a fault and
- * needed for a majority, its connections may take the connect time-out and the pause before the
- * next attempt more. A lease counts from the confirmation it was granted off and a relay renews it
- * at an interval of its own, so `leaseMs` must be longer than all that and that interval together.
+ * <p>The minimum length of a lease: The owner of a leased key is confirmed every {@code
+ * confirmIntervalMs}. If it fails, the other members detect that {@code peerTimeoutMs} after its
+ * last heartbeat. If they still receive its heartbeats, its claim ends {@code peerTimeoutMs +
+ * confirmIntervalMs} after its last confirmation, which the next heartbeat reports up to {@code
+ * heartbeatMs} later. The first of them in the key's order then runs an election, which ends within
+ * {@code electionTimeoutMs} if the disks are healthy, and confirms the new owner at once. So a key
+ * has no confirmed owner for at most {@code peerTimeoutMs + confirmIntervalMs + heartbeatMs +
+ * electionTimeoutMs} plus a round trip. If another member that is needed for a majority has just
+ * recovered from a fault, reconnecting to it can add the connect time-out and the pause between two
+ * attempts. A lease counts from the confirmation on which it is based, and a relay renews it at its
+ * own interval, so {@code leaseMs} must be longer than the sum of all these times.
  *
  * @param leaseMs how long a grant lasts, counted from the round that confirmed its owner; longer
  *     than `confirmIntervalMs`
- * @param heartbeatMs between two heartbeats to each member; above 0
- * @param peerTimeoutMs silence after which a member counts as dead; more than two heartbeats
- * @param confirmIntervalMs between two rounds in which owners have themselves confirmed; above 0
- * @param preferredOwnerUptimeMs how long a preferred owner is up before it takes its key back;
+ * @param heartbeatMs interval between two heartbeats to each member; above 0
+ * @param peerTimeoutMs time without contact after which a member is considered dead; more than
+ *     twice {@code heartbeatMs}
+ * @param confirmIntervalMs interval between two confirmation rounds; above 0
+ * @param preferredOwnerUptimeMs how long a preferred owner must be up before it takes its key back;
  *     above 0
- * @param electionRankDelayMs how long each further member in a key's order waits before it tries
- *     for the key; above 0
- * @param electionTimeoutMs how long a first election may take; above 0
- * @param electionBackoffMs how long a key promised to another member is left alone; above 0
- * @param changeTimeoutMs how long an owner tries a change before it answers unknown; above 0
- * @param maxPendingChanges how many changes may wait for one key; above 0
+ * @param electionRankDelayMs additional delay before an election for each position in a key's order
+ *     of members; above 0
+ * @param electionTimeoutMs time-out of the first election; it grows with failed elections; above 0
+ * @param electionBackoffMs how long a member starts no election for a key that it promised to
+ *     another; above 0
+ * @param changeTimeoutMs how long an owner tries to complete a change before it answers that the
+ *     result is unknown; above 0
+ * @param maxPendingChanges how many changes may be queued for one key; above 0
  * @param acknowledgementMode when a committed change is acknowledged
- * @param subscriberContactMs within which a relay must have asked to be waited for in mode CONTACT;
- *     above 0
- * @param acknowledgementTimeoutMs after which a commit is acknowledged in mode CONTACT whoever has
- *     not answered; above 0
- * @param commandLeaseMs how long after the start of a confirmed round its owner may command; longer
- *     than `confirmIntervalMs`
- * @param commandHandoverGapMs how long after its majority of promises a new owner may not command
- *     yet; at least `commandLeaseMs` and what two owners in turn must keep apart, clocks that drift
- *     included
- * @param targetMembers how many members automatic growth leads to; odd, 1 to 255
- * @param replaceDeadAfterMs silence after which a machine that asks to join takes a member's place
- *     without an operator; 0 for never, else at least twice `peerTimeoutMs`
- * @param drainTimeoutMs how long a member that is asked to stop goes on at the most until its keys
- *     and its place are taken; above 0
+ * @param subscriberContactMs in mode CONTACT, only relays that sent a request within this time are
+ *     awaited; above 0
+ * @param acknowledgementTimeoutMs in mode CONTACT, how long after its commit a change is
+ *     acknowledged at the latest, whether or not all relays have it; above 0
+ * @param commandLeaseMs how long after the start of a confirmed round the owner may send commands;
+ *     longer than {@code confirmIntervalMs}
+ * @param commandHandoverGapMs how long after its majority of promises a new owner must not send
+ *     commands; at least {@code commandLeaseMs}, plus the required gap between the commands of two
+ *     successive owners and a margin for clock drift
+ * @param targetMembers number of members up to which the core grows automatically; odd, 1 to 255
+ * @param replaceDeadAfterMs time without contact after which a machine that asks to join
+ *     automatically replaces a member; 0 for never, else at least twice {@code peerTimeoutMs}
+ * @param drainTimeoutMs how long a member that is asked to stop waits at most for others to take
+ *     its keys and its place; above 0
  */
 public record QuorumConfig(
     int leaseMs,
@@ -70,25 +74,28 @@
     int drainTimeoutMs) {
 
   /**
-   * When a committed change is acknowledged. STRICT: once every leased relay has it or its lease
-   * ran out, and a new owner first waits a whole lease for those it can't know of; from that
-   * instant nobody acts on a lower number.
+   * When a committed change is acknowledged. STRICT: once every relay with a lease has the change
+   * or its lease has expired. A new owner first waits for a whole lease duration, because of leases
+   * that a former owner granted. After the acknowledgement no relay acts on a lower version number.
    *
-   * <p>CONTACT: once every leased relay that asked within the last `subscriberContactMs` has it, or
-   * `acknowledgementTimeoutMs` after the commit; nobody waits for the lease of a relay that is dead
-   * or cut off, nor for an earlier owner's leases. Why that is bounded: an owner grants only for
-   * the number it has committed, so it grants nothing for an older one after the commit; a grant
-   * runs `leaseMs` from the start of a round in which a majority confirmed the owner's epoch, and
+   * <p>CONTACT: once every relay with a lease that sent a request within the last {@code
+   * subscriberContactMs} has the change, or {@code acknowledgementTimeoutMs} after the commit. The
+   * owner waits neither for the leases of relays that are dead or partitioned nor for those of an
+   * earlier owner. The use of an old value is still bounded: An owner grants leases only for the
+   * number it has committed, so it grants none for an older number after the commit. A lease lasts
+   * {@code leaseMs} from the start of a round in which a majority confirmed the owner's epoch, and
    * such a round of an earlier owner began before the later owner's majority of promises, hence
-   * before its commit; and the relay counts its lease from when it asked, which was earlier still.
-   * So an older number can be acted on for at most one lease after the acknowledgement, and
-   * `leaseMs` must be below the bound that a deployment promises for a revoked key.
+   * before its commit. The relay counts its lease from the time of its request, which was earlier
+   * still. So a relay can act on an older number for at most one lease duration after the
+   * acknowledgement, and {@code leaseMs} must be below the bound that a deployment promises for a
+   * revoked API key.
    */
   public enum AcknowledgementMode {
     STRICT,
     CONTACT
   }
 
+  /** The default values. */
   public static final QuorumConfig DEFAULT =
       new QuorumConfig(
           2000,
@@ -131,12 +138,12 @@
         })
       if (value <= 0)
         findings.add(
-            "every time and size but commandHandoverGapMs and replaceDeadAfterMs must be above 0");
+            "every time and size except commandHandoverGapMs and replaceDeadAfterMs must be above 0");
     if (peerTimeoutMs <= 2 * heartbeatMs)
       findings.add(
-          "peerTimeoutMs must be more than two heartbeats, "
+          "peerTimeoutMs must be more than twice heartbeatMs, but is  "
               + peerTimeoutMs
-              + " of "
+              + " with heartbeatMs "
               + heartbeatMs);
     if (commandLeaseMs <= confirmIntervalMs)
       findings.add("commandLeaseMs must be longer than confirmIntervalMs");
@@ -144,28 +151,33 @@
       findings.add("commandHandoverGapMs must be at least commandLeaseMs");
     if (leaseMs <= confirmIntervalMs) findings.add("leaseMs must be longer than confirmIntervalMs");
     if (targetMembers < 1 || targetMembers % 2 == 0 || targetMembers > 255)
-      findings.add("targetMembers must be odd, not " + targetMembers);
+      findings.add("targetMembers must be odd and between 1 and 255, not  " + targetMembers);
     if (replaceDeadAfterMs != 0 && replaceDeadAfterMs < 2L * peerTimeoutMs)
       findings.add("replaceDeadAfterMs must be 0 or at least twice peerTimeoutMs");
     if (!findings.isEmpty())
       throw new IllegalArgumentException(String.join("; ", findings.stream().distinct().toList()));
   }
 
-  /** How long a change's sender who is told by another member waits at the most, ms. */
+  /**
+   * Returns the time-out in ms for the response to a change that was forwarded to another member.
+   */
   int changeResponseTimeoutMs() {
     return changeTimeoutMs + changeTimeoutMs / 8;
   }
 
+  /** Returns a builder that starts from {@link #DEFAULT}. */
   public static Builder builder() {
     return DEFAULT.with();
   }
 
-  /** A builder that begins from these. */
+  /** Returns a builder that starts from these values. */
   public Builder with() {
     return new Builder(this);
   }
 
-  /** Times in ms, as the record's fields of the same names. */
+  /**
+   * Builds a {@link QuorumConfig}; the setters have the names and units of the record's components.
+   */
   public static final class Builder {
     private int leaseMs;
     private int heartbeatMs;
@@ -297,7 +309,11 @@
       return this;
     }
 
-    /** All that can't be is named in one IllegalArgumentException. */
+    /**
+     * Returns the configuration.
+     *
+     * @throws IllegalArgumentException naming all invalid values
+     */
     public QuorumConfig build() {
       return new QuorumConfig(
           leaseMs,
--- a/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
+++ b/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
@@ -17,29 +17,29 @@
 import java.util.Map;
 
 /**
- * The change from one generation of members to the next, at one member: seal, transfer, activate.
- * Sealed, it durably refuses its generation and says what it stores; whoever is sealed gathers the
- * answers of a majority, merges the registers (of every key the highest value and the highest
- * promise) and tells the next members to activate with them. All calls come on the core's thread;
- * times are monotonic, in ms.
+ * The change from one generation of members to the next at one member: seal, transfer, activate. A
+ * sealed member durably refuses its generation and reports what it stores. Each sealed member can
+ * collect the responses of a majority, merge the registers (the highest value and the highest
+ * promise of each key) and tell the next members to activate with them. Called on the core's thread
+ * only; times are of the host's monotonic clock, in ms.
  */
 final class Reconfiguration {
-  /** Of the links between members, in bytes a ms. */
+  /** Lowest throughput assumed for a link between members. */
   private static final long MIN_LINK_BYTES_PER_MS = 2000;
 
   private final CoreMember context;
   private final Membership membership;
   private final MemberSet.Member self;
 
-  /** The members that are to come next; null while the generation is not sealed. */
+  /** The members of the next generation; null while the generation is not sealed. */
   private MemberSet nextMembers;
 
   private long sealedAtMs;
 
-  /** By member: what it answered to this member's request to seal. */
+  /** By member: its response to this member's seal request. */
   private final Map<String, SealResponse> sealResponses = new HashMap<>();
 
-  /** By member of the next set: when it may be told of it again. */
+  /** By member of the next set: when the activation may be sent to it again. */
   private final Map<String, Long> resendActivationAtMs = new HashMap<>();
 
   private long lastCompletionAttemptAtMs = CoreHost.NEVER;
@@ -50,25 +50,25 @@
     this.self = self;
   }
 
-  /** Whether the generation is sealed and the next is not active here yet. */
+  /** Returns whether the generation is sealed and the next one is not active at this member yet. */
   boolean isSealed() {
     return nextMembers != null;
   }
 
-  /** A seal that was found on the disk. */
+  /** Restores a seal found on disk. */
   void recover(MemberSet storedNextMembers, long nowMs) {
     nextMembers = storedNextMembers;
     sealedAtMs = nowMs;
   }
 
-  /** A generation is active: nothing of the change to it is left. */
+  /** Resets the state of a change once its generation is active. */
   void clear() {
     nextMembers = null;
     sealResponses.clear();
     resendActivationAtMs.clear();
   }
 
-  /** Another member asks to refuse the present generation; answered once that is durable. */
+  /** Handles a request to seal the current generation; answered once the seal is durable. */
   void onSealRequest(Envelope envelope, SealRequest request, long nowMs) {
     MemberSet next = request.next();
     if (!membership.isInitialized()) return;
@@ -105,7 +105,7 @@
     return member == null ? self.records() : member.records();
   }
 
-  /** Refuses the generation from now on, durably; its owners step down. */
+  /** Seals the generation durably; the owners at this member step down. */
   void seal(MemberSet next, long nowMs) {
     nextMembers = next;
     sealedAtMs = nowMs;
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Whoever is sealed brings it to an end, the first live one in the order of the key core at once,
-   * the others if that takes long.
+   * Works on completing the change: the first live member in the order of the key core starts at
+   * once, each further one after a delay.
    */
   void complete(long nowMs) {
     int rank = 0;
@@ -145,7 +145,10 @@
     for (MemberSet.Member member : nextMembers.all()) sendActivation(member, merged, nowMs);
   }
 
-  /** A copy is not sent again while the one before it may still be on its way. */
+  /**
+   * Sends the next members and registers to one of them, but not while an earlier copy may still be
+   * in transfer.
+   */
   private void sendActivation(
       MemberSet.Member recipient, Map<String, Register> merged, long nowMs) {
     if (nowMs < resendActivationAtMs.getOrDefault(recipient.name(), Long.MIN_VALUE)) return;
@@ -161,14 +164,16 @@
         recipient.records(), membership.newEnvelope(new Activate(nextMembers, registers)));
   }
 
-  /** How long registers may take on the slowest link that members are to have, ms. */
+  /**
+   * Returns the time in ms that a transfer of the registers takes on the slowest permitted link.
+   */
   static long transferTimeMs(List<RegisterRecord> registers) {
     long bytes = 0;
     for (RegisterRecord register : registers) bytes += register.register().length;
     return bytes / MIN_LINK_BYTES_PER_MS;
   }
 
-  /** Another member refuses the generation and says what it stores. */
+  /** Records a member's seal response, which reports what that member stores. */
   void onSealResponse(String sender, SealResponse response) {
     if (nextMembers == null
         || response.nextGeneration() != nextMembers.generation()
@@ -180,8 +185,8 @@
   }
 
   /**
-   * Of every key the highest value and the highest promise among a sealed majority and this member,
-   * whose values the others didn't send again.
+   * Returns for each key the highest value and the highest promise among a sealed majority and this
+   * member. The others leave out values that this member already stores.
    */
   private Map<String, Register> mergedRegisters() {
     Map<String, Register> registers = context.registers.copy();
--- a/control-plane/src/main/java/gladelug/control/core/RegisterAcceptor.java
+++ b/control-plane/src/main/java/gladelug/control/core/RegisterAcceptor.java
@@ -16,19 +16,19 @@
 import java.util.List;
 
 /**
- * The member's side of the protocol, the acceptor: promises epochs, accepts values and confirms
- * owners. All is durable before it is answered. Only the core's thread calls it.
+ * The acceptor of the protocol: promises epochs, accepts values and confirms owners. State is
+ * durable before a response is sent. Called on the core's thread only.
  */
 final class RegisterAcceptor {
-  /** What the acceptor needs of the member it is part of. */
+  /** The services of the member that the acceptor uses. */
   interface Context {
     /** Sends a response to a member by name; may be lost. */
     void send(String member, CoreMessage response);
 
-    /** Whether another member than the candidate is known to own the key and to be well. */
+    /** Returns whether a member other than the candidate is known to own the key and to work. */
     boolean hasWorkingOwner(String key, String candidate);
 
-    /** The key was promised to another member, which is given the time to serve it. */
+    /** Called when the key was promised to another member, which then gets the time to serve it. */
     void onPromisedToOther(String key);
   }
 
@@ -44,7 +44,10 @@
     this.context = context;
   }
 
-  /** Promises the epoch, unless a newer one is promised or the key's owner works. */
+  /**
+   * Promises the epoch, unless the same or a higher one is promised or, without a handover, the key
+   * has a working owner.
+   */
   void onPrepareRequest(String sender, PrepareRequest prepare) {
     String key = prepare.key();
     long epoch = prepare.epoch();
@@ -65,7 +68,7 @@
         () -> context.send(sender, granted));
   }
 
-  /** Accepts the value, unless a newer epoch is promised. */
+  /** Accepts the value, unless a higher epoch is promised. */
   void onAcceptRequest(String sender, AcceptRequest accept) {
     String key = accept.key();
     long number = accept.value().number();
@@ -88,8 +91,8 @@
   }
 
   /**
-   * Says for each key whether its owner's epoch is still the newest one promised. An epoch that is
-   * newer counts as promised, so the answer then waits for the disk.
+   * Answers for each key whether its owner's epoch is still the highest promised one. A higher
+   * epoch counts as promised, so the response then waits for the disk.
    */
   void onConfirmRequest(String sender, ConfirmRequest confirm) {
     List<EpochStatus> statuses = new ArrayList<>();
--- a/control-plane/src/main/java/gladelug/control/core/RequestSequence.java
+++ b/control-plane/src/main/java/gladelug/control/core/RequestSequence.java
@@ -1,9 +1,9 @@
 package gladelug.control.core;
 
 /**
- * The numbers of this member's requests to others, which tell answers apart: rounds of confirmation
- * and forwarded requests share them. It begins at a random number, so that two runs of a process
- * don't meet. Only the core's thread calls it.
+ * Generates the ids by which this member matches responses to its requests. Confirmation rounds and
+ * forwarded requests share one sequence. It starts at a random number, so that two runs of a
+ * process do not use the same ids. Called on the core's thread only.
  */
 final class RequestSequence {
   private long latest;
@@ -12,12 +12,12 @@
     this.latest = first;
   }
 
-  /** A number greater than all before it. */
+  /** Returns an id greater than all earlier ones. */
   long next() {
     return ++latest;
   }
 
-  /** The number given out last. */
+  /** Returns the last generated id. */
   long latest() {
     return latest;
   }
--- a/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
+++ b/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
@@ -11,28 +11,26 @@
 import java.util.Map;
 
 /**
- * Reads what core members keep on disk and write to one another, for tools that judge the protocol
- * from outside. It only decodes; the protocol itself does not use it.
- *
- * <p>Decoders of durable state and of values in messages.
+ * Decodes the durable state of core members and values in their messages, for tools that check the
+ * protocol from outside. The protocol itself does not use it.
  */
 public final class StateDecoder {
-  /** The durable entry that holds the members of the generation a member takes part in. */
+  /** Name of the durable entry with the members of the generation that a member takes part in. */
   public static final String MEMBERS_ENTRY = DurableState.ACTIVE_MEMBERS;
 
-  /** The durable entry that holds the next members a member has sealed its generation for. */
+  /** Name of the durable entry with the next members for which a member sealed its generation. */
   public static final String SEALED_ENTRY = DurableState.SEALED_FOR;
 
   private StateDecoder() {}
 
-  /** A numbered value, with the digests of the numbers before it that it remembers. */
+  /** A value with its version number, and the digests in its history by version number. */
   public record NumberedValue(
       long number, String digest, byte[] body, Map<Long, String> rememberedDigests) {}
 
-  /** What one member keeps for one key. */
+  /** The register that one member stores for one key. */
   public record DecodedRegister(long promised, long epoch, NumberedValue value) {}
 
-  /** The key that a durable entry says something of, or an empty text for other entries. */
+  /** Returns the key to which a durable entry belongs; an empty string for other entries. */
   public static String keyOf(String entry) {
     if (entry.startsWith(DurableState.REGISTER_PREFIX))
       return entry.substring(DurableState.REGISTER_PREFIX.length());
@@ -41,14 +39,16 @@
     return "";
   }
 
-  /** What all durable entries of a disk together say of a key that has one. */
+  /**
+   * Decodes the register of a key from all durable entries of a disk. The key must have an entry.
+   */
   public static DecodedRegister decodeRegister(Map<String, byte[]> storedState, String key) {
     Register register = RegisterStore.read(storedState, key);
     return new DecodedRegister(
         register.promised(), register.epoch(), decodeValue(register.value()));
   }
 
-  /** The value an owner asks the members to accept. */
+  /** Decodes the value that an owner asks the members to accept. */
   public static NumberedValue decodeValue(AcceptRequest accept) {
     return decodeValue(accept.value());
   }
@@ -60,17 +60,20 @@
     return new NumberedValue(value.number(), value.digest(), value.body(), rememberedDigests);
   }
 
-  /** Decodes a set of members: a durable entry, or a value of the key core. */
+  /**
+   * Decodes a set of members from a durable entry or from a value of the key core; {@link
+   * MemberSet#NONE} for null or an empty array.
+   */
   public static MemberSet decodeMembers(byte[] encoded) {
     return encoded == null || encoded.length == 0 ? MemberSet.NONE : MemberSet.of(encoded);
   }
 
-  /** Encodes a set of members as it is kept on disk. */
+  /** Encodes a set of members as stored on disk. */
   public static byte[] encodeMembers(MemberSet members) {
     return members.bytes();
   }
 
-  /** The generation an epoch belongs to. */
+  /** Returns the generation to which an epoch belongs. */
   public static long generationOf(long epoch) {
     return epoch >> 40;
   }
--- a/control-plane/src/main/java/gladelug/control/core/StepDownReason.java
+++ b/control-plane/src/main/java/gladelug/control/core/StepDownReason.java
@@ -1,8 +1,8 @@
 package gladelug.control.core;
 
 /**
- * Why a {@link KeyOwner} gave up its epoch, as owner or as candidate; the reason in the log's event
- * ownership-lost.
+ * The reason why a {@link KeyOwner} gave up its epoch, as owner or as candidate; logged with the
+ * event ownership-lost.
  */
 enum StepDownReason {
   /** A member answered a prepare request that it has promised a higher epoch. */
@@ -11,30 +11,35 @@
   /** A member answered an accept request that it has promised a higher epoch. */
   ACCEPT_REJECTED,
 
-  /** A member answered a confirmation that it has promised a higher epoch: another took the key. */
+  /**
+   * A member answered a confirmation request that it has promised a higher epoch: another member
+   * took the key.
+   */
   CONFIRMATION_REJECTED,
 
-  /** So many declined, since they know of a working owner, that a majority can't be had. */
+  /**
+   * So many members declined because they know of a working owner that a majority is impossible.
+   */
   ELECTION_DECLINED,
 
   /** No majority answered within the election time-out. */
   ELECTION_TIMED_OUT,
 
-  /** While serving: no round was confirmed by a majority for two leases. */
+  /** No majority confirmed the owner for two lease durations. */
   CONFIRMATION_TIMED_OUT,
 
-  /** This member's disk does not take writes in time. */
+  /** This member's disk does not complete writes in time. */
   DISK_UNHEALTHY,
 
-  /** This process was asked to stop and hands its keys over. */
+  /** This process was asked to stop and gives up its keys. */
   DRAINING,
 
-  /** Another generation of members became active: epochs are counted anew. */
+  /** Another generation of members became active, which has epochs of its own. */
   GENERATION_CHANGED,
 
-  /** This generation was sealed here: nothing is accepted in it any more. */
+  /** This generation was sealed at this member, which accepts nothing in it any more. */
   GENERATION_SEALED,
 
-  /** This machine is no member of the newest generation. */
+  /** This member does not belong to the newest generation. */
   MEMBER_REMOVED
 }
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberLeases.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberLeases.java
@@ -5,9 +5,10 @@
 import java.util.Map;
 
 /**
- * The leases that one key's owner granted to data-plane processes. A process may use a value it
- * holds until its lease lapses, so a change is acknowledged only after every process with a lease
- * has the change, or has none any more; mode CONTACT doesn't wait for silent or slow ones.
+ * The leases that the owner of one key granted to data-plane processes. A process may use the value
+ * it holds until its lease expires, so a change is acknowledged only once every process with a
+ * lease either has the change or has no lease any more. Mode CONTACT does not wait for silent or
+ * slow processes.
  */
 final class SubscriberLeases {
   private static final class SubscriberLease {
@@ -17,12 +18,13 @@
   }
 
   /**
-   * How far a change has come among the leases.
+   * How many lease holders have a change.
    *
-   * @param complete no lease has to be waited for any more; the counts of this look are whole
-   * @param acknowledged how many hold the change or a newer one
-   * @param lapsed how many lapsed since the last look; also where it is not complete
-   * @param notAwaited how many neither hold it nor are waited for
+   * @param complete whether no lease has to be awaited any more; only then do the counts cover all
+   *     leases
+   * @param acknowledged how many holders have the change or a newer one
+   * @param lapsed how many leases expired since the last call; counted even if not complete
+   * @param notAwaited how many holders neither have the change nor are awaited
    */
   record Acknowledgements(boolean complete, int acknowledged, int lapsed, int notAwaited) {}
 
@@ -33,7 +35,7 @@
     this.config = config;
   }
 
-  /** How many have not lapsed. */
+  /** Returns how many leases have not expired. */
   int active(long nowMs) {
     int count = 0;
     for (SubscriberLease lease : leases.values()) if (lease.expiresAtMs >= nowMs) count++;
@@ -44,7 +46,9 @@
     leases.clear();
   }
 
-  /** A subscriber asked and holds this number; one without a lease is passed over. */
+  /**
+   * Records that a subscriber asked and holds this number. A subscriber without a lease is ignored.
+   */
   void onRequest(String subscriber, long number, long nowMs) {
     SubscriberLease lease = leases.get(subscriber);
     if (lease == null) return;
@@ -52,7 +56,9 @@
     lease.lastRequestAtMs = nowMs;
   }
 
-  /** Grants or extends the lease of a subscriber that holds this number; it never gets shorter. */
+  /**
+   * Grants or extends the lease of a subscriber that holds this number. A lease is never shortened.
+   */
   void grant(String subscriber, long number, long expiresAtMs, long nowMs) {
     SubscriberLease lease = leases.computeIfAbsent(subscriber, name -> new SubscriberLease());
     lease.expiresAtMs = Math.max(lease.expiresAtMs, expiresAtMs);
@@ -61,10 +67,10 @@
   }
 
   /**
-   * Looks who has a change, up to the first lease that has to be waited for; lapsed ones are
-   * removed.
+   * Counts the lease holders that have a change, up to the first lease that has to be awaited.
+   * Expired leases are removed.
    *
-   * @param committedAtMs when the change was on a majority
+   * @param committedAtMs when the change was committed
    */
   Acknowledgements acknowledgements(long number, long committedAtMs, long nowMs) {
     int acknowledged = 0;
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
@@ -15,55 +15,58 @@
 import java.util.Map;
 
 /**
- * The data-plane processes that ask this member for control state: what each holds, the leases
- * granted to it, and the values pushed to it, directly or by way of another member. Only the core's
- * thread calls it; times are of the host's monotonic clock, in ms.
+ * The data-plane processes that subscribe to control state at this member: the versions they hold,
+ * the leases granted to them, and the values pushed to them, directly or relayed by another member.
+ * Called on the core's thread only; times are of the host's monotonic clock, in ms.
  */
 final class SubscriberRegistry {
   /** The role of the processes that serve requests. */
   private static final String RELAY_ROLE = "relay";
 
-  /** The way of a process that asks this member itself. */
+  /** Value of {@code relayedBy} for a process that sends its requests to this member directly. */
   private static final String DIRECT = "";
 
-  /** Says in a push that it is the value whole, not a change of an earlier number. */
+  /** Base number of a push that carries the full value instead of a delta. */
   private static final int FULL_VALUE = -1;
 
-  /** A relay that has not asked for this long gets no share: three asks missed. */
+  /**
+   * A relay that has not sent a request for this long gets no share of the capacity; it has then
+   * missed three requests.
+   */
   private static final long RELAY_TIMEOUT_MS = 2400;
 
-  /** For this long after a process asked directly, it is not answered by way of others. */
+  /** For this long after a direct request, relayed requests of the same process are ignored. */
   private static final long DIRECT_PREFERRED_MS = 900;
 
-  /** Between two counts of the relays. */
+  /** Interval between two counts of the relays. */
   private static final long RELAY_COUNT_INTERVAL_MS = 500;
 
-  /** A relay is counted for this long after it asked last. */
+  /** A relay is counted for this long after its last request. */
   private static final long RELAY_COUNTED_FOR_MS = 4000;
 
-  /** A process that has not asked for this long is forgotten. */
+  /** A process that has not sent a request for this long is removed. */
   private static final long SUBSCRIBER_EXPIRY_MS = 60_000;
 
-  /** Unasked, the same value is not pushed whole to the same process again before this. */
+  /** Minimum interval between two unrequested pushes of the same full value to the same process. */
   private static final long PUSH_INTERVAL_MS = 300;
 
   private static final int MAX_REMEMBERED_PUSHES = 4096;
 
-  /** What the registry needs of the member it is part of. */
+  /** The services of the member that the registry uses. */
   interface Context {
-    /** Whether the members are known here. */
+    /** Returns whether this member knows the members of a generation. */
     boolean isInitialized();
 
-    /** The members of the generation. */
+    /** Returns the members of the generation. */
     MemberSet members();
 
-    /** The owner of a key where this member serves it, else null. */
+    /** Returns the owner of a key if this member serves the key, else null. */
     KeyOwner servingOwner(String key);
 
     /** Sends to a member by name; may be lost. */
     void send(String member, CoreMessage message);
 
-    /** A process was seen to hold this number of a key for the first time. */
+    /** Called when a process reports a version number of a key for the first time. */
     void onNumberSeen(String key, long number, String subscriber);
   }
 
@@ -71,7 +74,7 @@
   private final Context context;
   private final Map<String, SubscriberStatus> subscribers = new LinkedHashMap<>();
 
-  /** By process, key and number: when it was pushed last. */
+  /** By process name, key and version number: when that value was last pushed. */
   private final Map<String, Long> pushedAtMs = new HashMap<>();
 
   private int relayCount;
@@ -82,12 +85,12 @@
     this.context = context;
   }
 
-  /** All processes that asked lately, in the order in which they asked first. */
+  /** Returns all processes that recently sent requests, in the order of their first requests. */
   Collection<SubscriberStatus> all() {
     return subscribers.values();
   }
 
-  /** The relays that ask, which share the capacity. */
+  /** Returns the active relays, among which the capacity is allocated. */
   List<SubscriberStatus> activeRelays(long nowMs) {
     List<SubscriberStatus> relays = new ArrayList<>();
     for (SubscriberStatus subscriber : subscribers.values())
@@ -100,19 +103,22 @@
     return subscriber.role().equals(RELAY_ROLE);
   }
 
-  /** Forgets the processes that no longer ask. */
+  /** Removes the processes that no longer send requests. */
   void expire(long nowMs) {
     subscribers
         .values()
         .removeIf(subscriber -> nowMs - subscriber.lastRequestAtMs() > SUBSCRIBER_EXPIRY_MS);
   }
 
-  /** To a process that is known, on the way it last asked by; directly where it did so lately. */
+  /**
+   * Sends an update to a known process, directly or through the member that relayed its last
+   * accepted request.
+   */
   void send(String subscriber, StateUpdate update) {
     send(subscribers.get(subscriber), update);
   }
 
-  /** Sends a value as the process can read it. */
+  /** Pushes a value, without the fields that the process cannot read. */
   private void push(SubscriberStatus subscriber, StateUpdate.ValuePush push) {
     send(subscriber, readsPrefixSharing(subscriber) ? push : push.withoutSharing());
   }
@@ -127,15 +133,16 @@
     else context.send(subscriber.relayedBy(), new RelayedStateUpdate(subscriber.name(), update));
   }
 
-  /** A process asks this member itself. */
+  /** Handles a request that a process sent to this member directly. */
   void onRequest(StateUpdate.SubscriptionRequest request, long nowMs) {
     onRelayedRequest(request, DIRECT, nowMs);
   }
 
   /**
-   * A process asks: grants leases of what this member owns, and pushes values newer than its own.
+   * Handles a request: grants leases on the keys that this member owns, and pushes values newer
+   * than those the process holds.
    *
-   * @param relayedBy the member that passed the request on
+   * @param relayedBy the member that relayed the request; empty for a direct one
    */
   void onRelayedRequest(StateUpdate.SubscriptionRequest request, String relayedBy, long nowMs) {
     SubscriberStatus previous = subscribers.get(request.name());
@@ -164,7 +171,10 @@
       send(subscriber, new StateUpdate.LeaseGrants(request.sentAtMs(), grants, relayCount(nowMs)));
   }
 
-  /** What the request says, with the times since which the process holds its versions. */
+  /**
+   * Returns the status that the request reports, with the times since which the process holds its
+   * versions.
+   */
   private SubscriberStatus newStatus(
       StateUpdate.SubscriptionRequest request,
       SubscriberStatus previous,
@@ -200,7 +210,10 @@
         relayedBy);
   }
 
-  /** The members themselves, to a process that knows an earlier generation; no key's owner does. */
+  /**
+   * Pushes the members to a process that knows an earlier generation. Every member does so, whether
+   * or not it owns the key core.
+   */
   private void pushMembers(SubscriberStatus subscriber, StateUpdate.KnownVersion version) {
     if (!context.isInitialized() || version.number() >= context.members().generation()) return;
     long generation = context.members().generation();
@@ -230,7 +243,7 @@
     return relayCount;
   }
 
-  /** A process couldn't use a change of a key and asks for the value whole. */
+  /** Pushes the full value to a process that could not apply a delta of a key. */
   void onFullValueRequested(String name, String key, long nowMs) {
     KeyOwner owner = context.servingOwner(key);
     if (owner != null && subscribers.containsKey(name))
@@ -257,7 +270,10 @@
             value.sharing().since()));
   }
 
-  /** The change alone to those who hold the number before it, else the value whole. */
+  /**
+   * Pushes a new value: a delta to the processes that hold the previous number, else the full
+   * value.
+   */
   void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value) {
     byte[] delta = BinaryDelta.between(previous.body(), value.body());
     StateUpdate.ValuePush whole =
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberStatus.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberStatus.java
@@ -5,20 +5,20 @@
 import java.util.Map;
 
 /**
- * What a data-plane process said of itself when it asked last.
+ * The state that a data-plane process reported with its last request.
  *
  * @param name its name in the fleet
- * @param incarnation tells this run of the process from those before it
- * @param role what it runs, such as {@code relay}
- * @param peerAddress where other processes reach it
- * @param operatorAddress where operators reach it
- * @param zone where it runs
- * @param lastRequestAtMs when it asked, ms of the member's monotonic clock
- * @param versions the versions of the keys that it holds
- * @param versionSinceMs by key: since when it holds that version, ms of the same clock
- * @param demands its demand for each quota
- * @param capacities the capacity of services as it sees it
- * @param relayedBy the member that passed its request on; empty where it asked directly
+ * @param incarnation distinguishes this run of the process from earlier ones
+ * @param role its role, such as {@code relay}
+ * @param peerAddress the address at which other processes reach it
+ * @param operatorAddress the address at which operators reach it
+ * @param zone the zone in which it runs
+ * @param lastRequestAtMs when the request arrived, ms of the member's monotonic clock
+ * @param versions the versions of keys that it holds
+ * @param versionSinceMs by key: since when it has held that version, ms of the same clock
+ * @param demands its demand on each quota
+ * @param capacities the capacity of services as it observes it
+ * @param relayedBy the member that relayed the request; empty for a direct one
  */
 public record SubscriberStatus(
     String name,
--- a/control-plane/src/main/java/gladelug/control/core/UnknownNodeConnection.java
+++ b/control-plane/src/main/java/gladelug/control/core/UnknownNodeConnection.java
@@ -4,8 +4,8 @@
 import gladelug.control.core.message.CoreMessage.Envelope;
 
 /**
- * A connection to a node that is no member of this generation, closed once nothing has been sent on
- * it for a while. Used on the core's thread only.
+ * A connection to a node that is no member of this generation. It is closed once nothing has been
+ * sent on it for {@link #IDLE_TIMEOUT_MS}. Used on the core's thread only.
  */
 final class UnknownNodeConnection {
   private static final long IDLE_TIMEOUT_MS = 30_000;
@@ -23,7 +23,7 @@
     connection.send(message);
   }
 
-  /** Closes the connection if it is idle; whether it did. */
+  /** Closes the connection if it is idle. Returns whether it was closed. */
   boolean closeIfIdle(long nowMs) {
     if (nowMs - lastSentAtMs < IDLE_TIMEOUT_MS) return false;
     connection.close();
--- a/control-plane/src/main/java/gladelug/control/core/ValueAges.java
+++ b/control-plane/src/main/java/gladelug/control/core/ValueAges.java
@@ -5,33 +5,35 @@
 import java.util.Map;
 
 /**
- * How old the values of keys are, as their owners' heartbeats told; a member that takes a key over
- * goes on from there. Only the core's thread calls it; ages and times are in ms.
+ * The ages of the values of keys according to their owners' heartbeats. A member that takes over a
+ * key continues from the known age. Called on the core's thread only; ages and times are in ms.
  */
 final class ValueAges {
-  /** The age of a key that no owner told of. */
+  /** The age of a value whose key no owner has reported. */
   private static final long UNKNOWN_AGE_MS = Integer.MAX_VALUE;
 
   private record ValueAge(long number, long receivedAtMs, long ageMs) {}
 
   private final Map<String, ValueAge> ages = new HashMap<>();
 
-  /** Notes an owner's word on the age of a value, unless of one older than known. */
+  /**
+   * Records the age that an owner reported for a value, unless a higher version number is known.
+   */
   void onClaim(CoreMessage.OwnershipClaim claim, long nowMs) {
-    ValueAge known = ages.get(claim.key());
-    if (known == null || claim.number() >= known.number)
+    ValueAge latest = ages.get(claim.key());
+    if (latest == null || claim.number() >= latest.number)
       ages.put(claim.key(), new ValueAge(claim.number(), nowMs, claim.valueAgeMs()));
   }
 
   /**
-   * The most the value of this number may be old by what its owners told, ms; a number never told
-   * of began after the last telling.
+   * Returns the maximum age in ms of the value with this number. A value whose number was not the
+   * last one reported was committed after that report.
    */
   long ageMs(String key, long number, long nowMs) {
-    ValueAge known = ages.get(key);
-    if (known == null) return UNKNOWN_AGE_MS;
-    return known.number == number
-        ? known.ageMs + nowMs - known.receivedAtMs
-        : nowMs - known.receivedAtMs;
+    ValueAge latest = ages.get(key);
+    if (latest == null) return UNKNOWN_AGE_MS;
+    return latest.number == number
+        ? latest.ageMs + nowMs - latest.receivedAtMs
+        : nowMs - latest.receivedAtMs;
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Bootstrap. */
+/** Tests how bootstrap members agree on the first member set, {@link Bootstrap}. */
 final class BootstrapTest {
   private static final Address ADDRESS = Address.of("1.1.1.1:1");
-  private static final List<Member> THREE =
+  private static final List<Member> BOOTSTRAP_MEMBERS =
       List.of(
           new Member("a", "", ADDRESS, ADDRESS),
           new Member("b", "", ADDRESS, ADDRESS),
           new Member("c", "", ADDRESS, ADDRESS));
 
-  private static Bootstrap founder(String name, String disk) {
-    return new Bootstrap(name, disk, THREE);
+  private static Bootstrap newBootstrap(String name, String disk) {
+    return new Bootstrap(name, disk, BOOTSTRAP_MEMBERS);
   }
 
   private static MemberSet set(String a, String b, String c) {
@@ -30,14 +30,14 @@
   }
 
   @Test
-  void theFirstMakesTheSetOnceItHasMetAllAndItHoldsOnceAllPinnedIt() {
-    Bootstrap a = founder("a", "a1");
+  void theFirstMemberProposesTheSetOnceItHasHeardFromAllAndItIsAgreedOnceAllStoredIt() {
+    Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     Assertions.assertNull(a.nextSetToStore(true));
     a.onAnnouncement("c", "c1", MemberSet.NONE);
     MemberSet s = a.nextSetToStore(true);
     Assertions.assertEquals(set("a1", "b1", "c1"), s);
-    Assertions.assertNull(a.nextSetToStore(false), "not yet time");
+    Assertions.assertNull(a.nextSetToStore(false), "must not propose yet");
     a.onSetStored(s);
     a.onAnnouncement("b", "b1", s);
     Assertions.assertNull(a.agreedSet());
@@ -46,38 +46,39 @@
   }
 
   @Test
-  void theOthersMakeNoneButPinTheFirstOnesEvenWhereAnotherLostItsDiskMeanwhile() {
+  void theOthersProposeNoneButStoreTheFirstMembersSetEvenIfAnotherLostItsDiskMeanwhile() {
     MemberSet s = set("a1", "b1", "c1");
-    Bootstrap b = founder("b", "b1");
+    Bootstrap b = newBootstrap("b", "b1");
     b.onAnnouncement("a", "a1", MemberSet.NONE);
     b.onAnnouncement("c", "c2", MemberSet.NONE);
     Assertions.assertNull(b.nextSetToStore(true));
     b.onAnnouncement("a", "a1", s);
     Assertions.assertEquals(s, b.nextSetToStore(true));
     b.onSetStored(s);
-    Assertions.assertEquals(s, b.agreedSet(), "two of three have it, and the third's disk is lost");
-    Bootstrap c = founder("c", "c2");
+    Assertions.assertEquals(
+        s, b.agreedSet(), "two of three stored it, and the disk of the third is lost");
+    Bootstrap c = newBootstrap("c", "c2");
     c.onAnnouncement("a", "a1", s);
     c.onAnnouncement("b", "b1", s);
     Assertions.assertNull(c.nextSetToStore(true), "it lost the disk that the set lists");
   }
 
   @Test
-  void aMakerThatLostItsDiskMakesNoneWhereOneIsPinned() {
-    Bootstrap a = founder("a", "a2");
+  void aProposerThatLostItsDiskProposesNoSetWhileOneIsStored() {
+    Bootstrap a = newBootstrap("a", "a2");
     a.onAnnouncement("b", "b1", set("a1", "b1", "c1"));
     a.onAnnouncement("c", "c1", MemberSet.NONE);
     Assertions.assertNull(a.nextSetToStore(true));
   }
 
   @Test
-  void aSetThatNeverCanHoldIsLeftForTheNewOneAndNoOther() {
+  void aSetThatCanNeverBeAgreedIsReplacedByTheNewOneAndNoOther() {
     MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
-    Bootstrap b = founder("b", "b1");
+    Bootstrap b = newBootstrap("b", "b1");
     b.onAnnouncement("a", "a1", old);
     b.onSetStored(old);
     b.onAnnouncement("c", "c1", now);
-    Assertions.assertNull(b.nextSetToStore(true), "its maker may still be there");
+    Assertions.assertNull(b.nextSetToStore(true), "its proposer may still have its disk");
     b.onAnnouncement("a", "a2", now);
     Assertions.assertEquals(now, b.nextSetToStore(true));
     b.onSetStored(now);
@@ -90,22 +91,22 @@
   }
 
   @Test
-  void aFounderThatCameBackEmptyBeforeItWasHeardIsInTheSetAndNobodyWaitsForItToStoreIt() {
-    Bootstrap a = founder("a", "a1");
+  void aMemberThatRestartedEmptyBeforeItWasHeardIsInTheSetAndNobodyWaitsForItToStoreIt() {
+    Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onJoinRequest(joining("c", "c2"));
     MemberSet s = a.nextSetToStore(true);
     Assertions.assertEquals(set("a1", "b1", "c2"), s);
     a.onSetStored(s);
-    Assertions.assertNull(a.agreedSet(), "one of three");
+    Assertions.assertNull(a.agreedSet(), "stored by one of three");
     a.onAnnouncement("b", "b1", s);
     Assertions.assertEquals(s, a.agreedSet());
   }
 
   @Test
-  void aSetWithTheDiskThatWasLostComesIntoForceOnceItsMachineAsksToBeLetIn() {
+  void aSetWithALostDiskIsAgreedOnceItsMachineAsksToJoin() {
     MemberSet s = set("a1", "b1", "c1");
-    Bootstrap b = founder("b", "b1");
+    Bootstrap b = newBootstrap("b", "b1");
     b.onAnnouncement("a", "a1", s);
     b.onAnnouncement("c", "c1", MemberSet.NONE);
     b.onSetStored(b.nextSetToStore(true));
@@ -115,9 +116,9 @@
   }
 
   @Test
-  void theNextByNameProposesForAFirstThatCameBackEmpty() {
-    Bootstrap b = founder("b", "b1");
-    Bootstrap c = founder("c", "c1");
+  void theNextMemberByNameProposesInPlaceOfAFirstThatRestartedEmpty() {
+    Bootstrap b = newBootstrap("b", "b1");
+    Bootstrap c = newBootstrap("c", "c1");
     b.onAnnouncement("c", "c1", MemberSet.NONE);
     b.onJoinRequest(joining("a", "a2"));
     MemberSet s = b.nextSetToStore(true);
@@ -125,7 +126,7 @@
     b.onSetStored(s);
     c.onJoinRequest(joining("a", "a2"));
     c.onAnnouncement("b", "b1", MemberSet.NONE);
-    Assertions.assertNull(c.nextSetToStore(true), "the one before it by name bootstraps");
+    Assertions.assertNull(c.nextSetToStore(true), "a member before it by name bootstraps");
     c.onAnnouncement("b", "b1", s);
     Assertions.assertEquals(s, c.nextSetToStore(true));
     c.onSetStored(s);
@@ -133,27 +134,27 @@
   }
 
   @Test
-  void theLostFirstOnesSetIsLeftForTheOneProposedInItsPlace() {
+  void theSetOfALostFirstMemberIsReplacedByTheOneProposedInItsPlace() {
     MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
-    Bootstrap c = founder("c", "c1");
+    Bootstrap c = newBootstrap("c", "c1");
     c.onAnnouncement("a", "a1", old);
     c.onSetStored(c.nextSetToStore(true));
     c.onAnnouncement("b", "b1", now);
-    Assertions.assertNull(c.nextSetToStore(true), "its proposer may still be there");
+    Assertions.assertNull(c.nextSetToStore(true), "its proposer may still have its disk");
     c.onJoinRequest(joining("a", "a2"));
     Assertions.assertEquals(now, c.nextSetToStore(true));
     c.onSetStored(now);
     Assertions.assertEquals(now, c.agreedSet());
-    Bootstrap b = founder("b", "b1");
+    Bootstrap b = newBootstrap("b", "b1");
     b.onJoinRequest(joining("a", "a2"));
     b.onAnnouncement("c", "c1", old);
     Assertions.assertEquals(
-        old, b.nextSetToStore(true), "one that is stored goes before a new one");
+        old, b.nextSetToStore(true), "a stored set takes precedence over a new one");
   }
 
   @Test
-  void aDiskThatBootstrapsIsNotLostByAskingToBeLetIn() {
-    Bootstrap a = founder("a", "a1");
+  void aDiskThatBootstrapsDoesNotCountAsLostWhenItsMemberAsksToJoin() {
+    Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onAnnouncement("c", "c1", MemberSet.NONE);
     MemberSet s = a.nextSetToStore(true);
@@ -166,8 +167,8 @@
   }
 
   @Test
-  void whatIsNoSetOfTheseFoundersOrNotThisDiskIsNotPinned() {
-    Bootstrap b = founder("b", "b1");
+  void aSetWithOtherMembersOrAnotherDiskOfThisMemberIsNotStored() {
+    Bootstrap b = newBootstrap("b", "b1");
     b.onAnnouncement("a", "a1", set("a1", "another", "c1"));
     Assertions.assertNull(b.nextSetToStore(true));
     b.onAnnouncement("a", "a1", new MemberSet(1, set("a1", "b1", "c1").all().subList(0, 2)));
