--- a/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
@@ -35,22 +35,25 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of CoreMember. */
+/** Tests one {@link CoreMember} against scripted messages of the other members. */
 final class CoreMemberTest {
-  /** A host that keeps what is said and what is to be synced until the test lets it go. */
-  private static final class Paper implements CoreHost {
-    long now = 1_000_000;
+  /**
+   * A host that records what is sent, and completes disk writes only when the test calls {@link
+   * #completeSyncs}.
+   */
+  private static final class RecordingHost implements CoreHost {
+    long nowMs = 1_000_000;
     long mostState = Long.MAX_VALUE;
-    final List<String> said = new ArrayList<>();
+    final List<String> sent = new ArrayList<>();
     final List<Envelope> messages = new ArrayList<>();
-    final List<Runnable> syncs = new ArrayList<>();
+    final List<Runnable> pendingSyncs = new ArrayList<>();
 
-    /** What data-plane processes were sent. */
+    /** The updates pushed to data-plane processes. */
     final List<StateUpdate> pushed = new ArrayList<>();
 
     @Override
     public long nowMs() {
-      return now;
+      return nowMs;
     }
 
     @Override
@@ -59,19 +62,19 @@
     }
 
     @Override
-    public long random(long below) {
+    public long random(long bound) {
       return 0;
     }
 
     @Override
     public void send(String member, Envelope envelope) {
-      said.add(member + " " + envelope.message().getClass().getSimpleName());
+      sent.add(member + " " + envelope.message().getClass().getSimpleName());
       messages.add(envelope);
     }
 
     @Override
     public void sendTo(Address address, Envelope envelope) {
-      said.add("address " + envelope.message().getClass().getSimpleName());
+      sent.add("address " + envelope.message().getClass().getSimpleName());
     }
 
     @Override
@@ -80,8 +83,8 @@
     }
 
     @Override
-    public void sync(String key, byte[] state, Runnable done) {
-      syncs.add(done);
+    public void sync(String key, byte[] state, Runnable onStored) {
+      pendingSyncs.add(onStored);
     }
 
     @Override
@@ -90,7 +93,7 @@
     }
 
     @Override
-    public void pushUpdate(String node, StateUpdate update) {
+    public void pushUpdate(String subscriber, StateUpdate update) {
       pushed.add(update);
     }
 
@@ -100,19 +103,19 @@
     @Override
     public void logEvent(String name, Object... pairs) {}
 
-    void synced() {
-      List<Runnable> callbacks = new ArrayList<>(syncs);
-      syncs.clear();
+    void completeSyncs() {
+      List<Runnable> callbacks = new ArrayList<>(pendingSyncs);
+      pendingSyncs.clear();
       callbacks.forEach(Runnable::run);
     }
 
-    long count(String what) {
-      return said.stream().filter(event -> event.equals(what)).count();
+    long countSent(String message) {
+      return sent.stream().filter(event -> event.equals(message)).count();
     }
   }
 
   private static final Address ADDRESS = Address.of("1.1.1.1:1");
-  private static final MemberSet THREE =
+  private static final MemberSet MEMBERS =
       new MemberSet(
           1,
           List.of(
@@ -120,56 +123,58 @@
               new MemberSet.Member("b", "db", ADDRESS, ADDRESS),
               new MemberSet.Member("c", "dc", ADDRESS, ADDRESS)));
 
-  private static CoreMember node(Paper host) {
+  private static CoreMember newMember(RecordingHost host) {
     return new CoreMember(
         host,
         QuorumConfig.DEFAULT,
-        THREE.find("a"),
+        MEMBERS.find("a"),
         15_000,
-        Map.of(DurableState.ACTIVE_MEMBERS, THREE.bytes()),
+        Map.of(DurableState.ACTIVE_MEMBERS, MEMBERS.bytes()),
         null,
         new OwnerTasks() {});
   }
 
-  private static void from(CoreMember member, String who, CoreMessage message) {
-    member.onMessage(new Envelope(1, who, "d" + who, message));
+  private static void deliver(CoreMember member, String sender, CoreMessage message) {
+    member.onMessage(new Envelope(1, sender, "d" + sender, message));
   }
 
   @Test
   void nothingIsAnsweredBeforeItIsOnDisk() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
-    long epoch = THREE.epoch(0, "b");
-    from(member, "b", new PrepareRequest("k", epoch));
-    Assertions.assertEquals(0, host.count("b PrepareResponse"));
-    host.synced();
-    Assertions.assertEquals(1, host.count("b PrepareResponse"));
-    from(member, "b", new AcceptRequest("k", epoch, VersionedValue.NONE.next("d", new byte[1])));
-    Assertions.assertEquals(0, host.count("b AcceptResponse"));
-    host.synced();
-    Assertions.assertEquals(1, host.count("b AcceptResponse"));
-    from(member, "c", new ConfirmRequest(1, List.of(new KeyEpoch("k", THREE.epoch(epoch, "c")))));
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
+    long epoch = MEMBERS.epoch(0, "b");
+    deliver(member, "b", new PrepareRequest("k", epoch));
+    Assertions.assertEquals(0, host.countSent("b PrepareResponse"));
+    host.completeSyncs();
+    Assertions.assertEquals(1, host.countSent("b PrepareResponse"));
+    deliver(member, "b", new AcceptRequest("k", epoch, VersionedValue.NONE.next("d", new byte[1])));
+    Assertions.assertEquals(0, host.countSent("b AcceptResponse"));
+    host.completeSyncs();
+    Assertions.assertEquals(1, host.countSent("b AcceptResponse"));
+    deliver(
+        member, "c", new ConfirmRequest(1, List.of(new KeyEpoch("k", MEMBERS.epoch(epoch, "c")))));
     Assertions.assertEquals(
-        0, host.count("c ConfirmResponse"), "a confirmation that raises the promise");
-    host.synced();
-    Assertions.assertEquals(1, host.count("c ConfirmResponse"));
+        0, host.countSent("c ConfirmResponse"), "a confirmation that raises the promise");
+    host.completeSyncs();
+    Assertions.assertEquals(1, host.countSent("c ConfirmResponse"));
   }
 
   @Test
-  void servesOnlyOnceTheValueItReadStandsAtAMajorityUnderItsOwnEpoch() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
-    host.now += 10_000;
-    inContactUntilItTries(member, host, StateKeys.CONFIGURATION);
+  void servesOnlyOnceAMajorityAcceptedTheNewestValueUnderItsOwnEpoch() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
+    host.nowMs += 10_000;
+    stayInContactUntilElectionStarts(member, host, StateKeys.CONFIGURATION);
     long epoch = member.epochOf(StateKeys.CONFIGURATION);
-    Assertions.assertTrue(epoch > 0, "never tried");
+    Assertions.assertTrue(epoch > 0, "no election started");
     VersionedValue value = VersionedValue.NONE.next("x", new byte[] {1});
-    host.now += 100;
-    from(
+    host.nowMs += 100;
+    deliver(
         member,
         "a",
         new PrepareResponse(StateKeys.CONFIGURATION, epoch, true, epoch, 0, VersionedValue.NONE));
-    from(member, "b", new PrepareResponse(StateKeys.CONFIGURATION, epoch, true, epoch, 5, value));
+    deliver(
+        member, "b", new PrepareResponse(StateKeys.CONFIGURATION, epoch, true, epoch, 5, value));
     Assertions.assertFalse(member.owns(StateKeys.CONFIGURATION));
     AcceptRequest accept =
         host.messages.stream()
@@ -180,13 +185,14 @@
             .orElseThrow();
     Assertions.assertTrue(
         accept.epoch() == epoch && accept.value().digest().equals("x"),
-        "the newest value heard of, under the new epoch");
-    from(member, "a", new AcceptResponse(StateKeys.CONFIGURATION, epoch, 1, true, epoch));
+        "the newest promised value has to be rewritten under the new epoch");
+    deliver(member, "a", new AcceptResponse(StateKeys.CONFIGURATION, epoch, 1, true, epoch));
     Assertions.assertFalse(member.owns(StateKeys.CONFIGURATION));
-    from(member, "b", new AcceptResponse(StateKeys.CONFIGURATION, epoch, 1, true, epoch));
+    deliver(member, "b", new AcceptResponse(StateKeys.CONFIGURATION, epoch, 1, true, epoch));
     Assertions.assertTrue(member.owns(StateKeys.CONFIGURATION));
     Assertions.assertFalse(
-        member.mayCommand(StateKeys.CONFIGURATION), "before the last owner's licence is over");
+        member.mayCommand(StateKeys.CONFIGURATION),
+        "the command lease of a former owner may still be valid");
   }
 
   @Test
@@ -195,49 +201,55 @@
         new MemberSet(
             2,
             List.of(
-                THREE.find("a"),
-                THREE.find("b"),
+                MEMBERS.find("a"),
+                MEMBERS.find("b"),
                 new MemberSet.Member("d", "dd", ADDRESS, ADDRESS)));
-    Paper host = new Paper();
-    CoreMember member = node(host);
-    from(member, "b", new SealRequest(next, 0, List.of()));
-    host.synced();
-    from(member, "c", new PrepareRequest("k", THREE.epoch(0, "c")));
-    host.synced();
-    Assertions.assertEquals(0, host.count("c PrepareResponse"));
-    Paper otherHost = new Paper();
-    CoreMember again =
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
+    deliver(member, "b", new SealRequest(next, 0, List.of()));
+    host.completeSyncs();
+    deliver(member, "c", new PrepareRequest("k", MEMBERS.epoch(0, "c")));
+    host.completeSyncs();
+    Assertions.assertEquals(0, host.countSent("c PrepareResponse"));
+    RecordingHost otherHost = new RecordingHost();
+    CoreMember restarted =
         new CoreMember(
             otherHost,
             QuorumConfig.DEFAULT,
-            THREE.find("a"),
+            MEMBERS.find("a"),
             15_000,
             Map.of(
-                DurableState.ACTIVE_MEMBERS, THREE.bytes(), DurableState.SEALED_FOR, next.bytes()),
+                DurableState.ACTIVE_MEMBERS,
+                MEMBERS.bytes(),
+                DurableState.SEALED_FOR,
+                next.bytes()),
             null,
             new OwnerTasks() {});
-    from(again, "c", new PrepareRequest("k", THREE.epoch(0, "c")));
-    otherHost.synced();
-    Assertions.assertEquals(0, otherHost.count("c PrepareResponse"));
+    deliver(restarted, "c", new PrepareRequest("k", MEMBERS.epoch(0, "c")));
+    otherHost.completeSyncs();
+    Assertions.assertEquals(0, otherHost.countSent("c PrepareResponse"));
   }
 
-  /** Else the one that lags could not be sealed, and the others may be too few without it. */
+  /**
+   * Guards against a change of members that never completes: a member that lags behind cannot be
+   * sealed, and without it there may be no majority.
+   */
   @Test
-  void aSealedMemberStillTellsItsGenerationToOneThatLags() {
-    MemberSet second = new MemberSet(2, THREE.all());
+  void aSealedMemberStillSendsItsGenerationToAMemberThatLagsBehind() {
+    MemberSet second = new MemberSet(2, MEMBERS.all());
     MemberSet third =
         new MemberSet(
             3,
             List.of(
-                THREE.find("a"),
-                THREE.find("b"),
+                MEMBERS.find("a"),
+                MEMBERS.find("b"),
                 new MemberSet.Member("d", "dd", ADDRESS, ADDRESS)));
-    Paper host = new Paper();
+    RecordingHost host = new RecordingHost();
     CoreMember member =
         new CoreMember(
             host,
             QuorumConfig.DEFAULT,
-            THREE.find("a"),
+            MEMBERS.find("a"),
             15_000,
             Map.of(
                 DurableState.ACTIVE_MEMBERS,
@@ -247,116 +259,123 @@
             null,
             new OwnerTasks() {});
     Assertions.assertTrue(member.isSealed());
-    from(member, "b", new JoinRequest(ADDRESS.toString(), ADDRESS.toString()));
-    Assertions.assertEquals(1, host.count("address Activate"));
-    from(member, "c", new SealRequest(second, 0, List.of()));
-    Assertions.assertEquals(2, host.count("address Activate"));
+    deliver(member, "b", new JoinRequest(ADDRESS.toString(), ADDRESS.toString()));
+    Assertions.assertEquals(1, host.countSent("address Activate"));
+    deliver(member, "c", new SealRequest(second, 0, List.of()));
+    Assertions.assertEquals(2, host.countSent("address Activate"));
   }
 
   @Test
   void aMemberThatHearsOfALaterGenerationAsksForItAtOnce() {
     Address other = Address.of("1.1.1.2:1");
     MemberSet two =
-        new MemberSet(1, List.of(THREE.find("a"), new MemberSet.Member("b", "db", other, other)));
-    Paper host = new Paper();
+        new MemberSet(1, List.of(MEMBERS.find("a"), new MemberSet.Member("b", "db", other, other)));
+    RecordingHost host = new RecordingHost();
     CoreMember member =
         new CoreMember(
             host,
             QuorumConfig.DEFAULT,
-            THREE.find("a"),
+            MEMBERS.find("a"),
             15_000,
             Map.of(DurableState.ACTIVE_MEMBERS, two.bytes()),
             null,
             new OwnerTasks() {});
     member.tick();
-    Assertions.assertEquals(0, host.count("address JoinRequest"));
+    Assertions.assertEquals(0, host.countSent("address JoinRequest"));
     member.onMessage(new Envelope(2, "b", "db", new PrepareRequest("k", 1)));
     member.tick();
-    Assertions.assertTrue(host.count("address JoinRequest") > 0);
+    Assertions.assertTrue(host.countSent("address JoinRequest") > 0);
   }
 
   @Test
-  void theNextGenerationIsNotToldBeforeAMajorityOfTheOldIsSealed() {
+  void theNextGenerationIsNotActivatedBeforeAMajorityOfTheOldIsSealed() {
     MemberSet next =
         new MemberSet(
             2,
             List.of(
-                THREE.find("a"),
-                THREE.find("b"),
+                MEMBERS.find("a"),
+                MEMBERS.find("b"),
                 new MemberSet.Member("d", "dd", ADDRESS, ADDRESS)));
-    Paper host = new Paper();
-    CoreMember member = node(host);
-    from(member, "b", new SealRequest(next, 0, List.of()));
-    host.synced();
-    from(member, "a", new SealResponse(2, 0, List.of(), List.of()));
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
+    deliver(member, "b", new SealRequest(next, 0, List.of()));
+    host.completeSyncs();
+    deliver(member, "a", new SealResponse(2, 0, List.of(), List.of()));
     for (int i = 0; i < 20; i++) {
-      host.now += 200;
+      host.nowMs += 200;
       member.tick();
     }
-    Assertions.assertTrue(host.count("address SealRequest") > 0, "whoever is sealed drives it on");
-    Assertions.assertEquals(0, host.count("address Activate"));
-    from(member, "c", new SealResponse(2, 0, List.of(), List.of()));
-    host.now += 200;
+    Assertions.assertTrue(
+        host.countSent("address SealRequest") > 0, "a sealed member has to continue the change");
+    Assertions.assertEquals(0, host.countSent("address Activate"));
+    deliver(member, "c", new SealResponse(2, 0, List.of(), List.of()));
+    host.nowMs += 200;
     member.tick();
-    Assertions.assertEquals(3, host.count("address Activate"));
+    Assertions.assertEquals(3, host.countSent("address Activate"));
   }
 
-  /** Keys that were never written, as one for each replica may be, take next to no room. */
+  /** Keys that were never written, such as one for each replica, take almost no space. */
   @Test
-  void noValueIsLargerThanTheRoomThatTheOtherKeysLeaveOnDisk() {
-    Paper host = new Paper();
+  void noValueIsLargerThanTheSpaceThatTheOtherKeysLeaveOnDisk() {
+    RecordingHost host = new RecordingHost();
     host.mostState = 1 << 20;
-    CoreMember member = node(host);
-    long room = member.maxValueBytes(StateKeys.CONFIGURATION);
-    Assertions.assertTrue(room > 900_000 && room < 1 << 20, room + " bytes");
+    CoreMember member = newMember(host);
+    long availableBytes = member.maxValueBytes(StateKeys.CONFIGURATION);
+    Assertions.assertTrue(
+        availableBytes > 900_000 && availableBytes < 1 << 20, availableBytes + " bytes");
     for (int i = 0; i < 100; i++)
       member.store("commander/" + i, new Register(1, 0, VersionedValue.NONE), () -> {});
     Assertions.assertTrue(
-        member.maxValueBytes(StateKeys.CONFIGURATION) > room - 100_000, "a hundred promises");
-    room = member.maxValueBytes(StateKeys.CONFIGURATION);
+        member.maxValueBytes(StateKeys.CONFIGURATION) > availableBytes - 100_000,
+        "the space taken by 100 promises");
+    availableBytes = member.maxValueBytes(StateKeys.CONFIGURATION);
     VersionedValue list = VersionedValue.NONE.next("d", new byte[500_000]);
     member.store(StateKeys.REPLICAS, new Register(1, 1, list), () -> {});
-    Assertions.assertTrue(member.maxValueBytes(StateKeys.CONFIGURATION) <= room - 500_000);
+    Assertions.assertTrue(
+        member.maxValueBytes(StateKeys.CONFIGURATION) <= availableBytes - 500_000);
     host.mostState = Long.MAX_VALUE;
     Assertions.assertEquals(
         CoreMember.MAX_VALUE_BYTES, member.maxValueBytes(StateKeys.CONFIGURATION));
   }
 
   /**
-   * Once the one next member that took part is lost, what the member that leaves keeps may be the
-   * only copy; the model checker found a core that stood still because it kept that to itself.
+   * Guards against a core that stops for ever, found by the model checker: if the only next member
+   * that took part is lost, the registers of the removed member may be the only copy, so it must
+   * not stop sending them.
    */
   @Test
-  void aMemberThatLeavesHandsOnWhatItKeepsUntilAMajorityOfTheNextTakesPart() {
+  void aRemovedMemberSendsItsRegistersUntilAMajorityOfTheNextMembersTakesPart() {
     MemberSet next =
         new MemberSet(
             2,
             List.of(
-                THREE.find("b"),
-                THREE.find("c"),
+                MEMBERS.find("b"),
+                MEMBERS.find("c"),
                 new MemberSet.Member("d", "dd", ADDRESS, ADDRESS)));
-    Paper host = new Paper();
-    CoreMember member = node(host);
-    from(member, "b", new SealRequest(next, 0, List.of()));
-    host.synced();
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
+    deliver(member, "b", new SealRequest(next, 0, List.of()));
+    host.completeSyncs();
     member.onMessage(new Envelope(2, "d", "dd", new Activate(next, List.of())));
     Assertions.assertTrue(member.isRetired());
     for (String sealed : new String[] {"a", "c"})
-      from(member, sealed, new SealResponse(2, 0, List.of(), List.of()));
-    host.said.clear();
-    host.now += 2000;
+      deliver(member, sealed, new SealResponse(2, 0, List.of(), List.of()));
+    host.sent.clear();
+    host.nowMs += 2000;
     member.tick();
-    Assertions.assertEquals(3, host.count("address Activate"), "d alone takes part");
+    Assertions.assertEquals(
+        3, host.countSent("address Activate"), "only d takes part in the next generation");
     member.onMessage(new Envelope(2, "b", "db", new Activate(next, List.of())));
-    host.said.clear();
-    host.now += 2000;
+    host.sent.clear();
+    host.nowMs += 2000;
     member.tick();
-    Assertions.assertEquals(0, host.count("address Activate"), "b and d take part");
+    Assertions.assertEquals(
+        0, host.countSent("address Activate"), "b and d take part in the next generation");
   }
 
   @Test
   void anEmptyDiskAsksToJoinAndAnswersNothingElse() {
-    Paper host = new Paper();
+    RecordingHost host = new RecordingHost();
     CoreMember member =
         new CoreMember(
             host,
@@ -366,91 +385,93 @@
             Map.of(),
             null,
             new OwnerTasks() {});
-    from(member, "b", new PrepareRequest("k", THREE.epoch(0, "b")));
-    from(member, "b", new AcceptRequest("k", THREE.epoch(0, "b"), VersionedValue.NONE));
-    from(member, "b", new ConfirmRequest(1, List.of(new KeyEpoch("k", 1))));
-    from(member, "b", new Activate(THREE, List.of()));
-    host.synced();
-    Assertions.assertEquals(List.of(), host.said);
+    deliver(member, "b", new PrepareRequest("k", MEMBERS.epoch(0, "b")));
+    deliver(member, "b", new AcceptRequest("k", MEMBERS.epoch(0, "b"), VersionedValue.NONE));
+    deliver(member, "b", new ConfirmRequest(1, List.of(new KeyEpoch("k", 1))));
+    deliver(member, "b", new Activate(MEMBERS, List.of()));
+    host.completeSyncs();
+    Assertions.assertEquals(List.of(), host.sent);
     Assertions.assertFalse(
-        member.isInitialized(), "members with the old disk in its name don't let it in");
+        member.isInitialized(), "a member set that lists its old disk does not make it a member");
   }
 
   @Test
-  void aChangeThatComesTwiceIsAnsweredOnceAndAStrangersDiskNever() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void aChangeDeliveredTwiceIsAnsweredOnceAndAMemberWithAnotherDiskNever() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     for (int i = 0; i < 2; i++)
-      from(
+      deliver(
           member,
           "b",
           new ForwardedChangeRequest(
               7, ChangeRequest.onNumber(StateKeys.CONFIGURATION, -1, new byte[1])));
-    Assertions.assertEquals(1, host.count("b ForwardedChangeResponse"));
+    Assertions.assertEquals(1, host.countSent("b ForwardedChangeResponse"));
     member.onMessage(
-        new Envelope(1, "b", "another disk", new PrepareRequest("k", THREE.epoch(0, "b"))));
-    member.onMessage(new Envelope(2, "b", "db", new PrepareRequest("k", THREE.epoch(0, "b"))));
-    host.synced();
-    Assertions.assertEquals(0, host.count("b PrepareResponse"));
+        new Envelope(1, "b", "another disk", new PrepareRequest("k", MEMBERS.epoch(0, "b"))));
+    member.onMessage(new Envelope(2, "b", "db", new PrepareRequest("k", MEMBERS.epoch(0, "b"))));
+    host.completeSyncs();
+    Assertions.assertEquals(0, host.countSent("b PrepareResponse"));
   }
 
   @Test
-  void aCommanderKeepsItsLeaseAndGapAndAReadWaitsForARoundBegunAfterIt() {
-    Paper host = new Paper();
+  void anOwnerCommandsOnlyWithinItsLeaseAndAfterTheHandoverGapAndAReadWaitsForALaterRound() {
+    RecordingHost host = new RecordingHost();
     QuorumConfig config =
         QuorumConfig.builder().commandLeaseMs(1000).commandHandoverGapMs(2500).build();
     CoreMember member =
         new CoreMember(
             host,
             config,
-            THREE.find("a"),
+            MEMBERS.find("a"),
             15_000,
-            Map.of(DurableState.ACTIVE_MEMBERS, THREE.bytes()),
+            Map.of(DurableState.ACTIVE_MEMBERS, MEMBERS.bytes()),
             null,
             new OwnerTasks() {});
     String key = StateKeys.REPLICAS;
-    host.now += 10_000;
-    inContactUntilItTries(member, host, key);
+    host.nowMs += 10_000;
+    stayInContactUntilElectionStarts(member, host, key);
     long epoch = member.epochOf(key);
-    Assertions.assertTrue(epoch > 0, "never tried");
+    Assertions.assertTrue(epoch > 0, "no election started");
     for (String peer : new String[] {"a", "b"})
-      from(member, peer, new PrepareResponse(key, epoch, true, epoch, 0, VersionedValue.NONE));
+      deliver(member, peer, new PrepareResponse(key, epoch, true, epoch, 0, VersionedValue.NONE));
     for (String peer : new String[] {"a", "b"})
-      from(member, peer, new AcceptResponse(key, epoch, 0, true, epoch));
+      deliver(member, peer, new AcceptResponse(key, epoch, 0, true, epoch));
     Assertions.assertTrue(member.owns(key));
-    long promised = host.now;
-    confirmedByTwo(member, host);
-    host.now = promised + 2500;
-    confirmedByTwo(member, host);
-    Assertions.assertFalse(member.mayCommand(key), "within the gap");
-    host.now = promised + 2501;
+    long promisedAtMs = host.nowMs;
+    confirmByMajority(member, host);
+    host.nowMs = promisedAtMs + 2500;
+    confirmByMajority(member, host);
+    Assertions.assertFalse(member.mayCommand(key), "within the handover gap");
+    host.nowMs = promisedAtMs + 2501;
     Assertions.assertTrue(member.mayCommand(key));
-    host.now = promised + 2500 + 1000;
-    Assertions.assertFalse(member.mayCommand(key), "its majority is a lease old");
-    exchangeSignsOfLife(member, host, "b");
+    host.nowMs = promisedAtMs + 2500 + 1000;
+    Assertions.assertFalse(
+        member.mayCommand(key), "its last confirmation is one command lease old");
+    exchangeHeartbeats(member, host, "b");
     List<ReadResult> read = new ArrayList<>();
     member.readNewest(key, read::add);
     Assertions.assertEquals(0, read.size(), "the last round began before the read");
-    confirmedByTwo(member, host);
+    confirmByMajority(member, host);
     Assertions.assertTrue(read.size() == 1 && read.get(0).owned() && read.get(0).number() == 0);
   }
 
-  /** Makes the node the owner of a key at this number; two of three members hold the value. */
-  private static void serves(CoreMember member, Paper host, String key, VersionedValue value) {
-    host.now += 10_000;
-    inContactUntilItTries(member, host, key);
+  /** Makes the member the owner of a key with this value, which two of three members store. */
+  private static void makeOwner(
+      CoreMember member, RecordingHost host, String key, VersionedValue value) {
+    host.nowMs += 10_000;
+    stayInContactUntilElectionStarts(member, host, key);
     long epoch = member.epochOf(key);
     for (String peer : new String[] {"a", "b"})
-      from(member, peer, new PrepareResponse(key, epoch, true, epoch, 1, value));
+      deliver(member, peer, new PrepareResponse(key, epoch, true, epoch, 1, value));
     for (String peer : new String[] {"a", "b"})
-      from(member, peer, new AcceptResponse(key, epoch, value.number(), true, epoch));
+      deliver(member, peer, new AcceptResponse(key, epoch, value.number(), true, epoch));
     Assertions.assertTrue(member.owns(key));
   }
 
   @Test
-  void aChangeWhoseSenderSentLessThanTheValueIsRecognisedByWhatWasSent() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void aChangeWhoseSenderSentOnlyPartOfTheValueIsRecognisedByWhatWasSent() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key = StateKeys.REPLICAS;
     byte[] first = {1}, merged = {2};
     String sent = Digest.hex(new byte[] {7});
@@ -458,95 +479,98 @@
         VersionedValue.NONE
             .next(Digest.hex(first), first, 0, 0, "b", "")
             .next(Digest.hex(merged), merged, new VersionedValue.Sent(sent, 1), 0, "b", "");
-    serves(member, host, key, value);
-    host.now += QuorumConfig.DEFAULT.leaseMs() + 1;
-    exchangeSignsOfLife(member, host, "b");
+    makeOwner(member, host, key, value);
+    host.nowMs += QuorumConfig.DEFAULT.leaseMs() + 1;
+    exchangeHeartbeats(member, host, "b");
     List<ChangeResult> answers = new ArrayList<>();
     member.change(ChangeRequest.repeated(key, 1, sent), answers::add);
     member.change(ChangeRequest.repeated(key, 0, sent), answers::add);
     member.change(ChangeRequest.repeated(key, 1, Digest.hex(new byte[] {8})), answers::add);
-    confirmedByTwo(member, host);
+    confirmByMajority(member, host);
     Assertions.assertEquals(new ChangeResult.Acknowledged(2, true, 0, 0, 0), answers.get(0));
-    Assertions.assertEquals(new ChangeResult.Conflict(2), answers.get(1), "on another base");
-    Assertions.assertEquals(new ChangeResult.Conflict(2), answers.get(2), "never applied");
+    Assertions.assertEquals(
+        new ChangeResult.Conflict(2), answers.get(1), "was applied on another base");
+    Assertions.assertEquals(new ChangeResult.Conflict(2), answers.get(2), "was never applied");
     Assertions.assertEquals(2, member.storedValue(key).getKey(), "a repeat writes nothing");
   }
 
   @Test
-  void aRefusalAndARepeatedAnswerWaitForARoundBegunAfterTheChangeCame() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void aRefusalAndARepeatedAcknowledgementWaitForARoundBegunAfterTheChangeArrived() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key = StateKeys.REPLICAS;
     byte[] first = {1}, second = {2};
     VersionedValue value =
         VersionedValue.NONE
             .next(Digest.hex(first), first, 0, 0, "b", "")
             .next(Digest.hex(second), second, 1, 0, "b", "");
-    serves(member, host, key, value);
-    host.now += QuorumConfig.DEFAULT.leaseMs() + 1;
-    exchangeSignsOfLife(member, host, "b");
-    confirmedByTwo(member, host);
+    makeOwner(member, host, key, value);
+    host.nowMs += QuorumConfig.DEFAULT.leaseMs() + 1;
+    exchangeHeartbeats(member, host, "b");
+    confirmByMajority(member, host);
     List<ChangeResult> answers = new ArrayList<>();
     member.change(ChangeRequest.onNumber(key, 1, new byte[] {9}), answers::add);
     member.change(ChangeRequest.onNumber(key, 0, first), answers::add);
     member.change(ChangeRequest.onNumber(key, 1, second), answers::add);
     Assertions.assertEquals(List.of(), answers, "the last round began before they came");
-    confirmedByTwo(member, host);
+    confirmByMajority(member, host);
     Assertions.assertEquals(new ChangeResult.Conflict(2), answers.get(0));
     Assertions.assertEquals(new ChangeResult.Acknowledged(1, true, 0, 0, 0), answers.get(1));
     Assertions.assertEquals(new ChangeResult.Acknowledged(2, true, 0, 0, 0), answers.get(2));
   }
 
   @Test
-  void withoutAMajorityNothingIsRefusedAndTheSenderHearsSoWhileItListens() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void withoutAMajorityAConflictIsNotReportedAndTheSenderIsAnsweredWithinTheTimeout() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key = StateKeys.REPLICAS;
-    serves(member, host, key, VersionedValue.NONE.next("d", new byte[1]));
+    makeOwner(member, host, key, VersionedValue.NONE.next("d", new byte[1]));
     List<ChangeResult> answers = new ArrayList<>();
     List<ReadResult> reads = new ArrayList<>();
     member.change(ChangeRequest.onNumber(key, 0, new byte[] {9}), answers::add);
     member.readNewest(key, reads::add);
-    long half = ForwardedReads.READ_TIMEOUT_MS / 2;
-    for (long step : new long[] {half, ForwardedReads.READ_TIMEOUT_MS - half - 1}) {
-      host.now += step;
-      exchangeSignsOfLife(member, host, "b");
+    long halfMs = ForwardedReads.READ_TIMEOUT_MS / 2;
+    for (long stepMs : new long[] {halfMs, ForwardedReads.READ_TIMEOUT_MS - halfMs - 1}) {
+      host.nowMs += stepMs;
+      exchangeHeartbeats(member, host, "b");
     }
     Assertions.assertTrue(answers.isEmpty() && reads.isEmpty());
-    host.now += 1;
+    host.nowMs += 1;
     member.tick();
     Assertions.assertEquals(List.of(new ChangeResult.NoOwner()), answers);
     Assertions.assertEquals(List.of(ReadResult.NO_OWNER), reads);
-    Assertions.assertTrue(member.owns(key), "it may only be slow: it still tries");
+    Assertions.assertTrue(
+        member.owns(key), "the majority may only be slow, so the member still owns the key");
   }
 
   @Test
-  void aChangeThatTheDiskCannotHoldBesideTheRestIsTooLargeAndNeverWritten() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void aChangeThatDoesNotFitOnDiskWithTheOtherKeysIsTooLargeAndNeverWritten() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key = StateKeys.REPLICAS;
-    from(
+    deliver(
         member,
         "b",
-        new AcceptRequest(StateKeys.CONFIGURATION, THREE.epoch(0, "b"), value(new byte[500_000])));
-    host.synced();
-    serves(member, host, key, VersionedValue.NONE);
+        new AcceptRequest(
+            StateKeys.CONFIGURATION, MEMBERS.epoch(0, "b"), value(new byte[500_000])));
+    host.completeSyncs();
+    makeOwner(member, host, key, VersionedValue.NONE);
     host.mostState = 1_000_000;
     host.messages.clear();
     List<ChangeResult> answers = new ArrayList<>();
     member.change(key, 0, new byte[500_000], answers::add);
     Assertions.assertTrue(answers.get(0) instanceof ChangeResult.TooLarge, answers::toString);
-    Assertions.assertEquals(0, accepts(host, key));
+    Assertions.assertEquals(0, countAcceptRequests(host, key));
     member.change(key, 0, new byte[300_000], answers::add);
-    Assertions.assertEquals(1, answers.size(), "under way");
-    Assertions.assertEquals(3, accepts(host, key));
+    Assertions.assertEquals(1, answers.size(), "the second change is in progress");
+    Assertions.assertEquals(3, countAcceptRequests(host, key));
   }
 
   private static VersionedValue value(byte[] body) {
     return VersionedValue.NONE.next(Digest.hex(body), body);
   }
 
-  private static long accepts(Paper host, String key) {
+  private static long countAcceptRequests(RecordingHost host, String key) {
     return host.messages.stream()
         .filter(
             envelope ->
@@ -555,86 +579,88 @@
   }
 
   @Test
-  void aChangeTooOldToTellIsLeftUnknown() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void aChangeBasedOnAForgottenNumberIsAnsweredAsUnknown() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key = StateKeys.REPLICAS;
     VersionedValue value = VersionedValue.NONE;
     for (int i = 0; i <= AppliedChanges.REMEMBERED; i++) {
       byte[] body = {(byte) i, (byte) (i >> 8)};
       value = value.next(Digest.hex(body), body, i, 0, "b", "");
     }
-    serves(member, host, key, value);
+    makeOwner(member, host, key, value);
     List<ChangeResult> answers = new ArrayList<>();
     member.change(ChangeRequest.onNumber(key, 0, new byte[] {9}), answers::add);
     member.change(ChangeRequest.onNumber(key, 1, new byte[] {9}), answers::add);
-    confirmedByTwo(member, host);
+    confirmByMajority(member, host);
     Assertions.assertEquals(
         List.of(
             new ChangeResult.Unknown(1), new ChangeResult.Conflict(AppliedChanges.REMEMBERED + 1)),
         answers);
   }
 
-  /** Has the node send signs of life and hears of another member which of them it got. */
-  private static void exchangeSignsOfLife(CoreMember member, Paper host, String who) {
+  /** Lets the member send heartbeats and delivers one of a peer that confirms the last of them. */
+  private static void exchangeHeartbeats(CoreMember member, RecordingHost host, String sender) {
     member.tick();
-    Heartbeat sent = null;
+    Heartbeat lastHeartbeat = null;
     for (Envelope envelope : host.messages)
-      if (envelope.message() instanceof Heartbeat heartbeat) sent = heartbeat;
-    from(
+      if (envelope.message() instanceof Heartbeat heartbeat) lastHeartbeat = heartbeat;
+    deliver(
         member,
-        who,
-        new Heartbeat(true, 10_000, List.of(), new SendTime(7, host.now), sent.sentAt()));
+        sender,
+        new Heartbeat(
+            true, 10_000, List.of(), new SendTime(7, host.nowMs), lastHeartbeat.sentAt()));
   }
 
-  private static void inContactUntilItTries(CoreMember member, Paper host, String key) {
+  private static void stayInContactUntilElectionStarts(
+      CoreMember member, RecordingHost host, String key) {
     for (int i = 0; i < 50 && member.epochOf(key) == 0; i++) {
-      host.now += 100;
-      exchangeSignsOfLife(member, host, "b");
+      host.nowMs += 100;
+      exchangeHeartbeats(member, host, "b");
     }
   }
 
   @Test
-  void whoeverIsHeardButDoesNotHearIsNotAliveAndNoKeyIsTriedForWithoutAMajority() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void aPeerThatDoesNotHearThisMemberIsNotAliveAndNoElectionStartsWithoutAMajority() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     for (int i = 0; i < 100; i++) {
-      host.now += 100;
+      host.nowMs += 100;
       member.tick();
-      from(
+      deliver(
           member,
           "b",
-          new Heartbeat(true, 10_000, List.of(), new SendTime(7, host.now), SendTime.NONE));
-      from(
+          new Heartbeat(true, 10_000, List.of(), new SendTime(7, host.nowMs), SendTime.NONE));
+      deliver(
           member,
           "c",
           new Heartbeat(
-              true, 10_000, List.of(), new SendTime(8, host.now), new SendTime(9, host.now)));
+              true, 10_000, List.of(), new SendTime(8, host.nowMs), new SendTime(9, host.nowMs)));
     }
     Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.memberLiveness());
     Assertions.assertEquals(
-        0, host.count("b PrepareRequest"), "an attempt without contact to a majority");
+        0, host.countSent("b PrepareRequest"), "an election without contact to a majority");
     Assertions.assertTrue(member.isUnavailable());
-    exchangeSignsOfLife(member, host, "b");
+    exchangeHeartbeats(member, host, "b");
     Assertions.assertEquals(Map.of("a", true, "b", true, "c", false), member.memberLiveness());
     Assertions.assertFalse(member.isUnavailable());
-    host.now += QuorumConfig.DEFAULT.peerTimeoutMs();
+    host.nowMs += QuorumConfig.DEFAULT.peerTimeoutMs();
     Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.memberLiveness());
   }
 
   @Test
   void anOwnerWithoutContactToAMajorityClaimsNothingAndAnswersAtOnce() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key = StateKeys.CONFIGURATION;
-    host.now += 10_000;
-    ownsInContact(member, host, key);
+    host.nowMs += 10_000;
+    winElection(member, host, key);
     List<ReadResult> read = new ArrayList<>();
     List<ChangeResult> changed = new ArrayList<>();
     member.readNewest(key, read::add);
-    host.now += QuorumConfig.DEFAULT.peerTimeoutMs() + QuorumConfig.DEFAULT.heartbeatMs();
+    host.nowMs += QuorumConfig.DEFAULT.peerTimeoutMs() + QuorumConfig.DEFAULT.heartbeatMs();
     member.tick();
-    Assertions.assertEquals(List.of(ReadResult.NO_OWNER), read, "a read that can't be confirmed");
+    Assertions.assertEquals(List.of(ReadResult.NO_OWNER), read, "a read that cannot be confirmed");
     member.readNewest(key, read::add);
     member.change(key, -1, new byte[1], changed::add);
     Assertions.assertEquals(List.of(ReadResult.NO_OWNER, ReadResult.NO_OWNER), read);
@@ -645,70 +671,74 @@
     Assertions.assertEquals(List.of(), last.claims());
   }
 
-  /** A disk that stalls now and then must not move a key to and fro: each move costs a pause. */
+  /**
+   * Guards against a key that moves back and forth when a disk stalls repeatedly: each move
+   * interrupts the service.
+   */
   @Test
-  void aKeyIsTakenBackOnlyOnceTheDiskHasBeenWellForAWhile() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void aKeyIsTakenBackOnlyOnceTheDiskHasBeenHealthyForAWhile() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key =
         StateKeys.PUSHED.stream()
-            .filter(candidate -> THREE.order(candidate).get(0).equals("a"))
+            .filter(candidate -> MEMBERS.order(candidate).get(0).equals("a"))
             .findFirst()
             .orElseThrow();
-    List<OwnershipClaim> claim = List.of(new OwnershipClaim(key, THREE.epoch(0, "b"), 0, 0, false));
+    List<OwnershipClaim> claims =
+        List.of(new OwnershipClaim(key, MEMBERS.epoch(0, "b"), 0, 0, false));
     member.updateDiskHealth(false);
-    passWithOwner(member, host, claim, 2L * QuorumConfig.DEFAULT.preferredOwnerUptimeMs());
+    passTimeWithOwner(member, host, claims, 2L * QuorumConfig.DEFAULT.preferredOwnerUptimeMs());
     member.updateDiskHealth(true);
-    passWithOwner(member, host, claim, QuorumConfig.DEFAULT.preferredOwnerUptimeMs() - 100);
-    Assertions.assertEquals(0, member.epochOf(key), "taken back at once");
-    passWithOwner(member, host, claim, 1000);
-    Assertions.assertTrue(member.epochOf(key) > 0, "never taken back");
+    passTimeWithOwner(member, host, claims, QuorumConfig.DEFAULT.preferredOwnerUptimeMs() - 100);
+    Assertions.assertEquals(0, member.epochOf(key), "the key must not be taken back at once");
+    passTimeWithOwner(member, host, claims, 1000);
+    Assertions.assertTrue(member.epochOf(key) > 0, "the key must be taken back");
   }
 
-  /** Lets time pass in which the node is in contact with b, which owns these keys. */
-  private static void passWithOwner(
-      CoreMember member, Paper host, List<OwnershipClaim> claim, long durationMs) {
-    for (long passed = 0; passed < durationMs; passed += 100) {
-      host.now += 100;
+  /** Lets time pass in which the member is in contact with b, which claims these keys. */
+  private static void passTimeWithOwner(
+      CoreMember member, RecordingHost host, List<OwnershipClaim> claims, long durationMs) {
+    for (long passedMs = 0; passedMs < durationMs; passedMs += 100) {
+      host.nowMs += 100;
       member.tick();
-      Heartbeat sent = null;
+      Heartbeat lastHeartbeat = null;
       for (Envelope envelope : host.messages)
-        if (envelope.message() instanceof Heartbeat heartbeat) sent = heartbeat;
-      from(
+        if (envelope.message() instanceof Heartbeat heartbeat) lastHeartbeat = heartbeat;
+      deliver(
           member,
           "b",
-          new Heartbeat(true, 10_000, claim, new SendTime(7, host.now), sent.sentAt()));
+          new Heartbeat(true, 10_000, claims, new SendTime(7, host.nowMs), lastHeartbeat.sentAt()));
     }
   }
 
-  private static void ownsInContact(CoreMember member, Paper host, String key) {
-    inContactUntilItTries(member, host, key);
+  private static void winElection(CoreMember member, RecordingHost host, String key) {
+    stayInContactUntilElectionStarts(member, host, key);
     long epoch = member.epochOf(key);
     for (String peer : new String[] {"a", "b"})
-      from(member, peer, new PrepareResponse(key, epoch, true, epoch, 0, VersionedValue.NONE));
+      deliver(member, peer, new PrepareResponse(key, epoch, true, epoch, 0, VersionedValue.NONE));
     for (String peer : new String[] {"a", "b"})
-      from(member, peer, new AcceptResponse(key, epoch, 0, true, epoch));
+      deliver(member, peer, new AcceptResponse(key, epoch, 0, true, epoch));
     Assertions.assertTrue(member.owns(key));
   }
 
   @Test
-  void changesThatWaitBehindAnotherAreRefusedOnceNoMajorityIsInContact() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
+  void queuedChangesAreRefusedOnceNoMajorityIsInContact() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
     String key = StateKeys.CONFIGURATION;
-    host.now += 10_000;
-    ownsInContact(member, host, key);
+    host.nowMs += 10_000;
+    winElection(member, host, key);
     List<ChangeResult> first = new ArrayList<>();
     List<ChangeResult> second = new ArrayList<>();
     member.change(key, -1, new byte[] {1}, first::add);
     member.change(key, -1, new byte[] {2}, second::add);
-    host.now += QuorumConfig.DEFAULT.peerTimeoutMs() + QuorumConfig.DEFAULT.heartbeatMs();
+    host.nowMs += QuorumConfig.DEFAULT.peerTimeoutMs() + QuorumConfig.DEFAULT.heartbeatMs();
     member.tick();
-    Assertions.assertEquals(List.of(), first, "it may have been taken");
+    Assertions.assertEquals(List.of(), first, "it may have been applied");
     Assertions.assertEquals(List.of(new ChangeResult.NoOwner()), second);
   }
 
-  private static void confirmedByTwo(CoreMember member, Paper host) {
+  private static void confirmByMajority(CoreMember member, RecordingHost host) {
     host.messages.clear();
     member.requestConfirmationRound();
     member.tick();
@@ -719,33 +749,41 @@
             .map(message -> (ConfirmRequest) message)
             .findFirst()
             .orElseThrow();
-    for (String message : new String[] {"a", "b"})
-      from(
+    for (String peer : new String[] {"a", "b"})
+      deliver(
           member,
-          message,
+          peer,
           new CoreMessage.ConfirmResponse(
               confirm.round(),
               confirm.epochs().stream()
                   .map(
-                      x ->
+                      keyEpoch ->
                           new CoreMessage.EpochStatus(
-                              x.key(), x.epoch(), true, x.epoch(), x.epoch(), 0))
+                              keyEpoch.key(),
+                              keyEpoch.epoch(),
+                              true,
+                              keyEpoch.epoch(),
+                              keyEpoch.epoch(),
+                              0))
                   .toList()));
   }
 
-  /** Guards against relays of the release before losing their configuration in an upgrade. */
+  /**
+   * Guards against relays of the previous release losing their configuration during an upgrade,
+   * because they cannot read the field.
+   */
   @Test
-  void sharedPrefixesAreToldToThoseAloneWhoSayThatTheyCanReadIt() {
-    Paper host = new Paper();
-    CoreMember member = node(host);
-    serves(
+  void prefixSharingIsSentOnlyToProcessesThatReportThatTheyCanReadIt() {
+    RecordingHost host = new RecordingHost();
+    CoreMember member = newMember(host);
+    makeOwner(
         member,
         host,
         StateKeys.CONFIGURATION,
         VersionedValue.NONE.next("d", new byte[1]).with(PrefixSharing.beginningWith(1)));
-    member.onSubscriptionRequest(asks("earlier", StateKeys.CONFIGURATION));
+    member.onSubscriptionRequest(subscription("earlier", StateKeys.CONFIGURATION));
     member.onSubscriptionRequest(
-        asks("present", StateKeys.CONFIGURATION, StateKeys.READS_PREFIX_SHARING));
+        subscription("present", StateKeys.CONFIGURATION, StateKeys.READS_PREFIX_SHARING));
     Assertions.assertEquals(
         List.of(-1L, 1L),
         host.pushed.stream()
@@ -754,7 +792,7 @@
             .toList());
   }
 
-  private static StateUpdate.SubscriptionRequest asks(String name, String... keys) {
+  private static StateUpdate.SubscriptionRequest subscription(String name, String... keys) {
     List<StateUpdate.KnownVersion> known = new ArrayList<>();
     for (String key : keys) known.add(new StateUpdate.KnownVersion(key, 0, 0));
     return new StateUpdate.SubscriptionRequest(
--- a/control-plane/src/test/java/gladelug/control/core/CoreMessageFuzzTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/CoreMessageFuzzTest.java
@@ -12,7 +12,10 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Assertions;
 
-/** Messages between members under damage: read as some message, or refused with an IOException. */
+/**
+ * Tests that a damaged message between members is either read as some message or refused with an
+ * IOException.
+ */
 final class CoreMessageFuzzTest {
   private static final String SEED = "20261205";
 
@@ -21,15 +24,17 @@
     return Arbitraries.of(new ArrayList<>(PublishedNamesTest.examples().keySet()));
   }
 
-  /** Four bytes in a row are other ones, as a length or a count may be. */
+  /** Replaces four consecutive bytes, which may be a length or a count. */
   @Property(tries = 10_000, seed = SEED)
   void aDamagedMessageIsReadOrRefused(
-      @ForAll("names") String name, @ForAll @DoubleRange(max = 0.99) double place, @ForAll int put)
+      @ForAll("names") String name,
+      @ForAll @DoubleRange(max = 0.99) double position,
+      @ForAll int replacement)
       throws IOException {
     byte[] bytes = PublishedNamesTest.bytes(PublishedNamesTest.examples().get(name));
-    int from = (int) (place * bytes.length);
-    for (int i = from; i < Math.min(bytes.length, from + Integer.BYTES); i++)
-      bytes[i] = (byte) (put >>> Byte.SIZE * (i - from));
+    int start = (int) (position * bytes.length);
+    for (int i = start; i < Math.min(bytes.length, start + Integer.BYTES); i++)
+      bytes[i] = (byte) (replacement >>> Byte.SIZE * (i - start));
     Envelope read;
     try {
       read = WireRecord.read(bytes, Envelope::read);
--- a/control-plane/src/test/java/gladelug/control/core/ElectionTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/ElectionTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests how the answers to one candidate are counted, and which value it takes over. */
+/** Tests how the responses to one candidate are counted, and which value it takes over. */
 final class ElectionTest {
   private static final VersionedValue ONE = VersionedValue.NONE.next("one", new byte[] {1});
   private static final VersionedValue TWO = ONE.next("two", new byte[] {2});
--- a/control-plane/src/test/java/gladelug/control/core/MembershipPlanTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/MembershipPlanTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of MembershipPlan. */
+/** Tests which changes of members {@link MembershipPlan} chooses. */
 final class MembershipPlanTest {
   private static final Address ADDRESS = Address.of("1.1.1.1:1");
   private static final QuorumConfig CONFIG =
@@ -22,16 +22,19 @@
     return members;
   }
 
-  /** Who is in the next set, in order, after a name for why; or "none". */
+  /**
+   * Returns the reason of the next change and the names in the next set, in order; "none" without a
+   * change.
+   */
   private static String next(
-      String now, String joiners, String dead, long silent, QuorumConfig config) {
+      String current, String joiners, String dead, long silentMs, QuorumConfig config) {
     Set<String> deadNames = Set.of(dead.isEmpty() ? new String[0] : dead.split(""));
     MembershipPlan.MembershipChange change =
         new MembershipPlan(
-                new MemberSet(4, members(now, "d")),
+                new MemberSet(4, members(current, "d")),
                 members(joiners, "e"),
                 name -> !deadNames.contains(name))
-            .nextChange(name -> deadNames.contains(name) ? silent : 0, name -> false, config);
+            .nextChange(name -> deadNames.contains(name) ? silentMs : 0, name -> false, config);
     if (change == null) return "none";
     Assertions.assertEquals(5, change.next().generation());
     return change.reason()
@@ -52,39 +55,42 @@
   }
 
   @Test
-  void aMemberDeadForLongIsReplacedByOneUnknownAndOnlyIfTunedSo() {
+  void aLongDeadMemberIsReplacedWithANonMemberAndOnlyIfConfigured() {
     Assertions.assertEquals("DEAD abcdf", next("abcde", "f", "e", 2500, CONFIG));
     Assertions.assertEquals("none", next("abcde", "f", "e", 2499, CONFIG));
     Assertions.assertEquals("none", next("abcde", "f", "e", 999_999, QuorumConfig.DEFAULT));
     Assertions.assertEquals("none", next("abcde", "", "e", 2500, CONFIG));
-    Assertions.assertEquals("DEAD abcef", next("abcde", "f", "de", 2500, CONFIG), "one at a time");
+    Assertions.assertEquals(
+        "DEAD abcef", next("abcde", "f", "de", 2500, CONFIG), "one candidate replaces one member");
   }
 
   @Test
-  void allThatAreDeadOrBackEmptyAreReplacedInOneChange() {
+  void allDeadOrWipedMembersAreReplacedInOneChange() {
     Assertions.assertEquals("DEAD abcfg", next("abcde", "fgh", "de", 2500, CONFIG));
     Assertions.assertEquals("DEAD acdef", next("abcde", "f", "b", 2500, CONFIG));
     Assertions.assertEquals("WIPED_DISK abcde", next("abcde", "def", "de", 1801, CONFIG));
   }
 
   @Test
-  void aMemberThatLeavesIsReplacedAtOnceButNotByNobodyOrWhereOperatorsDecide() {
-    Assertions.assertEquals("DRAINING abd", leaving("abc", "d", "c", CONFIG));
-    Assertions.assertEquals("DRAINING abdef", leaving("abcde", "f", "c", CONFIG));
-    Assertions.assertEquals("none", leaving("abc", "", "c", CONFIG));
-    Assertions.assertEquals("none", leaving("abc", "d", "c", QuorumConfig.DEFAULT));
+  void aDrainingMemberIsReplacedAtOnceUnlessThereIsNoCandidateOrOnlyOperatorsReplace() {
+    Assertions.assertEquals("DRAINING abd", draining("abc", "d", "c", CONFIG));
+    Assertions.assertEquals("DRAINING abdef", draining("abcde", "f", "c", CONFIG));
+    Assertions.assertEquals("none", draining("abc", "", "c", CONFIG));
+    Assertions.assertEquals("none", draining("abc", "d", "c", QuorumConfig.DEFAULT));
+    Assertions.assertEquals(
+        "DRAINING acd", draining("abc", "d", "bc", CONFIG), "one candidate replaces one member");
     Assertions.assertEquals(
-        "DRAINING acd", leaving("abc", "d", "bc", CONFIG), "one place a machine");
-    Assertions.assertEquals("none", leaving("abcde", "f", "bcde", CONFIG), "two live of five");
+        "none", draining("abcde", "f", "bcde", CONFIG), "two of five would be alive");
   }
 
-  private static String leaving(String now, String joiners, String leaving, QuorumConfig config) {
+  private static String draining(
+      String current, String joiners, String draining, QuorumConfig config) {
     MembershipPlan.MembershipChange change =
         new MembershipPlan(
-                new MemberSet(4, members(now, "d")),
+                new MemberSet(4, members(current, "d")),
                 members(joiners, "e"),
-                name -> !leaving.contains(name))
-            .nextChange(name -> 0, leaving::contains, config);
+                name -> !draining.contains(name))
+            .nextChange(name -> 0, draining::contains, config);
     return change == null
         ? "none"
         : change.reason()
@@ -93,15 +99,17 @@
   }
 
   @Test
-  void aMachineBackEmptyIsReplacedByItselfFirst() {
+  void aWipedMachineIsReplacedByItselfFirst() {
     Assertions.assertEquals("WIPED_DISK abc", next("abc", "cd", "c", 1001, QuorumConfig.DEFAULT));
     Assertions.assertEquals("none", next("abc", "c", "c", 1000, QuorumConfig.DEFAULT));
     Assertions.assertEquals(
-        "none", next("abc", "c", "", 1001, QuorumConfig.DEFAULT), "its old disk lives");
+        "none",
+        next("abc", "c", "", 1001, QuorumConfig.DEFAULT),
+        "the member with its old disk is alive");
   }
 
   @Test
-  void neverASetOfWhichFewerThanAMajorityLive() {
+  void noSetIsPlannedOfWhichFewerThanAMajorityAreAlive() {
     Assertions.assertEquals("none", next("abcde", "f", "bcde", 9000, CONFIG));
     Assertions.assertEquals("DEAD abdef", next("abcde", "f", "cde", 9000, CONFIG));
     Assertions.assertEquals("none", next("ab", "c", "", 0, CONFIG.with().targetMembers(1).build()));
--- a/control-plane/src/test/java/gladelug/control/core/PendingChangeTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PendingChangeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests what becomes of one change on its way to its answer. */
+/** Tests the states of a change from its receipt to its answer. */
 final class PendingChangeTest {
   private final List<ChangeResult> answers = new ArrayList<>();
   private final PendingChange change =
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void whatIsWrittenIsNoDuplicateAndHasTheValuesNumber() {
+  void aWrittenChangeIsNoDuplicateAndHasTheNumberOfItsValue() {
     change.write(VersionedValue.NONE.next(change.digest(), new byte[] {1}), 120);
 
     Assertions.assertFalse(change.isDuplicate());
--- a/control-plane/src/test/java/gladelug/control/core/PendingConfirmationsTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PendingConfirmationsTest.java
@@ -5,14 +5,14 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests when answers that wait for a majority's confirmation go out. */
+/** Tests when requests that wait for a majority's confirmation are confirmed or abandoned. */
 final class PendingConfirmationsTest {
-  private final List<String> ran = new ArrayList<>();
+  private final List<String> calls = new ArrayList<>();
   private final PendingConfirmations pending = new PendingConfirmations(2);
 
   private boolean add(String name, long lastRound, long now) {
     return pending.add(
-        lastRound, now, () -> ran.add(name + " confirmed"), () -> ran.add(name + " abandoned"));
+        lastRound, now, () -> calls.add(name + " confirmed"), () -> calls.add(name + " abandoned"));
   }
 
   @Test
@@ -21,18 +21,18 @@
     add("second", 8, 0);
 
     pending.onRoundConfirmed(7);
-    Assertions.assertEquals(List.of(), ran);
+    Assertions.assertEquals(List.of(), calls);
 
     pending.onRoundConfirmed(8);
-    Assertions.assertEquals(List.of("first confirmed"), ran);
+    Assertions.assertEquals(List.of("first confirmed"), calls);
 
     pending.onRoundConfirmed(9);
-    Assertions.assertEquals(List.of("first confirmed", "second confirmed"), ran);
+    Assertions.assertEquals(List.of("first confirmed", "second confirmed"), calls);
     Assertions.assertTrue(pending.isEmpty());
   }
 
   @Test
-  void moreThanItsCapacityIsRefusedAndNeverRuns() {
+  void aRequestBeyondTheCapacityIsRefusedAndNeverRuns() {
     add("first", 0, 0);
     add("second", 0, 0);
 
@@ -40,18 +40,18 @@
     pending.abandonAll();
 
     Assertions.assertFalse(added);
-    Assertions.assertEquals(List.of("first abandoned", "second abandoned"), ran);
+    Assertions.assertEquals(List.of("first abandoned", "second abandoned"), calls);
   }
 
   @Test
-  void whatWaitsForTooLongIsAbandonedOnce() {
+  void aRequestThatWaitsForTooLongIsAbandonedOnce() {
     add("first", 0, 100);
     add("second", 0, 101);
 
     pending.abandonRequestedUntil(100);
     pending.onRoundConfirmed(1);
 
-    Assertions.assertEquals(List.of("first abandoned", "second confirmed"), ran);
+    Assertions.assertEquals(List.of("first abandoned", "second confirmed"), calls);
   }
 
   @Test
@@ -62,6 +62,6 @@
     Assertions.assertFalse(pending.isEmpty());
 
     pending.onRoundConfirmed(2);
-    Assertions.assertEquals(List.of("second confirmed"), ran);
+    Assertions.assertEquals(List.of("second confirmed"), calls);
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What core members of different releases must agree on: the bytes of each message between them and
- * the names of the entries on disk, held against literals. Classes and constants may be renamed
- * freely; a literal here changes only with a new release of the wire.
+ * Compares what core members of different releases must agree on with literals: the bytes of each
+ * message between them and the names of the entries on disk. Classes and constants may be renamed
+ * freely; a literal here changes only with a new version of the wire format.
  */
 final class PublishedNamesTest {
   private static VersionedValue value() {
@@ -46,11 +46,11 @@
             new MemberSet.Member("a", "d", Address.of("10.0.0.1:1"), Address.of("10.0.0.1:2"))));
   }
 
-  private static CoreMessage changed(ChangeResult answer) {
-    return new CoreMessage.ForwardedChangeResponse(1, answer);
+  private static CoreMessage changed(ChangeResult result) {
+    return new CoreMessage.ForwardedChangeResponse(1, result);
   }
 
-  /** An example of each message and of each answer to a change; every list in it has an entry. */
+  /** Returns an example of each message and of each result of a change, by a name of its own. */
   static Map<String, CoreMessage> examples() {
     Map<String, CoreMessage> examples = new LinkedHashMap<>();
     List<RegisterRecord> kept =
@@ -217,14 +217,14 @@
   }
 
   @Test
-  void eachMessageHasTheBytesItAlwaysHad() {
+  void eachMessageHasItsPublishedBytes() {
     Map<String, String> now = new LinkedHashMap<>();
     examples().forEach((name, message) -> now.put(name, HexFormat.of().formatHex(bytes(message))));
     Assertions.assertEquals(BYTES, now);
   }
 
   @Test
-  void theBytesAreReadAsTheSameMessage() throws IOException {
+  void thePublishedBytesAreReadAsTheSameMessage() throws IOException {
     for (Map.Entry<String, String> entry : BYTES.entrySet()) {
       Envelope read = WireRecord.read(HexFormat.of().parseHex(entry.getValue()), Envelope::read);
       Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.bytes(read)));
@@ -232,7 +232,7 @@
   }
 
   @Test
-  void noMessageIsLeftOut() {
+  void theExamplesCoverAllMessagesAndResults() {
     Set<Class<?>> known = new HashSet<>();
     for (CoreMessage example : examples().values()) {
       known.add(example.getClass());
@@ -244,9 +244,12 @@
     Assertions.assertEquals(all, known);
   }
 
-  /** Each name is known, as what can't be read under it is found; under another name it isn't. */
+  /**
+   * An unreadable record is reported under each known name and under no other, which shows that the
+   * name is known.
+   */
   @Test
-  void theEntriesOnDiskHaveTheirNames() {
+  void theEntriesOnDiskHaveTheirPublishedNames() {
     byte[] unreadable = {9};
     Set<String> found = new TreeSet<>();
     for (String name :
--- a/control-plane/src/test/java/gladelug/control/core/QuorumConfigTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/QuorumConfigTest.java
@@ -3,20 +3,21 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of QuorumConfig. */
+/** Tests the builder and the validation of {@link QuorumConfig}. */
 final class QuorumConfigTest {
   @Test
-  void aBuilderBeginsFromTheUsualAndChangesOnlyWhatItIsTold() {
+  void aBuilderStartsFromTheDefaultsAndChangesOnlyWhatIsSet() {
     Assertions.assertEquals(QuorumConfig.DEFAULT, QuorumConfig.builder().build());
-    QuorumConfig t = QuorumConfig.builder().leaseMs(1500).targetMembers(5).build();
-    Assertions.assertEquals(t, QuorumConfig.DEFAULT.with().targetMembers(5).leaseMs(1500).build());
-    Assertions.assertEquals(1500, t.leaseMs());
-    Assertions.assertEquals(QuorumConfig.DEFAULT.changeTimeoutMs(), t.changeTimeoutMs());
+    QuorumConfig config = QuorumConfig.builder().leaseMs(1500).targetMembers(5).build();
+    Assertions.assertEquals(
+        config, QuorumConfig.DEFAULT.with().targetMembers(5).leaseMs(1500).build());
+    Assertions.assertEquals(1500, config.leaseMs());
+    Assertions.assertEquals(QuorumConfig.DEFAULT.changeTimeoutMs(), config.changeTimeoutMs());
   }
 
   @Test
-  void allThatCannotBeIsNamedTogether() {
-    String s =
+  void allInvalidValuesAreReportedTogether() {
+    String message =
         Assertions.assertThrows(
                 IllegalArgumentException.class,
                 () ->
@@ -29,13 +30,13 @@
                         .changeTimeoutMs(0)
                         .build())
             .getMessage();
-    for (String w :
+    for (String expected :
         new String[] {
           "targetMembers must be odd",
           "peerTimeoutMs must be",
           "commandHandoverGapMs must be",
           "replaceDeadAfterMs must",
           "every time"
-        }) Assertions.assertTrue(s.contains(w), w + " in " + s);
+        }) Assertions.assertTrue(message.contains(expected), expected + " in " + message);
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
@@ -31,16 +31,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Stored data stays readable: a data folder that an earlier release wrote is opened by the
- * product's ordinary way, and each record in it is compared with literals.
+ * Tests that stored data stays readable: a data folder written by an earlier release is opened in
+ * the way the product does it, and each record in it is compared with literals.
  *
- * <p>The folder is in data-folder-22b10e2.zip, named after the commit whose classes wrote it by
- * {@link #write}. The files in it are the ring's four of 1 MiB each, the identity and the lock
- * file; the records went round from the first file of the ring into the second.
+ * <p>The folder is in data-folder-22b10e2.zip, which is named after the commit whose classes wrote
+ * it with {@link #write}. It contains the ring's four files of 1 MiB each, the identity and the
+ * lock file. The records fill the first file of the ring and continue in the second.
  *
- * <p>The archive is never made anew: a later release that needs another one adds it beside this
- * one, with its own test. Names and values are literals here, not the product's constants, so that
- * a changed constant shows.
+ * <p>The archive must never be regenerated: a later release that needs another one adds it with a
+ * test of its own. Names and values are literals here instead of the product's constants, so that a
+ * changed constant fails the test.
  */
 final class StoredDataOfAnEarlierReleaseTest {
   private static final String ARCHIVE = "data-folder-22b10e2.zip";
@@ -57,16 +57,16 @@
 
   @TempDir Path parent;
 
-  /** A host that writes each record to a ring at once, and does nothing else. */
+  /** A host that writes each record to a ring at once and does nothing else. */
   private record RingHost(RecordRing ring) implements CoreHost {
     @Override
-    public void sync(String key, byte[] state, Runnable done) {
+    public void sync(String key, byte[] state, Runnable onStored) {
       try {
         ring.write(List.of(new RecordRing.Entry(key, state)));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
-      done.run();
+      onStored.run();
     }
 
     @Override
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public long random(long below) {
+    public long random(long bound) {
       return 0;
     }
 
@@ -88,7 +88,7 @@
     public void send(String member, CoreMessage.Envelope message) {}
 
     @Override
-    public void sendTo(Address to, CoreMessage.Envelope message) {}
+    public void sendTo(Address address, CoreMessage.Envelope message) {}
 
     @Override
     public List<Address> contactAddresses() {
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void pushUpdate(String node, StateUpdate message) {}
+    public void pushUpdate(String subscriber, StateUpdate update) {}
 
     @Override
     public void onMembersChanged(MemberSet members) {}
@@ -110,19 +110,21 @@
         name, disk, Address.of("10.0.0." + host + ":4001"), Address.of("10.0.0." + host + ":4003"));
   }
 
-  private static byte[] text(String text) {
+  private static byte[] utf8(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
   private static VersionedValue next(
       VersionedValue before, String body, long base, long takenAt, String takenBy, String summary) {
-    return before.next(Digest.hex(body), text(body), base, takenAt, takenBy, summary);
+    return before.next(Digest.hex(body), utf8(body), base, takenAt, takenBy, summary);
   }
 
   /**
-   * Writes the records of the archive to a member's ring, by the classes that write them in a
-   * running member. The archive holds the folder that this made from an empty one, opened with the
-   * three founders; disk: the id which that folder was given.
+   * Writes the records of the archive to a member's ring, using the classes that write them in a
+   * running member. The archive holds the folder that this method filled, starting from an empty
+   * one opened with the three bootstrap members.
+   *
+   * @param disk the id of the folder's disk
    */
   private static void write(RecordRing ring, String disk) {
     RingHost host = new RingHost(ring);
@@ -142,7 +144,7 @@
     host.sync("pinned", first.bytes(), nothing);
     host.sync("members", present.bytes(), nothing);
 
-    RegisterStore cells = new RegisterStore(host, Map.of());
+    RegisterStore registers = new RegisterStore(host, Map.of());
     VersionedValue policy =
         next(
             VersionedValue.NONE,
@@ -151,7 +153,7 @@
             1_700_000_000_000L,
             NAME,
             "first");
-    cells.keep("policy", new Register(3298534883584L, 3298534883584L, policy), nothing);
+    registers.keep("policy", new Register(3298534883584L, 3298534883584L, policy), nothing);
     policy = next(policy, "{\"services\":[],\"n\":2}", 41, 1_700_000_001_000L, "core-b", "grew");
     policy =
         next(
@@ -161,36 +163,38 @@
             1_700_000_002_000L,
             "core-b",
             "caf\u00e9 \u2192 3");
-    cells.keep("policy", new Register(3298534883841L, 3298534883841L, policy), nothing);
-    cells.keep("policy", new Register(3298534884354L, 3298534884098L, policy), nothing);
+    registers.keep("policy", new Register(3298534883841L, 3298534883841L, policy), nothing);
+    registers.keep("policy", new Register(3298534884354L, 3298534884098L, policy), nothing);
 
     VersionedValue weights = VersionedValue.NONE;
     for (int i = 0; i < 520; i++)
       weights = next(weights, "{\"named\":{}}", i, 1000 + i, NAME, "w" + i);
-    cells.keep("weights", new Register(3298534883584L, 3298534883584L, weights), nothing);
+    registers.keep("weights", new Register(3298534883584L, 3298534883584L, weights), nothing);
 
     VersionedValue replicas = VersionedValue.NONE;
     for (int i = 1; i <= 12; i++) {
       byte[] body = new byte[LARGE_BODY_BYTES];
       Arrays.fill(body, (byte) ('a' + i));
       replicas = replicas.next(Digest.hex(body), body);
-      cells.keep("replicas", new Register(3298534883584L, 3298534883584L, replicas), nothing);
+      registers.keep("replicas", new Register(3298534883584L, 3298534883584L, replicas), nothing);
     }
     VersionedValue core = VersionedValue.NONE.next(Digest.hex(next.bytes()), next.bytes());
-    cells.keep("core", new Register(3298534883585L, 3298534883585L, core), nothing);
-    cells.keep("shares", new Register(3298534883586L, 0, VersionedValue.NONE), nothing);
+    registers.keep("core", new Register(3298534883585L, 3298534883585L, core), nothing);
+    registers.keep("shares", new Register(3298534883586L, 0, VersionedValue.NONE), nothing);
     VersionedValue commander = next(VersionedValue.NONE, "core-c", 0, 5, "core-c", "");
-    cells.keep("commander/east", new Register(3298534883584L, 3298534883584L, commander), nothing);
-    cells.keep("commander/east", new Register(3298534883842L, 3298534883584L, commander), nothing);
+    registers.keep(
+        "commander/east", new Register(3298534883584L, 3298534883584L, commander), nothing);
+    registers.keep(
+        "commander/east", new Register(3298534883842L, 3298534883584L, commander), nothing);
     host.sync("sealed", next.bytes(), nothing);
   }
 
-  private static CoreDataFolder opened(Path folder) {
+  private static CoreDataFolder open(Path folder) {
     return CoreDataFolder.open(NAME, folder.toString(), RING_FILE_MB, List.of());
   }
 
-  /** The folder of the earlier release, unpacked. */
-  private Path unpacked() throws IOException {
+  /** Unpacks the folder of the earlier release. */
+  private Path unpackArchive() throws IOException {
     Path folder = Files.createDirectory(parent.resolve("data"));
     try (InputStream file = StoredDataOfAnEarlierReleaseTest.class.getResourceAsStream(ARCHIVE);
         ZipInputStream zip = new ZipInputStream(file)) {
@@ -200,13 +204,19 @@
     return folder;
   }
 
-  private static String told(Register cell) {
-    VersionedValue value = cell.value();
-    return cell.promised() + " " + cell.epoch() + " " + value.number() + " " + value.digest();
+  private static String describe(Register register) {
+    VersionedValue value = register.value();
+    return register.promised()
+        + " "
+        + register.epoch()
+        + " "
+        + value.number()
+        + " "
+        + value.digest();
   }
 
-  private static List<String> history(Register cell) {
-    return cell.value().history().stream()
+  private static List<String> history(Register register) {
+    return register.value().history().stream()
         .map(
             entry ->
                 String.join(
@@ -219,17 +229,17 @@
         .toList();
   }
 
-  private static List<String> taken(Register cell) {
-    return cell.value().takenChanges().entries().stream()
+  private static List<String> taken(Register register) {
+    return register.value().takenChanges().entries().stream()
         .map(taken -> taken.number() + " " + taken.digest() + " " + taken.base())
         .toList();
   }
 
-  private static String body(Register cell) {
-    return new String(cell.value().body(), StandardCharsets.UTF_8);
+  private static String body(Register register) {
+    return new String(register.value().body(), StandardCharsets.UTF_8);
   }
 
-  private static String told(MemberSet members) {
+  private static String describe(MemberSet members) {
     return members.generation()
         + members.all().stream()
             .map(
@@ -245,28 +255,29 @@
             .collect(Collectors.joining());
   }
 
-  private static void is(Register cell, String told, List<String> history, List<String> taken) {
-    Assertions.assertEquals(told, told(cell));
-    Assertions.assertEquals(history, history(cell));
-    Assertions.assertEquals(taken, taken(cell));
+  private static void assertRegister(
+      Register register, String expected, List<String> history, List<String> taken) {
+    Assertions.assertEquals(expected, describe(register));
+    Assertions.assertEquals(history, history(register));
+    Assertions.assertEquals(taken, taken(register));
   }
 
   @Test
   void theIdentityIsRead() throws IOException {
-    try (CoreDataFolder disk = opened(unpacked())) {
+    try (CoreDataFolder disk = open(unpackArchive())) {
       Assertions.assertEquals(DISK, disk.id());
       Assertions.assertEquals(IDENTITY, disk.folder().identity());
       Assertions.assertEquals(1_048_576, disk.ring().fileSize());
       Assertions.assertEquals(
           "0 core-a==10.0.0.1:4001/10.0.0.1:4003 core-b==10.0.0.2:4001/10.0.0.2:4003"
               + " core-c==10.0.0.3:4001/10.0.0.3:4003",
-          told(new MemberSet(0, disk.founders())));
+          describe(new MemberSet(0, disk.founders())));
     }
   }
 
   @Test
-  void allRecordsAreThereAndNoneIsAFinding() throws IOException {
-    try (CoreDataFolder disk = opened(unpacked())) {
+  void allRecordsArePresentAndNoneIsReportedAsUnreadable() throws IOException {
+    try (CoreDataFolder disk = open(unpackArchive())) {
       Map<String, byte[]> live = disk.ring().live();
       Map<String, String> digests = new TreeMap<>();
       live.forEach((name, record) -> digests.put(name, Digest.hex(record)));
@@ -298,10 +309,10 @@
 
   @Test
   void aValueIsReadWithItsHistoryItsTakenChangesAndItsLaterEpochs() throws IOException {
-    try (CoreDataFolder disk = opened(unpacked())) {
-      RegisterStore cells = new RegisterStore(new RingHost(disk.ring()), disk.ring().live());
-      Register policy = cells.get("policy");
-      is(
+    try (CoreDataFolder disk = open(unpackArchive())) {
+      RegisterStore registers = new RegisterStore(new RingHost(disk.ring()), disk.ring().live());
+      Register policy = registers.get("policy");
+      assertRegister(
           policy,
           "3298534884354 3298534884098 3"
               + " ff5b0cc70c2af66c1533727faa1c74e16372544c61ef56534ab538b687c8c891",
@@ -318,9 +329,9 @@
       Assertions.assertEquals("{\"services\":[],\"n\":3}", body(policy));
       Assertions.assertEquals(-1, policy.value().takenChanges().forgottenBase());
 
-      Register commander = cells.get("commander/east");
+      Register commander = registers.get("commander/east");
       String digest = "3fe5952485ae0a8827e071e863fe02d5888285b0503002e947c50178cd6c4661";
-      is(
+      assertRegister(
           commander,
           "3298534883842 3298534883584 1 " + digest,
           List.of("1 " + digest + " 5 core-c "),
@@ -330,8 +341,8 @@
   }
 
   @Test
-  void theWholeListOfTakenChangesIsReadAndWhatHadToMakeRoom() throws IOException {
-    try (CoreDataFolder disk = opened(unpacked())) {
+  void theFullListOfTakenChangesIsReadWithTheNewestForgottenBase() throws IOException {
+    try (CoreDataFolder disk = open(unpackArchive())) {
       Register weights =
           new RegisterStore(new RingHost(disk.ring()), disk.ring().live()).get("weights");
       String digest = "6a5dcb6447bc85f950cf03ae4e921fb9c7a37be08e5e17a0574170f40ee3a460";
@@ -341,7 +352,7 @@
               .toList();
       List<String> taken =
           IntStream.rangeClosed(9, 520).mapToObj(n -> n + " " + digest + " " + (n - 1)).toList();
-      is(weights, "3298534883584 3298534883584 520 " + digest, history, taken);
+      assertRegister(weights, "3298534883584 3298534883584 520 " + digest, history, taken);
       Assertions.assertEquals("{\"named\":{}}", body(weights));
       Assertions.assertEquals(7, weights.value().takenChanges().forgottenBase());
     }
@@ -349,28 +360,28 @@
 
   @Test
   void aLargeValueAndAKeyWithoutOneAreRead() throws IOException {
-    try (CoreDataFolder disk = opened(unpacked())) {
-      RegisterStore cells = new RegisterStore(new RingHost(disk.ring()), disk.ring().live());
-      Register replicas = cells.get("replicas");
+    try (CoreDataFolder disk = open(unpackArchive())) {
+      RegisterStore registers = new RegisterStore(new RingHost(disk.ring()), disk.ring().live());
+      Register replicas = registers.get("replicas");
       Assertions.assertEquals(
           "3298534883584 3298534883584 12"
               + " f45333393d79f473d706f3b1d97ee05244ac4636f2a209bad56588294b5854e4",
-          told(replicas));
+          describe(replicas));
       Assertions.assertEquals("m".repeat(100_000), body(replicas));
       Assertions.assertEquals(List.of(), taken(replicas));
       Assertions.assertEquals(12, history(replicas).size());
       Assertions.assertEquals(
           "1 768b54e315c41a8d1ae3a29f677bff3b327e238e98e644dc7d566442f5920f8d 0  ",
           history(replicas).get(0));
-      is(cells.get("shares"), "3298534883586 0 0 ", List.of(), List.of());
-      Assertions.assertEquals(0, cells.get("shares").value().body().length);
-      Assertions.assertEquals(6, cells.versions().size());
+      assertRegister(registers.get("shares"), "3298534883586 0 0 ", List.of(), List.of());
+      Assertions.assertEquals(0, registers.get("shares").value().body().length);
+      Assertions.assertEquals(6, registers.versions().size());
     }
   }
 
   @Test
-  void theMembersTheSealAndThePinAreRead() throws IOException {
-    try (CoreDataFolder disk = opened(unpacked())) {
+  void theMembersTheSealAndTheBootstrapSetAreRead() throws IOException {
+    try (CoreDataFolder disk = open(unpackArchive())) {
       Map<String, byte[]> live = disk.ring().live();
       String self = " core-a=1c941a5a5e71bf5b622e1738=10.0.0.1:4001/10.0.0.1:4003";
       String next =
@@ -381,28 +392,28 @@
           "1"
               + self
               + " core-b=b1=10.0.0.2:4001/10.0.0.2:4003 core-c=c1=10.0.0.3:4001/10.0.0.3:4003",
-          told(MemberSet.of(live.get("pinned"))));
+          describe(MemberSet.of(live.get("pinned"))));
       Assertions.assertEquals(
           "3"
               + self
               + " core-b=b2=10.0.0.2:4001/10.0.0.2:4003 core-c=c1=10.0.0.3:4001/10.0.0.3:4003",
-          told(MemberSet.of(live.get("members"))));
-      Assertions.assertEquals(next, told(MemberSet.of(live.get("sealed"))));
+          describe(MemberSet.of(live.get("members"))));
+      Assertions.assertEquals(next, describe(MemberSet.of(live.get("sealed"))));
       Register core = RegisterStore.read(live, "core");
       Assertions.assertEquals(
           "3298534883585 3298534883585 1"
               + " 3caaffb28744f04a58e6857dabdd2af6453e1f6235f37a223085fa55818a3057",
-          told(core));
-      Assertions.assertEquals(next, told(MemberSet.of(core.value().body())));
+          describe(core));
+      Assertions.assertEquals(next, describe(MemberSet.of(core.value().body())));
     }
   }
 
-  /** So an earlier release can read it too, where one has to be put back. */
+  /** Guards against data that an earlier release cannot read, which would prevent a rollback. */
   @Test
   void thisReleaseWritesTheSameBytes() throws IOException {
     List<MemberSet.Member> founders =
         List.of(member(NAME, "", 1), member("core-b", "", 2), member("core-c", "", 3));
-    try (CoreDataFolder earlier = opened(unpacked());
+    try (CoreDataFolder earlier = open(unpackArchive());
         CoreDataFolder now =
             CoreDataFolder.open(NAME, parent.resolve("now").toString(), RING_FILE_MB, founders)) {
       write(now.ring(), earlier.id());
--- a/control-plane/src/test/java/gladelug/control/core/SubscriberLeasesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/SubscriberLeasesTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests for which leases the acknowledgement of a change waits. */
+/** Tests which leases the acknowledgement of a change waits for. */
 final class SubscriberLeasesTest {
   private static final int CONTACT_MS = 500;
   private static final int ACKNOWLEDGEMENT_TIMEOUT_MS = 900;
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aLeaseOnTheFormerNumberIsWaitedForUntilItsHolderHasTheChange() {
+  void aLeaseOnThePreviousNumberIsAwaitedUntilItsHolderHasTheChange() {
     SubscriberLeases leases = leases(AcknowledgementMode.STRICT);
     leases.grant("r1", 4, 2000, 0);
 
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aLeaseIsWaitedForToItsLastMomentAndCountedAsLapsedOnce() {
+  void aLeaseIsAwaitedUntilItExpiresAndCountedAsLapsedOnce() {
     SubscriberLeases leases = leases(AcknowledgementMode.STRICT);
     leases.grant("r1", 4, 2000, 0);
 
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void whoHasNoLeaseIsNotCounted() {
+  void aSubscriberWithoutALeaseIsNotCounted() {
     SubscriberLeases leases = leases(AcknowledgementMode.STRICT);
 
     leases.onRequest("r1", 5, 0);
