--- a/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
+++ b/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
@@ -35,6 +35,7 @@
   /** The bootstrap members by name; their disk ids are not known yet. */
   private final MemberSet members;
 
+  /** The id of the disk that each member was last heard with, this one included. */
   private final Map<String, String> disksByName = new HashMap<>();
 
   /**
@@ -48,7 +49,9 @@
    */
   private final Set<String> bootstrapDisks = new HashSet<>();
 
+  /** By member name: the set that it was last known to have stored. */
   private final Map<String, MemberSet> storedSets = new HashMap<>();
+
   private MemberSet storedSet = MemberSet.NONE;
 
   Bootstrap(String self, String disk, List<MemberSet.Member> members) {
--- a/control-plane/src/main/java/gladelug/control/core/CoreMember.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreMember.java
@@ -74,7 +74,10 @@
   final String self;
   final String disk;
   final long startedAtMs;
+
+  /** Distinguishes this run of the process from earlier ones. */
   final long incarnation;
+
   private final int weightsAgeCutoffMs;
   private final OwnerTasks ownerTasks;
   final RegisterStore registers;
@@ -387,7 +390,7 @@
   }
 
   /** Returns whether a member is alive and not draining. */
-  boolean isAliveAndStays(String member, long nowMs) {
+  boolean isAliveAndNotDraining(String member, long nowMs) {
     return isAlive(member, nowMs) && !membership.isDraining(member, nowMs);
   }
 
@@ -437,8 +440,8 @@
   }
 
   /**
-   * Handles a message from another process. A message of an older generation is answered with the
-   * current members at most.
+   * Handles a message from another member. A message of another generation is not processed; the
+   * sender of one of an older generation is sent the current members.
    */
   public void onMessage(Envelope envelope) {
     long nowMs = host.nowMs();
@@ -876,8 +879,8 @@
     }
 
     @Override
-    public boolean isAliveAndStays(String member, long nowMs) {
-      return CoreMember.this.isAliveAndStays(member, nowMs);
+    public boolean isAliveAndNotDraining(String member, long nowMs) {
+      return CoreMember.this.isAliveAndNotDraining(member, nowMs);
     }
 
     @Override
--- a/control-plane/src/main/java/gladelug/control/core/Elections.java
+++ b/control-plane/src/main/java/gladelug/control/core/Elections.java
@@ -21,7 +21,7 @@
     String claimedOwner(String key, long nowMs);
 
     /** Returns whether a member is alive and not draining. */
-    boolean isAliveAndStays(String member, long nowMs);
+    boolean isAliveAndNotDraining(String member, long nowMs);
 
     /** Returns whether this member is draining. */
     boolean isDraining();
@@ -99,7 +99,7 @@
     String other = context.claimedOwner(owner.key, nowMs);
     List<String> order =
         candidateOrders.computeIfAbsent(owner.key, key -> context.members().order(key));
-    int rank = rank(order, nowMs);
+    int rank = countCandidatesBefore(order, nowMs);
     if (other == null) {
       startWithoutOwnerIfDue(owner, rank, nowMs);
       return;
@@ -114,11 +114,11 @@
   }
 
   /** Returns how many members that could own the key come before this one in its order. */
-  private int rank(List<String> order, long nowMs) {
+  private int countCandidatesBefore(List<String> order, long nowMs) {
     int rank = 0;
     for (String name : order) {
       if (name.equals(self)) break;
-      if (context.isAliveAndStays(name, nowMs)) rank++;
+      if (context.isAliveAndNotDraining(name, nowMs)) rank++;
     }
     return rank;
   }
--- a/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
+++ b/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
@@ -32,7 +32,9 @@
   private final long incarnation;
   private final Map<String, PeerStatus> peers = new HashMap<>();
 
+  /** Whether this member's disk accepts writes. */
   private boolean healthy = true;
+
   private long healthySinceMs = CoreHost.NEVER;
   private boolean newcomer = true;
   private long generationStartedAtMs;
--- a/control-plane/src/main/java/gladelug/control/core/ForwardedReads.java
+++ b/control-plane/src/main/java/gladelug/control/core/ForwardedReads.java
@@ -11,7 +11,7 @@
 /**
  * Tracks reads that this member forwarded to the owner at another member until the owner answers,
  * is no longer alive or exceeds the time-out. A read changes nothing, so a lost one can simply be
- * retried. Called on the core's thread only.
+ * retried. Called on the core's thread only; times are of the host's monotonic clock, in ms.
  */
 final class ForwardedReads {
   /**
--- a/control-plane/src/main/java/gladelug/control/core/Membership.java
+++ b/control-plane/src/main/java/gladelug/control/core/Membership.java
@@ -64,8 +64,13 @@
 
   private final CoreMember context;
   private final MemberSet.Member self;
+
+  /** The agreement on the first members; null if this member takes no part in it, or no more. */
   private Bootstrap bootstrap;
+
   private MemberSet members = MemberSet.NONE;
+
+  /** Whether a later generation is active without this member. */
   private boolean retired;
 
   /** The members of the newest known generation, to which this member may not belong. */
@@ -74,6 +79,7 @@
   /** The newest generation of which a message arrived. */
   private long newestGenerationHeard;
 
+  /** The bootstrap set whose write to disk is in progress, or null. */
   private MemberSet bootstrapSetBeingStored;
 
   /** Whether this bootstrap member knows nodes other than the bootstrap members. */
@@ -265,9 +271,7 @@
       if (member != null && member.disk().equals(envelope.senderDisk()))
         sendGeneration(envelope.sender(), nowMs);
       else {
-        // the fleet exists already, and the sender has another disk or is not one of its members:
-        // it has
-        // to join
+        // the fleet exists already, and the sender has another disk or is no member: it has to join
         context.host.logEvent("unknown-node-at-bootstrap", "name", envelope.sender());
         context.host.sendTo(
             Address.of(announcement.records()), newEnvelope(new Activate(members, List.of())));
@@ -318,9 +322,7 @@
       }
       return;
     }
-    // sent as to a non-member, at an address that another machine had before: the registers are
-    // still
-    // to come
+    // sent to an address that a non-member had before, so the registers are still to come
     if (received.generation() > 1 && activation.registers().isEmpty()) return;
     installGeneration(received, activation.registers());
   }
@@ -409,8 +411,8 @@
     if (isSealed() || hasStandbySuccessor()) return false;
     int others = 0;
     for (MemberSet.Member member : members.all())
-      if (!member.name().equals(context.self) && context.isAliveAndStays(member.name(), nowMs))
-        others++;
+      if (!member.name().equals(context.self)
+          && context.isAliveAndNotDraining(member.name(), nowMs)) others++;
     return others >= Math.min(members.majority(), members.all().size() - 1);
   }
 
@@ -471,11 +473,11 @@
    * Creates a plan from the recent join candidates. A committed next member set cannot be
    * withdrawn, so only candidates heard within the peer time-out are added.
    */
-  private MembershipPlan plan(long nowMs) {
+  private MembershipPlan newPlan(long nowMs) {
     return new MembershipPlan(
         members,
         joinCandidates(context.config.peerTimeoutMs()),
-        name -> context.isAliveAndStays(name, nowMs));
+        name -> context.isAliveAndNotDraining(name, nowMs));
   }
 
   /**
@@ -489,7 +491,7 @@
     lastPlannedAtMs = nowMs;
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null) return;
     MembershipPlan.MembershipChange change =
-        plan(nowMs)
+        newPlan(nowMs)
             .nextChange(
                 name -> context.silenceMs(name, nowMs),
                 name -> isDraining(name, nowMs),
@@ -546,7 +548,7 @@
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null)
       return "another change of members is in progress";
     MembershipPlan.MembershipChange change =
-        plan(context.host.nowMs())
+        newPlan(context.host.nowMs())
             .change(MembershipChangeReason.OPERATOR_REQUEST, List.of(removed), List.of(candidate));
     if (change == null)
       return "fewer than a majority of the members would be alive after the replacement";
--- a/control-plane/src/main/java/gladelug/control/core/PendingChange.java
+++ b/control-plane/src/main/java/gladelug/control/core/PendingChange.java
@@ -19,7 +19,10 @@
   private final long receivedAtMs;
   private final Consumer<ChangeResult> onResult;
   private final Set<String> acceptedBy = new HashSet<>();
+
+  /** Whether a majority confirmed the owner after this change was received. */
   private boolean ownershipConfirmed;
+
   private long number;
   private VersionedValue value;
   private long sentAtMs;
--- a/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
+++ b/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
@@ -27,7 +27,13 @@
   public record NumberedValue(
       long number, String digest, byte[] body, Map<Long, String> rememberedDigests) {}
 
-  /** The register that one member stores for one key. */
+  /**
+   * The register that one member stores for one key.
+   *
+   * @param promised the highest promised epoch
+   * @param epoch the epoch under which the value was accepted
+   * @param value the accepted value
+   */
   public record DecodedRegister(long promised, long epoch, NumberedValue value) {}
 
   /** Returns the key to which a durable entry belongs; an empty string for other entries. */
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
@@ -48,8 +48,9 @@
   private static final long SUBSCRIBER_EXPIRY_MS = 60_000;
 
   /** Minimum interval between two unrequested pushes of the same full value to the same process. */
-  private static final long PUSH_INTERVAL_MS = 300;
+  private static final long MIN_PUSH_INTERVAL_MS = 300;
 
+  /** How many pushes are remembered; beyond that all are forgotten. */
   private static final int MAX_REMEMBERED_PUSHES = 4096;
 
   /** The services of the member that the registry uses. */
@@ -77,7 +78,9 @@
   /** By process name, key and version number: when that value was last pushed. */
   private final Map<String, Long> pushedAtMs = new HashMap<>();
 
+  /** The number of relays at the last count. */
   private int relayCount;
+
   private long relaysCountedAtMs = CoreHost.NEVER;
 
   SubscriberRegistry(CoreHost host, Context context) {
@@ -255,7 +258,7 @@
     VersionedValue value = owner.value();
     String pushKey = subscriber.name() + " " + owner.key + " " + value.number();
     Long lastPushAtMs = pushedAtMs.get(pushKey);
-    if (!requested && lastPushAtMs != null && nowMs - lastPushAtMs < PUSH_INTERVAL_MS) return;
+    if (!requested && lastPushAtMs != null && nowMs - lastPushAtMs < MIN_PUSH_INTERVAL_MS) return;
     if (pushedAtMs.size() > MAX_REMEMBERED_PUSHES) pushedAtMs.clear();
     pushedAtMs.put(pushKey, nowMs);
     push(
--- a/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
@@ -35,31 +35,31 @@
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     Assertions.assertNull(a.nextSetToStore(true));
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    MemberSet s = a.nextSetToStore(true);
-    Assertions.assertEquals(set("a1", "b1", "c1"), s);
+    MemberSet proposed = a.nextSetToStore(true);
+    Assertions.assertEquals(set("a1", "b1", "c1"), proposed);
     Assertions.assertNull(a.nextSetToStore(false), "must not propose yet");
-    a.onSetStored(s);
-    a.onAnnouncement("b", "b1", s);
+    a.onSetStored(proposed);
+    a.onAnnouncement("b", "b1", proposed);
     Assertions.assertNull(a.agreedSet());
-    a.onAnnouncement("c", "c1", s);
-    Assertions.assertEquals(s, a.agreedSet());
+    a.onAnnouncement("c", "c1", proposed);
+    Assertions.assertEquals(proposed, a.agreedSet());
   }
 
   @Test
   void theOthersProposeNoneButStoreTheFirstMembersSetEvenIfAnotherLostItsDiskMeanwhile() {
-    MemberSet s = set("a1", "b1", "c1");
+    MemberSet proposed = set("a1", "b1", "c1");
     Bootstrap b = newBootstrap("b", "b1");
     b.onAnnouncement("a", "a1", MemberSet.NONE);
     b.onAnnouncement("c", "c2", MemberSet.NONE);
     Assertions.assertNull(b.nextSetToStore(true));
-    b.onAnnouncement("a", "a1", s);
-    Assertions.assertEquals(s, b.nextSetToStore(true));
-    b.onSetStored(s);
+    b.onAnnouncement("a", "a1", proposed);
+    Assertions.assertEquals(proposed, b.nextSetToStore(true));
+    b.onSetStored(proposed);
     Assertions.assertEquals(
-        s, b.agreedSet(), "two of three stored it, and the disk of the third is lost");
+        proposed, b.agreedSet(), "two of three stored it, and the disk of the third is lost");
     Bootstrap c = newBootstrap("c", "c2");
-    c.onAnnouncement("a", "a1", s);
-    c.onAnnouncement("b", "b1", s);
+    c.onAnnouncement("a", "a1", proposed);
+    c.onAnnouncement("b", "b1", proposed);
     Assertions.assertNull(c.nextSetToStore(true), "it lost the disk that the set lists");
   }
 
@@ -73,17 +73,17 @@
 
   @Test
   void aSetThatCanNeverBeAgreedIsReplacedByTheNewOneAndNoOther() {
-    MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
+    MemberSet oldSet = set("a1", "b1", "c1"), newSet = set("a2", "b1", "c1");
     Bootstrap b = newBootstrap("b", "b1");
-    b.onAnnouncement("a", "a1", old);
-    b.onSetStored(old);
-    b.onAnnouncement("c", "c1", now);
+    b.onAnnouncement("a", "a1", oldSet);
+    b.onSetStored(oldSet);
+    b.onAnnouncement("c", "c1", newSet);
     Assertions.assertNull(b.nextSetToStore(true), "its proposer may still have its disk");
-    b.onAnnouncement("a", "a2", now);
-    Assertions.assertEquals(now, b.nextSetToStore(true));
-    b.onSetStored(now);
+    b.onAnnouncement("a", "a2", newSet);
+    Assertions.assertEquals(newSet, b.nextSetToStore(true));
+    b.onSetStored(newSet);
     Assertions.assertNull(b.nextSetToStore(true));
-    Assertions.assertEquals(now, b.agreedSet());
+    Assertions.assertEquals(newSet, b.agreedSet());
   }
 
   private static Member joining(String name, String disk) {
@@ -95,24 +95,24 @@
     Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onJoinRequest(joining("c", "c2"));
-    MemberSet s = a.nextSetToStore(true);
-    Assertions.assertEquals(set("a1", "b1", "c2"), s);
-    a.onSetStored(s);
+    MemberSet proposed = a.nextSetToStore(true);
+    Assertions.assertEquals(set("a1", "b1", "c2"), proposed);
+    a.onSetStored(proposed);
     Assertions.assertNull(a.agreedSet(), "stored by one of three");
-    a.onAnnouncement("b", "b1", s);
-    Assertions.assertEquals(s, a.agreedSet());
+    a.onAnnouncement("b", "b1", proposed);
+    Assertions.assertEquals(proposed, a.agreedSet());
   }
 
   @Test
   void aSetWithALostDiskIsAgreedOnceItsMachineAsksToJoin() {
-    MemberSet s = set("a1", "b1", "c1");
+    MemberSet proposed = set("a1", "b1", "c1");
     Bootstrap b = newBootstrap("b", "b1");
-    b.onAnnouncement("a", "a1", s);
+    b.onAnnouncement("a", "a1", proposed);
     b.onAnnouncement("c", "c1", MemberSet.NONE);
     b.onSetStored(b.nextSetToStore(true));
     Assertions.assertNull(b.agreedSet());
     b.onJoinRequest(joining("c", "c2"));
-    Assertions.assertEquals(s, b.agreedSet());
+    Assertions.assertEquals(proposed, b.agreedSet());
   }
 
   @Test
@@ -121,35 +121,35 @@
     Bootstrap c = newBootstrap("c", "c1");
     b.onAnnouncement("c", "c1", MemberSet.NONE);
     b.onJoinRequest(joining("a", "a2"));
-    MemberSet s = b.nextSetToStore(true);
-    Assertions.assertEquals(set("a2", "b1", "c1"), s);
-    b.onSetStored(s);
+    MemberSet proposed = b.nextSetToStore(true);
+    Assertions.assertEquals(set("a2", "b1", "c1"), proposed);
+    b.onSetStored(proposed);
     c.onJoinRequest(joining("a", "a2"));
     c.onAnnouncement("b", "b1", MemberSet.NONE);
     Assertions.assertNull(c.nextSetToStore(true), "a member before it by name bootstraps");
-    c.onAnnouncement("b", "b1", s);
-    Assertions.assertEquals(s, c.nextSetToStore(true));
-    c.onSetStored(s);
-    Assertions.assertEquals(s, c.agreedSet());
+    c.onAnnouncement("b", "b1", proposed);
+    Assertions.assertEquals(proposed, c.nextSetToStore(true));
+    c.onSetStored(proposed);
+    Assertions.assertEquals(proposed, c.agreedSet());
   }
 
   @Test
   void theSetOfALostFirstMemberIsReplacedByTheOneProposedInItsPlace() {
-    MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
+    MemberSet oldSet = set("a1", "b1", "c1"), newSet = set("a2", "b1", "c1");
     Bootstrap c = newBootstrap("c", "c1");
-    c.onAnnouncement("a", "a1", old);
+    c.onAnnouncement("a", "a1", oldSet);
     c.onSetStored(c.nextSetToStore(true));
-    c.onAnnouncement("b", "b1", now);
+    c.onAnnouncement("b", "b1", newSet);
     Assertions.assertNull(c.nextSetToStore(true), "its proposer may still have its disk");
     c.onJoinRequest(joining("a", "a2"));
-    Assertions.assertEquals(now, c.nextSetToStore(true));
-    c.onSetStored(now);
-    Assertions.assertEquals(now, c.agreedSet());
+    Assertions.assertEquals(newSet, c.nextSetToStore(true));
+    c.onSetStored(newSet);
+    Assertions.assertEquals(newSet, c.agreedSet());
     Bootstrap b = newBootstrap("b", "b1");
     b.onJoinRequest(joining("a", "a2"));
-    b.onAnnouncement("c", "c1", old);
+    b.onAnnouncement("c", "c1", oldSet);
     Assertions.assertEquals(
-        old, b.nextSetToStore(true), "a stored set takes precedence over a new one");
+        oldSet, b.nextSetToStore(true), "a stored set takes precedence over a new one");
   }
 
   @Test
@@ -157,9 +157,9 @@
     Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    MemberSet s = a.nextSetToStore(true);
-    a.onSetStored(s);
-    a.onAnnouncement("b", "b1", s);
+    MemberSet proposed = a.nextSetToStore(true);
+    a.onSetStored(proposed);
+    a.onAnnouncement("b", "b1", proposed);
     a.onJoinRequest(joining("c", "c1"));
     a.onJoinRequest(joining("x", "x1"));
     a.onJoinRequest(joining("a", "a2"));
--- a/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
@@ -46,17 +46,17 @@
             new MemberSet.Member("a", "d", Address.of("10.0.0.1:1"), Address.of("10.0.0.1:2"))));
   }
 
-  private static CoreMessage changed(ChangeResult result) {
+  private static CoreMessage changeResponse(ChangeResult result) {
     return new CoreMessage.ForwardedChangeResponse(1, result);
   }
 
   /** Returns an example of each message and of each result of a change, by a name of its own. */
   static Map<String, CoreMessage> examples() {
     Map<String, CoreMessage> examples = new LinkedHashMap<>();
-    List<RegisterRecord> kept =
+    List<RegisterRecord> registers =
         List.of(new RegisterRecord("policy", new Register(1, 0, VersionedValue.NONE).bytes()));
     List<RegisterVersion> versions = List.of(new RegisterVersion("policy", 1, 2));
-    StateUpdate.SubscriptionRequest ask =
+    StateUpdate.SubscriptionRequest subscription =
         new StateUpdate.SubscriptionRequest(
             1, "r", 2, "relay", "a", "b", "z", List.of(), List.of(), List.of());
     examples.put(
@@ -82,19 +82,19 @@
         "change",
         new CoreMessage.ForwardedChangeRequest(
             1, new ChangeRequest("policy", 2, 3, new byte[] {4, 5})));
-    examples.put("changed: done", changed(new ChangeResult.Acknowledged(2, true, 3, 4, 5)));
-    examples.put("changed: stale", changed(new ChangeResult.Conflict(2)));
-    examples.put("changed: unknown", changed(new ChangeResult.Unknown(2)));
-    examples.put("changed: busy", changed(new ChangeResult.QueueFull()));
-    examples.put("changed: no owner", changed(new ChangeResult.NoOwner()));
-    examples.put("changed: too large", changed(new ChangeResult.TooLarge(2, 3)));
+    examples.put("changed: done", changeResponse(new ChangeResult.Acknowledged(2, true, 3, 4, 5)));
+    examples.put("changed: stale", changeResponse(new ChangeResult.Conflict(2)));
+    examples.put("changed: unknown", changeResponse(new ChangeResult.Unknown(2)));
+    examples.put("changed: busy", changeResponse(new ChangeResult.QueueFull()));
+    examples.put("changed: no owner", changeResponse(new ChangeResult.NoOwner()));
+    examples.put("changed: too large", changeResponse(new ChangeResult.TooLarge(2, 3)));
     examples.put(
         "meet", new CoreMessage.BootstrapAnnouncement("10.0.0.1:1", "10.0.0.1:2", members()));
-    examples.put("settled", new CoreMessage.Activate(members(), kept));
+    examples.put("settled", new CoreMessage.Activate(members(), registers));
     examples.put("join", new CoreMessage.JoinRequest("10.0.0.1:1", "10.0.0.1:2"));
     examples.put("seal", new CoreMessage.SealRequest(members(), 1, versions));
-    examples.put("sealed", new CoreMessage.SealResponse(4, 1, kept, versions));
-    examples.put("carry", new CoreMessage.RelayedSubscriptionRequest(ask));
+    examples.put("sealed", new CoreMessage.SealResponse(4, 1, registers, versions));
+    examples.put("carry", new CoreMessage.RelayedSubscriptionRequest(subscription));
     examples.put(
         "carried",
         new CoreMessage.RelayedStateUpdate("r", new StateUpdate.FullValueRequest("policy")));
--- a/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
@@ -128,7 +128,7 @@
    */
   private static void write(RecordRing ring, String disk) {
     RingHost host = new RingHost(ring);
-    Runnable nothing = () -> {};
+    Runnable noCallback = () -> {};
     MemberSet first =
         new MemberSet(
             1,
@@ -141,8 +141,8 @@
         new MemberSet(
             4,
             List.of(member(NAME, disk, 1), member("core-b", "b2", 2), member("core-d", "d1", 4)));
-    host.sync("pinned", first.bytes(), nothing);
-    host.sync("members", present.bytes(), nothing);
+    host.sync("pinned", first.bytes(), noCallback);
+    host.sync("members", present.bytes(), noCallback);
 
     RegisterStore registers = new RegisterStore(host, Map.of());
     VersionedValue policy =
@@ -153,7 +153,7 @@
             1_700_000_000_000L,
             NAME,
             "first");
-    registers.keep("policy", new Register(3298534883584L, 3298534883584L, policy), nothing);
+    registers.keep("policy", new Register(3298534883584L, 3298534883584L, policy), noCallback);
     policy = next(policy, "{\"services\":[],\"n\":2}", 41, 1_700_000_001_000L, "core-b", "grew");
     policy =
         next(
@@ -163,30 +163,31 @@
             1_700_000_002_000L,
             "core-b",
             "caf\u00e9 \u2192 3");
-    registers.keep("policy", new Register(3298534883841L, 3298534883841L, policy), nothing);
-    registers.keep("policy", new Register(3298534884354L, 3298534884098L, policy), nothing);
+    registers.keep("policy", new Register(3298534883841L, 3298534883841L, policy), noCallback);
+    registers.keep("policy", new Register(3298534884354L, 3298534884098L, policy), noCallback);
 
     VersionedValue weights = VersionedValue.NONE;
     for (int i = 0; i < 520; i++)
       weights = next(weights, "{\"named\":{}}", i, 1000 + i, NAME, "w" + i);
-    registers.keep("weights", new Register(3298534883584L, 3298534883584L, weights), nothing);
+    registers.keep("weights", new Register(3298534883584L, 3298534883584L, weights), noCallback);
 
     VersionedValue replicas = VersionedValue.NONE;
     for (int i = 1; i <= 12; i++) {
       byte[] body = new byte[LARGE_BODY_BYTES];
       Arrays.fill(body, (byte) ('a' + i));
       replicas = replicas.next(Digest.hex(body), body);
-      registers.keep("replicas", new Register(3298534883584L, 3298534883584L, replicas), nothing);
+      registers.keep(
+          "replicas", new Register(3298534883584L, 3298534883584L, replicas), noCallback);
     }
     VersionedValue core = VersionedValue.NONE.next(Digest.hex(next.bytes()), next.bytes());
-    registers.keep("core", new Register(3298534883585L, 3298534883585L, core), nothing);
-    registers.keep("shares", new Register(3298534883586L, 0, VersionedValue.NONE), nothing);
+    registers.keep("core", new Register(3298534883585L, 3298534883585L, core), noCallback);
+    registers.keep("shares", new Register(3298534883586L, 0, VersionedValue.NONE), noCallback);
     VersionedValue commander = next(VersionedValue.NONE, "core-c", 0, 5, "core-c", "");
     registers.keep(
-        "commander/east", new Register(3298534883584L, 3298534883584L, commander), nothing);
+        "commander/east", new Register(3298534883584L, 3298534883584L, commander), noCallback);
     registers.keep(
-        "commander/east", new Register(3298534883842L, 3298534883584L, commander), nothing);
-    host.sync("sealed", next.bytes(), nothing);
+        "commander/east", new Register(3298534883842L, 3298534883584L, commander), noCallback);
+    host.sync("sealed", next.bytes(), noCallback);
   }
 
   private static CoreDataFolder open(Path folder) {
@@ -229,9 +230,9 @@
         .toList();
   }
 
-  private static List<String> taken(Register register) {
+  private static List<String> takenChanges(Register register) {
     return register.value().takenChanges().entries().stream()
-        .map(taken -> taken.number() + " " + taken.digest() + " " + taken.base())
+        .map(change -> change.number() + " " + change.digest() + " " + change.base())
         .toList();
   }
 
@@ -256,29 +257,29 @@
   }
 
   private static void assertRegister(
-      Register register, String expected, List<String> history, List<String> taken) {
+      Register register, String expected, List<String> history, List<String> takenChanges) {
     Assertions.assertEquals(expected, describe(register));
     Assertions.assertEquals(history, history(register));
-    Assertions.assertEquals(taken, taken(register));
+    Assertions.assertEquals(takenChanges, takenChanges(register));
   }
 
   @Test
   void theIdentityIsRead() throws IOException {
-    try (CoreDataFolder disk = open(unpackArchive())) {
-      Assertions.assertEquals(DISK, disk.id());
-      Assertions.assertEquals(IDENTITY, disk.folder().identity());
-      Assertions.assertEquals(1_048_576, disk.ring().fileSize());
+    try (CoreDataFolder dataFolder = open(unpackArchive())) {
+      Assertions.assertEquals(DISK, dataFolder.id());
+      Assertions.assertEquals(IDENTITY, dataFolder.folder().identity());
+      Assertions.assertEquals(1_048_576, dataFolder.ring().fileSize());
       Assertions.assertEquals(
           "0 core-a==10.0.0.1:4001/10.0.0.1:4003 core-b==10.0.0.2:4001/10.0.0.2:4003"
               + " core-c==10.0.0.3:4001/10.0.0.3:4003",
-          describe(new MemberSet(0, disk.founders())));
+          describe(new MemberSet(0, dataFolder.founders())));
     }
   }
 
   @Test
   void allRecordsArePresentAndNoneIsReportedAsUnreadable() throws IOException {
-    try (CoreDataFolder disk = open(unpackArchive())) {
-      Map<String, byte[]> live = disk.ring().live();
+    try (CoreDataFolder dataFolder = open(unpackArchive())) {
+      Map<String, byte[]> live = dataFolder.ring().live();
       Map<String, String> digests = new TreeMap<>();
       live.forEach((name, record) -> digests.put(name, Digest.hex(record)));
       Map<String, String> expected = new TreeMap<>();
@@ -303,14 +304,15 @@
       expected.put("pinned", "e2991828090916b7ee940bda41f17a5e44c9da46bc732288457f5a51c7076994");
       expected.put("sealed", "3caaffb28744f04a58e6857dabdd2af6453e1f6235f37a223085fa55818a3057");
       Assertions.assertEquals(expected, digests);
-      Assertions.assertEquals(List.of(), DurableState.findings(live, NAME, disk.id()));
+      Assertions.assertEquals(List.of(), DurableState.findings(live, NAME, dataFolder.id()));
     }
   }
 
   @Test
   void aValueIsReadWithItsHistoryItsTakenChangesAndItsLaterEpochs() throws IOException {
-    try (CoreDataFolder disk = open(unpackArchive())) {
-      RegisterStore registers = new RegisterStore(new RingHost(disk.ring()), disk.ring().live());
+    try (CoreDataFolder dataFolder = open(unpackArchive())) {
+      RegisterStore registers =
+          new RegisterStore(new RingHost(dataFolder.ring()), dataFolder.ring().live());
       Register policy = registers.get("policy");
       assertRegister(
           policy,
@@ -342,17 +344,18 @@
 
   @Test
   void theFullListOfTakenChangesIsReadWithTheNewestForgottenBase() throws IOException {
-    try (CoreDataFolder disk = open(unpackArchive())) {
+    try (CoreDataFolder dataFolder = open(unpackArchive())) {
       Register weights =
-          new RegisterStore(new RingHost(disk.ring()), disk.ring().live()).get("weights");
+          new RegisterStore(new RingHost(dataFolder.ring()), dataFolder.ring().live())
+              .get("weights");
       String digest = "6a5dcb6447bc85f950cf03ae4e921fb9c7a37be08e5e17a0574170f40ee3a460";
       List<String> history =
           IntStream.rangeClosed(489, 520)
               .mapToObj(n -> n + " " + digest + " " + (n + 999) + " core-a w" + (n - 1))
               .toList();
-      List<String> taken =
+      List<String> takenChanges =
           IntStream.rangeClosed(9, 520).mapToObj(n -> n + " " + digest + " " + (n - 1)).toList();
-      assertRegister(weights, "3298534883584 3298534883584 520 " + digest, history, taken);
+      assertRegister(weights, "3298534883584 3298534883584 520 " + digest, history, takenChanges);
       Assertions.assertEquals("{\"named\":{}}", body(weights));
       Assertions.assertEquals(7, weights.value().takenChanges().forgottenBase());
     }
@@ -360,15 +363,16 @@
 
   @Test
   void aLargeValueAndAKeyWithoutOneAreRead() throws IOException {
-    try (CoreDataFolder disk = open(unpackArchive())) {
-      RegisterStore registers = new RegisterStore(new RingHost(disk.ring()), disk.ring().live());
+    try (CoreDataFolder dataFolder = open(unpackArchive())) {
+      RegisterStore registers =
+          new RegisterStore(new RingHost(dataFolder.ring()), dataFolder.ring().live());
       Register replicas = registers.get("replicas");
       Assertions.assertEquals(
           "3298534883584 3298534883584 12"
               + " f45333393d79f473d706f3b1d97ee05244ac4636f2a209bad56588294b5854e4",
           describe(replicas));
       Assertions.assertEquals("m".repeat(100_000), body(replicas));
-      Assertions.assertEquals(List.of(), taken(replicas));
+      Assertions.assertEquals(List.of(), takenChanges(replicas));
       Assertions.assertEquals(12, history(replicas).size());
       Assertions.assertEquals(
           "1 768b54e315c41a8d1ae3a29f677bff3b327e238e98e644dc7d566442f5920f8d 0  ",
@@ -381,8 +385,8 @@
 
   @Test
   void theMembersTheSealAndTheBootstrapSetAreRead() throws IOException {
-    try (CoreDataFolder disk = open(unpackArchive())) {
-      Map<String, byte[]> live = disk.ring().live();
+    try (CoreDataFolder dataFolder = open(unpackArchive())) {
+      Map<String, byte[]> live = dataFolder.ring().live();
       String self = " core-a=1c941a5a5e71bf5b622e1738=10.0.0.1:4001/10.0.0.1:4003";
       String next =
           "4"
