--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -38,7 +38,7 @@
  * holders. Neither has a disk.
  */
 public final class DataPlane {
-  private static final Map<String, ChoiceMode> MODES =
+  private static final Map<String, ChoiceMode> CHOICE_MODES =
       new TreeMap<>(
           Map.of(
               "summary",
@@ -47,38 +47,38 @@
               ChoiceMode.LEAST_LOAD,
               "holder-always",
               ChoiceMode.HOLDER_ALWAYS));
-  private static final String[] BOTH = {
+  private static final String[] COMMON_FLAGS = {
     "name", "domain", "records", "operator", "bind", "seeds", "reasonsMb", "log"
   };
-  private static final String[] RELAY = {"callers", "index", "backlog", "choice", "division"};
-  private static final String[] INDEX = {"fingerprintBits", "mostHolders", "listPauseMs"};
+  private static final String[] RELAY_FLAGS = {"callers", "index", "backlog", "choice", "division"};
+  private static final String[] INDEX_FLAGS = {"fingerprintBits", "mostHolders", "listPauseMs"};
 
   record DataPlaneSettings(
       String name,
       String zone,
-      Address records,
-      Address operator,
-      BindAddress local,
+      Address recordsAddress,
+      Address operatorAddress,
+      BindAddress bindAddress,
       List<Address> seeds,
-      String log,
-      Address callers,
-      Address index,
-      int queue,
+      String logLevel,
+      Address callerAddress,
+      Address indexAddress,
+      int maxQueued,
       String choice,
       String division,
       int fingerprintBits,
-      int mostHolders,
+      int maxHolders,
       long listPauseMs,
-      int reasonsMb) {}
+      int decisionLogMib) {}
 
   private DataPlane() {}
 
-  static Result<DataPlaneSettings> place(boolean relay, String file, Map<String, String> flags) {
+  static Result<DataPlaneSettings> parseSettings(boolean relay, String file, Map<String, String> flags) {
     return Settings.open(file, flags)
         .then(
             settings -> {
               Address records = settings.address("records");
-              DataPlaneSettings p =
+              DataPlaneSettings parsed =
                   new DataPlaneSettings(
                       settings.name("name"),
                       settings.text("domain", ""),
@@ -98,35 +98,35 @@
                           : (int)
                               settings.integer(
                                   "mostHolders",
-                                  FleetSummary.MOST_HOLDERS,
+                                  FleetSummary.DEFAULT_MAX_HOLDERS,
                                   1,
-                                  CuckooSummary.MOST_HOLDERS),
+                                  CuckooSummary.MAX_HOLDERS),
                       relay
                           ? 0
                           : settings.integer(
-                              "listPauseMs", CacheEventFeed.LIST_PAUSE, 0, 3_600_000),
+                              "listPauseMs", CacheEventFeed.MIN_LIST_INTERVAL_MS, 0, 3_600_000),
                       (int) settings.integer("reasonsMb", 16, 1, 4096));
-              if (!relay && p.fingerprintBits + CuckooSummary.holderBits(p.mostHolders) > 31)
+              if (!relay && parsed.fingerprintBits + CuckooSummary.holderBits(parsed.maxHolders) > 31)
                 settings.findings.add(
                     Settings.flag("fingerprintBits"),
                     "at most "
-                        + (31 - CuckooSummary.holderBits(p.mostHolders))
+                        + (31 - CuckooSummary.holderBits(parsed.maxHolders))
                         + " where there may be "
-                        + p.mostHolders
+                        + parsed.maxHolders
                         + " holders");
-              if (p.seeds.isEmpty())
+              if (parsed.seeds.isEmpty())
                 settings.findings.add(
                     "--seeds", "at least one records address of another process is needed");
-              if (p.seeds.contains(p.records))
+              if (parsed.seeds.contains(parsed.recordsAddress))
                 settings.findings.add(
                     "--seeds",
-                    "name this process itself, " + p.records + "; a seed is another process");
-              if (relay && !MODES.containsKey(p.choice))
+                    "name this process itself, " + parsed.recordsAddress + "; a seed is another process");
+              if (relay && !CHOICE_MODES.containsKey(parsed.choice))
                 settings.findings.add(
-                    "--choice", "must be one of " + MODES.keySet() + ", not " + p.choice);
-              if (relay && !p.division.equals("fleet") && !p.division.equals("alone"))
-                settings.findings.add("--division", "must be fleet or alone, not " + p.division);
-              return settings.done(() -> p);
+                    "--choice", "must be one of " + CHOICE_MODES.keySet() + ", not " + parsed.choice);
+              if (relay && !parsed.division.equals("fleet") && !parsed.division.equals("alone"))
+                settings.findings.add("--division", "must be fleet or alone, not " + parsed.division);
+              return settings.done(() -> parsed);
             });
   }
 
@@ -136,26 +136,26 @@
             .build()
             .defaultHelp(true)
             .description("Carries orders to replicas, and indexes which of them keep what.");
-    var subs = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
-    Map<String, String[]> flags = Map.of("relay", RELAY, "index", INDEX);
-    for (String c : List.of("relay", "index")) {
-      Subparser p =
-          subs.addParser(c).help(c.equals("relay") ? "carry orders" : "index kept prefix blocks");
-      p.addArgument("--settings").metavar("FILE").help("settings file in JSON; flags go first");
-      for (String f : BOTH) p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
-      for (String f : flags.get(c))
-        p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
+    var subparsers = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
+    Map<String, String[]> flags = Map.of("relay", RELAY_FLAGS, "index", INDEX_FLAGS);
+    for (String command : List.of("relay", "index")) {
+      Subparser subparser =
+          subparsers.addParser(command).help(command.equals("relay") ? "carry orders" : "index kept prefix blocks");
+      subparser.addArgument("--settings").metavar("FILE").help("settings file in JSON; flags go first");
+      for (String flag : COMMON_FLAGS) subparser.addArgument(Settings.flag(flag)).dest(flag).metavar("VALUE").help(help(flag));
+      for (String flag : flags.get(command))
+        subparser.addArgument(Settings.flag(flag)).dest(flag).metavar("VALUE").help(help(flag));
     }
     Namespace arguments = Program.parse(parser, args);
     boolean relay = arguments.getString("command").equals("relay");
     Map<String, String> given = new HashMap<>();
-    for (String f : BOTH) given.put(f, arguments.getString(f));
-    for (String f : relay ? RELAY : INDEX) given.put(f, arguments.getString(f));
-    run(relay, Program.orExit("data-plane", place(relay, arguments.getString("settings"), given)));
+    for (String flag : COMMON_FLAGS) given.put(flag, arguments.getString(flag));
+    for (String flag : relay ? RELAY_FLAGS : INDEX_FLAGS) given.put(flag, arguments.getString(flag));
+    run(relay, Program.orExit("data-plane", parseSettings(relay, arguments.getString("settings"), given)));
   }
 
-  private static String help(String f) {
-    return switch (f) {
+  private static String help(String flag) {
+    return switch (flag) {
       case "name" -> "this process's name in the fleet";
       case "domain" -> "the domain (zone) it stands in";
       case "records" -> "IP:PORT for circuits between processes";
@@ -176,66 +176,66 @@
     };
   }
 
-  static void run(boolean relay, DataPlaneSettings p) {
-    Log.setUp(p.name, Program.level(p.log), System.out);
+  static void run(boolean relay, DataPlaneSettings settings) {
+    Log.setUp(settings.name, Program.level(settings.logLevel), System.out);
     Vertx vertx = Vertx.vertx();
     vertx.getDelegate().exceptionHandler(FatalFailure::onUncaught);
     Clock clock = Clock.monotonic();
     Shuffle.Descriptor self =
         new Shuffle.Descriptor(
-            p.name,
+            settings.name,
             relay ? "relay" : "index",
-            p.records.toString(),
-            p.operator.toString(),
-            p.zone,
+            settings.recordsAddress.toString(),
+            settings.operatorAddress.toString(),
+            settings.zone,
             0,
             0);
-    DecisionLogService reasons =
-        new DecisionLogService(vertx, clock, p.name, p.records.host(), (long) p.reasonsMb << 20);
+    DecisionLogService decisionLog =
+        new DecisionLogService(vertx, clock, settings.name, settings.recordsAddress.host(), (long) settings.decisionLogMib << 20);
     ServiceRegistry registry =
         new ServiceRegistry()
-            .add("doors", new ConnectionAcceptor(vertx, p.records, p.local, p.name))
-            .add("views", new PartialViewService(vertx, self, p.seeds))
-            .add("news", new StateSubscriptionService(vertx, clock, self, p.seeds))
-            .add("reasons", reasons);
+            .add("doors", new ConnectionAcceptor(vertx, settings.recordsAddress, settings.bindAddress, settings.name))
+            .add("views", new PartialViewService(vertx, self, settings.seeds))
+            .add("news", new StateSubscriptionService(vertx, clock, self, settings.seeds))
+            .add("reasons", decisionLog);
     if (relay) {
-      RelayService r =
+      RelayService relayService =
           new RelayService(
               vertx,
               clock,
-              p.name,
-              p.zone,
-              new OwnProtocol(p.callers),
-              p.index,
-              RelaySettings.builder().queueMost(p.queue).alone(p.division.equals("alone")).build(),
-              MODES.get(p.choice),
+              settings.name,
+              settings.zone,
+              new OwnProtocol(settings.callerAddress),
+              settings.indexAddress,
+              RelaySettings.builder().queueMost(settings.maxQueued).alone(settings.division.equals("alone")).build(),
+              CHOICE_MODES.get(settings.choice),
               RelayService.Ends.USUAL);
       registry
           .add(
               "status-door",
               new StatusEndpoint(
                   vertx,
-                  p.operator,
-                  r::unready,
-                  r::status,
-                  t -> {
-                    r.routes(t);
-                    reasons.routes(t);
+                  settings.operatorAddress,
+                  relayService::unready,
+                  relayService::status,
+                  router -> {
+                    relayService.routes(router);
+                    decisionLog.addRoutes(router);
                   }))
-          .add("relay", r);
+          .add("relay", relayService);
     } else {
-      IndexService x =
+      IndexService indexService =
           new IndexService(
               clock,
-              p.fingerprintBits,
-              p.mostHolders,
+              settings.fingerprintBits,
+              settings.maxHolders,
               HttpHolderFeeds.factory(
-                  vertx, CacheEventFeed.Policy.STRICT.listPauseMs(p.listPauseMs)));
+                  vertx, CacheEventFeed.Policy.STRICT.withMinListIntervalMs(settings.listPauseMs)));
       registry
           .add(
               "status-door",
-              new StatusEndpoint(vertx, p.operator, () -> "", x::status, reasons::routes))
-          .add("index", x);
+              new StatusEndpoint(vertx, settings.operatorAddress, () -> "", indexService::status, decisionLog::addRoutes))
+          .add("index", indexService);
     }
     Program.run("data-plane", registry, RelayService.DRAIN + 2000);
   }
--- a/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
+++ b/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
@@ -23,54 +23,54 @@
 public final class StatusEndpoint implements ServiceRegistry.Service {
   private final Vertx vertx;
   private final Address address;
-  private final Supplier<String> unready;
+  private final Supplier<String> unreadyReason;
   private final Supplier<Uni<JsonObject>> status;
-  private final Consumer<Router> more;
+  private final Consumer<Router> extraRoutes;
   private HttpServer server;
 
   /** unready gives the reason, or an empty text when this node is ready. */
   public StatusEndpoint(
       Vertx vertx,
       Address address,
-      Supplier<String> unready,
+      Supplier<String> unreadyReason,
       Supplier<Uni<JsonObject>> status,
-      Consumer<Router> more) {
+      Consumer<Router> extraRoutes) {
     this.vertx = vertx;
     this.address = address;
-    this.unready = unready;
+    this.unreadyReason = unreadyReason;
     this.status = status;
-    this.more = more;
+    this.extraRoutes = extraRoutes;
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    Router r = Router.router(vertx);
-    r.get("/ready")
+    Router router = Router.router(vertx);
+    router.get("/ready")
         .handler(
             context -> {
-              String why = unready.get();
-              say(
+              String reason = unreadyReason.get();
+              sendJson(
                   context,
-                  why.isEmpty() ? 200 : 503,
-                  Json.object().add("ready", why.isEmpty()).add("reason", why));
+                  reason.isEmpty() ? 200 : 503,
+                  Json.object().add("ready", reason.isEmpty()).add("reason", reason));
             });
-    r.get("/operator/status")
+    router.get("/operator/status")
         .handler(
             context ->
                 status
                     .get()
                     .subscribe()
-                    .with(json -> say(context, 200, json), failure -> context.fail(500, failure)));
-    more.accept(r);
-    r.errorHandler(
+                    .with(json -> sendJson(context, 200, json), failure -> context.fail(500, failure)));
+    extraRoutes.accept(router);
+    router.errorHandler(
         500,
         context -> {
           Log.thrown("status-door-problem", context.failure(), "path", context.request().path());
-          say(context, 500, Json.object().add("reason", "an internal problem"));
+          sendJson(context, 500, Json.object().add("reason", "an internal problem"));
         });
-    r.errorHandler(
-        404, context -> say(context, 404, Json.object().add("reason", "nothing is here")));
-    server = vertx.createHttpServer(new HttpServerOptions()).requestHandler(r::handle);
+    router.errorHandler(
+        404, context -> sendJson(context, 404, Json.object().add("reason", "nothing is here")));
+    server = vertx.createHttpServer(new HttpServerOptions()).requestHandler(router::handle);
     try {
       server
           .listen(address.port(), registry.find("doors", ConnectionAcceptor.class).local.ip())
@@ -82,7 +82,7 @@
     }
   }
 
-  public static void say(RoutingContext context, int status, JsonObject json) {
+  public static void sendJson(RoutingContext context, int status, JsonObject json) {
     if (context.response().ended() || context.response().closed()) return;
     context
         .response()
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
@@ -17,104 +17,104 @@
  * that is torn, too large or of another sender than it says is refused. No I/O.
  */
 public final class DecisionLog {
-  static final int LARGEST = 1 << 20;
-  private static final int LARGEST_PLAIN = 8 << 20;
-  private final long most;
+  static final int MAX_PACKED_BYTES = 1 << 20;
+  private static final int MAX_UNPACKED_BYTES = 8 << 20;
+  private final long capacityBytes;
   private final ArrayDeque<Batch> batches = new ArrayDeque<>();
-  private long bytes;
-  private long refused;
-  private long dropped;
+  private long storedBytes;
+  private long refusedBatches;
+  private long droppedBatches;
 
-  public DecisionLog(long mostBytes) {
-    most = mostBytes;
+  public DecisionLog(long maxBytes) {
+    capacityBytes = maxBytes;
   }
 
   /** False where it makes no sense; then nothing is changed. */
-  public synchronized boolean add(Batch b) {
-    boolean good =
-        b.relay().matches("[a-z0-9][a-z0-9-]{0,30}")
-            && b.incarnation().matches("[0-9a-f]{4}")
-            && b.low() >= 0
-            && b.high() >= b.low()
-            && b.packed().length <= LARGEST
-            && plain(b.packed()) != null;
-    if (!good) {
-      refused++;
+  public synchronized boolean add(Batch batch) {
+    boolean valid =
+        batch.relay().matches("[a-z0-9][a-z0-9-]{0,30}")
+            && batch.incarnation().matches("[0-9a-f]{4}")
+            && batch.low() >= 0
+            && batch.high() >= batch.low()
+            && batch.packed().length <= MAX_PACKED_BYTES
+            && unpack(batch.packed()) != null;
+    if (!valid) {
+      refusedBatches++;
       return false;
     }
-    batches.addLast(b);
-    bytes += b.packed().length;
-    while (bytes > most) {
-      bytes -= batches.removeFirst().packed().length;
-      dropped++;
+    batches.addLast(batch);
+    storedBytes += batch.packed().length;
+    while (storedBytes > capacityBytes) {
+      storedBytes -= batches.removeFirst().packed().length;
+      droppedBatches++;
     }
     return true;
   }
 
   /** The newest record of a request, or null. */
   public synchronized JsonObject find(String id) {
-    String[] ps = id.split("\\.", -1);
-    long n;
+    String[] parts = id.split("\\.", -1);
+    long number;
     try {
-      n = ps.length == 3 ? Long.parseLong(ps[2]) : -1;
+      number = parts.length == 3 ? Long.parseLong(parts[2]) : -1;
     } catch (NumberFormatException e) {
       return null;
     }
-    if (n < 0) return null;
-    String begins = "{\"order\":\"" + id + "\"";
-    for (Iterator<Batch> i = batches.descendingIterator(); i.hasNext(); ) {
-      Batch b = i.next();
-      if (!b.relay().equals(ps[0]) || !b.incarnation().equals(ps[1]) || n < b.low() || n > b.high())
+    if (number < 0) return null;
+    String prefix = "{\"order\":\"" + id + "\"";
+    for (Iterator<Batch> iterator = batches.descendingIterator(); iterator.hasNext(); ) {
+      Batch batch = iterator.next();
+      if (!batch.relay().equals(parts[0]) || !batch.incarnation().equals(parts[1]) || number < batch.low() || number > batch.high())
         continue;
-      for (String line : plain(b.packed()).split("\n"))
-        if (line.startsWith(begins))
-          return Json.parse(line).asObject().add("skippedAtRelay", b.skipped());
+      for (String line : unpack(batch.packed()).split("\n"))
+        if (line.startsWith(prefix))
+          return Json.parse(line).asObject().add("skippedAtRelay", batch.skipped());
     }
     return null;
   }
 
-  public synchronized JsonObject json() {
+  public synchronized JsonObject toJson() {
     return Json.object()
         .add("batches", batches.size())
-        .add("bytes", bytes)
-        .add("most", most)
-        .add("dropped", dropped)
-        .add("turnedAway", refused);
+        .add("bytes", storedBytes)
+        .add("most", capacityBytes)
+        .add("dropped", droppedBatches)
+        .add("turnedAway", refusedBatches);
   }
 
-  static byte[] packed(List<byte[]> lines) {
-    Deflater d = new Deflater(Deflater.BEST_SPEED);
-    ByteArrayOutputStream plain = new ByteArrayOutputStream();
-    for (byte[] l : lines) {
-      plain.writeBytes(l);
-      plain.write('\n');
+  static byte[] pack(List<byte[]> lines) {
+    Deflater deflater = new Deflater(Deflater.BEST_SPEED);
+    ByteArrayOutputStream unpacked = new ByteArrayOutputStream();
+    for (byte[] line : lines) {
+      unpacked.writeBytes(line);
+      unpacked.write('\n');
     }
-    d.setInput(plain.toByteArray());
-    d.finish();
+    deflater.setInput(unpacked.toByteArray());
+    deflater.finish();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    byte[] buf = new byte[8192];
-    while (!d.finished()) out.write(buf, 0, d.deflate(buf));
-    d.end();
+    byte[] buffer = new byte[8192];
+    while (!deflater.finished()) out.write(buffer, 0, deflater.deflate(buffer));
+    deflater.end();
     return out.toByteArray();
   }
 
   /** The lines of a batch, or null where they can't be read. */
-  private static String plain(byte[] packed) {
-    Inflater i = new Inflater();
-    i.setInput(packed);
+  private static String unpack(byte[] packed) {
+    Inflater inflater = new Inflater();
+    inflater.setInput(packed);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    byte[] buf = new byte[8192];
+    byte[] buffer = new byte[8192];
     try {
-      while (!i.finished()) {
-        int n = i.inflate(buf);
-        if (n == 0 && (i.needsInput() || i.needsDictionary()) || out.size() > LARGEST_PLAIN)
+      while (!inflater.finished()) {
+        int count = inflater.inflate(buffer);
+        if (count == 0 && (inflater.needsInput() || inflater.needsDictionary()) || out.size() > MAX_UNPACKED_BYTES)
           return null;
-        out.write(buf, 0, n);
+        out.write(buffer, 0, count);
       }
     } catch (DataFormatException e) {
       return null;
     } finally {
-      i.end();
+      inflater.end();
     }
     return out.toString(StandardCharsets.UTF_8);
   }
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
@@ -34,22 +34,22 @@
  * in the queue, is counted and dropped.
  */
 public final class DecisionLogService implements ServiceRegistry.Service {
-  public static final long PERIOD = 500;
-  private static final int FELLOWS = 2, SPARE = 1, MOST_PLAIN = 1 << 20;
+  public static final long SEND_INTERVAL_MS = 500;
+  private static final int PEERS_PER_BATCH = 2, SPARE_CONNECTIONS = 1, MAX_UNPACKED_BYTES = 1 << 20;
   private final Vertx vertx;
-  private final SingleThreadWorker duty;
+  private final SingleThreadWorker worker;
   private final String name;
   private final String host;
-  private final String near;
-  private final DecisionLog kept;
-  private final Map<Address, PersistentConnection> held = new HashMap<>();
-  private ConnectionAcceptor doors;
-  private PartialViewService views;
-  private long nr;
-  private volatile long skipped;
+  private final String preferredZone;
+  private final DecisionLog receivedRecords;
+  private final Map<Address, PersistentConnection> connections = new HashMap<>();
+  private ConnectionAcceptor acceptor;
+  private PartialViewService partialView;
+  private long batchSequence;
+  private volatile long skippedRecords;
 
-  public DecisionLogService(Vertx vertx, Clock clock, String name, String host, long mostBytes) {
-    this(vertx, clock, name, host, "", mostBytes);
+  public DecisionLogService(Vertx vertx, Clock clock, String name, String host, long maxBytes) {
+    this(vertx, clock, name, host, "", maxBytes);
   }
 
   /**
@@ -57,138 +57,138 @@
    * empty for none.
    */
   public DecisionLogService(
-      Vertx vertx, Clock clock, String name, String host, String near, long mostBytes) {
-    this.near = near;
+      Vertx vertx, Clock clock, String name, String host, String preferredZone, long maxBytes) {
+    this.preferredZone = preferredZone;
     this.vertx = vertx;
     this.name = name;
     this.host = host;
-    this.kept = new DecisionLog(mostBytes);
-    this.duty = new SingleThreadWorker("reasons", 256, clock);
+    this.receivedRecords = new DecisionLog(maxBytes);
+    this.worker = new SingleThreadWorker("reasons", 256, clock);
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    doors = registry.find("doors", ConnectionAcceptor.class);
-    views = registry.find("views", PartialViewService.class);
-    doors.register(
+    acceptor = registry.find("doors", ConnectionAcceptor.class);
+    partialView = registry.find("views", PartialViewService.class);
+    acceptor.register(
         Hello.REASONS,
         (hello, connection) ->
             new Connection.Receiver() {
               @Override
               public void record(byte[] record) throws IOException {
-                DecisionRecords.Batch b =
+                DecisionRecords.Batch batch =
                     (DecisionRecords.Batch) WireRecord.read(record, DecisionRecords::read);
-                if (!b.relay().equals(hello.name()))
-                  throw new IOException("reasons of " + b.relay() + " from " + hello.name());
-                duty.offer(
+                if (!batch.relay().equals(hello.name()))
+                  throw new IOException("reasons of " + batch.relay() + " from " + hello.name());
+                worker.offer(
                     () -> {
-                      if (!kept.add(b))
-                        Log.warn("reasons-turned-away", "relay", b.relay(), "batch", b.sequence());
+                      if (!receivedRecords.add(batch))
+                        Log.warn("reasons-turned-away", "relay", batch.relay(), "batch", batch.sequence());
                     });
               }
             });
   }
 
   /** Whoever will hand records on has its connections open before it needs them. */
-  public void prepare() {
-    duty.scheduleEvery(PERIOD, this::peers);
+  public void keepPeersConnected() {
+    worker.scheduleEvery(SEND_INTERVAL_MS, this::updatePeers);
   }
 
   /** From the request thread: what has ended since the last time, and what is at replicas now. */
-  public void hand(List<Decision> ds, String run) {
-    if (ds.isEmpty()) return;
-    if (!duty.offer(() -> send(ds, run))) skipped += ds.size();
+  public void submit(List<Decision> decisions, String run) {
+    if (decisions.isEmpty()) return;
+    if (!worker.offer(() -> send(decisions, run))) skippedRecords += decisions.size();
   }
 
-  private void send(List<Decision> ds, String run) {
+  private void send(List<Decision> decisions, String run) {
     List<byte[]> lines = new ArrayList<>();
     long low = Long.MAX_VALUE, high = 0;
     int size = 0;
-    for (Decision decision : ds) {
-      byte[] bytes = decision.bytes();
-      if (size + bytes.length > MOST_PLAIN) {
-        skipped++;
+    for (Decision decision : decisions) {
+      byte[] bytes = decision.toBytes();
+      if (size + bytes.length > MAX_UNPACKED_BYTES) {
+        skippedRecords++;
         continue;
       }
       size += bytes.length;
       lines.add(bytes);
-      low = Math.min(low, decision.nr);
-      high = Math.max(high, decision.nr);
+      low = Math.min(low, decision.number);
+      high = Math.max(high, decision.number);
     }
     if (lines.isEmpty()) return;
     DecisionRecords.Batch batch =
-        new DecisionRecords.Batch(name, run, ++nr, low, high, skipped, DecisionLog.packed(lines));
+        new DecisionRecords.Batch(name, run, ++batchSequence, low, high, skippedRecords, DecisionLog.pack(lines));
     int sent = 0;
-    for (Address address : peers()) if (sent < FELLOWS && held.get(address).send(batch)) sent++;
-    if (sent == 0) skipped += lines.size();
+    for (Address address : updatePeers()) if (sent < PEERS_PER_BATCH && connections.get(address).send(batch)) sent++;
+    if (sent == 0) skippedRecords += lines.size();
   }
 
   /**
    * Those of other machines, in an order that only the names decide; one more connection is held
    * than is used.
    */
-  private List<Address> peers() {
-    List<Address> l =
-        views.all().stream()
-            .filter(d -> d.role().equals("relay") || d.role().equals("index"))
-            .filter(d -> !Address.of(d.records()).host().equals(host))
+  private List<Address> updatePeers() {
+    List<Address> candidates =
+        partialView.all().stream()
+            .filter(descriptor -> descriptor.role().equals("relay") || descriptor.role().equals("index"))
+            .filter(descriptor -> !Address.of(descriptor.records()).host().equals(host))
             .sorted(
                 Comparator.comparing(
-                        (Shuffle.Descriptor d) -> !near.isEmpty() && !near.equals(d.zone()))
-                    .thenComparingInt(d -> (name + ">" + d.name()).hashCode()))
-            .map(d -> Address.of(d.records()))
+                        (Shuffle.Descriptor descriptor) -> !preferredZone.isEmpty() && !preferredZone.equals(descriptor.zone()))
+                    .thenComparingInt(descriptor -> (name + ">" + descriptor.name()).hashCode()))
+            .map(descriptor -> Address.of(descriptor.records()))
             .distinct()
             .toList();
-    List<Address> use = new ArrayList<>();
+    List<Address> chosen = new ArrayList<>();
     int open = 0;
-    for (Address a : l) {
-      if (open >= FELLOWS + SPARE) break;
-      use.add(a);
-      PersistentConnection h =
-          held.computeIfAbsent(
-              a,
-              x ->
+    for (Address address : candidates) {
+      if (open >= PEERS_PER_BATCH + SPARE_CONNECTIONS) break;
+      chosen.add(address);
+      PersistentConnection connection =
+          connections.computeIfAbsent(
+              address,
+              target ->
                   new PersistentConnection(
                       vertx,
-                      doors,
-                      x,
+                      acceptor,
+                      target,
                       Hello.REASONS,
-                      (y, record) -> {
+                      (unused, record) -> {
                         throw new IOException("an answer where none is due");
                       },
-                      y -> {}));
-      if (h.open()) open++;
+                      unused -> {}));
+      if (connection.open()) open++;
     }
-    held.entrySet()
+    connections.entrySet()
         .removeIf(
-            e -> {
-              if (use.contains(e.getKey())) return false;
-              e.getValue().close();
+            entry -> {
+              if (chosen.contains(entry.getKey())) return false;
+              entry.getValue().close();
               return true;
             });
-    return use;
+    return chosen;
   }
 
-  public void routes(Router r) {
-    r.get("/operator/reasons/:id")
+  public void addRoutes(Router router) {
+    router.get("/operator/reasons/:id")
         .handler(
             context -> {
-              JsonObject json = kept.find(context.pathParam("id"));
+              JsonObject json = receivedRecords.find(context.pathParam("id"));
               if (json == null)
-                StatusEndpoint.say(
+                StatusEndpoint.sendJson(
                     context,
                     404,
                     Json.object().add("reason", "no record of such an order is kept here"));
-              else StatusEndpoint.say(context, 200, json);
+              else StatusEndpoint.sendJson(context, 200, json);
             });
-    r.get("/operator/reasons")
+    router.get("/operator/reasons")
         .handler(
-            context -> StatusEndpoint.say(context, 200, kept.json().add("skippedHere", skipped)));
+            context -> StatusEndpoint.sendJson(context, 200, receivedRecords.toJson().add("skippedHere", skippedRecords)));
   }
 
   @Override
   public void stop() {
-    duty.close();
-    for (PersistentConnection connection : held.values()) connection.close();
+    worker.close();
+    for (PersistentConnection connection : connections.values()) connection.close();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/Holder.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holder.java
@@ -8,65 +8,65 @@
  * was last heard. Pure; who asks it for its list is set by whoever has the connections.
  */
 public final class Holder {
-  private static final long SILENT = 3000;
+  private static final long SILENT_AFTER_MS = 3000;
   public final Replica replica;
   public final CacheEventFeed feed;
   final int id;
-  long capacity;
-  boolean inNext;
+  long capacityBlocks;
+  boolean inReplacement;
 
   /** Units of the blocks that it keeps in part. */
-  final PartialBlocks parts = new PartialBlocks();
+  final PartialBlocks partialBlocks = new PartialBlocks();
 
   /** Listed no more: what still arrives must not touch the entries of whoever has its id next. */
   boolean dropped;
 
   /** Has answered or failed to at least once. */
-  public boolean tried;
+  public boolean contacted;
 
-  public long heard;
-  private LongConsumer lists = nr -> {};
+  public long lastHeardMs;
+  private LongConsumer listRequester = requestNumber -> {};
 
-  Holder(Replica r, int id, long now, CacheEventFeed.Policy policy, CacheEventFeed.Effects fx) {
-    this.replica = r;
+  Holder(Replica replica, int id, long nowMs, CacheEventFeed.Policy policy, CacheEventFeed.Effects effects) {
+    this.replica = replica;
     this.id = id;
-    this.heard = now;
+    this.lastHeardMs = nowMs;
     this.feed =
         new CacheEventFeed(
             new CacheEventFeed.Effects() {
               @Override
-              public void keep(long block, int units, boolean part) {
-                if (!dropped) fx.keep(block, units, part);
+              public void setKept(long block, int units, boolean part) {
+                if (!dropped) effects.setKept(block, units, part);
               }
 
               @Override
               public void clear() {
-                if (!dropped) fx.clear();
+                if (!dropped) effects.clear();
               }
 
               @Override
-              public void load(BlockList list) {
-                if (!dropped) fx.load(list);
+              public void replaceAll(BlockList list) {
+                if (!dropped) effects.replaceAll(list);
               }
 
               @Override
-              public void list(long nr) {
-                if (!dropped) lists.accept(nr);
+              public void requestList(long requestNumber) {
+                if (!dropped) listRequester.accept(requestNumber);
               }
             },
             policy);
   }
 
   /** The most blocks that it can keep, as far as known; 0 = not known. */
-  public long capacity() {
-    return capacity;
+  public long capacityBlocks() {
+    return capacityBlocks;
   }
 
-  public void lists(LongConsumer asks) {
-    lists = asks;
+  public void setListRequester(LongConsumer listRequester) {
+    listRequester = listRequester;
   }
 
-  boolean silent(long now) {
-    return now - heard > SILENT;
+  boolean isSilent(long nowMs) {
+    return nowMs - lastHeardMs > SILENT_AFTER_MS;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/Holders.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holders.java
@@ -24,20 +24,20 @@
    * order, then the stores of the configuration.
    */
   public static List<Listed> of(ControlStateSnapshot snapshot) {
-    List<Listed> out = new ArrayList<>();
-    for (Replica r : snapshot.replicas().all) {
-      Configuration.Service s = snapshot.configuration().service(r.service());
-      if (s == null || s.kind() == Configuration.Kind.APPLICATION || !s.allows(r.address()))
+    List<Listed> holders = new ArrayList<>();
+    for (Replica replica : snapshot.replicas().all) {
+      Configuration.Service service = snapshot.configuration().service(replica.service());
+      if (service == null || service.kind() == Configuration.Kind.APPLICATION || !service.allows(replica.address()))
         continue;
-      out.add(new Listed(r, 0));
+      holders.add(new Listed(replica, 0));
     }
-    for (Configuration.Service s : snapshot.configuration().services)
-      if (s.store() != null) out.add(new Listed(store(s), 0));
-    return out;
+    for (Configuration.Service service : snapshot.configuration().services)
+      if (service.store() != null) holders.add(new Listed(storeAsHolder(service), 0));
+    return holders;
   }
 
   /** A store as a holder: it stands on no list, and its instance is its service's name. */
-  public static Replica store(Configuration.Service service) {
+  public static Replica storeAsHolder(Configuration.Service service) {
     return new Replica(service.name(), service.name(), service.store(), service.zone(), true);
   }
 
--- a/data-plane/src/main/java/gladelug/data/index/HttpHolderFeeds.java
+++ b/data-plane/src/main/java/gladelug/data/index/HttpHolderFeeds.java
@@ -13,7 +13,7 @@
 
 /** Holders followed by the product's own protocol over HTTP, whole blocks only. */
 public final class HttpHolderFeeds implements HolderFeeds {
-  private final SingleThreadWorker duty;
+  private final SingleThreadWorker worker;
   private final Clock clock;
   private final CacheEventFeed.Policy policy;
   private final HttpClient http;
@@ -22,10 +22,10 @@
   HttpHolderFeeds(
       Vertx vertx,
       BindAddress local,
-      SingleThreadWorker duty,
+      SingleThreadWorker worker,
       Clock clock,
       CacheEventFeed.Policy policy) {
-    this.duty = duty;
+    this.worker = worker;
     this.clock = clock;
     this.policy = policy;
     http =
@@ -49,9 +49,9 @@
 
   /** Feeds from the address that the process's doors call from, all with this policy. */
   public static Factory factory(Vertx vertx, CacheEventFeed.Policy policy) {
-    return (registry, duty, clock) ->
+    return (registry, worker, clock) ->
         new HttpHolderFeeds(
-            vertx, registry.find("doors", ConnectionAcceptor.class).local, duty, clock, policy);
+            vertx, registry.find("doors", ConnectionAcceptor.class).local, worker, clock, policy);
   }
 
   @Override
@@ -60,8 +60,8 @@
   }
 
   @Override
-  public Following follow(Holder holder, Sink sink) {
-    return new HolderConnection(http, calls, duty, clock, holder, sink);
+  public Subscription follow(Holder holder, Sink sink) {
+    return new HolderConnection(http, calls, worker, clock, holder, sink);
   }
 
   @Override
--- a/data-plane/src/main/java/gladelug/data/index/IndexService.java
+++ b/data-plane/src/main/java/gladelug/data/index/IndexService.java
@@ -25,25 +25,25 @@
  */
 public final class IndexService implements ServiceRegistry.Service {
   private final Clock clock;
-  private final SingleThreadWorker duty;
+  private final SingleThreadWorker worker;
   private final int fingerprintBits;
-  private final int mostHolders;
-  private final HolderFeeds.Factory factory;
-  private final Map<Holder, HolderFeeds.Following> followed = new HashMap<>();
-  private final BooleanSupplier standsBy;
-  private ControlStateSnapshot newest = ControlStateSnapshot.NONE;
-  private boolean stands;
+  private final int maxHolders;
+  private final HolderFeeds.Factory feedFactory;
+  private final Map<Holder, HolderFeeds.Subscription> subscriptions = new HashMap<>();
+  private final BooleanSupplier standbyCondition;
+  private ControlStateSnapshot latestSnapshot = ControlStateSnapshot.NONE;
+  private boolean standby;
   private HolderFeeds feeds;
   private FleetSummary summary;
 
   /**
    * @param fingerprintBits width f of a fingerprint
-   * @param mostHolders how many holders there may be at a time
-   * @param factory by which protocol holders are followed
+   * @param maxHolders how many holders there may be at a time
+   * @param feedFactory by which protocol holders are followed
    */
   public IndexService(
-      Clock clock, int fingerprintBits, int mostHolders, HolderFeeds.Factory factory) {
-    this(clock, fingerprintBits, mostHolders, factory, () -> false);
+      Clock clock, int fingerprintBits, int maxHolders, HolderFeeds.Factory feedFactory) {
+    this(clock, fingerprintBits, maxHolders, feedFactory, () -> false);
   }
 
   /**
@@ -53,26 +53,26 @@
   public IndexService(
       Clock clock,
       int fingerprintBits,
-      int mostHolders,
-      HolderFeeds.Factory factory,
-      BooleanSupplier standsBy) {
-    this.standsBy = standsBy;
+      int maxHolders,
+      HolderFeeds.Factory feedFactory,
+      BooleanSupplier standbyCondition) {
+    this.standbyCondition = standbyCondition;
     this.clock = clock;
-    this.duty = new SingleThreadWorker("summary", 65536, clock);
+    this.worker = new SingleThreadWorker("summary", 65536, clock);
     this.fingerprintBits = fingerprintBits;
-    this.mostHolders = mostHolders;
-    this.factory = factory;
+    this.maxHolders = maxHolders;
+    this.feedFactory = feedFactory;
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    StateSubscriptionService news = registry.find("news", StateSubscriptionService.class);
-    feeds = factory.open(registry, duty, clock);
-    summary = new FleetSummary(fingerprintBits, mostHolders, feeds::policy);
-    news.listen(snapshot -> duty.offer(() -> tables(snapshot)));
-    stands = standsBy.getAsBoolean();
-    duty.scheduleEvery(1000, this::turn);
-    duty.scheduleEvery(100, () -> summary.tick(clock.now()));
+    StateSubscriptionService stateSubscription = registry.find("news", StateSubscriptionService.class);
+    feeds = feedFactory.open(registry, worker, clock);
+    summary = new FleetSummary(fingerprintBits, maxHolders, feeds::policy);
+    stateSubscription.addListener(snapshot -> worker.offer(() -> applySnapshot(snapshot)));
+    standby = standbyCondition.getAsBoolean();
+    worker.scheduleEvery(1000, this::checkStandby);
+    worker.scheduleEvery(100, () -> summary.tick(clock.now()));
     registry
         .find("doors", ConnectionAcceptor.class)
         .register(
@@ -82,54 +82,54 @@
                   @Override
                   public void record(byte[] record) throws IOException {
                     Lookup lookup = WireRecord.read(record, Lookup::read);
-                    if (lookup instanceof Lookup.Placed p) {
-                      duty.offer(() -> summary.placed(p, clock.now()));
+                    if (lookup instanceof Lookup.Placed placement) {
+                      worker.offer(() -> summary.recordPlacement(placement, clock.now()));
                       return;
                     }
-                    if (!(lookup instanceof Lookup.Question q))
+                    if (!(lookup instanceof Lookup.Question question))
                       throw new IOException("an answer nobody asked for");
-                    if (!duty.offer(() -> connection.send(summary.answer(q, clock.now()))))
-                      connection.send(new Lookup.Answer(q.sequence(), false, List.of()));
+                    if (!worker.offer(() -> connection.send(summary.answer(question, clock.now()))))
+                      connection.send(new Lookup.Answer(question.sequence(), false, List.of()));
                   }
                 });
   }
 
-  private void turn() {
-    boolean now = standsBy.getAsBoolean();
-    if (now == stands) return;
-    stands = now;
+  private void checkStandby() {
+    boolean now = standbyCondition.getAsBoolean();
+    if (now == standby) return;
+    standby = now;
     Log.event(now ? "index-stands-by" : "index-follows");
-    tables(newest);
+    applySnapshot(latestSnapshot);
   }
 
-  private void tables(ControlStateSnapshot snapshot) {
-    newest = snapshot;
-    summary.holders(stands ? ControlStateSnapshot.NONE : snapshot, clock.now());
-    followed
+  private void applySnapshot(ControlStateSnapshot snapshot) {
+    latestSnapshot = snapshot;
+    summary.updateHolders(standby ? ControlStateSnapshot.NONE : snapshot, clock.now());
+    subscriptions
         .entrySet()
         .removeIf(
-            e -> {
-              if (summary.has(e.getKey())) return false;
-              e.getValue().close();
+            entry -> {
+              if (summary.isFollowed(entry.getKey())) return false;
+              entry.getValue().close();
               return true;
             });
-    for (Holder holder : summary.all())
-      if (!followed.containsKey(holder)) {
-        HolderFeeds.Following f =
-            feeds.follow(holder, new HolderSink(holder, summary, duty::offer, clock));
-        holder.lists(f::list);
-        followed.put(holder, f);
+    for (Holder holder : summary.allHolders())
+      if (!subscriptions.containsKey(holder)) {
+        HolderFeeds.Subscription subscription =
+            feeds.follow(holder, new HolderSink(holder, summary, worker::offer, clock));
+        holder.setListRequester(subscription::requestList);
+        subscriptions.put(holder, subscription);
       }
   }
 
   /** For operators, from the duty's own thread. */
   public Uni<JsonObject> status() {
-    return Uni.createFrom().emitter(e -> duty.offer(() -> e.complete(summary.json(clock.now()))));
+    return Uni.createFrom().emitter(emitter -> worker.offer(() -> emitter.complete(summary.toJson(clock.now()))));
   }
 
   @Override
   public void stop() {
-    duty.close();
+    worker.close();
     if (feeds != null) feeds.close();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
@@ -20,7 +20,7 @@
   }
 
   @Override
-  public Uni<FilterResult> pass(Request request) {
+  public Uni<FilterResult> apply(Request request) {
     FilterResult unservable = unservable(request);
     if (unservable != null) return Uni.createFrom().item(unservable);
     relay.estimates.estimate(request);
@@ -62,9 +62,9 @@
   private void enter(Request request, UniEmitter<? super FilterResult> emitter) {
     WaitQueue queue = relay.queue(request.service.name());
     long enteredAt = relay.clock.now();
-    request.leaveQueue =
+    request.onLeaveQueue =
         result -> {
-          request.leaveQueue = null;
+          request.onLeaveQueue = null;
           long now = relay.clock.now();
           request.decision.add(
               "admission",
@@ -76,7 +76,7 @@
       relay.pump();
       return;
     }
-    request.leaveQueue = null;
+    request.onLeaveQueue = null;
     emitter.complete(
         FilterResult.notRun(503, "the backlog is full", relay.retryAdvice.untilRoomMs(request)));
   }
--- a/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
@@ -9,7 +9,7 @@
 import gladelug.common.Result;
 import gladelug.common.configuration.Configuration;
 import gladelug.data.request.Decision;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Prompt;
@@ -35,12 +35,12 @@
 public final class CallerListener implements Request.Caller {
   private static final int MOST_PIECES = 100_000;
   private final Relay r;
-  private final Decisions decisions;
+  private final RecentDecisions decisions;
   private final FilterChain way;
   private final Map<Integer, BodyHandler> bodies = new HashMap<>();
   private final Map<Request, RoutingContext> calls = new IdentityHashMap<>();
 
-  public CallerListener(Relay r, Decisions decisions, FilterChain way) {
+  public CallerListener(Relay r, RecentDecisions decisions, FilterChain way) {
     this.r = r;
     this.decisions = decisions;
     this.way = way;
@@ -139,8 +139,8 @@
     context.response().closeHandler(v -> gone(request));
     context.response().exceptionHandler(failure -> gone(request));
     r.begin(request);
-    if (x.repeatable != null) request.askedRepeatable = x.repeatable;
-    way.go(request);
+    if (x.repeatable != null) request.declaredRepeatable = x.repeatable;
+    way.start(request);
   }
 
   /** The request's id; the second name is the earlier one, sent for one release. */
@@ -161,7 +161,7 @@
       Decision decision = decisions.begin(r.clock.now());
       decision.add(
           "turned-away", r.clock.now(), Json.object().add("status", status).add("reason", reason));
-      decision.outcome("not-run");
+      decision.setOutcome("not-run");
       decision.end();
       r.reasons.accept(decision);
       json.add("order", decision.id);
@@ -191,7 +191,7 @@
   public void refuse(Request request, FilterResult.Refuse v) {
     RoutingContext context = calls.remove(request);
     if (context == null || context.response().ended() || context.response().closed()) return;
-    if (v.retryMs() > 0) context.response().putHeader("Retry-After", seconds(v.retryMs()));
+    if (v.retryAfterMs() > 0) context.response().putHeader("Retry-After", seconds(v.retryAfterMs()));
     context
         .response()
         .setStatusCode(v.status())
@@ -215,7 +215,7 @@
   }
 
   @Override
-  public boolean piece(Request request, Buffer piece, Runnable ready) {
+  public boolean sendPiece(Request request, Buffer piece, Runnable ready) {
     RoutingContext context = calls.get(request);
     if (context == null) return true;
     HttpServerResponse response = begun(context);
--- a/data-plane/src/main/java/gladelug/data/relay/Exchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Exchange.java
@@ -1,6 +1,6 @@
 package gladelug.data.relay;
 
-import gladelug.data.request.Head;
+import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Request;
 import io.vertx.core.buffer.Buffer;
 
@@ -50,7 +50,7 @@
      */
     boolean goesOnAfter(String failure);
 
-    void head(Head h);
+    void head(ResponseHead h);
 
     /** The next whole piece; event is its name where it has one. */
     void piece(Buffer piece, String event);
--- a/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
@@ -5,10 +5,10 @@
 import gladelug.common.configuration.Replicas;
 import gladelug.data.request.CacheScope;
 import gladelug.data.request.FilterResult;
-import gladelug.data.request.Head;
+import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Request;
 import gladelug.data.request.RequestFilter;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
 import gladelug.data.state.ControlStateSnapshot;
 import io.smallrye.mutiny.Uni;
 import io.smallrye.mutiny.subscription.UniEmitter;
@@ -42,7 +42,7 @@
   }
 
   @Override
-  public Uni<FilterResult> pass(Request request) {
+  public Uni<FilterResult> apply(Request request) {
     return Uni.createFrom()
         .emitter(
             e -> exchange.send(request, request.backend, new Handed(request, request.backend, e)));
@@ -62,12 +62,12 @@
     long now = r.clock.now();
     FilterResult outlasts = request.piecesOut == 0 ? r.refusalIfItMayOutlastThis(request) : null;
     if (outlasts != null) return outlasts;
-    if (!r.news.leases.valid(now))
+    if (!r.news.leases.isValid(now))
       return FilterResult.notRun(503, "no licence", r.retryAdvice.untilStateMs());
-    if (now >= request.deadline)
+    if (now >= request.deadlineMs)
       return FilterResult.notRun(503, Relay.EXPIRED_UNSENT, r.retryAdvice.untilRoomMs(request));
     // the replica it was to go to once more may have become unreachable meanwhile
-    if (request.tries >= request.route.attempts() && backend != request.triedLast)
+    if (request.tryCount >= request.route.attempts() && backend != request.lastTriedBackend)
       return FilterResult.notRun(
           503, "it went to as many replicas as it may", r.retryAdvice.untilRoomMs(request));
     return null;
@@ -85,8 +85,8 @@
     String scope = CacheScope.of(tenant, snapshot.prefixSharingSince());
     boolean model = request.service.kind() == Configuration.Kind.MODEL;
     if (!model || scope.equals(request.cacheScope)) return null;
-    request.moveTo(scope, backend.blockBytes);
-    return new FilterResult.Again("cached prefixes are shared among others now");
+    request.changeCacheScope(scope, backend.blockBytes);
+    return new FilterResult.ChooseAgain("cached prefixes are shared among others now");
   }
 
   /** Whose request it is by the newest configuration; null where the key belongs to nobody. */
@@ -96,7 +96,7 @@
       Request request, ControlStateSnapshot snapshot, boolean open) {
     return open && request.tenant == Configuration.ANYBODY
         ? Configuration.ANYBODY
-        : snapshot.configuration().tenantOfHash(request.keyHash);
+        : snapshot.configuration().tenantOfHash(request.apiKeyHash);
   }
 
   private FilterResult otherRouteOrReplica(
@@ -110,9 +110,9 @@
         || !replica.address().equals(backend.replica.address())
         || !replica.service().equals(service.name())
         || !service.allows(replica.address()))
-      return new FilterResult.Again(backend.replica.instance() + " is not ready any more");
+      return new FilterResult.ChooseAgain(backend.replica.instance() + " is not ready any more");
     if (service.kind() == Configuration.Kind.MODEL && !r.mayRun(request.model, request.weights))
-      return new FilterResult.Again("other weights are named");
+      return new FilterResult.ChooseAgain("other weights are named");
     return null;
   }
 
@@ -158,31 +158,31 @@
       FilterResult v = last(o, b);
       boolean goes =
           v == null
-              && !o.gone
+              && !o.callerGone
               && (resumes()
-                  ? o.state.at() == State.At.STREAMING
-                  : o.state.step(State.At.WAITING, State.At.HANDED));
+                  ? o.state.phase() == RequestState.Phase.STREAMING
+                  : o.state.transition(RequestState.Phase.WAITING, RequestState.Phase.FORWARDED));
       if (!goes) {
-        if (o.gone) o.decision.outcome("caller-gone");
-        over(o.gone || v == null ? FilterResult.ENDED : v);
+        if (o.callerGone) o.decision.setOutcome("caller-gone");
+        over(o.callerGone || v == null ? FilterResult.ENDED : v);
         return false;
       }
       handle = h;
       long now = r.clock.now();
-      o.tries++;
-      o.triedLast = b;
-      o.handedAt = now;
+      o.tryCount++;
+      o.lastTriedBackend = b;
+      o.forwardedAtMs = now;
       b.asked(now);
-      if (o.tries == 1) r.budget.firstTry(o.service.name());
+      if (o.tryCount == 1) r.budget.firstTry(o.service.name());
       o.decision.add(
           "hand-over",
           now,
           Json.object()
               .add("replica", b.replica.instance())
-              .add("try", o.tries)
-              .add("after", o.lastEvent));
+              .add("try", o.tryCount)
+              .add("after", o.lastEventId));
       o.cancel = h::reset;
-      o.lost = this::broken;
+      o.onReplicaLost = this::broken;
       return true;
     }
 
@@ -190,7 +190,7 @@
     public void unreached(String why, long badMs) {
       if (over) return;
       leaveAlone(badMs);
-      over(new FilterResult.Again(why));
+      over(new FilterResult.ChooseAgain(why));
     }
 
     /**
@@ -198,13 +198,13 @@
      * bounds to how many replicas it may go; the same one again is no further replica.
      */
     private boolean again(boolean same) {
-      if (r.clock.now() >= o.deadline
-          || !same && o.tries >= o.route.attempts()
+      if (r.clock.now() >= o.deadlineMs
+          || !same && o.tryCount >= o.route.attempts()
           || !r.settings.has(Mechanism.RETRIES)
           || !r.budget.secondTry(o.service.name())) return false;
       return resumes()
-          ? o.state.at() == State.At.STREAMING
-          : o.state.step(State.At.HANDED, State.At.WAITING);
+          ? o.state.phase() == RequestState.Phase.STREAMING
+          : o.state.transition(RequestState.Phase.FORWARDED, RequestState.Phase.WAITING);
     }
 
     @Override
@@ -218,15 +218,15 @@
     public void otherWeights(String why) {
       if (over) return;
       // the same one once more at most, whatever it says of itself
-      notRun(why, o.tries == o.route.attempts());
+      notRun(why, o.tryCount == o.route.attempts());
     }
 
     private void notRun(String why, boolean same) {
       String told = b.replica.instance() + " did not run it: " + why;
-      if (o.state.at() == State.At.ENDED) over(FilterResult.ENDED);
+      if (o.state.phase() == RequestState.Phase.ENDED) over(FilterResult.ENDED);
       else if (again(same)) {
-        o.only = same ? b : null;
-        over(new FilterResult.Again(told));
+        o.requiredBackend = same ? b : null;
+        over(new FilterResult.ChooseAgain(told));
       } else if (resumes()) cut(told);
       else
         over(
@@ -240,10 +240,10 @@
     }
 
     @Override
-    public void head(Head h) {
+    public void head(ResponseHead h) {
       if (over) return;
       first();
-      if (o.piecesOut == 0) o.head = h;
+      if (o.piecesOut == 0) o.responseHead = h;
     }
 
     private void first() {
@@ -256,27 +256,27 @@
     public void piece(Buffer buffer, String event) {
       if (over) return;
       first();
-      if (o.state.at() == State.At.ENDED) {
+      if (o.state.phase() == RequestState.Phase.ENDED) {
         handle.reset();
         over(FilterResult.ENDED);
         return;
       }
-      if (o.resumesAfterLast && !event.isEmpty() && !follows(event, o.lastEvent)) {
-        broken("event " + event + " after event " + o.lastEvent);
+      if (o.canResumeAfterLastEvent && !event.isEmpty() && !follows(event, o.lastEventId)) {
+        broken("event " + event + " after event " + o.lastEventId);
         return;
       }
       if (o.piecesOut == 0) {
-        if (!o.state.step(State.At.HANDED, State.At.STREAMING)) return;
+        if (!o.state.transition(RequestState.Phase.FORWARDED, RequestState.Phase.STREAMING)) return;
         long now = r.clock.now();
-        o.decision.add("stream", now, Json.object().add("firstPieceMs", now - o.came));
-        o.firstPieceMs = now - o.came;
-        r.firstPiece(o, b, now - o.handedAt);
-        o.caller.head(o, o.head == null ? Head.PLAIN : o.head);
+        o.decision.add("stream", now, Json.object().add("firstPieceMs", now - o.receivedAtMs));
+        o.firstPieceMs = now - o.receivedAtMs;
+        r.firstPiece(o, b, now - o.forwardedAtMs);
+        o.caller.sendHead(o, o.responseHead == null ? ResponseHead.EMPTY_OK : o.responseHead);
       }
-      o.pieceCame(r.clock.now());
-      o.resumesAfterLast = !event.isEmpty();
-      if (o.resumesAfterLast) o.lastEvent = event;
-      if (!o.caller.piece(o, buffer, handle::resume)) handle.pause();
+      o.recordPiece(r.clock.now());
+      o.canResumeAfterLastEvent = !event.isEmpty();
+      if (o.canResumeAfterLastEvent) o.lastEventId = event;
+      if (!o.caller.sendPiece(o, buffer, handle::resume)) handle.pause();
     }
 
     @Override
@@ -284,9 +284,9 @@
       if (over) return;
       first();
       if (o.state.end()) {
-        o.decision.outcome("complete");
-        if (!o.gone) {
-          if (o.piecesOut == 0) o.caller.head(o, o.head == null ? Head.PLAIN : o.head);
+        o.decision.setOutcome("complete");
+        if (!o.callerGone) {
+          if (o.piecesOut == 0) o.caller.sendHead(o, o.responseHead == null ? ResponseHead.EMPTY_OK : o.responseHead);
           o.caller.complete(o, o.piecesOut);
         }
       }
@@ -303,7 +303,7 @@
       b.failures++;
       leaveAlone(FAILED_MS);
       o.mayHaveRun = true;
-      over(new FilterResult.Again(b.replica.instance() + ": " + failure));
+      over(new FilterResult.ChooseAgain(b.replica.instance() + ": " + failure));
       return true;
     }
 
@@ -315,23 +315,23 @@
       over = true;
       handle.reset();
       String why = b.replica.instance() + ": " + what;
-      State.At at = o.state.at();
-      if (at == State.At.ENDED) {
+      RequestState.Phase at = o.state.phase();
+      if (at == RequestState.Phase.ENDED) {
         over(FilterResult.ENDED);
         return;
       }
       b.failures++;
-      leaveAlone(at == State.At.STREAMING ? BROKE_OFF_MS : FAILED_MS);
-      if (at == State.At.STREAMING) {
-        if (o.route.resumable() && o.resumesAfterLast && again(false)) {
+      leaveAlone(at == RequestState.Phase.STREAMING ? BROKE_OFF_MS : FAILED_MS);
+      if (at == RequestState.Phase.STREAMING) {
+        if (o.route.resumable() && o.canResumeAfterLastEvent && again(false)) {
           o.decision.add(
-              "resume", r.clock.now(), Json.object().add("after", o.lastEvent).add("why", why));
-          over(new FilterResult.Again(why));
+              "resume", r.clock.now(), Json.object().add("after", o.lastEventId).add("why", why));
+          over(new FilterResult.ChooseAgain(why));
         } else cut(why);
         return;
       }
       o.mayHaveRun = true;
-      if (o.repeatable && again(false)) over(new FilterResult.Again(why));
+      if (o.repeatable && again(false)) over(new FilterResult.ChooseAgain(why));
       else over(FilterResult.unknown(502, why, r.retryAdvice.untilRoomMs(o)));
     }
   }
--- a/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
@@ -11,7 +11,7 @@
 /**
  * Whose request it is: by the hash of its key; the key itself went no further than the listener.
  */
-record KeyFilter(Relay relay) implements RequestFilter.AtOnce {
+record KeyFilter(Relay relay) implements RequestFilter.Synchronous {
   @Override
   public String name() {
     return "key";
@@ -38,12 +38,12 @@
             .add("isolated", request.tenant.isolated())
             .add("sharingSince", snapshot.prefixSharingSince())
             .add("policy", snapshot.configurationNumber()));
-    return FilterResult.GO;
+    return FilterResult.CONTINUE;
   }
 
   private static Configuration.Tenant tenant(
       Request request, Configuration.Route route, ControlStateSnapshot snapshot) {
-    Configuration.Tenant tenant = snapshot.configuration().tenantOfHash(request.keyHash);
+    Configuration.Tenant tenant = snapshot.configuration().tenantOfHash(request.apiKeyHash);
     boolean open = route != null && route.open();
     return open && tenant == null ? Configuration.ANYBODY : tenant;
   }
--- a/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
@@ -6,10 +6,10 @@
 import com.eclipsesource.json.JsonValue;
 import gladelug.common.Log;
 import gladelug.common.configuration.Replicas;
-import gladelug.data.request.Head;
+import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Prompt;
 import gladelug.data.request.Request;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
 import io.vertx.core.buffer.Buffer;
 
 /**
@@ -103,7 +103,7 @@
     JsonObject json =
         Json.object()
             .add("order", request.id())
-            .add("try", request.tries)
+            .add("try", request.tryCount)
             .add("service", request.service.name())
             .add("instance", backend.replica.instance())
             .add("weights", request.weights)
@@ -112,8 +112,8 @@
             .add("maxPieces", request.maxPieces);
     if (request.fetchBlocks > 0) {
       JsonArray array = new JsonArray();
-      for (int i = request.matched; i < request.matched + request.fetchBlocks; i++)
-        array.add(String.format("%016x", request.blocks[i]));
+      for (int i = request.matchedBlocks; i < request.matchedBlocks + request.fetchBlocks; i++)
+        array.add(String.format("%016x", request.blockKeys[i]));
       Replicas.Replica h = r.tables().replicas().find(request.fetchFrom);
       if (h != null)
         json.add(
@@ -194,9 +194,9 @@
           return;
         }
         head = true;
-        to.head(Head.PLAIN);
+        to.head(ResponseHead.EMPTY_OK);
         JsonValue value = json.get("used");
-        if (value != null && value.isObject() && o.state.at() != State.At.ENDED)
+        if (value != null && value.isObject() && o.state.phase() != RequestState.Phase.ENDED)
           o.decision.add("replica", r.clock.now(), (JsonObject) value);
         return;
       }
--- a/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
@@ -99,7 +99,7 @@
 
   /** The indexes that follow holders where one a zone does. */
   static Set<Address> followers(Collection<Shuffle.Descriptor> seen) {
-    return ZoneFollower.byZone(seen).values().stream()
+    return ZoneFollower.followersByZone(seen).values().stream()
         .map(index -> Address.of(index.records()))
         .collect(Collectors.toSet());
   }
--- a/data-plane/src/main/java/gladelug/data/relay/OwnProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/OwnProtocol.java
@@ -1,7 +1,7 @@
 package gladelug.data.relay;
 
 import gladelug.common.Address;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.http.HttpServer;
@@ -24,7 +24,7 @@
   }
 
   @Override
-  public Uni<Door> open(Under u, Relay r, Decisions decisions, FilterChain way) {
+  public Uni<Door> open(Under u, Relay r, RecentDecisions decisions, FilterChain way) {
     Router t = Router.router(u.vertx().getDelegate());
     new CallerListener(r, decisions, way).routes(t);
     HttpServer server =
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
@@ -22,9 +22,9 @@
   }
 
   @Override
-  public Uni<FilterResult> pass(Request request) {
+  public Uni<FilterResult> apply(Request request) {
     if (request.service.kind() != Configuration.Kind.MODEL)
-      return Uni.createFrom().item(FilterResult.GO);
+      return Uni.createFrom().item(FilterResult.CONTINUE);
     String[] mayRun = relay.weights(request.model);
     if (mayRun == null) return Uni.createFrom().item(relay.refusalForWantOfWeights(request));
     chooseWeights(request, mayRun);
@@ -32,12 +32,12 @@
     long askedAt = relay.clock.now();
     return lookups
         .ask(
-            hints ? request.blocks : NO_BLOCKS, fleet -> relay.fleet(request.service.name(), fleet))
+            hints ? request.blockKeys : NO_BLOCKS, fleet -> relay.fleet(request.service.name(), fleet))
         .map(
             found -> {
               request.lookupMs = relay.clock.now() - askedAt;
               take(request, found);
-              return FilterResult.GO;
+              return FilterResult.CONTINUE;
             });
   }
 
@@ -56,13 +56,13 @@
     }
     boolean toNewest = relay.settings.prefersNewest() ? newest > 0 : newest >= older;
     request.weights = toNewest || older == 0 ? mayRun[0] : mayRun[1];
-    request.blocks =
-        request.prompt.keys(request.model, request.weights, request.cacheScope, blockBytes);
+    request.blockKeys =
+        request.prompt.blockKeys(request.model, request.weights, request.cacheScope, blockBytes);
   }
 
   private void take(Request request, Lookups.Found found) {
     request.matches = found.matches();
-    request.lookupAnswer = found.how();
+    request.lookupOutcome = found.how();
     if (found.answered()) relay.fleet(request.service.name(), found.fleet());
     JsonArray matches = new JsonArray();
     for (Lookup.Match match : found.matches())
@@ -76,7 +76,7 @@
         relay.clock.now(),
         Json.object()
             .add("weights", request.weights)
-            .add("blocks", request.blocks.length)
+            .add("blocks", request.blockKeys.length)
             .add("index", found.how())
             .add("matches", matches));
   }
--- a/data-plane/src/main/java/gladelug/data/relay/Relay.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Relay.java
@@ -16,7 +16,7 @@
 import gladelug.data.request.FilterChain;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Request;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
 import gladelug.data.state.ControlStateSnapshot;
 import gladelug.data.state.StateSubscription;
 import java.util.ArrayList;
@@ -107,7 +107,7 @@
   }
 
   public ControlStateSnapshot tables() {
-    return news.tables();
+    return news.snapshot();
   }
 
   /** Empty where requests may start now, else the reason why not. */
@@ -115,7 +115,7 @@
     ControlStateSnapshot snapshot = tables();
     if (snapshot.configurationNumber() == 0) return "no policy yet";
     if (snapshot.replicasNumber() == 0) return "no list of replicas yet";
-    if (!news.leases.valid(clock.now())) return "no licence";
+    if (!news.leases.isValid(clock.now())) return "no licence";
     return "";
   }
 
@@ -130,7 +130,7 @@
    * than this relay, or null. Its deadline counts, the only end that is certain.
    */
   FilterResult refusalIfItMayOutlastThis(Request request) {
-    return request.deadline > drainsUntilMs
+    return request.deadlineMs > drainsUntilMs
         ? FilterResult.notRun(503, "stopping before it has to end", FilterResult.RETRY_AT_ONCE_MS)
         : null;
   }
@@ -153,7 +153,7 @@
         n.before().isEmpty() && settings.anyWeights()
             ? backends.newestBelow(model, n.now())
             : n.before();
-    return new String[] {n.now(), clock.now() < news.leases.cutoffAt() ? before : ""};
+    return new String[] {n.now(), clock.now() < news.leases.cutoffAtMs() ? before : ""};
   }
 
   /** Whether a request may begin on these weights now. */
@@ -208,8 +208,8 @@
    * it has.
    */
   private long turn(Backend b) {
-    long named = news.leases.cutoffAt() - settings.cutoffMs();
-    if (clock.now() >= news.leases.cutoffAt()) return clock.now() - LOADS;
+    long named = news.leases.cutoffAtMs() - settings.cutoffMs();
+    if (clock.now() >= news.leases.cutoffAtMs()) return clock.now() - LOADS;
     List<String> all =
         backends.of(b.replica.service()).stream().map(x -> x.replica.instance()).toList();
     return named + settings.roll().due(settings.roll().part(b.replica.instance(), all));
@@ -222,7 +222,7 @@
     Replica p = tables().replicas().find(name);
     if (p != null) return p;
     Configuration.Service s = tables().configuration().service(name);
-    return s == null || s.store() == null ? null : Holders.store(s);
+    return s == null || s.store() == null ? null : Holders.storeAsHolder(s);
   }
 
   /**
@@ -275,7 +275,7 @@
   }
 
   public void begin(Request request) {
-    live.put(request.decision.nr, request);
+    live.put(request.decision.number, request);
   }
 
   public List<Request> live() {
@@ -284,7 +284,7 @@
 
   /** The request's end: its place is free. */
   public void ended(Request request) {
-    if (live.remove(request.decision.nr) == null) return;
+    if (live.remove(request.decision.number) == null) return;
     request.state.end();
     if (request.admitted) {
       request.admitted = false;
@@ -315,15 +315,15 @@
         "outcome",
         request.decision.outcome(),
         "tries",
-        request.tries,
+        request.tryCount,
         "pieces",
         request.piecesOut,
         "ms",
-        clock.now() - request.came,
+        clock.now() - request.receivedAtMs,
         "units",
         request.promptUnits(),
         "held",
-        request.heldUnits,
+        request.maxHeldUnits,
         "computed",
         request.computeUnits,
         "fetched",
@@ -333,7 +333,7 @@
         "saved",
         request.saveTo.isEmpty() ? "-" : request.saveTo,
         "index",
-        request.lookupAnswer,
+        request.lookupOutcome,
         "lookupMs",
         request.lookupMs,
         "queueMs",
@@ -345,13 +345,13 @@
         "pauseEndedMs",
         request.longestPauseEndedMs(),
         "replica",
-        request.triedLast == null ? "-" : request.triedLast.replica.instance(),
+        request.lastTriedBackend == null ? "-" : request.lastTriedBackend.replica.instance(),
         "handedMs",
-        request.tries == 0 ? -1 : request.handedAt - request.came,
+        request.tryCount == 0 ? -1 : request.forwardedAtMs - request.receivedAtMs,
         "runningThere",
-        request.runningThere,
+        request.runningOnBackend,
         "why",
-        request.why);
+        request.failureReason);
   }
 
   /** The request holds no replica any more. */
@@ -393,11 +393,11 @@
           .forEach((leaf, n) -> ds.add(new StateUpdate.QuotaDemand(text, leaf, n[0], n[1])));
       ps.add(new StateUpdate.ServiceCapacity(text, places(text)));
       StateSubscription.Allotment a = news.allotment(text);
-      if (settings.alone() || a == null || now - a.at() > STALE || !a.full())
+      if (settings.alone() || a == null || now - a.receivedAtMs() > STALE || !a.full())
         e.getValue().unbound();
-      else e.getValue().bound(a.milli(), passed, estimates.requestMs(text));
+      else e.getValue().bound(a.milliSlotsByLeaf(), passed, estimates.requestMs(text));
     }
-    news.demand(List.copyOf(ds), List.copyOf(ps));
+    news.reportDemand(List.copyOf(ds), List.copyOf(ps));
   }
 
   /**
@@ -409,14 +409,14 @@
     long now = clock.now();
     for (Map.Entry<String, WaitQueue> e : queues.entrySet()) {
       StateSubscription.Allotment a = news.allotment(e.getKey());
-      boolean fresh = a != null && now - a.at() <= STALE;
+      boolean fresh = a != null && now - a.receivedAtMs() <= STALE;
       JsonObject l = Json.object();
       e.getValue()
           .waitingAndUsed()
           .forEach(
               (leaf, n) -> {
                 JsonObject x = Json.object().add("waiting", n[0]).add("using", n[1]);
-                if (fresh && a.full()) x.add("part", a.milli().getOrDefault(leaf, 1000) / 1000.0);
+                if (fresh && a.full()) x.add("part", a.milliSlotsByLeaf().getOrDefault(leaf, 1000) / 1000.0);
                 l.add(leaf, x);
               });
       o.add(
@@ -432,7 +432,7 @@
   private int equalPart(String service) {
     StateSubscription.Allotment a = news.allotment(service);
     if (settings.alone()) return Integer.MAX_VALUE;
-    if (a != null && clock.now() - a.at() <= STALE) return Integer.MAX_VALUE;
+    if (a != null && clock.now() - a.receivedAtMs() <= STALE) return Integer.MAX_VALUE;
     int n = Math.max(1, relays.getAsInt());
     return (places(service) + n - 1) / n;
   }
@@ -489,20 +489,20 @@
       if (request == null) break;
       request.admitted = true;
       admitted.merge(e.getKey(), 1, Integer::sum);
-      request.leaveQueue.accept(FilterResult.GO);
+      request.onLeaveQueue.accept(FilterResult.CONTINUE);
     }
   }
 
   /** The caller went away: nothing is left to be done for its request. */
   public void gone(Request request) {
-    request.gone = true;
-    State.At at = request.state.at();
-    if (at == State.At.ENDED) return;
+    request.callerGone = true;
+    RequestState.Phase at = request.state.phase();
+    if (at == RequestState.Phase.ENDED) return;
     request.decision.add(
         "caller-gone", clock.now(), Json.object().add("pieces", request.piecesOut));
-    if (at == State.At.WAITING) stop(request, "the caller went away", 499);
+    if (at == RequestState.Phase.WAITING) stop(request, "the caller went away", 499);
     else if (request.state.end()) {
-      request.decision.outcome("caller-gone");
+      request.decision.setOutcome("caller-gone");
       request.cancel.run();
       ended(request);
     }
@@ -533,9 +533,9 @@
       for (WaitQueue b : queues.values()) b.shape(snapshot.configuration());
       for (Request request : live()) {
         if (request.tenant == null || request.route != null && request.route.open()) continue;
-        Configuration.Tenant n = snapshot.configuration().tenantOfHash(request.keyHash);
+        Configuration.Tenant n = snapshot.configuration().tenantOfHash(request.apiKeyHash);
         boolean runs =
-            request.state.at() == State.At.HANDED || request.state.at() == State.At.STREAMING;
+            request.state.phase() == RequestState.Phase.FORWARDED || request.state.phase() == RequestState.Phase.STREAMING;
         if ((n == null || !n.name().equals(request.tenant.name()))
             && (settings.cutsStreams() || !runs)) stop(request, "key revoked", 401);
       }
@@ -546,32 +546,32 @@
 
   /** Ends a request wherever it is: refused from the queue, or cut off at the replica. */
   public void stop(Request o, String why, int status) {
-    State.At at = o.state.at();
-    if (at == State.At.WAITING && !o.admitted && o.leaveQueue != null) {
+    RequestState.Phase at = o.state.phase();
+    if (at == RequestState.Phase.WAITING && !o.admitted && o.onLeaveQueue != null) {
       for (Request x : queue(o.service.name()).leave(y -> y == o))
-        x.leaveQueue.accept(
+        x.onLeaveQueue.accept(
             FilterResult.notRun(status, why, status == 401 ? 0 : retryAdvice.untilStateMs()));
-    } else if (at == State.At.HANDED || at == State.At.STREAMING) cutOff(o, why);
+    } else if (at == RequestState.Phase.FORWARDED || at == RequestState.Phase.STREAMING) cutOff(o, why);
     // an admitted request still waiting meets the same check at the hand-over
   }
 
   public void cutOff(Request request, String why) {
-    boolean streaming = request.state.at() == State.At.STREAMING;
+    boolean streaming = request.state.phase() == RequestState.Phase.STREAMING;
     if (!request.state.end()) return;
     // the reason first: letting the replica go may end the request's record on the spot
     request.decision.add(
         "cut-off", clock.now(), Json.object().add("why", why).add("pieces", request.piecesOut));
-    request.decision.outcome(streaming ? "cut-off" : "unknown");
-    request.why = why;
+    request.decision.setOutcome(streaming ? "cut-off" : "unknown");
+    request.failureReason = why;
     request.cancel.run();
-    if (!request.gone) {
+    if (!request.callerGone) {
       if (streaming) request.caller.cutOff(request, why);
       else
         request.caller.refuse(
             request,
             (FilterResult.Refuse)
                 FilterResult.unknown(
-                    request.deadline <= clock.now() ? 504 : 502,
+                    request.deadlineMs <= clock.now() ? 504 : 502,
                     why,
                     retryAdvice.untilRoomMs(request)));
     }
@@ -587,14 +587,14 @@
     FilterResult.Refuse v =
         ((FilterResult.Refuse)
                 FilterResult.notRun(503, EXPIRED_UNSENT, retryAdvice.untilRoomMs(request)))
-            .afterTriesOf(request);
+            .adjustedForTriesOf(request);
     request.decision.add(
         "turned-away",
         clock.now(),
         Json.object().add("status", v.status()).add("reason", v.reason()));
-    request.decision.outcome(v.outcome());
-    request.why = v.reason();
-    if (!request.gone) request.caller.refuse(request, v);
+    request.decision.setOutcome(v.outcome());
+    request.failureReason = v.reason();
+    if (!request.callerGone) request.caller.refuse(request, v);
     ended(request);
   }
 
@@ -603,7 +603,7 @@
     if (!settings.has(Mechanism.EARLY_REFUSAL)) return;
     for (WaitQueue queue : queues.values())
       for (Request request : queue.leave(waiting -> now > waiting.latestStartMs()))
-        request.leaveQueue.accept(
+        request.onLeaveQueue.accept(
             FilterResult.notRun(503, EXPIRED_UNPLACED, retryAdvice.untilRoomMs(request)));
   }
 
@@ -619,19 +619,19 @@
     ticked = now;
     refuseTooLate(now);
     for (Request o : live()) {
-      if (o.deadline > 0 && now >= o.deadline) {
-        State.At at = o.state.at();
-        if (at == State.At.WAITING && !o.admitted && o.leaveQueue != null) {
+      if (o.deadlineMs > 0 && now >= o.deadlineMs) {
+        RequestState.Phase at = o.state.phase();
+        if (at == RequestState.Phase.WAITING && !o.admitted && o.onLeaveQueue != null) {
           for (Request x : queue(o.service.name()).leave(y -> y == o))
-            x.leaveQueue.accept(
+            x.onLeaveQueue.accept(
                 FilterResult.notRun(503, "expired in the backlog", retryAdvice.untilRoomMs(x)));
-        } else if (at == State.At.HANDED || at == State.At.STREAMING) cutOff(o, "expired");
-        else if (at == State.At.WAITING && o.admitted) expireUnsent(o);
+        } else if (at == RequestState.Phase.FORWARDED || at == RequestState.Phase.STREAMING) cutOff(o, "expired");
+        else if (at == RequestState.Phase.WAITING && o.admitted) expireUnsent(o);
       } else if (o.backend != null
           && o.backend.silent(now, awake)
-          && o.state.at() != State.At.WAITING) o.lost.accept("has fallen silent");
+          && o.state.phase() != RequestState.Phase.WAITING) o.onReplicaLost.accept("has fallen silent");
     }
-    if (settings.cutsStreams() && now - news.leases.until(StateKeys.CONFIGURATION) > GRACE)
+    if (settings.cutsStreams() && now - news.leases.validUntilMs(StateKeys.CONFIGURATION) > GRACE)
       for (Request o : live())
         if (o.tenant != null) stop(o, "no licence for so long that keys can't be known", 503);
     pump();
--- a/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
@@ -2,7 +2,7 @@
 
 import gladelug.common.Clock;
 import gladelug.common.connection.BindAddress;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
 import io.smallrye.mutiny.Uni;
 import io.vertx.mutiny.core.Vertx;
@@ -28,5 +28,5 @@
   Exchange exchange(Under u, Relay r);
 
   /** Opens the door; fails where it can't be opened. */
-  Uni<Door> open(Under u, Relay r, Decisions decisions, FilterChain way);
+  Uni<Door> open(Under u, Relay r, RecentDecisions decisions, FilterChain way);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayService.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayService.java
@@ -14,9 +14,9 @@
 import gladelug.data.StatusEndpoint;
 import gladelug.data.decisions.DecisionLogService;
 import gladelug.data.request.Decision;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Request;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
 import gladelug.data.state.ControlStateSnapshot;
 import gladelug.data.state.StateSubscriptionService;
 import io.smallrye.mutiny.Uni;
@@ -63,7 +63,7 @@
   private Context context;
   private volatile Relay relay;
   private StallDetector.Watched watched;
-  private Decisions decisions;
+  private RecentDecisions decisions;
   private RelayProtocol.Door door;
 
   public RelayService(
@@ -93,8 +93,8 @@
     ConnectionAcceptor doors = registry.find("doors", ConnectionAcceptor.class);
     PartialViewService views = registry.find("views", PartialViewService.class);
     DecisionLogService reasons = registry.find("reasons", DecisionLogService.class);
-    reasons.prepare();
-    decisions = new Decisions(REMEMBERED, name, news.run());
+    reasons.keepPeersConnected();
+    decisions = new RecentDecisions(REMEMBERED, name, news.run());
     context = vertx.getOrCreateContext();
     watched = ProcessStalls.detector().watch("requests", this::onRequestThread);
     RelayProtocol.Under under = new RelayProtocol.Under(vertx, doors.local, clock);
@@ -104,13 +104,13 @@
           Relay r =
               new Relay(
                   clock,
-                  news.held,
+                  news.subscription,
                   x -> protocol.backends(under, x),
                   zone,
                   settings,
                   () ->
                       Math.max(
-                          news.held.relays(),
+                          news.subscription.relayCount(),
                           1
                               + (int)
                                   views.all().stream()
@@ -130,11 +130,11 @@
           List<Decision> ended = new ArrayList<>();
           r.reasons = ended::add;
           vertx.setPeriodic(
-              DecisionLogService.PERIOD,
+              DecisionLogService.SEND_INTERVAL_MS,
               i -> {
                 for (Request request : r.live())
-                  if (request.state.at() != State.At.WAITING) ended.add(request.decision);
-                reasons.hand(List.copyOf(ended), decisions.run());
+                  if (request.state.phase() != RequestState.Phase.WAITING) ended.add(request.decision);
+                reasons.submit(List.copyOf(ended), decisions.runId());
                 ended.clear();
               });
           relay = r;
@@ -154,7 +154,7 @@
       throw new ServiceRegistry.StartupException(
           "cannot listen for callers: " + ConnectionAcceptor.reason(e), e);
     }
-    news.listen(snapshot -> context.runOnContext(() -> relay.tables(snapshot)));
+    news.addListener(snapshot -> context.runOnContext(() -> relay.tables(snapshot)));
     Log.event("caller-listener-started", "name", name);
   }
 
@@ -190,7 +190,7 @@
                       long now = clock.now();
                       JsonObject json = Json.object();
                       for (String key : StateKeys.LEASED)
-                        json.add(key, Math.max(-1, r.news.leases.until(key) - now));
+                        json.add(key, Math.max(-1, r.news.leases.validUntilMs(key) - now));
                       e.complete(
                           Json.object()
                               .add("name", name)
@@ -222,17 +222,17 @@
   }
 
   private void explain(RoutingContext context) {
-    Decisions.Found f = decisions.find(context.pathParam("id"));
-    if (f instanceof Decisions.Found.Yes y) StatusEndpoint.say(context, 200, y.decision().json());
-    else if (f instanceof Decisions.Found.Malformed)
-      StatusEndpoint.say(
+    RecentDecisions.FindResult f = decisions.find(context.pathParam("id"));
+    if (f instanceof RecentDecisions.FindResult.Present y) StatusEndpoint.sendJson(context, 200, y.decision().toJson());
+    else if (f instanceof RecentDecisions.FindResult.Malformed)
+      StatusEndpoint.sendJson(
           context,
           400,
           Json.object()
               .add(
                   "reason", "a request id is RELAY.RUN.NUMBER, as in the header Gladelug-Request"));
-    else if (f instanceof Decisions.Found.Overwritten)
-      StatusEndpoint.say(
+    else if (f instanceof RecentDecisions.FindResult.Overwritten)
+      StatusEndpoint.sendJson(
           context,
           410,
           Json.object()
@@ -240,8 +240,8 @@
                   "reason",
                   "this relay took the request but has overwritten its record; it remembers the last "
                       + REMEMBERED));
-    else if (f instanceof Decisions.Found.OtherRun)
-      StatusEndpoint.say(
+    else if (f instanceof RecentDecisions.FindResult.OtherRun)
+      StatusEndpoint.sendJson(
           context,
           410,
           Json.object()
@@ -249,7 +249,7 @@
                   "reason",
                   "the request was taken by an earlier run of this relay, whose records are gone"));
     else
-      StatusEndpoint.say(
+      StatusEndpoint.sendJson(
           context, 404, Json.object().add("reason", "this relay never took such a request"));
   }
 
--- a/data-plane/src/main/java/gladelug/data/relay/RelaySettings.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelaySettings.java
@@ -146,7 +146,7 @@
     private boolean cutsStreams = true;
     private double retryRatio = RetryBudget.EARN;
     private double retrySlack = -1;
-    private long stateRenewalMs = StateSubscriptionService.ASK_MS;
+    private long stateRenewalMs = StateSubscriptionService.REQUEST_INTERVAL_MS;
     private double zoneMs = OTHER_ZONE_MS;
     private boolean prefersNewest = true;
     private boolean hidesNoRoutes;
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaChoice.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaChoice.java
@@ -15,7 +15,7 @@
  * The filter that chooses the replica: of those that may run the request, the one with the least
  * estimated ms of queue, prefill or pull, and distance, as {@link ReplicaCosts} has it.
  */
-public final class ReplicaChoice implements RequestFilter.AtOnce {
+public final class ReplicaChoice implements RequestFilter.Synchronous {
   private static final String[] NO_WEIGHTS = {"", ""};
 
   /** Spreads equal options over replicas, differently for each request (Knuth's constant). */
@@ -44,7 +44,7 @@
   @Override
   public FilterResult decide(Request request) {
     long now = relay.clock.now();
-    if (now >= request.deadline)
+    if (now >= request.deadlineMs)
       return FilterResult.notRun(
           503, "expired before a replica was chosen", relay.retryAdvice.untilRoomMs(request));
     boolean model = request.service.kind() == Configuration.Kind.MODEL;
@@ -55,12 +55,12 @@
     ReplicaOption chosen = best(request, options);
     take(request, chosen, model, now);
     record(request, chosen, options, now);
-    return FilterResult.GO;
+    return FilterResult.CONTINUE;
   }
 
   private List<ReplicaOption> options(Request request, boolean model, String[] may, long now) {
-    Backend only = request.only;
-    request.only = null;
+    Backend only = request.requiredBackend;
+    request.requiredBackend = null;
     List<ReplicaOption> options = new ArrayList<>();
     boolean newest = false;
     for (Backend backend : relay.backends.of(request.service.name())) {
@@ -102,29 +102,29 @@
   }
 
   private static int spread(Request request, Backend backend) {
-    return (backend.replica.instance().hashCode() ^ (int) request.decision.nr) * SPREAD;
+    return (backend.replica.instance().hashCode() ^ (int) request.decision.number) * SPREAD;
   }
 
   private void take(Request request, ReplicaOption chosen, boolean model, long now) {
     Backend backend = chosen.backend();
-    request.heldUnits = 0;
+    request.maxHeldUnits = 0;
     for (Lookup.Match match : request.matches)
-      request.heldUnits = Math.max(request.heldUnits, ReplicaCosts.units(request, match));
+      request.maxHeldUnits = Math.max(request.maxHeldUnits, ReplicaCosts.units(request, match));
     if (model) {
       takePrompt(request, chosen);
-      relay.reuse.seen(request.promptUnits(), request.heldUnits);
+      relay.reuse.seen(request.promptUnits(), request.maxHeldUnits);
     }
     if (request.fetchBlocks > 0) pull(request, chosen, now);
     if (model && relay.settings.has(Mechanism.STORE_SAVE)) save(request, chosen, now);
     request.computeUnits = chosen.computeUnits();
     request.workMs = chosen.prefillMs();
     request.queueMs = chosen.queueMs();
-    request.runningThere = backend.running(now);
+    request.runningOnBackend = backend.running(now);
     relay.choose(request, backend, chosen.prefillMs());
     if (backend.reports) return;
     if (!relay.settings.has(Mechanism.RECENT_PLACEMENTS)) return;
-    relay.placements.sent(request.blocks, backend.replica.instance(), now);
-    lookups.placed(backend.replica.instance(), request.blocks, relay.estimates.placed(request));
+    relay.placements.recordPlacement(request.blockKeys, backend.replica.instance(), now);
+    lookups.placed(backend.replica.instance(), request.blockKeys, relay.estimates.placed(request));
   }
 
   private void pull(Request request, ReplicaOption chosen, long now) {
@@ -150,10 +150,10 @@
     String runs = relay.weightsOf(backend, request.model);
     boolean same = runs.equals(request.weights);
     if (!same)
-      request.blocks =
-          request.prompt.keys(request.model, runs, request.cacheScope, backend.blockBytes);
+      request.blockKeys =
+          request.prompt.blockKeys(request.model, runs, request.cacheScope, backend.blockBytes);
     request.weights = runs;
-    request.matched = same ? chosen.matched() : 0;
+    request.matchedBlocks = same ? chosen.matched() : 0;
     request.fetchFrom = same ? chosen.fetchFrom() : "";
     request.fetchBlocks = same ? chosen.fetchBlocks() : 0;
   }
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaCosts.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaCosts.java
@@ -38,16 +38,16 @@
 
   /** Units that a holder keeps of the prompt's first blocks: whole ones, and a part of the next. */
   static int units(Request request, Lookup.Match match) {
-    int whole = Math.min(request.blocks.length, match.blocks());
+    int whole = Math.min(request.blockKeys.length, match.blocks());
     int units = request.promptUnits(whole);
-    return whole < request.blocks.length
-        ? units + Math.min(match.units(), request.prompt.units(whole))
+    return whole < request.blockKeys.length
+        ? units + Math.min(match.units(), request.prompt.blockUnits(whole))
         : units;
   }
 
   /** Units of the prompt that other requests may ask for: all blocks but its own last one. */
   static int sharedUnits(Request request) {
-    return request.promptUnits(Math.max(0, request.blocks.length - 1));
+    return request.promptUnits(Math.max(0, request.blockKeys.length - 1));
   }
 
   /** The cost of sending the request there now. */
@@ -63,7 +63,7 @@
       for (Lookup.Match match : request.matches)
         prefill = cheaper(prefill, request, backend, kept, match, now);
     double queue =
-        backend.queueMs(now, relay.relays.getAsInt(), all + request.tokensOut, relay.settings)
+        backend.queueMs(now, relay.relays.getAsInt(), all + request.maxTokensOut, relay.settings)
             + Math.max(0, backend.running(now) - backend.slots + 1) * BEYOND_SLOTS_MS
             + (relay.settings.has(Mechanism.ROLLOUT_AVOIDANCE)
                     && relay.loads(backend, request.model)
@@ -112,13 +112,13 @@
     int units = 0;
     for (Lookup.Match match : request.matches)
       if (match.holder().equals(instance) && units(request, match) >= units) {
-        blocks = Math.min(request.blocks.length, match.blocks());
+        blocks = Math.min(request.blockKeys.length, match.blocks());
         units = units(request, match);
       }
     int sent =
         backend.reports || !relay.settings.has(Mechanism.RECENT_PLACEMENTS)
             ? 0
-            : relay.placements.leading(request.blocks, instance, now);
+            : relay.placements.leadingBlocks(request.blockKeys, instance, now);
     return sent > blocks ? new Kept(sent, request.promptUnits(sent)) : new Kept(blocks, units);
   }
 
@@ -131,7 +131,7 @@
   /** The prefill by pulling from this holder where that is cheaper, else the one given. */
   private Prefill cheaper(
       Prefill least, Request request, Backend backend, Kept kept, Lookup.Match match, long now) {
-    int blocks = Math.min(request.blocks.length, match.blocks()) - kept.blocks;
+    int blocks = Math.min(request.blockKeys.length, match.blocks()) - kept.blocks;
     int more = units(request, match) - kept.units;
     Replica holder = relay.holder(match.holder());
     if (more <= 0 || holder == null) return least;
--- a/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** Which route and service: by host and path; and with them deadline, share and repeatability. */
-record RouteFilter(Relay relay) implements RequestFilter.AtOnce {
+record RouteFilter(Relay relay) implements RequestFilter.Synchronous {
   static final String NO_ROUTE = "no mapping for this path";
 
   @Override
@@ -21,12 +21,12 @@
     Configuration configuration = relay.tables().configuration();
     request.route = configuration.route(request.host, request.path);
     if (request.route == null) return FilterResult.notRun(404, NO_ROUTE, 0);
-    request.service = configuration.services.get(request.route.service(request.draw));
+    request.service = configuration.services.get(request.route.service(request.splitDraw));
     if (request.model.isEmpty()) request.model = usualModel(request.service);
     request.leaf = Configuration.leaf(request.tenant, request.route);
     request.repeatable =
-        request.askedRepeatable == null ? request.route.repeatable() : request.askedRepeatable;
-    request.deadline = request.came + mayTakeMs(request);
+        request.declaredRepeatable == null ? request.route.repeatable() : request.declaredRepeatable;
+    request.deadlineMs = request.receivedAtMs + mayTakeMs(request);
     request.decision.add(
         "mapping",
         relay.clock.now(),
@@ -34,10 +34,10 @@
             .add("mapping", request.route.name())
             .add("service", request.service.name())
             .add("share", request.leaf)
-            .add("expiryMs", request.deadline - request.came)
+            .add("expiryMs", request.deadlineMs - request.receivedAtMs)
             .add("repeatable", request.repeatable));
     FilterResult outlasts = relay.refusalIfItMayOutlastThis(request);
-    return outlasts == null ? FilterResult.GO : outlasts;
+    return outlasts == null ? FilterResult.CONTINUE : outlasts;
   }
 
   /** The model of a request that names none: the service's first, or one of the service's name. */
--- a/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
@@ -28,7 +28,7 @@
   private static final Comparator<Request> NEXT_AT_A_LEAF =
       Comparator.comparingInt(WaitQueue::routeTier)
           .thenComparingLong(Request::latestStartMs)
-          .thenComparingLong(request -> request.decision.nr);
+          .thenComparingLong(request -> request.decision.number);
 
   private static final class Node {
     final String path;
@@ -75,7 +75,7 @@
       Node m = nodes.get(n.path);
       if (m != null) m.pass = n.pass;
     }
-    waiting.sort((a, b) -> Long.compare(a.decision.nr, b.decision.nr));
+    waiting.sort((a, b) -> Long.compare(a.decision.number, b.decision.number));
     for (Request o : waiting) put(o);
     for (Map.Entry<String, Node> e : old.entrySet())
       if (e.getValue().children.isEmpty())
--- a/data-plane/src/main/java/gladelug/data/relay/WorkEstimates.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WorkEstimates.java
@@ -37,8 +37,8 @@
     String service = request.service.name();
     if (request.firstPieceMs >= 0)
       replySpeed(service)
-          .measured(now - request.came - request.firstPieceMs, request.mostTokensOut());
-    durations(service).measured(now - request.handedAt, request.ownWorkMs);
+          .measured(now - request.receivedAtMs - request.firstPieceMs, request.outputLimit());
+    durations(service).measured(now - request.forwardedAtMs, request.ownWorkMs);
   }
 
   /** Notes at a request what is left to do for it, before it is given a place. */
@@ -62,7 +62,7 @@
 
   /** How long its reply is likely to take after its first event, in ms. */
   int expectedReplyMs(Request request) {
-    return replySpeed(request.service.name()).expectedMs(request.mostTokensOut());
+    return replySpeed(request.service.name()).expectedMs(request.outputLimit());
   }
 
   /** What a request that was just placed asks of its replica. */
--- a/data-plane/src/main/java/gladelug/data/request/FilterChain.java
+++ b/data-plane/src/main/java/gladelug/data/request/FilterChain.java
@@ -11,40 +11,40 @@
  * back to the choice; the chain bounds how often.
  */
 public final class FilterChain {
-  private static final int CHOICES = 6;
-  private final List<RequestFilter> stages;
-  private final int choice;
+  private static final int MAX_CHOICES = 6;
+  private final List<RequestFilter> filters;
+  private final int choiceIndex;
   private final Clock clock;
-  private final Consumer<Request> ended;
+  private final Consumer<Request> onEnded;
 
   public FilterChain(
-      List<RequestFilter> stages, String choiceStage, Clock clock, Consumer<Request> ended) {
-    this.stages = List.copyOf(stages);
-    int c = 0;
-    for (int i = 0; i < stages.size(); i++) if (stages.get(i).name().equals(choiceStage)) c = i;
-    this.choice = c;
+      List<RequestFilter> filters, String choiceFilter, Clock clock, Consumer<Request> onEnded) {
+    this.filters = List.copyOf(filters);
+    int choice = 0;
+    for (int i = 0; i < filters.size(); i++) if (filters.get(i).name().equals(choiceFilter)) choice = i;
+    this.choiceIndex = choice;
     this.clock = clock;
-    this.ended = ended;
+    this.onEnded = onEnded;
   }
 
-  public void go(Request request) {
-    step(request, 0);
+  public void start(Request request) {
+    runFilter(request, 0);
   }
 
-  private void step(Request request, int i) {
-    RequestFilter filter = stages.get(i);
+  private void runFilter(Request request, int index) {
+    RequestFilter filter = filters.get(index);
     filter
-        .pass(request)
+        .apply(request)
         .subscribe()
         .with(
-            v -> next(request, i, v),
+            result -> onResult(request, index, result),
             failure -> {
               Log.thrown("stage-problem", failure, "stage", filter.name(), "order", request.id());
-              boolean handed = request.state.at() != State.At.WAITING;
-              next(
+              boolean forwarded = request.state.phase() != RequestState.Phase.WAITING;
+              onResult(
                   request,
-                  i,
-                  handed
+                  index,
+                  forwarded
                       ? FilterResult.unknown(
                           502, "an internal problem", FilterResult.RETRY_AT_ONCE_MS)
                       : FilterResult.notRun(
@@ -52,48 +52,48 @@
             });
   }
 
-  private void next(Request request, int i, FilterResult v) {
-    if (v instanceof FilterResult.Go) step(request, i + 1);
-    else if (v instanceof FilterResult.Again a) {
-      request.decision.add("again", clock.now(), Json.object().add("why", a.why()));
-      if (++request.choices > CHOICES)
+  private void onResult(Request request, int index, FilterResult result) {
+    if (result instanceof FilterResult.Continue) runFilter(request, index + 1);
+    else if (result instanceof FilterResult.ChooseAgain again) {
+      request.decision.add("again", clock.now(), Json.object().add("why", again.reason()));
+      if (++request.choiceCount > MAX_CHOICES)
         refuse(
             request,
             (FilterResult.Refuse)
                 FilterResult.notRun(503, "no replica took it", FilterResult.RETRY_AT_ONCE_MS));
-      else step(request, choice);
-    } else if (v instanceof FilterResult.Refuse t) refuse(request, t);
-    else ended.accept(request);
+      else runFilter(request, choiceIndex);
+    } else if (result instanceof FilterResult.Refuse refusal) refuse(request, refusal);
+    else onEnded.accept(request);
   }
 
-  private void refuse(Request request, FilterResult.Refuse v) {
+  private void refuse(Request request, FilterResult.Refuse refusal) {
     if (request.piecesOut > 0) {
-      cutOff(request, v.reason());
+      cutOff(request, refusal.reason());
       return;
     }
-    FilterResult.Refuse t = v.afterTriesOf(request);
+    FilterResult.Refuse adjusted = refusal.adjustedForTriesOf(request);
     if (!request.state.end()) {
-      ended.accept(request);
+      onEnded.accept(request);
       return;
     }
     request.decision.add(
         "turned-away",
         clock.now(),
-        Json.object().add("status", t.status()).add("reason", t.reason()));
-    request.decision.outcome(t.outcome());
-    request.why = t.reason();
-    if (!request.gone) request.caller.refuse(request, t);
-    ended.accept(request);
+        Json.object().add("status", adjusted.status()).add("reason", adjusted.reason()));
+    request.decision.setOutcome(adjusted.outcome());
+    request.failureReason = adjusted.reason();
+    if (!request.callerGone) request.caller.refuse(request, adjusted);
+    onEnded.accept(request);
   }
 
   /** A stream that broke and that nobody takes up. */
-  private void cutOff(Request request, String why) {
+  private void cutOff(Request request, String reason) {
     if (request.state.end()) {
       request.decision.add(
-          "cut-off", clock.now(), Json.object().add("why", why).add("pieces", request.piecesOut));
-      request.decision.outcome("cut-off");
-      if (!request.gone) request.caller.cutOff(request, why);
+          "cut-off", clock.now(), Json.object().add("why", reason).add("pieces", request.piecesOut));
+      request.decision.setOutcome("cut-off");
+      if (!request.callerGone) request.caller.cutOff(request, reason);
     }
-    ended.accept(request);
+    onEnded.accept(request);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/request/Blocks.java
+++ b/data-plane/src/main/java/gladelug/data/request/PrefixBlocks.java
@@ -11,22 +11,22 @@
  * first 8 bytes of its link. So equal text under other weights or in another scope has unrelated
  * ids. Only complete blocks count, and the last byte of a prompt is never part of a reusable block.
  */
-public final class Blocks {
-  private Blocks() {}
+public final class PrefixBlocks {
+  private PrefixBlocks() {}
 
-  public static long[] ids(
+  public static long[] computeIds(
       String service, String weights, String scope, byte[] prompt, int blockBytes) {
-    int n = Math.max(0, prompt.length - 1) / blockBytes;
-    long[] out = new long[n];
-    MessageDigest d = Digest.sha256();
+    int count = Math.max(0, prompt.length - 1) / blockBytes;
+    long[] ids = new long[count];
+    MessageDigest sha256 = Digest.sha256();
     byte[] link =
-        d.digest((service + "\n" + weights + "\n" + scope).getBytes(StandardCharsets.UTF_8));
-    for (int i = 0; i < n; i++) {
-      d.update(link);
-      d.update(prompt, i * blockBytes, blockBytes);
-      link = d.digest();
-      out[i] = ByteBuffer.wrap(link).getLong();
+        sha256.digest((service + "\n" + weights + "\n" + scope).getBytes(StandardCharsets.UTF_8));
+    for (int i = 0; i < count; i++) {
+      sha256.update(link);
+      sha256.update(prompt, i * blockBytes, blockBytes);
+      link = sha256.digest();
+      ids[i] = ByteBuffer.wrap(link).getLong();
     }
-    return out;
+    return ids;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/request/Prompt.java
+++ b/data-plane/src/main/java/gladelug/data/request/Prompt.java
@@ -13,10 +13,10 @@
   Prompt NONE = new Parts(List.of());
 
   /** The keys of the prefix blocks under these; blockBytes is what the replicas cut text into. */
-  long[] keys(String model, String weights, String scope, int blockBytes);
+  long[] blockKeys(String model, String weights, String scope, int blockBytes);
 
   /** The size of the block at i, in units. */
-  int units(int i);
+  int blockUnits(int index);
 
   /** The size of all of it, in units; blockBytes is what the replicas cut text into. */
   int totalUnits(int blockBytes);
@@ -24,12 +24,12 @@
   /** A prompt as text. */
   record Text(String text) implements Prompt {
     @Override
-    public long[] keys(String model, String weights, String scope, int blockBytes) {
-      return Blocks.ids(model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
+    public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
+      return PrefixBlocks.computeIds(model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
     }
 
     @Override
-    public int units(int i) {
+    public int blockUnits(int index) {
       return 1;
     }
 
@@ -49,16 +49,16 @@
     }
 
     @Override
-    public long[] keys(String model, String weights, String scope, int blockBytes) {
-      String salt = Salt.of(model, weights, scope);
-      long[] out = new long[parts.size()];
-      for (int i = 0; i < out.length; i++) out[i] = Salt.key(salt, parts.get(i).id);
-      return out;
+    public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
+      String salt = CacheSalt.of(model, weights, scope);
+      long[] keys = new long[parts.size()];
+      for (int index = 0; index < keys.length; index++) keys[index] = CacheSalt.partKey(salt, parts.get(index).id);
+      return keys;
     }
 
     @Override
-    public int units(int i) {
-      return parts.get(i).tokens;
+    public int blockUnits(int index) {
+      return parts.get(index).tokens;
     }
 
     @Override
--- /dev/null
+++ b/data-plane/src/main/java/gladelug/data/request/RecentDecisions.java
@@ -0,0 +1,83 @@
+package gladelug.data.request;
+
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicReferenceArray;
+
+/**
+ * The bounded ring of decision records a relay remembers, by the request's number. An older one is
+ * overwritten and then reported as such.
+ */
+public final class RecentDecisions {
+  public sealed interface FindResult {
+    record Present(Decision decision) implements FindResult {}
+
+    record Overwritten() implements FindResult {}
+
+    record Unknown() implements FindResult {}
+
+    record OtherRun() implements FindResult {}
+
+    record Malformed() implements FindResult {}
+  }
+
+  private final AtomicReferenceArray<Decision> ring;
+  private final String relay;
+  private final String runId;
+  private final ConcurrentHashMap<String, Long> numbersByCallerId = new ConcurrentHashMap<>();
+  private long nextNumber;
+
+  public RecentDecisions(int size, String relay, long incarnation) {
+    this.ring = new AtomicReferenceArray<>(size);
+    this.relay = relay;
+    this.runId = String.format("%04x", incarnation & 0xffff);
+  }
+
+  public String runId() {
+    return runId;
+  }
+
+  /** From the request thread only. */
+  public Decision begin(long receivedAtMs) {
+    long number = nextNumber;
+    Decision decision = new Decision(relay + "." + runId + "." + number, number, receivedAtMs);
+    Decision old = ring.getAndSet((int) (number % ring.length()), decision);
+    if (old != null && !old.callerId.isEmpty()) numbersByCallerId.remove(old.callerId, old.number);
+    nextNumber = number + 1;
+    return decision;
+  }
+
+  /** The same, for a request that its caller names by an id of its own. */
+  public Decision begin(long receivedAtMs, String callerId) {
+    Decision decision = begin(receivedAtMs);
+    decision.callerId = callerId;
+    numbersByCallerId.put(callerId, decision.number);
+    return decision;
+  }
+
+  /** By the relay's id of a request, or by its caller's. */
+  public FindResult find(String id) {
+    Long number = numbersByCallerId.get(id);
+    if (number == null) return findByRelayId(id);
+    Decision decision = ring.get((int) (number % ring.length()));
+    return decision != null && decision.number == number
+        ? new FindResult.Present(decision)
+        : new FindResult.Overwritten();
+  }
+
+  private FindResult findByRelayId(String id) {
+    String[] parts = id.split("\\.", -1);
+    long number;
+    try {
+      number = parts.length == 3 ? Long.parseLong(parts[2]) : -1;
+    } catch (NumberFormatException e) {
+      number = -1;
+    }
+    if (number < 0 || parts[0].isEmpty() || !parts[1].matches("[0-9a-f]{4}")) return new FindResult.Malformed();
+    if (!parts[0].equals(relay)) return new FindResult.Unknown();
+    if (!parts[1].equals(runId)) return new FindResult.OtherRun();
+    // the slot alone tells all three, so that no two askers can see different moments
+    Decision decision = ring.get((int) (number % ring.length()));
+    if (decision == null || decision.number < number) return new FindResult.Unknown();
+    return decision.number == number ? new FindResult.Present(decision) : new FindResult.Overwritten();
+  }
+}
--- a/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
+++ b/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
@@ -27,10 +27,10 @@
       new ControlStateSnapshot(
           0, "", Configuration.EMPTY, 0, 0, Weights.NONE, 0, Replicas.NONE, 0, CoreMemberList.NONE);
 
-  ControlStateSnapshot configuration(
-      long n, String digest, Configuration configuration, long sharingSince) {
+  ControlStateSnapshot withConfiguration(
+      long number, String digest, Configuration configuration, long sharingSince) {
     return new ControlStateSnapshot(
-        n,
+        number,
         digest,
         configuration,
         sharingSince,
@@ -42,13 +42,13 @@
         core);
   }
 
-  ControlStateSnapshot weights(long n, Weights weights) {
+  ControlStateSnapshot withWeights(long number, Weights weights) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
         configuration,
         prefixSharingSince,
-        n,
+        number,
         weights,
         replicasNumber,
         replicas,
@@ -56,7 +56,7 @@
         core);
   }
 
-  ControlStateSnapshot replicas(long n, Replicas replicas) {
+  ControlStateSnapshot withReplicas(long number, Replicas replicas) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
@@ -64,13 +64,13 @@
         prefixSharingSince,
         weightsNumber,
         weights,
-        n,
+        number,
         replicas,
         generation,
         core);
   }
 
-  ControlStateSnapshot core(long g, CoreMemberList c) {
+  ControlStateSnapshot withCore(long generation, CoreMemberList core) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
@@ -80,11 +80,11 @@
         weights,
         replicasNumber,
         replicas,
-        g,
-        c);
+        generation,
+        core);
   }
 
-  public boolean complete() {
+  public boolean isComplete() {
     return configurationNumber > 0 && replicasNumber > 0;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
+++ b/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
@@ -18,15 +18,15 @@
  */
 public final class ReplicatedStateView {
   /** Makes use of a push, always whole; false where it can't be read. */
-  public interface Taker {
-    boolean take(StateUpdate.ValuePush p);
+  public interface ValueConsumer {
+    boolean accept(StateUpdate.ValuePush push);
   }
 
-  public enum Told {
-    NOTHING,
-    TAKEN,
-    ALLOTTED,
-    WANTS_WHOLE
+  public enum UpdateResult {
+    IGNORED,
+    APPLIED,
+    CAPACITY_GRANTED,
+    NEEDS_FULL_VALUE
   }
 
   private static final List<StateUpdate.QuotaDemand> NO_DEMAND = List.of();
@@ -34,73 +34,73 @@
       new StateUpdate.KnownVersion(StateKeys.READS_PREFIX_SHARING, 0, 0);
   public final Leases leases = new Leases();
   private final Shuffle.Descriptor self;
-  private final long run;
-  private final Taker taker;
+  private final long processRun;
+  private final ValueConsumer valueConsumer;
   private final Map<String, Long> numbers = new HashMap<>();
   private final Map<String, byte[]> values = new HashMap<>();
-  private long allotEpoch;
+  private long capacityEpoch;
 
-  public ReplicatedStateView(Shuffle.Descriptor self, long run, Taker taker) {
+  public ReplicatedStateView(Shuffle.Descriptor self, long processRun, ValueConsumer valueConsumer) {
     this.self = self;
-    this.run = run;
-    this.taker = taker;
+    this.processRun = processRun;
+    this.valueConsumer = valueConsumer;
   }
 
   public long number(String key) {
     return numbers.getOrDefault(key, 0L);
   }
 
-  public StateUpdate.SubscriptionRequest ask(long now) {
-    return ask(now, NO_DEMAND, List.of());
+  public StateUpdate.SubscriptionRequest subscriptionRequest(long nowMs) {
+    return subscriptionRequest(nowMs, NO_DEMAND, List.of());
   }
 
-  public StateUpdate.SubscriptionRequest ask(
-      long now, List<StateUpdate.QuotaDemand> demands, List<StateUpdate.ServiceCapacity> places) {
-    List<StateUpdate.KnownVersion> l = new ArrayList<>();
-    for (String k : StateKeys.PUSHED)
-      l.add(new StateUpdate.KnownVersion(k, leases.epoch(k), number(k)));
-    l.add(READS_PREFIX_SHARING);
+  public StateUpdate.SubscriptionRequest subscriptionRequest(
+      long nowMs, List<StateUpdate.QuotaDemand> demands, List<StateUpdate.ServiceCapacity> serviceCapacities) {
+    List<StateUpdate.KnownVersion> knownVersions = new ArrayList<>();
+    for (String key : StateKeys.PUSHED)
+      knownVersions.add(new StateUpdate.KnownVersion(key, leases.epoch(key), number(key)));
+    knownVersions.add(READS_PREFIX_SHARING);
     return new StateUpdate.SubscriptionRequest(
-        now,
+        nowMs,
         self.name(),
-        run,
+        processRun,
         self.role(),
         self.records(),
         self.operator(),
         self.zone(),
-        l,
+        knownVersions,
         demands,
-        places);
+        serviceCapacities);
   }
 
-  public Told told(StateUpdate update) {
-    if (update instanceof StateUpdate.LeaseGrants g) {
-      for (StateUpdate.LeaseGrant x : g.grants())
-        leases.granted(x, g.requestSentAtMs(), number(x.key()));
-    } else if (update instanceof StateUpdate.CapacityGrant a) {
-      if (a.epoch() < allotEpoch) return Told.NOTHING;
-      allotEpoch = a.epoch();
-      return Told.ALLOTTED;
-    } else if (update instanceof StateUpdate.ValuePush p
-        && p.number() > number(p.key())
-        && p.epoch() >= leases.epoch(p.key())) {
-      byte[] v = p.value();
-      if (p.base() >= 0) {
-        v =
-            p.base() == number(p.key())
-                ? BinaryDelta.apply(values.getOrDefault(p.key(), new byte[0]), p.value())
+  public UpdateResult apply(StateUpdate update) {
+    if (update instanceof StateUpdate.LeaseGrants grants) {
+      for (StateUpdate.LeaseGrant grant : grants.grants())
+        leases.applyGrant(grant, grants.requestSentAtMs(), number(grant.key()));
+    } else if (update instanceof StateUpdate.CapacityGrant capacity) {
+      if (capacity.epoch() < capacityEpoch) return UpdateResult.IGNORED;
+      capacityEpoch = capacity.epoch();
+      return UpdateResult.CAPACITY_GRANTED;
+    } else if (update instanceof StateUpdate.ValuePush push
+        && push.number() > number(push.key())
+        && push.epoch() >= leases.epoch(push.key())) {
+      byte[] value = push.value();
+      if (push.base() >= 0) {
+        value =
+            push.base() == number(push.key())
+                ? BinaryDelta.apply(values.getOrDefault(push.key(), new byte[0]), push.value())
                 : null;
-        if (v == null || !Digest.hex(v).equals(p.digest())) return Told.WANTS_WHOLE;
+        if (value == null || !Digest.hex(value).equals(push.digest())) return UpdateResult.NEEDS_FULL_VALUE;
       }
-      if (!taker.take(
+      if (!valueConsumer.accept(
           new StateUpdate.ValuePush(
-              p.key(), p.epoch(), p.number(), -1, p.digest(), v, p.sharingSince())))
-        return Told.NOTHING;
-      numbers.put(p.key(), p.number());
-      values.put(p.key(), v);
-      leases.seen(p.key(), p.epoch());
-      return Told.TAKEN;
+              push.key(), push.epoch(), push.number(), -1, push.digest(), value, push.sharingSince())))
+        return UpdateResult.IGNORED;
+      numbers.put(push.key(), push.number());
+      values.put(push.key(), value);
+      leases.recordEpoch(push.key(), push.epoch());
+      return UpdateResult.APPLIED;
     }
-    return Told.NOTHING;
+    return UpdateResult.IGNORED;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
@@ -26,23 +26,23 @@
  */
 public final class StateSubscription {
   /** milli: thousandths of a place by leaf; empty and not full where nothing is bounded. */
-  public record Allotment(long at, boolean full, Map<String, Integer> milli) {}
+  public record Allotment(long receivedAtMs, boolean full, Map<String, Integer> milliSlotsByLeaf) {}
 
   public final Leases leases;
   private final Clock clock;
-  private final Function<String, Result<Configuration>> reader;
-  private final ReplicatedStateView book;
-  private final Consumer<ControlStateSnapshot> swapped;
+  private final Function<String, Result<Configuration>> configurationParser;
+  private final ReplicatedStateView view;
+  private final Consumer<ControlStateSnapshot> snapshotListener;
   private final Map<String, Allotment> allotments = new ConcurrentHashMap<>();
-  private volatile ControlStateSnapshot tables = ControlStateSnapshot.NONE;
-  private volatile int relays;
+  private volatile ControlStateSnapshot current = ControlStateSnapshot.NONE;
+  private volatile int relayCount;
   private volatile List<StateUpdate.QuotaDemand> demands = List.of();
-  private volatile List<StateUpdate.ServiceCapacity> places = List.of();
+  private volatile List<StateUpdate.ServiceCapacity> serviceCapacities = List.of();
 
   /** swapped is told of each new snapshot. */
   public StateSubscription(
-      Clock clock, Shuffle.Descriptor self, long run, Consumer<ControlStateSnapshot> swapped) {
-    this(clock, self, run, swapped, Configuration::parse);
+      Clock clock, Shuffle.Descriptor self, long run, Consumer<ControlStateSnapshot> snapshotListener) {
+    this(clock, self, run, snapshotListener, Configuration::parse);
   }
 
   /** reader: how the configuration, as operators sent it, is read. */
@@ -50,23 +50,23 @@
       Clock clock,
       Shuffle.Descriptor self,
       long run,
-      Consumer<ControlStateSnapshot> swapped,
-      Function<String, Result<Configuration>> reader) {
-    this.reader = reader;
+      Consumer<ControlStateSnapshot> snapshotListener,
+      Function<String, Result<Configuration>> configurationParser) {
+    this.configurationParser = configurationParser;
     this.clock = clock;
-    this.swapped = swapped;
-    this.book = new ReplicatedStateView(self, run, this::take);
-    this.leases = book.leases;
+    this.snapshotListener = snapshotListener;
+    this.view = new ReplicatedStateView(self, run, this::applyValue);
+    this.leases = view.leases;
   }
 
-  public ControlStateSnapshot tables() {
-    return tables;
+  public ControlStateSnapshot snapshot() {
+    return current;
   }
 
   /** Where a relay puts what it has waiting and sees free, for whoever divides. */
-  public void demand(List<StateUpdate.QuotaDemand> d, List<StateUpdate.ServiceCapacity> p) {
-    demands = d;
-    places = p;
+  public void reportDemand(List<StateUpdate.QuotaDemand> newDemands, List<StateUpdate.ServiceCapacity> newCapacities) {
+    demands = newDemands;
+    serviceCapacities = newCapacities;
   }
 
   /** The newest division for this process, or null. */
@@ -74,77 +74,77 @@
     return allotments.get(service);
   }
 
-  public StateUpdate.SubscriptionRequest ask() {
-    return book.ask(clock.now(), demands, places);
+  public StateUpdate.SubscriptionRequest subscriptionRequest() {
+    return view.subscriptionRequest(clock.now(), demands, serviceCapacities);
   }
 
   public long number(String key) {
-    return book.number(key);
+    return view.number(key);
   }
 
   /** How many relays the core hears, 0 where that isn't known. */
-  public int relays() {
-    return relays;
+  public int relayCount() {
+    return relayCount;
   }
 
-  public ReplicatedStateView.Told told(StateUpdate update) {
-    if (update instanceof StateUpdate.LeaseGrants g) relays = g.relays();
-    ReplicatedStateView.Told t = book.told(update);
-    if (t == ReplicatedStateView.Told.TAKEN) {
-      StateUpdate.ValuePush p = (StateUpdate.ValuePush) update;
+  public ReplicatedStateView.UpdateResult apply(StateUpdate update) {
+    if (update instanceof StateUpdate.LeaseGrants grants) relayCount = grants.relays();
+    ReplicatedStateView.UpdateResult result = view.apply(update);
+    if (result == ReplicatedStateView.UpdateResult.APPLIED) {
+      StateUpdate.ValuePush push = (StateUpdate.ValuePush) update;
       Log.event(
           "state-update-applied",
           "key",
-          p.key(),
+          push.key(),
           "number",
-          p.number(),
+          push.number(),
           "epoch",
-          p.epoch(),
+          push.epoch(),
           "bytes",
-          p.value().length,
+          push.value().length,
           "whole",
-          p.base() < 0);
-      swapped.accept(tables);
-    } else if (t == ReplicatedStateView.Told.ALLOTTED) {
-      StateUpdate.CapacityGrant a = (StateUpdate.CapacityGrant) update;
-      Map<String, Integer> m = new HashMap<>();
-      for (StateUpdate.QuotaAllotment x : a.allotments()) m.put(x.leaf(), x.milliSlots());
-      allotments.put(a.service(), new Allotment(clock.now(), a.full(), m));
+          push.base() < 0);
+      snapshotListener.accept(current);
+    } else if (result == ReplicatedStateView.UpdateResult.CAPACITY_GRANTED) {
+      StateUpdate.CapacityGrant grant = (StateUpdate.CapacityGrant) update;
+      Map<String, Integer> milliSlotsByLeaf = new HashMap<>();
+      for (StateUpdate.QuotaAllotment allotment : grant.allotments()) milliSlotsByLeaf.put(allotment.leaf(), allotment.milliSlots());
+      allotments.put(grant.service(), new Allotment(clock.now(), grant.full(), milliSlotsByLeaf));
     }
-    return t;
+    return result;
   }
 
   private static ControlStateSnapshot withConfiguration(
       ControlStateSnapshot before, StateUpdate.ValuePush push, Configuration configuration) {
     long sharingSince = PrefixSharing.since(push.sharingSince(), configuration, push.number());
-    return before.configuration(push.number(), push.digest(), configuration, sharingSince);
+    return before.withConfiguration(push.number(), push.digest(), configuration, sharingSince);
   }
 
-  private boolean take(StateUpdate.ValuePush p) {
-    String text = new String(p.value(), StandardCharsets.UTF_8);
-    ControlStateSnapshot snapshot = tables;
-    Result<ControlStateSnapshot> r =
-        switch (p.key()) {
+  private boolean applyValue(StateUpdate.ValuePush push) {
+    String text = new String(push.value(), StandardCharsets.UTF_8);
+    ControlStateSnapshot snapshot = current;
+    Result<ControlStateSnapshot> result =
+        switch (push.key()) {
           case StateKeys.CONFIGURATION ->
-              reader
+              configurationParser
                   .apply(text)
                   .then(
-                      configuration -> Result.good(withConfiguration(snapshot, p, configuration)));
+                      configuration -> Result.good(withConfiguration(snapshot, push, configuration)));
           case StateKeys.WEIGHTS ->
               Weights.parse(text)
-                  .then(weights -> Result.good(snapshot.weights(p.number(), weights)));
+                  .then(weights -> Result.good(snapshot.withWeights(push.number(), weights)));
           case StateKeys.REPLICAS ->
               Replicas.parse(text)
-                  .then(replicas -> Result.good(snapshot.replicas(p.number(), replicas)));
+                  .then(replicas -> Result.good(snapshot.withReplicas(push.number(), replicas)));
           case StateKeys.CORE ->
-              CoreMemberList.parse(text).then(x -> Result.good(snapshot.core(p.number(), x)));
-          default -> Result.bad(p.key(), "is no key");
+              CoreMemberList.parse(text).then(core -> Result.good(snapshot.withCore(push.number(), core)));
+          default -> Result.bad(push.key(), "is no key");
         };
-    if (!(r instanceof Result.Good<ControlStateSnapshot> g)) {
-      Log.warn("news-refused", "key", p.key(), "number", p.number(), "findings", r.toString());
+    if (!(result instanceof Result.Good<ControlStateSnapshot> parsed)) {
+      Log.warn("news-refused", "key", push.key(), "number", push.number(), "findings", result.toString());
       return false;
     }
-    tables = g.value();
+    current = parsed.value();
     return true;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
@@ -33,24 +33,24 @@
  */
 public final class StateSubscriptionService implements ServiceRegistry.Service {
   /** How often the core is asked where nothing else is set, in ms. */
-  public static final long ASK_MS = 400;
+  public static final long REQUEST_INTERVAL_MS = 400;
 
-  private static final long CIRCLE = 1000;
-  private final long askMs;
+  private static final long CONNECTION_CHECK_INTERVAL_MS = 1000;
+  private final long requestIntervalMs;
   private final Vertx vertx;
   private final List<Address> seeds;
   private final long run = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
-  private final SingleThreadWorker duty;
+  private final SingleThreadWorker worker;
   private final Map<Address, PersistentConnection> connections = new ConcurrentHashMap<>();
   private final List<Consumer<ControlStateSnapshot>> listeners = new CopyOnWriteArrayList<>();
-  public final StateSubscription held;
+  public final StateSubscription subscription;
   private long generation;
-  private ConnectionAcceptor doors;
-  private PartialViewService views;
+  private ConnectionAcceptor acceptor;
+  private PartialViewService partialView;
 
   public StateSubscriptionService(
       Vertx vertx, Clock clock, Shuffle.Descriptor self, List<Address> seeds) {
-    this(vertx, clock, self, seeds, ASK_MS, Configuration::parse);
+    this(vertx, clock, self, seeds, REQUEST_INTERVAL_MS, Configuration::parse);
   }
 
   /**
@@ -62,22 +62,22 @@
       Clock clock,
       Shuffle.Descriptor self,
       List<Address> seeds,
-      long askMs,
-      Function<String, Result<Configuration>> reader) {
-    this.askMs = askMs;
+      long requestIntervalMs,
+      Function<String, Result<Configuration>> configurationParser) {
+    this.requestIntervalMs = requestIntervalMs;
     this.vertx = vertx;
     this.seeds = seeds;
-    this.duty = new SingleThreadWorker("news", 4096, clock);
-    this.held = new StateSubscription(clock, self, run, this::swapped, reader);
+    this.worker = new SingleThreadWorker("news", 4096, clock);
+    this.subscription = new StateSubscription(clock, self, run, this::onSnapshot, configurationParser);
   }
 
-  private void swapped(ControlStateSnapshot snapshot) {
+  private void onSnapshot(ControlStateSnapshot snapshot) {
     if (snapshot.generation() != generation) {
       generation = snapshot.generation();
-      views.generation(generation);
-      circle();
+      partialView.generation(generation);
+      updateConnections();
     }
-    for (Consumer<ControlStateSnapshot> l : listeners) l.accept(snapshot);
+    for (Consumer<ControlStateSnapshot> listener : listeners) listener.accept(snapshot);
   }
 
   public long run() {
@@ -88,75 +88,75 @@
    * Called on the news duty with what is held now, which may have come before anybody listened, and
    * after each swap.
    */
-  public void listen(Consumer<ControlStateSnapshot> l) {
-    duty.offer(
+  public void addListener(Consumer<ControlStateSnapshot> listener) {
+    worker.offer(
         () -> {
-          listeners.add(l);
-          l.accept(held.tables());
+          listeners.add(listener);
+          listener.accept(subscription.snapshot());
         });
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    doors = registry.find("doors", ConnectionAcceptor.class);
-    views = registry.find("views", PartialViewService.class);
-    duty.scheduleEvery(CIRCLE, this::circle);
-    duty.scheduleEvery(askMs, this::askAll);
+    acceptor = registry.find("doors", ConnectionAcceptor.class);
+    partialView = registry.find("views", PartialViewService.class);
+    worker.scheduleEvery(CONNECTION_CHECK_INTERVAL_MS, this::updateConnections);
+    worker.scheduleEvery(requestIntervalMs, this::sendRequests);
   }
 
-  private void circle() {
-    Set<Address> want = new HashSet<>();
-    for (CoreMemberList.Member m : held.tables().core().all()) want.add(m.records());
+  private void updateConnections() {
+    Set<Address> wanted = new HashSet<>();
+    for (CoreMemberList.Member member : subscription.snapshot().core().all()) wanted.add(member.records());
     boolean reached = connections.values().stream().anyMatch(PersistentConnection::open);
-    if (want.isEmpty() || !reached) {
-      for (Shuffle.Descriptor d : views.all())
-        if (d.role().equals("control")) want.add(Address.of(d.records()));
-      if (held.tables().core().all().isEmpty()) want.addAll(seeds);
+    if (wanted.isEmpty() || !reached) {
+      for (Shuffle.Descriptor descriptor : partialView.all())
+        if (descriptor.role().equals("control")) wanted.add(Address.of(descriptor.records()));
+      if (subscription.snapshot().core().all().isEmpty()) wanted.addAll(seeds);
     }
     connections
         .entrySet()
         .removeIf(
-            e -> {
-              if (want.contains(e.getKey())) return false;
-              e.getValue().close();
+            entry -> {
+              if (wanted.contains(entry.getKey())) return false;
+              entry.getValue().close();
               return true;
             });
-    for (Address a : want)
+    for (Address address : wanted)
       connections.computeIfAbsent(
-          a,
-          x ->
+          address,
+          target ->
               new PersistentConnection(
                   vertx,
-                  doors,
-                  x,
+                  acceptor,
+                  target,
                   Hello.NEWS,
                   (connection, record) -> {
                     StateUpdate update = WireRecord.read(record, StateUpdate::read);
-                    duty.offer(() -> told(connection, update));
+                    worker.offer(() -> onUpdate(connection, update));
                   },
-                  connection -> duty.offer(() -> connection.send(held.ask()))));
+                  connection -> worker.offer(() -> connection.send(subscription.subscriptionRequest()))));
   }
 
   /** Whether a connection to the core member with this address for records is open now. */
-  public boolean reaches(Address records) {
+  public boolean isConnectedTo(Address records) {
     PersistentConnection connection = connections.get(records);
     return connection != null && connection.open();
   }
 
-  private void askAll() {
-    StateUpdate.SubscriptionRequest a = held.ask();
-    for (PersistentConnection connection : connections.values()) connection.send(a);
+  private void sendRequests() {
+    StateUpdate.SubscriptionRequest request = subscription.subscriptionRequest();
+    for (PersistentConnection connection : connections.values()) connection.send(request);
   }
 
-  private void told(PersistentConnection from, StateUpdate update) {
-    if (held.told(update) == ReplicatedStateView.Told.WANTS_WHOLE)
+  private void onUpdate(PersistentConnection from, StateUpdate update) {
+    if (subscription.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
       from.send(new StateUpdate.FullValueRequest(((StateUpdate.ValuePush) update).key()));
-    if (update instanceof StateUpdate.ValuePush) from.send(held.ask());
+    if (update instanceof StateUpdate.ValuePush) from.send(subscription.subscriptionRequest());
   }
 
   @Override
   public void stop() {
-    duty.close();
+    worker.close();
     for (PersistentConnection connection : connections.values()) connection.close();
   }
 }
--- a/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
+++ b/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
@@ -1,6 +1,6 @@
 package gladelug.data.decisions;
 
-import static gladelug.data.decisions.DecisionLog.packed;
+import static gladelug.data.decisions.DecisionLog.pack;
 
 import gladelug.common.message.DecisionRecords.Batch;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +19,7 @@
         low,
         low + lines.length - 1,
         0,
-        packed(
+        pack(
             List.of(lines).stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toList()));
   }
 
@@ -49,7 +49,7 @@
     Assertions.assertFalse(k.add(new Batch("no such name", "00aa", 1, 5, 5, 0, b.packed())));
     Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, b.packed())));
     for (int i = 0; i < 50; i++) k.add(batch("00aa", i, line(i, "complete")));
-    Assertions.assertTrue(k.json().getLong("bytes", 0) <= 200);
+    Assertions.assertTrue(k.toJson().getLong("bytes", 0) <= 200);
     Assertions.assertNull(k.find("relay-1.00aa.0"), "the oldest went first");
     Assertions.assertNotNull(k.find("relay-1.00aa.49"));
   }
--- a/data-plane/src/test/java/gladelug/data/relay/CallersTimeTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/CallersTimeTest.java
@@ -48,7 +48,7 @@
         Assertions.assertNotNull(late.refusal, "target of " + targetLatencyMs + " ms");
         Assertions.assertEquals("not-run", late.refusal.outcome());
         Assertions.assertTrue(late.refusedAfterMs() <= AT_ONCE_MS);
-        Assertions.assertTrue(late.refusal.retryMs() > SHORT_WAIT_MS, "" + late.refusal);
+        Assertions.assertTrue(late.refusal.retryAfterMs() > SHORT_WAIT_MS, "" + late.refusal);
       }
     }
   }
@@ -62,13 +62,13 @@
     SimulatedBurst.Call shortCall = SimulatedBurst.Call.waiting(SHORT_WAIT_MS);
     SimulatedBurst.Outcome refused = world.ask(shortCall);
     Assertions.assertNotNull(refused.refusal);
-    world.run(refused.refusal.retryMs() / 3);
+    world.run(refused.refusal.retryAfterMs() / 3);
     Assertions.assertNotNull(world.ask(shortCall).refusal);
-    world.run(refused.refusal.retryMs() - refused.refusal.retryMs() / 3);
+    world.run(refused.refusal.retryAfterMs() - refused.refusal.retryAfterMs() / 3);
     SimulatedBurst.Outcome again = world.ask(call);
     // what is told before the first request has completed is a guess
     if (again.refusal != null) {
-      world.run(again.refusal.retryMs());
+      world.run(again.refusal.retryAfterMs());
       again = world.ask(call);
     }
     world.run(call.patienceMs());
@@ -81,7 +81,7 @@
     world.relay().leave(world.nowMs() + REQUEST_MS);
     SimulatedBurst.Outcome refused = world.ask(SimulatedBurst.Call.waiting(LONG_WAIT_MS));
     Assertions.assertEquals(
-        FilterResult.RETRY_AT_ONCE_MS, refused.refusal.retryMs(), "another relay has the time");
+        FilterResult.RETRY_AT_ONCE_MS, refused.refusal.retryAfterMs(), "another relay has the time");
   }
 
   /** Guards against one place reckoned with where all replicas are just about to be usable. */
@@ -102,7 +102,7 @@
   void whoAsksForLittleIsLetInWhereWhoAsksForMuchCouldNotEndInTime() {
     SimulatedBurst world =
         new SimulatedBurst(
-            RELAYS, request -> 10L * request.tokensOut, SimulatedBurst.configuration(0));
+            RELAYS, request -> 10L * request.maxTokensOut, SimulatedBurst.configuration(0));
     SimulatedBurst.Call much = SimulatedBurst.Call.waiting(60_000).tokens(0, 400);
     SimulatedBurst.Call little = SimulatedBurst.Call.waiting(60_000).tokens(0, 5);
     for (int i = 0; i < 40; i++) {
--- a/data-plane/src/test/java/gladelug/data/relay/LookupClientTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/LookupClientTest.java
@@ -39,9 +39,9 @@
     Shuffle.Descriptor first = seen("a-index", "index", "east", 1);
     Shuffle.Descriptor second = seen("b-index", "index", "east", 2);
     Shuffle.Descriptor elsewhere = seen("0-index", "index", "west", 3);
-    Assertions.assertFalse(ZoneFollower.standsBy(first, List.of(second, elsewhere)));
-    Assertions.assertTrue(ZoneFollower.standsBy(second, List.of(first, elsewhere)));
-    Assertions.assertFalse(ZoneFollower.standsBy(second, List.of(elsewhere)));
-    Assertions.assertFalse(ZoneFollower.standsBy(first, List.of()));
+    Assertions.assertFalse(ZoneFollower.isStandby(first, List.of(second, elsewhere)));
+    Assertions.assertTrue(ZoneFollower.isStandby(second, List.of(first, elsewhere)));
+    Assertions.assertFalse(ZoneFollower.isStandby(second, List.of(elsewhere)));
+    Assertions.assertFalse(ZoneFollower.isStandby(first, List.of()));
   }
 }
--- a/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
@@ -36,8 +36,8 @@
     ReplicaCostsTest.World world = new ReplicaCostsTest.World(1, 1, 4, Set.of());
     LateIndex index = new LateIndex();
     Request request = world.request();
-    new PrefixLookupFilter(world.relay, index).pass(request).subscribe().with(result -> {});
-    Assertions.assertEquals("late", request.lookupAnswer);
+    new PrefixLookupFilter(world.relay, index).apply(request).subscribe().with(result -> {});
+    Assertions.assertEquals("late", request.lookupOutcome);
     Assertions.assertEquals(List.of(), request.matches);
     Backend busy = world.relay.backends.of("m").get(0);
     Assertions.assertEquals(0, busy.running(world.now));
--- a/data-plane/src/test/java/gladelug/data/relay/RelayTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/RelayTest.java
@@ -6,9 +6,9 @@
 import gladelug.common.message.Shuffle;
 import gladelug.common.message.StateKeys;
 import gladelug.common.message.StateUpdate;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterResult;
-import gladelug.data.request.Head;
+import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Request;
 import gladelug.data.state.ControlStateSnapshot;
 import gladelug.data.state.StateSubscription;
@@ -66,7 +66,7 @@
     long sharingSince;
 
     final Map<String, Long> numbers = new HashMap<>();
-    final Decisions decisions = new Decisions(64, "r", 1);
+    final RecentDecisions decisions = new RecentDecisions(64, "r", 1);
     long now = 1_000_000;
     final StateSubscription news;
     final Relay relay;
@@ -108,11 +108,11 @@
     void tell(String key, String value) {
       long n = numbers.merge(key, 1L, Long::sum);
       byte[] body = value.getBytes(StandardCharsets.UTF_8);
-      news.told(new StateUpdate.ValuePush(key, 1, n, -1, "", body, sharingSince));
+      news.apply(new StateUpdate.ValuePush(key, 1, n, -1, "", body, sharingSince));
       List<StateUpdate.LeaseGrant> gs = new ArrayList<>();
       for (String k : StateKeys.LEASED)
         gs.add(new StateUpdate.LeaseGrant(k, 1, news.number(k), LEASE, LEASE));
-      news.told(new StateUpdate.LeaseGrants(now, gs, 1));
+      news.apply(new StateUpdate.LeaseGrants(now, gs, 1));
     }
 
     void configuration(String... tenants) {
@@ -158,12 +158,12 @@
                 }
 
                 @Override
-                public boolean piece(Request q, Buffer piece, Runnable ready) {
+                public boolean sendPiece(Request q, Buffer piece, Runnable ready) {
                   return told.add("piece " + piece);
                 }
 
                 @Override
-                public void head(Request q, Head h) {
+                public void sendHead(Request q, ResponseHead h) {
                   told.add("head " + h.status());
                 }
 
@@ -186,7 +186,7 @@
                 if (connects) leave(new Sent(q, backend, to, new ArrayList<>()));
                 else connecting.add(new Sent(q, backend, to, new ArrayList<>()));
               })
-          .go(o);
+          .start(o);
       return o;
     }
 
@@ -213,7 +213,7 @@
   }
 
   private static void piece(Sent s, String x) {
-    s.to.head(new Head(200, List.of()));
+    s.to.head(new ResponseHead(200, List.of()));
     s.to.piece(Buffer.buffer(x), "");
   }
 
@@ -267,7 +267,7 @@
       r.now += EXPIRY / 2;
       r.relay.tick();
       Assertions.assertEquals(List.of(), r.told());
-      r.sent.get(0).o.deadline = Long.MAX_VALUE;
+      r.sent.get(0).o.deadlineMs = Long.MAX_VALUE;
       r.now += LEASE;
       r.ask("t");
       Assertions.assertEquals(List.of("refused 503"), r.told());
@@ -359,13 +359,13 @@
   void theHeadThatGoesOutIsThatOfTheAnswerWhoseBodyFollows() {
     World r = relay(false);
     r.ask("t");
-    r.sent.get(0).to.head(new Head(200, List.of(Map.entry("X", "first"))));
+    r.sent.get(0).to.head(new ResponseHead(200, List.of(Map.entry("X", "first"))));
     r.sent.get(0).to.broken("it broke before its body");
-    r.sent.get(1).to.head(new Head(203, List.of(Map.entry("X", "second"))));
+    r.sent.get(1).to.head(new ResponseHead(203, List.of(Map.entry("X", "second"))));
     r.sent.get(1).to.piece(Buffer.buffer("x"), "");
     Assertions.assertEquals(List.of("head 203", "piece x"), r.told());
     r.ask("t");
-    r.sent.get(2).to.head(new Head(200, List.of()));
+    r.sent.get(2).to.head(new ResponseHead(200, List.of()));
     r.sent.get(2).to.broken("once more");
   }
 
--- a/data-plane/src/test/java/gladelug/data/relay/ReplicaCostsTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/ReplicaCostsTest.java
@@ -10,7 +10,7 @@
 import gladelug.common.message.Shuffle;
 import gladelug.common.message.StateKeys;
 import gladelug.common.message.StateUpdate;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Prompt;
 import gladelug.data.request.Request;
 import gladelug.data.state.StateSubscription;
@@ -43,7 +43,7 @@
     final long now = 1_000_000;
     final Relay relay;
     final StateSubscription state;
-    private final Decisions decisions = new Decisions(64, "r", 1);
+    private final RecentDecisions decisions = new RecentDecisions(64, "r", 1);
 
     World(double linkMbps, double storeMbps, int relays, Set<Mechanism> without) {
       Configuration configuration = configuration(linkMbps, storeMbps);
@@ -83,7 +83,7 @@
 
     private static void tell(StateSubscription news, String key, String value) {
       byte[] body = value.getBytes(StandardCharsets.UTF_8);
-      news.told(new StateUpdate.ValuePush(key, 1, 1, -1, "", body));
+      news.apply(new StateUpdate.ValuePush(key, 1, 1, -1, "", body));
     }
 
     private static Configuration configuration(double linkMbps, double storeMbps) {
@@ -113,7 +113,7 @@
       request.weights = "1";
       request.prompt =
           new Prompt.Parts(List.of(new Prompt.Part("s", SHARED), new Prompt.Part("o", OWN)));
-      request.blocks = request.prompt.keys("m", "1", "", 256);
+      request.blockKeys = request.prompt.blockKeys("m", "1", "", 256);
       List<Lookup.Match> matches = new ArrayList<>();
       for (String holder : holders) matches.add(new Lookup.Match(holder, 1));
       request.matches = matches;
@@ -197,7 +197,7 @@
     World world = streamsAtAAndPrefillAtB(200);
     Request request = withLongestPause(world.request(), 400);
     request.prompt = new Prompt.Parts(List.of(new Prompt.Part("p", 600)));
-    request.blocks = request.prompt.keys("m", "1", "", 256);
+    request.blockKeys = request.prompt.blockKeys("m", "1", "", 256);
     Assertions.assertEquals("a", world.cheapest(request));
   }
 
@@ -210,10 +210,10 @@
     for (Backend backend : world.relay.backends.of("m"))
       Assertions.assertEquals(0, backend.prefillAheadMs(world.now));
     Request stream = withLongestPause(world.request(), 400);
-    stream.tokensOut = 100;
+    stream.maxTokensOut = 100;
     Assertions.assertTrue(
         world.option(stream, "a").totalMs() < world.option(stream, "b").totalMs());
-    stream.tokensOut = 0;
+    stream.maxTokensOut = 0;
     Assertions.assertEquals(
         world.option(stream, "a").totalMs(),
         world.option(stream, "b").totalMs(),
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
@@ -5,7 +5,7 @@
 import gladelug.common.configuration.Configuration;
 import gladelug.common.configuration.QuotaShare;
 import gladelug.common.configuration.Replicas;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Prompt;
 import gladelug.data.request.Request;
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public boolean piece(Request request, Buffer piece, Runnable ready) {
+    public boolean sendPiece(Request request, Buffer piece, Runnable ready) {
       if (firstPieceAtMs < 0) firstPieceAtMs = burst.nowMs();
       return true;
     }
@@ -96,7 +96,7 @@
 
   private final SimulatedTime time = new SimulatedTime();
   private final Deque<AtReplica> waiting = new ArrayDeque<>();
-  private final Decisions decisions = new Decisions(64, "r", 1);
+  private final RecentDecisions decisions = new RecentDecisions(64, "r", 1);
   private final List<Relay> relays = new ArrayList<>();
   private int running;
   private int asked;
@@ -202,7 +202,7 @@
             outcome);
     request.model = "m";
     request.patienceMs = call.patienceMs;
-    request.tokensOut = call.replyTokens;
+    request.maxTokensOut = call.replyTokens;
     request.prompt =
         new Prompt.Parts(List.of(new Prompt.Part("part-" + asked++, call.promptTokens)));
     relay.begin(request);
@@ -211,7 +211,7 @@
             blocks -> Uni.createFrom().item(new Lookups.Found("no-index", List.of())),
             ChoiceMode.SUMMARY,
             this::send)
-        .go(request);
+        .start(request);
     return outcome;
   }
 
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedFleet.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedFleet.java
@@ -6,9 +6,9 @@
 import gladelug.common.configuration.Replicas;
 import gladelug.common.message.Lookup;
 import gladelug.data.index.FleetLoad;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterResult;
-import gladelug.data.request.Head;
+import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Prompt;
 import gladelug.data.request.Request;
 import io.smallrye.mutiny.Uni;
@@ -61,7 +61,7 @@
   private final List<Relay> relays = new ArrayList<>();
   private final Map<String, SimulatedEngine> engines = new HashMap<>();
   private final FleetLoad load = new FleetLoad();
-  private final Decisions decisions = new Decisions(64, "r", 1);
+  private final RecentDecisions decisions = new RecentDecisions(64, "r", 1);
   private final List<Request> requests = new ArrayList<>();
 
   SimulatedFleet(
@@ -150,24 +150,24 @@
     Request request =
         new Request(decisions.begin(time.nowMs()), time.nowMs(), "", "/" + kind.name, new Taker());
     request.model = "m";
-    request.tokensOut = Math.max(1, (int) (kind.replyTokens * (0.5 + random.nextDouble())));
+    request.maxTokensOut = Math.max(1, (int) (kind.replyTokens * (0.5 + random.nextDouble())));
     request.prompt =
         new Prompt.Parts(List.of(new Prompt.Part("part-" + requests.size(), tokens(kind))));
     requests.add(request);
     relay.begin(request);
-    relay.way(lookups(), ChoiceMode.SUMMARY, this::send).go(request);
+    relay.way(lookups(), ChoiceMode.SUMMARY, this::send).start(request);
   }
 
   private Lookups lookups() {
     return new Lookups() {
       @Override
       public Uni<Found> ask(long[] blocks) {
-        return Uni.createFrom().item(new Found(ANSWERED, List.of(), load.told(time.nowMs())));
+        return Uni.createFrom().item(new Found(ANSWERED, List.of(), load.snapshot(time.nowMs())));
       }
 
       @Override
       public void placed(String holder, long[] blocks, Lookup.Work work) {
-        after(TOLD_AFTER_MS, () -> load.placed(holder, work, time.nowMs()));
+        after(TOLD_AFTER_MS, () -> load.recordPlacement(holder, work, time.nowMs()));
       }
     };
   }
@@ -178,7 +178,7 @@
         .get(backend.replica.instance())
         .take(
             request.computeUnits,
-            request.tokensOut,
+            request.maxTokensOut,
             new SimulatedEngine.Reply() {
               @Override
               public void event() {
@@ -198,12 +198,12 @@
     public void refuse(Request request, FilterResult.Refuse refusal) {}
 
     @Override
-    public boolean piece(Request request, Buffer piece, Runnable ready) {
+    public boolean sendPiece(Request request, Buffer piece, Runnable ready) {
       return true;
     }
 
     @Override
-    public void head(Request request, Head head) {}
+    public void sendHead(Request request, ResponseHead head) {}
 
     @Override
     public void complete(Request request, int pieces) {}
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedRelay.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedRelay.java
@@ -45,13 +45,13 @@
     List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
     for (String key : StateKeys.LEASED)
       grants.add(new StateUpdate.LeaseGrant(key, 1, state.number(key), LEASE_MS, LEASE_MS));
-    state.told(new StateUpdate.LeaseGrants(time.nowMs(), grants, 1));
+    state.apply(new StateUpdate.LeaseGrants(time.nowMs(), grants, 1));
     return made[0];
   }
 
   private static void tell(StateSubscription state, String key, String value) {
     byte[] body = value.getBytes(StandardCharsets.UTF_8);
-    state.told(new StateUpdate.ValuePush(key, 1, 1, -1, "", body));
+    state.apply(new StateUpdate.ValuePush(key, 1, 1, -1, "", body));
   }
 
   /** A replica's connection that nobody lets go of. */
--- a/data-plane/src/test/java/gladelug/data/state/LeasesTest.java
+++ b/data-plane/src/test/java/gladelug/data/state/LeasesTest.java
@@ -14,14 +14,14 @@
   @Test
   void countsFromTheAskingAndOnlyForTheNumberHeld() {
     Leases l = new Leases();
-    Assertions.assertFalse(l.valid(0));
-    for (String k : StateKeys.LEASED) l.granted(g(k, 5, 3, 1000), 100, 3);
-    Assertions.assertEquals(100 + 1000 - 30, l.until());
-    l.granted(g("policy", 6, 4, 5000), 200, 3);
-    l.granted(g("policy", 4, 3, 5000), 200, 3);
-    Assertions.assertEquals(1070, l.until("policy"));
-    l.granted(g("policy", 7, 3, 1000), 900, 3);
-    Assertions.assertEquals(1870, l.until("policy"));
-    Assertions.assertFalse(l.valid(1070));
+    Assertions.assertFalse(l.isValid(0));
+    for (String k : StateKeys.LEASED) l.applyGrant(g(k, 5, 3, 1000), 100, 3);
+    Assertions.assertEquals(100 + 1000 - 30, l.validUntilMs());
+    l.applyGrant(g("policy", 6, 4, 5000), 200, 3);
+    l.applyGrant(g("policy", 4, 3, 5000), 200, 3);
+    Assertions.assertEquals(1070, l.validUntilMs("policy"));
+    l.applyGrant(g("policy", 7, 3, 1000), 900, 3);
+    Assertions.assertEquals(1870, l.validUntilMs("policy"));
+    Assertions.assertFalse(l.isValid(1070));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/HollowNode.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/HollowNode.java
@@ -125,13 +125,13 @@
 
   /** Holds a lease for each key that needs one. */
   synchronized boolean leased() {
-    return book.leases.valid(now());
+    return book.leases.isValid(now());
   }
 
   private void ask(PersistentConnection connection) {
     StateUpdate.SubscriptionRequest a;
     synchronized (this) {
-      a = book.ask(now(), demands, places);
+      a = book.subscriptionRequest(now(), demands, places);
     }
     byte[] bytes = WireRecord.bytes(a);
     if (connection.send(a)) traffic.count(Traffic.Kind.ASK, bytes.length);
@@ -140,11 +140,11 @@
   private void told(PersistentConnection connection, byte[] record) throws IOException {
     StateUpdate update = WireRecord.read(record, StateUpdate::read);
     traffic.count(kind(update), record.length);
-    ReplicatedStateView.Told t;
+    ReplicatedStateView.UpdateResult t;
     synchronized (this) {
-      t = book.told(update);
+      t = book.apply(update);
     }
-    if (t == ReplicatedStateView.Told.WANTS_WHOLE)
+    if (t == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
       connection.send(new StateUpdate.FullValueRequest(((StateUpdate.ValuePush) update).key()));
     if (update instanceof StateUpdate.ValuePush) ask(connection);
   }
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
@@ -10,7 +10,7 @@
 import gladelug.data.relay.LineExchange;
 import gladelug.data.relay.Relay;
 import gladelug.data.relay.RelaySettings;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Prompt;
@@ -45,7 +45,7 @@
   private final ArrayDeque<Runnable> held = new ArrayDeque<>();
   private StateSubscription news;
   private Relay relay;
-  private Decisions decisions;
+  private RecentDecisions decisions;
   private FilterChain way;
   private SimConnections connections;
   private final Map<Request, Ledger.Call> calls = new HashMap<>();
@@ -85,7 +85,7 @@
             l,
             snapshot -> relay.tables(snapshot));
     connections = new SimConnections(sim, this);
-    decisions = new Decisions(512, name, l);
+    decisions = new RecentDecisions(512, name, l);
     relay =
         new Relay(
             this::now,
@@ -111,7 +111,7 @@
   }
 
   private void ask() {
-    StateUpdate.SubscriptionRequest a = news.ask();
+    StateUpdate.SubscriptionRequest a = news.subscriptionRequest();
     for (String c : sim.controlNames()) sim.ask(name, c, a);
   }
 
@@ -142,7 +142,7 @@
     run(
         life,
         () -> {
-          if (news.told(update) == ReplicatedStateView.Told.WANTS_WHOLE)
+          if (news.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
             sim.whole(name, ((StateUpdate.ValuePush) update).key());
           if (update instanceof StateUpdate.ValuePush) ask();
         });
@@ -172,7 +172,7 @@
 
   /** Who the relay's list says is at an address. */
   String wanted(String address) {
-    return news.tables().replicas().all.stream()
+    return news.snapshot().replicas().all.stream()
         .filter(r -> r.address().toString().equals(address))
         .map(r -> r.service() + "/" + r.instance())
         .findFirst()
@@ -214,7 +214,7 @@
           c.order = request.id();
           calls.put(request, c);
           relay.begin(request);
-          way.go(request);
+          way.start(request);
           if (sim.random.nextInt(25) == 0)
             sim.after(sim.random.nextInt(200), () -> run(request.id(), () -> gone(request)));
         });
@@ -240,16 +240,16 @@
       c.status = v.status();
       c.reason = v.reason();
       if (c.pieces > 0) sim.violation(request.id() + " was turned away after pieces went out");
-      if (v.status() >= 500 && v.retryMs() <= 0)
+      if (v.status() >= 500 && v.retryAfterMs() <= 0)
         sim.violation(request.id() + " is not told when to come back");
-      if (request.deadline > 0 && now() > Math.max(request.deadline, woke) + LATE)
+      if (request.deadlineMs > 0 && now() > Math.max(request.deadlineMs, woke) + LATE)
         sim.violation(
-            request.id() + " was answered " + (now() - request.deadline) + " ms after its expiry");
+            request.id() + " was answered " + (now() - request.deadlineMs) + " ms after its expiry");
       end(c, v.outcome());
     }
 
     @Override
-    public boolean piece(Request request, Buffer piece, Runnable ready) {
+    public boolean sendPiece(Request request, Buffer piece, Runnable ready) {
       Ledger.Call c = calls.get(request);
       if (c == null) return true;
       JsonObject json = Json.parse(piece.toString()).asObject();
