--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -34,8 +34,8 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * The program data-plane: `relay` carries requests, `index` keeps the Cuckoo Summary of all
- * holders. Neither has a disk.
+ * The data-plane program: the relay command forwards requests to replicas, the index command
+ * maintains the Cuckoo Summary of all holders. Neither uses a disk.
  */
 public final class DataPlane {
   private static final Map<String, ChoiceMode> CHOICE_MODES =
@@ -73,7 +73,8 @@
 
   private DataPlane() {}
 
-  static Result<DataPlaneSettings> parseSettings(boolean relay, String file, Map<String, String> flags) {
+  static Result<DataPlaneSettings> parseSettings(
+      boolean relay, String file, Map<String, String> flags) {
     return Settings.open(file, flags)
         .then(
             settings -> {
@@ -106,26 +107,29 @@
                           : settings.integer(
                               "listPauseMs", CacheEventFeed.MIN_LIST_INTERVAL_MS, 0, 3_600_000),
                       (int) settings.integer("reasonsMb", 16, 1, 4096));
-              if (!relay && parsed.fingerprintBits + CuckooSummary.holderBits(parsed.maxHolders) > 31)
+              if (!relay
+                  && parsed.fingerprintBits + CuckooSummary.holderBits(parsed.maxHolders) > 31)
                 settings.findings.add(
                     Settings.flag("fingerprintBits"),
                     "at most "
                         + (31 - CuckooSummary.holderBits(parsed.maxHolders))
-                        + " where there may be "
+                        + " with a maximum of "
                         + parsed.maxHolders
                         + " holders");
               if (parsed.seeds.isEmpty())
                 settings.findings.add(
-                    "--seeds", "at least one records address of another process is needed");
+                    "--seeds", "needs the records address of at least one other process");
               if (parsed.seeds.contains(parsed.recordsAddress))
                 settings.findings.add(
                     "--seeds",
-                    "name this process itself, " + parsed.recordsAddress + "; a seed is another process");
+                    "must not contain this process's own records address " + parsed.recordsAddress);
               if (relay && !CHOICE_MODES.containsKey(parsed.choice))
                 settings.findings.add(
-                    "--choice", "must be one of " + CHOICE_MODES.keySet() + ", not " + parsed.choice);
+                    "--choice",
+                    "must be one of " + CHOICE_MODES.keySet() + ", not " + parsed.choice);
               if (relay && !parsed.division.equals("fleet") && !parsed.division.equals("alone"))
-                settings.findings.add("--division", "must be fleet or alone, not " + parsed.division);
+                settings.findings.add(
+                    "--division", "must be fleet or alone, not " + parsed.division);
               return settings.done(() -> parsed);
             });
   }
@@ -135,14 +139,24 @@
         ArgumentParsers.newFor("data-plane")
             .build()
             .defaultHelp(true)
-            .description("Carries orders to replicas, and indexes which of them keep what.");
+            .description(
+                "Forwards requests to replicas, and indexes which prefix blocks each replica keeps.");
     var subparsers = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
     Map<String, String[]> flags = Map.of("relay", RELAY_FLAGS, "index", INDEX_FLAGS);
     for (String command : List.of("relay", "index")) {
       Subparser subparser =
-          subparsers.addParser(command).help(command.equals("relay") ? "carry orders" : "index kept prefix blocks");
-      subparser.addArgument("--settings").metavar("FILE").help("settings file in JSON; flags go first");
-      for (String flag : COMMON_FLAGS) subparser.addArgument(Settings.flag(flag)).dest(flag).metavar("VALUE").help(help(flag));
+          subparsers
+              .addParser(command)
+              .help(
+                  command.equals("relay")
+                      ? "forward requests to replicas"
+                      : "index the prefix blocks that holders keep");
+      subparser
+          .addArgument("--settings")
+          .metavar("FILE")
+          .help("settings file in JSON; flags take precedence");
+      for (String flag : COMMON_FLAGS)
+        subparser.addArgument(Settings.flag(flag)).dest(flag).metavar("VALUE").help(help(flag));
       for (String flag : flags.get(command))
         subparser.addArgument(Settings.flag(flag)).dest(flag).metavar("VALUE").help(help(flag));
     }
@@ -150,29 +164,35 @@
     boolean relay = arguments.getString("command").equals("relay");
     Map<String, String> given = new HashMap<>();
     for (String flag : COMMON_FLAGS) given.put(flag, arguments.getString(flag));
-    for (String flag : relay ? RELAY_FLAGS : INDEX_FLAGS) given.put(flag, arguments.getString(flag));
-    run(relay, Program.orExit("data-plane", parseSettings(relay, arguments.getString("settings"), given)));
+    for (String flag : relay ? RELAY_FLAGS : INDEX_FLAGS)
+      given.put(flag, arguments.getString(flag));
+    run(
+        relay,
+        Program.orExit("data-plane", parseSettings(relay, arguments.getString("settings"), given)));
   }
 
   private static String help(String flag) {
     return switch (flag) {
-      case "name" -> "this process's name in the fleet";
-      case "domain" -> "the domain (zone) it stands in";
-      case "records" -> "IP:PORT for circuits between processes";
-      case "bind" -> "IP number to listen on and call from, where it isn't the advertised one";
-      case "operator" -> "IP:PORT for operators and the platform";
+      case "name" -> "name of this process in the fleet";
+      case "domain" -> "the domain (zone) of this process";
+      case "records" -> "IP:PORT for connections between processes";
+      case "bind" ->
+          "local IP address to listen on and connect from, if it differs from the advertised one";
+      case "operator" -> "IP:PORT of the status endpoint for operators and the platform";
       case "seeds" -> "IP:PORT,... of other processes' records addresses";
-      case "reasonsMb" -> "MiB of other relays' decision records kept here";
+      case "reasonsMb" -> "memory for decision records of other relays, in MiB";
       case "log" -> "fine, info or warning";
-      case "callers" -> "IP:PORT for callers";
-      case "index" -> "IP:PORT of this machine's index process, where it has one";
-      case "backlog" -> "how many orders of a service may wait here";
-      case "mostHolders" -> "how many replicas and stores the index has room for, up to 1024";
-      case "listPauseMs" -> "milliseconds between two loads of one replica's block list, at least";
-      case "division" -> "who divides a full fleet: fleet, or alone for comparisons";
+      case "callers" -> "IP:PORT to accept callers on";
+      case "index" -> "IP:PORT of the index process on this machine, if there is one";
+      case "backlog" -> "maximum number of queued requests per service";
+      case "mostHolders" -> "maximum number of replicas and stores in the index, up to 1024";
+      case "listPauseMs" ->
+          "minimum interval between two loads of a replica's block list, in milliseconds";
+      case "division" ->
+          "who allocates the capacity of a full fleet: fleet, or alone for comparisons";
       case "choice" ->
           "how a replica is chosen: summary; least-occupancy and holder-always are for comparisons";
-      default -> "width f of a fingerprint in the Cuckoo Summary";
+      default -> "width of a fingerprint in the Cuckoo Summary, in bits";
     };
   }
 
@@ -191,10 +211,18 @@
             0,
             0);
     DecisionLogService decisionLog =
-        new DecisionLogService(vertx, clock, settings.name, settings.recordsAddress.host(), (long) settings.decisionLogMib << 20);
+        new DecisionLogService(
+            vertx,
+            clock,
+            settings.name,
+            settings.recordsAddress.host(),
+            (long) settings.decisionLogMib << 20);
     ServiceRegistry registry =
         new ServiceRegistry()
-            .add("doors", new ConnectionAcceptor(vertx, settings.recordsAddress, settings.bindAddress, settings.name))
+            .add(
+                "doors",
+                new ConnectionAcceptor(
+                    vertx, settings.recordsAddress, settings.bindAddress, settings.name))
             .add("views", new PartialViewService(vertx, self, settings.seeds))
             .add("news", new StateSubscriptionService(vertx, clock, self, settings.seeds))
             .add("reasons", decisionLog);
@@ -207,7 +235,10 @@
               settings.zone,
               new OwnProtocol(settings.callerAddress),
               settings.indexAddress,
-              RelaySettings.builder().queueMost(settings.maxQueued).alone(settings.division.equals("alone")).build(),
+              RelaySettings.builder()
+                  .queueMost(settings.maxQueued)
+                  .alone(settings.division.equals("alone"))
+                  .build(),
               CHOICE_MODES.get(settings.choice),
               RelayService.Ends.USUAL);
       registry
@@ -234,7 +265,12 @@
       registry
           .add(
               "status-door",
-              new StatusEndpoint(vertx, settings.operatorAddress, () -> "", indexService::status, decisionLog::addRoutes))
+              new StatusEndpoint(
+                  vertx,
+                  settings.operatorAddress,
+                  () -> "",
+                  indexService::status,
+                  decisionLog::addRoutes))
           .add("index", indexService);
     }
     Program.run("data-plane", registry, RelayService.DRAIN + 2000);
--- a/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
+++ b/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
@@ -17,8 +17,8 @@
 import java.util.function.Supplier;
 
 /**
- * Towards operators and the platform, the same in both subcommands: readiness, and the state of
- * what runs here as JSON. Others add paths of their own before it starts.
+ * The HTTP endpoint for operators and the platform, common to both commands: readiness, and the
+ * status of the process as JSON. Other services may add routes before it starts.
  */
 public final class StatusEndpoint implements ServiceRegistry.Service {
   private final Vertx vertx;
@@ -28,7 +28,13 @@
   private final Consumer<Router> extraRoutes;
   private HttpServer server;
 
-  /** unready gives the reason, or an empty text when this node is ready. */
+  /**
+   * Creates an endpoint.
+   *
+   * @param unreadyReason returns why the node is not ready, or an empty text when it is ready
+   * @param status returns the status as JSON
+   * @param extraRoutes adds further routes
+   */
   public StatusEndpoint(
       Vertx vertx,
       Address address,
@@ -45,7 +51,8 @@
   @Override
   public void start(ServiceRegistry registry) {
     Router router = Router.router(vertx);
-    router.get("/ready")
+    router
+        .get("/ready")
         .handler(
             context -> {
               String reason = unreadyReason.get();
@@ -54,22 +61,25 @@
                   reason.isEmpty() ? 200 : 503,
                   Json.object().add("ready", reason.isEmpty()).add("reason", reason));
             });
-    router.get("/operator/status")
+    router
+        .get("/operator/status")
         .handler(
             context ->
                 status
                     .get()
                     .subscribe()
-                    .with(json -> sendJson(context, 200, json), failure -> context.fail(500, failure)));
+                    .with(
+                        json -> sendJson(context, 200, json),
+                        failure -> context.fail(500, failure)));
     extraRoutes.accept(router);
     router.errorHandler(
         500,
         context -> {
           Log.thrown("status-door-problem", context.failure(), "path", context.request().path());
-          sendJson(context, 500, Json.object().add("reason", "an internal problem"));
+          sendJson(context, 500, Json.object().add("reason", "internal error"));
         });
     router.errorHandler(
-        404, context -> sendJson(context, 404, Json.object().add("reason", "nothing is here")));
+        404, context -> sendJson(context, 404, Json.object().add("reason", "no such resource")));
     server = vertx.createHttpServer(new HttpServerOptions()).requestHandler(router::handle);
     try {
       server
@@ -82,6 +92,7 @@
     }
   }
 
+  /** Sends a JSON response, unless the response was already sent or the connection is closed. */
   public static void sendJson(RoutingContext context, int status, JsonObject json) {
     if (context.response().ended() || context.response().closed()) return;
     context
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
@@ -13,8 +13,8 @@
 import java.util.zip.Inflater;
 
 /**
- * Decision records of other machines' relays, oldest evicted first under a bound in bytes. A batch
- * that is torn, too large or of another sender than it says is refused. No I/O.
+ * Stores decision records of relays on other machines; evicts the oldest batches beyond a bound in
+ * bytes. Refuses a batch that is corrupt, too large or malformed. Performs no I/O.
  */
 public final class DecisionLog {
   static final int MAX_PACKED_BYTES = 1 << 20;
@@ -29,7 +29,7 @@
     capacityBytes = maxBytes;
   }
 
-  /** False where it makes no sense; then nothing is changed. */
+  /** Adds a batch; returns false, without any change, if the batch is invalid. */
   public synchronized boolean add(Batch batch) {
     boolean valid =
         batch.relay().matches("[a-z0-9][a-z0-9-]{0,30}")
@@ -51,7 +51,7 @@
     return true;
   }
 
-  /** The newest record of a request, or null. */
+  /** Returns the newest record of a request, or null. */
   public synchronized JsonObject find(String id) {
     String[] parts = id.split("\\.", -1);
     long number;
@@ -64,8 +64,10 @@
     String prefix = "{\"order\":\"" + id + "\"";
     for (Iterator<Batch> iterator = batches.descendingIterator(); iterator.hasNext(); ) {
       Batch batch = iterator.next();
-      if (!batch.relay().equals(parts[0]) || !batch.incarnation().equals(parts[1]) || number < batch.low() || number > batch.high())
-        continue;
+      if (!batch.relay().equals(parts[0])
+          || !batch.incarnation().equals(parts[1])
+          || number < batch.low()
+          || number > batch.high()) continue;
       for (String line : unpack(batch.packed()).split("\n"))
         if (line.startsWith(prefix))
           return Json.parse(line).asObject().add("skippedAtRelay", batch.skipped());
@@ -98,7 +100,7 @@
     return out.toByteArray();
   }
 
-  /** The lines of a batch, or null where they can't be read. */
+  /** Returns the lines of a packed batch, or null if it is corrupt or too large. */
   private static String unpack(byte[] packed) {
     Inflater inflater = new Inflater();
     inflater.setInput(packed);
@@ -107,8 +109,8 @@
     try {
       while (!inflater.finished()) {
         int count = inflater.inflate(buffer);
-        if (count == 0 && (inflater.needsInput() || inflater.needsDictionary()) || out.size() > MAX_UNPACKED_BYTES)
-          return null;
+        if (count == 0 && (inflater.needsInput() || inflater.needsDictionary())
+            || out.size() > MAX_UNPACKED_BYTES) return null;
         out.write(buffer, 0, count);
       }
     } catch (DataFormatException e) {
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
@@ -27,11 +27,12 @@
 import java.util.Map;
 
 /**
- * Decision records that outlive their relay. Twice a second a relay sends what has ended, and what
- * it has at replicas just now, to two peers on other machines, the first with an open connection in
- * an order agreed by name; every data-plane process stores what it receives, within a bound. Off
- * the request's path, on a worker of its own, best effort: a batch that finds no peer, or no room
- * in the queue, is counted and dropped.
+ * Replicates decision records so that they outlive their relay. Twice a second a relay sends the
+ * records of requests that ended, and of those at replicas at that moment, to two peers on other
+ * machines: the first two with an open connection, in an order derived from the names. Every
+ * data-plane process stores what it receives, within a bound. Runs on its own worker, off the
+ * request path, and is best effort: a batch that finds no peer or no room in the queue is counted
+ * and dropped.
  */
 public final class DecisionLogService implements ServiceRegistry.Service {
   public static final long SEND_INTERVAL_MS = 500;
@@ -53,8 +54,11 @@
   }
 
   /**
-   * near: the zone whose processes are handed records first, where links between zones are narrow;
-   * empty for none.
+   * Creates a service.
+   *
+   * @param preferredZone the zone whose processes are preferred as peers, for narrow links between
+   *     zones; empty for none
+   * @param maxBytes bound on the stored records of other relays
    */
   public DecisionLogService(
       Vertx vertx, Clock clock, String name, String host, String preferredZone, long maxBytes) {
@@ -79,22 +83,34 @@
                 DecisionRecords.Batch batch =
                     (DecisionRecords.Batch) WireRecord.read(record, DecisionRecords::read);
                 if (!batch.relay().equals(hello.name()))
-                  throw new IOException("reasons of " + batch.relay() + " from " + hello.name());
+                  throw new IOException(
+                      "decision records of " + batch.relay() + " received from " + hello.name());
                 worker.offer(
                     () -> {
                       if (!receivedRecords.add(batch))
-                        Log.warn("reasons-turned-away", "relay", batch.relay(), "batch", batch.sequence());
+                        Log.warn(
+                            "reasons-turned-away",
+                            "relay",
+                            batch.relay(),
+                            "batch",
+                            batch.sequence());
                     });
               }
             });
   }
 
-  /** Whoever will hand records on has its connections open before it needs them. */
+  /**
+   * Opens and maintains the connections to peers in advance; called by processes that will send
+   * records.
+   */
   public void keepPeersConnected() {
     worker.scheduleEvery(SEND_INTERVAL_MS, this::updatePeers);
   }
 
-  /** From the request thread: what has ended since the last time, and what is at replicas now. */
+  /**
+   * Sends the records of requests that ended since the last call and of those at replicas now.
+   * Called on the request thread.
+   */
   public void submit(List<Decision> decisions, String run) {
     if (decisions.isEmpty()) return;
     if (!worker.offer(() -> send(decisions, run))) skippedRecords += decisions.size();
@@ -117,24 +133,29 @@
     }
     if (lines.isEmpty()) return;
     DecisionRecords.Batch batch =
-        new DecisionRecords.Batch(name, run, ++batchSequence, low, high, skippedRecords, DecisionLog.pack(lines));
+        new DecisionRecords.Batch(
+            name, run, ++batchSequence, low, high, skippedRecords, DecisionLog.pack(lines));
     int sent = 0;
-    for (Address address : updatePeers()) if (sent < PEERS_PER_BATCH && connections.get(address).send(batch)) sent++;
+    for (Address address : updatePeers())
+      if (sent < PEERS_PER_BATCH && connections.get(address).send(batch)) sent++;
     if (sent == 0) skippedRecords += lines.size();
   }
 
   /**
-   * Those of other machines, in an order that only the names decide; one more connection is held
-   * than is used.
+   * Updates the connections to peers on other machines, in an order derived from the names only,
+   * and returns their addresses. One spare connection is held.
    */
   private List<Address> updatePeers() {
     List<Address> candidates =
         partialView.all().stream()
-            .filter(descriptor -> descriptor.role().equals("relay") || descriptor.role().equals("index"))
+            .filter(
+                descriptor ->
+                    descriptor.role().equals("relay") || descriptor.role().equals("index"))
             .filter(descriptor -> !Address.of(descriptor.records()).host().equals(host))
             .sorted(
                 Comparator.comparing(
-                        (Shuffle.Descriptor descriptor) -> !preferredZone.isEmpty() && !preferredZone.equals(descriptor.zone()))
+                        (Shuffle.Descriptor descriptor) ->
+                            !preferredZone.isEmpty() && !preferredZone.equals(descriptor.zone()))
                     .thenComparingInt(descriptor -> (name + ">" + descriptor.name()).hashCode()))
             .map(descriptor -> Address.of(descriptor.records()))
             .distinct()
@@ -154,12 +175,13 @@
                       target,
                       Hello.REASONS,
                       (unused, record) -> {
-                        throw new IOException("an answer where none is due");
+                        throw new IOException("unexpected record on a one-way connection");
                       },
                       unused -> {}));
       if (connection.open()) open++;
     }
-    connections.entrySet()
+    connections
+        .entrySet()
         .removeIf(
             entry -> {
               if (chosen.contains(entry.getKey())) return false;
@@ -170,7 +192,8 @@
   }
 
   public void addRoutes(Router router) {
-    router.get("/operator/reasons/:id")
+    router
+        .get("/operator/reasons/:id")
         .handler(
             context -> {
               JsonObject json = receivedRecords.find(context.pathParam("id"));
@@ -178,12 +201,16 @@
                 StatusEndpoint.sendJson(
                     context,
                     404,
-                    Json.object().add("reason", "no record of such an order is kept here"));
+                    Json.object()
+                        .add("reason", "no decision record of this request is stored here"));
               else StatusEndpoint.sendJson(context, 200, json);
             });
-    router.get("/operator/reasons")
+    router
+        .get("/operator/reasons")
         .handler(
-            context -> StatusEndpoint.sendJson(context, 200, receivedRecords.toJson().add("skippedHere", skippedRecords)));
+            context ->
+                StatusEndpoint.sendJson(
+                    context, 200, receivedRecords.toJson().add("skippedHere", skippedRecords)));
   }
 
   @Override
--- a/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
+++ b/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
@@ -5,31 +5,34 @@
 import java.util.TreeSet;
 
 /**
- * Follows one holder's cache events, pure. Events carry the holder's incarnation and a sequence:
- * repeats are dropped, small reorderings wait in a bounded window. What a gap that stays means is
- * the policy's: under STRICT the holder's list is loaded in place of its entries, to go on after
- * the list's sequence, so that a block is never removed that wasn't inserted; under a tolerant
- * policy the numbers that never come are counted, and only too many of them lead to a list. A new
- * incarnation clears the holder at once and loads its list; a holder that says it lost events is
- * listed too. Until a list asked for other reasons comes, the holder's entries stay: they are
- * hints. A list is asked for no oftener than the policy's pause; a tolerant feed goes on with
- * events until then.
+ * Follows the cache events of one holder; performs no I/O. Events carry the holder's incarnation
+ * and a sequence number: duplicates are dropped, and events that arrive out of order wait in a
+ * bounded window. The policy determines the effect of a gap that persists. Under the strict policy
+ * the holder's list replaces all its entries, and events continue after the list's sequence number,
+ * so that a block is never removed without having been inserted. Under a tolerant policy missing
+ * events are counted, and only too many of them cause a list request. A new incarnation clears the
+ * holder immediately and loads its list; a holder that reports lost events is listed as well. Until
+ * a list requested for other reasons arrives, the holder's entries remain, since they are hints.
+ * Lists are requested no more often than the policy's minimum interval; a tolerant feed continues
+ * to apply events until then.
  */
 public final class CacheEventFeed {
   public static final int REORDER_WINDOW_EVENTS = 64;
   public static final long GAP_TIMEOUT_MS = 300, MIN_LIST_INTERVAL_MS = 300;
 
-  /** What numbers that never arrive mean. */
+  /** How gaps in the sequence are treated. */
   public sealed interface GapPolicy {
     GapPolicy STRICT = new Strict();
 
-    /** A gap that stays means a resync. */
+    /** A gap that persists causes a resync. */
     record Strict() implements GapPolicy {}
 
-    /** More than limit missing of the last per numbers mean a resync. */
+    /** More than maxMissing missing events among the last outOf sequence numbers cause a resync. */
     record Tolerant(int maxMissing, int outOf) implements GapPolicy {
       public Tolerant {
-        if (maxMissing < 0 || outOf < 1) throw new IllegalArgumentException(maxMissing + " missing of " + outOf);
+        if (maxMissing < 0 || outOf < 1)
+          throw new IllegalArgumentException(
+              "invalid gap tolerance: " + maxMissing + " missing out of " + outOf);
       }
     }
 
@@ -41,37 +44,40 @@
   /**
    * How a holder is followed.
    *
-   * @param withGaps what numbers that never arrive mean
-   * @param withGapTimeoutMs how long a missing number is waited for
-   * @param withMinListIntervalMs a list is asked for at most this often, since it costs the holder work
+   * @param gaps how gaps in the sequence are treated
+   * @param gapTimeoutMs how long a missing event is waited for
+   * @param minListIntervalMs minimum interval between list requests, since a list costs the holder
+   *     work
    */
-  public record Policy(GapPolicy gaps, long patienceMs, long listPauseMs) {
-    public static final Policy STRICT = new Policy(GapPolicy.STRICT, GAP_TIMEOUT_MS, MIN_LIST_INTERVAL_MS);
+  public record Policy(GapPolicy gaps, long gapTimeoutMs, long minListIntervalMs) {
+    public static final Policy STRICT =
+        new Policy(GapPolicy.STRICT, GAP_TIMEOUT_MS, MIN_LIST_INTERVAL_MS);
 
     public Policy withGaps(GapPolicy gapPolicy) {
-      return new Policy(gapPolicy, patienceMs, listPauseMs);
+      return new Policy(gapPolicy, gapTimeoutMs, minListIntervalMs);
     }
 
     public Policy withGapTimeoutMs(long ms) {
-      return new Policy(gaps, ms, listPauseMs);
+      return new Policy(gaps, ms, minListIntervalMs);
     }
 
     public Policy withMinListIntervalMs(long ms) {
-      return new Policy(gaps, patienceMs, ms);
+      return new Policy(gaps, gapTimeoutMs, ms);
     }
   }
 
+  /** The actions that a feed takes. */
   public interface Effects {
-    /** So many units of the block are kept now; part as in {@link CacheEvent}. */
+    /** Sets the units of the block that are kept now; partial as in {@link CacheEvent}. */
     void setKept(long block, int units, boolean partial);
 
-    /** The holder keeps nothing of what was told. */
+    /** Removes all entries of the holder. */
     void clear();
 
-    /** Clear the holder and insert these. */
+    /** Replaces all entries of the holder with the list. */
     void replaceAll(BlockList list);
 
-    /** Ask the holder for its list; listed() follows with the same nr. */
+    /** Requests the list of the holder; {@link #onList} follows with the same number. */
     void requestList(long requestNumber);
   }
 
@@ -84,10 +90,12 @@
   private final int maxBuffered;
   private final TreeMap<Long, Buffered> window = new TreeMap<>();
 
-  /** Tolerant only: numbers passed over, of the last per; at most limit of them. */
+  /** Tolerant only: the missing sequence numbers among the last outOf; at most maxMissing. */
   private final TreeSet<Long> missing = new TreeSet<>();
 
-  /** Tolerant only: while numbers are missing, the newest number that told of each block. */
+  /**
+   * Tolerant only: while events are missing, the newest sequence number that reported each block.
+   */
   private final LinkedHashMap<Long, Long> newestByBlock = new LinkedHashMap<>();
 
   private String incarnation = "";
@@ -114,9 +122,11 @@
     this.effects = effects;
     this.policy = policy;
     this.tolerance = policy.gaps instanceof GapPolicy.Tolerant t ? t : null;
-    this.maxBuffered = tolerance == null ? 16 * REORDER_WINDOW_EVENTS : 1024 * REORDER_WINDOW_EVENTS;
+    this.maxBuffered =
+        tolerance == null ? 16 * REORDER_WINDOW_EVENTS : 1024 * REORDER_WINDOW_EVENTS;
   }
 
+  /** Returns whether events are applied; false while a list is awaited. */
   public boolean isFollowing() {
     return isFollowing;
   }
@@ -125,20 +135,22 @@
     return incarnation;
   }
 
+  /** Returns the sequence number up to which events are applied. */
   public long appliedSequence() {
     return appliedSequence;
   }
 
-  /** How often the list was asked for. */
+  /** Returns how often the list was requested. */
   public long resyncCount() {
     return resyncCount;
   }
 
+  /** Returns how many events were dropped as duplicates. */
   public long duplicateCount() {
     return duplicateCount;
   }
 
-  /** Numbers passed over, but for those that came later after all. */
+  /** Returns how many events were skipped and have not arrived late. */
   public long missedCount() {
     return missedCount;
   }
@@ -148,8 +160,9 @@
   }
 
   /**
-   * Asks for the list, now or when the pause since the last time is over; again where an answer
-   * failed to come. A strict feed applies nothing until then.
+   * Requests the list, immediately or when the minimum interval since the last request is over;
+   * also repeats a request that got no answer. A strict feed applies nothing until the list
+   * arrives.
    */
   public void resync(long nowMs) {
     if (tolerance == null) stopFollowing();
@@ -162,11 +175,11 @@
   }
 
   /**
-   * As resync, where nothing is wrong with what was applied: events go on until the list is asked
-   * for.
+   * Requests the list although the applied events are intact: events continue to apply until the
+   * list is requested.
    */
   public void requestList(long nowMs) {
-    if (nowMs - lastListRequestMs < policy.listPauseMs) {
+    if (nowMs - lastListRequestMs < policy.minListIntervalMs) {
       listPending = true;
       return;
     }
@@ -177,8 +190,10 @@
     effects.requestList(++listRequestNumber);
   }
 
+  /** Handles the list that was requested under this number. */
   public void onList(long requestNumber, BlockList list) {
-    if (isFollowing || requestNumber != listRequestNumber || requestNumber == answeredListNumber) return;
+    if (isFollowing || requestNumber != listRequestNumber || requestNumber == answeredListNumber)
+      return;
     answeredListNumber = requestNumber;
     if (!list.incarnation().equals(windowIncarnation)) window.clear();
     incarnation = windowIncarnation = list.incarnation();
@@ -190,16 +205,18 @@
     behindSinceMs = -1;
     effects.replaceAll(list);
     applyInOrder();
-    // lost after the list was made: this list stands until the next one comes
+    // Events were lost after this list was made: it stays in use until the next one arrives.
     listPending = lostUpToSequence > list.lastSequence();
     lostUpToSequence = -1;
   }
 
-  /** The list of this nr won't come: another one, after the pause. */
+  /** Handles a list request that failed: requests another list after the minimum interval. */
   public void onListFailed(long requestNumber, long nowMs) {
-    if (!isFollowing && requestNumber == listRequestNumber && requestNumber != answeredListNumber) resync(nowMs);
+    if (!isFollowing && requestNumber == listRequestNumber && requestNumber != answeredListNumber)
+      resync(nowMs);
   }
 
+  /** Handles an event. */
   public void onEvent(CacheEvent event, long nowMs) {
     String eventIncarnation = event.incarnation();
     long sequence = event.sequence();
@@ -248,7 +265,7 @@
     resync(nowMs);
   }
 
-  /** A number passed over that comes after all counts, unless something newer told of its block. */
+  /** Applies a skipped event that arrives late, unless a newer event reported its block. */
   private void applyLate(CacheEvent event) {
     if (!missing.remove(event.sequence())) {
       duplicateCount++;
@@ -259,7 +276,7 @@
     if (missing.isEmpty()) newestByBlock.clear();
   }
 
-  /** The holder told its newest sequence without an event. */
+  /** Handles a report of the newest sequence number without an event. */
   public void onPulse(String eventIncarnation, long newestSequence, long nowMs) {
     if (!isFollowing || eventIncarnation.equals(previousIncarnation)) return;
     if (!eventIncarnation.equals(incarnation)) {
@@ -274,32 +291,34 @@
     tick(nowMs);
   }
 
+  /** Handles timeouts: requests a pending list, and gives up on gaps that outlast the timeout. */
   public void tick(long nowMs) {
-    if (listPending && nowMs - lastListRequestMs >= policy.listPauseMs) requestList(nowMs);
+    if (listPending && nowMs - lastListRequestMs >= policy.minListIntervalMs) requestList(nowMs);
     if (!isFollowing || behindSinceMs < 0) return;
     if (tolerance == null) {
-      if (nowMs - behindSinceMs > policy.patienceMs) resync(nowMs);
+      if (nowMs - behindSinceMs > policy.gapTimeoutMs) resync(nowMs);
     } else {
       while (isFollowing
           && !window.isEmpty()
-          && nowMs - window.firstEntry().getValue().receivedAtMs > policy.patienceMs)
+          && nowMs - window.firstEntry().getValue().receivedAtMs > policy.gapTimeoutMs)
         skipTo(window.firstKey() - 1, nowMs);
       if (!isFollowing) return;
-      if (window.isEmpty() && nowMs - behindSinceMs > policy.patienceMs) {
+      if (window.isEmpty() && nowMs - behindSinceMs > policy.gapTimeoutMs) {
         if (announcedSequence > appliedSequence) skipTo(announcedSequence, nowMs);
         if (isFollowing) behindSinceMs = -1;
       }
     }
   }
 
-  /** Tolerant only: what is missing up to this number isn't waited for any longer. */
+  /** Tolerant only: skips the missing events up to this number. */
   private void skipTo(long upTo, long nowMs) {
     long skipped = upTo - appliedSequence;
     missedCount += skipped;
     missing.headSet(upTo - tolerance.outOf, true).clear();
     boolean tooMany = Math.min(skipped, tolerance.outOf) + missing.size() > tolerance.maxMissing;
     if (!tooMany)
-      for (long i = Math.max(appliedSequence, upTo - tolerance.outOf) + 1; i <= upTo; i++) missing.add(i);
+      for (long i = Math.max(appliedSequence, upTo - tolerance.outOf) + 1; i <= upTo; i++)
+        missing.add(i);
     appliedSequence = upTo;
     if (tooMany) {
       missing.clear();
@@ -328,7 +347,8 @@
     if (!missing.isEmpty()) {
       newestByBlock.remove(event.block());
       newestByBlock.put(event.block(), event.sequence());
-      if (newestByBlock.size() > tolerance.outOf) newestByBlock.remove(newestByBlock.keySet().iterator().next());
+      if (newestByBlock.size() > tolerance.outOf)
+        newestByBlock.remove(newestByBlock.keySet().iterator().next());
     }
     effects.setKept(event.block(), event.units(), event.partial());
   }
--- a/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
@@ -8,25 +8,27 @@
 import java.util.SplittableRandom;
 
 /**
- * Cuckoo Summary from the HDS paper: a (2, 4) partial-key cuckoo table whose entries join a
- * fingerprint to the id of the holder. A block's buckets are x = h(block) and y = x xor
- * h(fingerprint); an insert takes a free slot of x, else of y, else displaces at random up to 300
- * times; a removal takes out one copy of exactly fingerprint and holder; a lookup reads both
- * buckets and gives every holder that matches. The one exception of ours is the overflow: what the
- * table can't place, which on an ordinary day is only the ninth and later copies of a block that
- * more than 2b = 8 holders keep. A lookup reads it only when it holds something. The holder's id
- * takes as many bits as the most holders need, up to 10; a lookup gives a bit a holder in a
- * reusable long[], or in one long where there are at most 64.
+ * The Cuckoo Summary of the HDS paper: a (2, 4) partial-key cuckoo table whose entries combine a
+ * fingerprint of the block with the id of the holder. A block's buckets are x = h(block) and y = x
+ * xor h(fingerprint). An insert takes a free slot of x, else of y, else displaces random entries up
+ * to 300 times; a removal takes out one copy of exactly this fingerprint and holder; a lookup reads
+ * both buckets and returns every holder that matches.
+ *
+ * <p>One addition to the paper is the overflow, which holds what the table cannot place: normally
+ * only the ninth and later copies of a block that more than 2b = 8 holders keep. A lookup reads the
+ * overflow only when it is not empty. A holder's id takes as many bits as the maximum number of
+ * holders needs, up to 10. A lookup sets one bit per holder in a reusable long[], or in a single
+ * long for at most 64 holders.
  */
 public final class CuckooSummary {
   public static final int BUCKET_SLOTS = 4, MAX_DISPLACEMENTS = 300;
 
-  /** Holders where nothing else is said, and the most there may be. */
+  /** The default maximum number of holders, and the largest one supported. */
   public static final int DEFAULT_MAX_HOLDERS = 64, MAX_HOLDERS = 1024;
 
   /**
-   * The overflow's copies of one fingerprint in one pair of buckets: a bit a holder, further copies
-   * beside.
+   * The copies in the overflow of one fingerprint in one pair of buckets: one bit per holder,
+   * further copies of the same holder in a separate array.
    */
   private static final class OverflowCopies {
     final long[] holderBitset;
@@ -69,7 +71,7 @@
     }
   }
 
-  /** b, slots a bucket: 4 as in the paper; others only to be measured against it. */
+  /** Slots per bucket, b in the paper: 4; other values only serve comparisons. */
   private final int slotsPerBucket;
 
   private final int fingerprintWidth;
@@ -82,8 +84,8 @@
   private final Map<Long, OverflowCopies> overflow = new HashMap<>();
 
   /**
-   * The overflow's keys by each of their two buckets, to be moved back when a slot there comes
-   * free.
+   * The keys of the overflow by each of their two buckets, to move entries back when a slot of the
+   * bucket becomes free.
    */
   private final Map<Integer, List<Long>> overflowByBucket = new HashMap<>();
 
@@ -95,8 +97,8 @@
   private long displacements;
 
   /**
-   * Room for this many entries at under 90% occupancy; the bucket count is a power of two because
-   * of the xor.
+   * Creates a table for this many entries at less than 90% occupancy. The number of buckets is a
+   * power of two because the second bucket is found by xor.
    */
   public CuckooSummary(long entries, int fingerprintBits, long seed) {
     this(entries, fingerprintBits, BUCKET_SLOTS, seed);
@@ -107,19 +109,26 @@
   }
 
   /**
-   * @param entries the most entries, of all holders together
-   * @param fingerprintBits f; with the holder's bits at most 31
-   * @param bucketSlots b
-   * @param maxHolders holders' ids are 0 to mostHolders - 1; at most {@link #MAX_HOLDERS}
-   * @param seed of the displacements
+   * Creates a table.
+   *
+   * @param entries maximum number of entries of all holders together
+   * @param fingerprintBits width of a fingerprint, f in the paper; together with the bits of a
+   *     holder's id at most 31
+   * @param bucketSlots slots per bucket, b in the paper
+   * @param maxHolders holder ids are 0 to maxHolders - 1; at most {@link #MAX_HOLDERS}
+   * @param seed seed of the random displacements
    */
   public CuckooSummary(
       long entries, int fingerprintBits, int bucketSlots, int maxHolders, long seed) {
     if (maxHolders < 1 || maxHolders > MAX_HOLDERS)
-      throw new IllegalArgumentException("room for " + maxHolders + " holders");
+      throw new IllegalArgumentException(maxHolders + " holders; must be 1 to " + MAX_HOLDERS);
     if (fingerprintBits < 4 || fingerprintBits > 31 - holderBits(maxHolders))
       throw new IllegalArgumentException(
-          "fingerprint of " + fingerprintBits + " bits for " + maxHolders + " holders");
+          "a fingerprint of "
+              + fingerprintBits
+              + " bits is not supported with "
+              + maxHolders
+              + " holders");
     holderCapacity = maxHolders;
     bitsetWords = maxHolders + 63 >>> 6;
     slotsPerBucket = bucketSlots;
@@ -134,21 +143,25 @@
     random = new SplittableRandom(seed);
   }
 
-  /** How many bits the ids of so many holders take. */
+  /** Returns the number of bits that the ids of this many holders take. */
   public static int holderBits(int maxHolders) {
     return Math.max(1, 32 - Integer.numberOfLeadingZeros(maxHolders - 1));
   }
 
-  /** Words of the bitset that a lookup fills: one for each 64 holders. */
+  /** Returns the length in longs of the bitset that a lookup fills: one for each 64 holders. */
   public int bitsetWords() {
     return bitsetWords;
   }
 
-  /** The paper's f for a wished rate of false positives: at least log2(2b / rate). */
+  /**
+   * Returns the fingerprint width that the paper gives for a false positive rate: at least log2(2b
+   * / rate).
+   */
   public static int fingerprintBits(double falsePositiveRate) {
     return (int) Math.ceil(Math.log(2 * BUCKET_SLOTS / falsePositiveRate) / Math.log(2));
   }
 
+  /** Mixes the bits of a 64-bit value (the finalizer of SplitMix64). */
   static long mix(long z) {
     z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
     z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
@@ -164,7 +177,7 @@
     return (int) mix(block ^ 0x9e3779b97f4a7c15L) & bucketMask;
   }
 
-  /** h(fingerprint), never 0 so that the two buckets differ. */
+  /** Returns h(fingerprint), never 0, so that the two buckets of an entry differ. */
   private int bucketOffset(int fingerprint) {
     int offset = (int) mix(fingerprint * 0x632be59bd9b4e019L) & bucketMask;
     return offset == 0 ? 1 : offset;
@@ -183,12 +196,17 @@
 
   private boolean isFilledWith(int bucket, int fingerprint) {
     int start = bucket * slotsPerBucket;
-    for (int slot = start; slot < start + slotsPerBucket; slot++) if ((slots[slot] & fingerprintMask) != fingerprint) return false;
+    for (int slot = start; slot < start + slotsPerBucket; slot++)
+      if ((slots[slot] & fingerprintMask) != fingerprint) return false;
     return true;
   }
 
+  /** Inserts an entry, also if an equal one is present. */
   public void insert(long block, int holder) {
-    int fingerprint = fingerprint(block), first = firstBucket(block), second = first ^ bucketOffset(fingerprint), entry = holder << fingerprintWidth | fingerprint;
+    int fingerprint = fingerprint(block),
+        first = firstBucket(block),
+        second = first ^ bucketOffset(fingerprint),
+        entry = holder << fingerprintWidth | fingerprint;
     if (putInBucket(first, entry) || putInBucket(second, entry)) return;
     if (isFilledWith(first, fingerprint) && isFilledWith(second, fingerprint)) {
       excessCopies++;
@@ -206,7 +224,8 @@
       if (putInBucket(bucket, entry)) return;
     }
     int fingerprintLeft = entry & fingerprintMask;
-    if (isFilledWith(bucket, fingerprintLeft) && isFilledWith(bucket ^ bucketOffset(fingerprintLeft), fingerprintLeft)) excessCopies++;
+    if (isFilledWith(bucket, fingerprintLeft)
+        && isFilledWith(bucket ^ bucketOffset(fingerprintLeft), fingerprintLeft)) excessCopies++;
     else unplacedEntries++;
     addToOverflow(bucket, entry);
   }
@@ -223,8 +242,14 @@
             key,
             newKey -> {
               int lowBucket = (int) (newKey >>> 32);
-              overflowByBucket.computeIfAbsent(lowBucket, bucketIndex -> new ArrayList<>(2)).add(newKey);
-              overflowByBucket.computeIfAbsent(lowBucket ^ bucketOffset(entry & fingerprintMask), bucketIndex -> new ArrayList<>(2)).add(newKey);
+              overflowByBucket
+                  .computeIfAbsent(lowBucket, bucketIndex -> new ArrayList<>(2))
+                  .add(newKey);
+              overflowByBucket
+                  .computeIfAbsent(
+                      lowBucket ^ bucketOffset(entry & fingerprintMask),
+                      bucketIndex -> new ArrayList<>(2))
+                  .add(newKey);
               return new OverflowCopies(bitsetWords);
             })
         .add(entry >>> fingerprintWidth);
@@ -244,41 +269,51 @@
   }
 
   /**
-   * Whether an entry of this fingerprint and holder stands in the block's buckets or the overflow.
-   * Two blocks of one holder with equal fingerprint and buckets can't be told apart.
+   * Returns whether the block's buckets or the overflow hold an entry of this fingerprint and
+   * holder. Two blocks of one holder with equal fingerprint and buckets cannot be told apart.
    */
   public boolean contains(long block, int holder) {
-    int fingerprint = fingerprint(block), first = firstBucket(block), second = first ^ bucketOffset(fingerprint), entry = holder << fingerprintWidth | fingerprint;
+    int fingerprint = fingerprint(block),
+        first = firstBucket(block),
+        second = first ^ bucketOffset(fingerprint),
+        entry = holder << fingerprintWidth | fingerprint;
     if (bucketContains(first, entry) || bucketContains(second, entry)) return true;
-    OverflowCopies spill = overflowEntries > 0 ? overflow.get(overflowKey(first, fingerprint)) : null;
+    OverflowCopies spill =
+        overflowEntries > 0 ? overflow.get(overflowKey(first, fingerprint)) : null;
     return spill != null && spill.contains(holder);
   }
 
   private boolean bucketContains(int bucket, int entry) {
     int start = bucket * slotsPerBucket;
-    for (int slot = start; slot < start + slotsPerBucket; slot++) if (slots[slot] == entry) return true;
+    for (int slot = start; slot < start + slotsPerBucket; slot++)
+      if (slots[slot] == entry) return true;
     return false;
   }
 
   /**
-   * Whether two blocks have the same fingerprint and buckets, so that entries of one holder can't
-   * be told apart.
+   * Returns whether two blocks have the same fingerprint and buckets, so that entries of one holder
+   * cannot be told apart.
    */
   boolean indistinguishable(long blockA, long blockB) {
     int fingerprint = fingerprint(blockA);
-    return fingerprint == fingerprint(blockB) && overflowKey(firstBucket(blockA), fingerprint) == overflowKey(firstBucket(blockB), fingerprint);
+    return fingerprint == fingerprint(blockB)
+        && overflowKey(firstBucket(blockA), fingerprint)
+            == overflowKey(firstBucket(blockB), fingerprint);
   }
 
-  /** Inserts unless {@link #contains} already; false where nothing was done. */
+  /** Inserts an entry unless {@link #contains} finds it; returns whether it was inserted. */
   public boolean insertOnce(long block, int holder) {
     if (contains(block, holder)) return false;
     insert(block, holder);
     return true;
   }
 
-  /** Takes out one copy of exactly this entry; false where there is none. */
+  /** Removes one copy of exactly this entry; returns false if there is none. */
   public boolean remove(long block, int holder) {
-    int fingerprint = fingerprint(block), first = firstBucket(block), second = first ^ bucketOffset(fingerprint), entry = holder << fingerprintWidth | fingerprint;
+    int fingerprint = fingerprint(block),
+        first = firstBucket(block),
+        second = first ^ bucketOffset(fingerprint),
+        entry = holder << fingerprintWidth | fingerprint;
     if (removeFromBucket(first, entry) || removeFromBucket(second, entry)) {
       if (overflowEntries > 0) moveBack(first, second, fingerprint);
       return true;
@@ -308,7 +343,9 @@
     return true;
   }
 
-  /** A slot came free in x or y: an entry of the overflow that may stand there moves in. */
+  /**
+   * Moves an entry of the overflow into the table after a slot of one of these buckets became free.
+   */
   private void moveBack(int first, int second, int fingerprint) {
     if (moveBack(overflowKey(first, fingerprint)) || moveBack(first) || moveBack(second)) return;
     if (overflow.isEmpty()) unplacedEntries = 0;
@@ -323,16 +360,24 @@
   private boolean moveBack(long key) {
     OverflowCopies spill = overflow.get(key);
     if (spill == null) return false;
-    int fingerprint = (int) (key & fingerprintMask), lowBucket = (int) (key >>> 32), holder = spill.firstHolder(), entry = holder << fingerprintWidth | fingerprint;
-    if (!putInBucket(lowBucket, entry) && !putInBucket(lowBucket ^ bucketOffset(fingerprint), entry)) return false;
+    int fingerprint = (int) (key & fingerprintMask),
+        lowBucket = (int) (key >>> 32),
+        holder = spill.firstHolder(),
+        entry = holder << fingerprintWidth | fingerprint;
+    if (!putInBucket(lowBucket, entry)
+        && !putInBucket(lowBucket ^ bucketOffset(fingerprint), entry)) return false;
     removeFromOverflow(key, holder);
     return true;
   }
 
-  /** Every holder with a matching entry, a bit each; only where there are at most 64 holders. */
+  /** Returns every holder with a matching entry, one bit each; only for at most 64 holders. */
   public long lookup(long block) {
-    if (bitsetWords > 1) throw new IllegalStateException("one word doesn't hold " + holderCapacity + " holders");
-    int fingerprint = fingerprint(block), first = firstBucket(block), second = first ^ bucketOffset(fingerprint);
+    if (bitsetWords > 1)
+      throw new IllegalStateException(
+          "a single long cannot represent " + holderCapacity + " holders");
+    int fingerprint = fingerprint(block),
+        first = firstBucket(block),
+        second = first ^ bucketOffset(fingerprint);
     long holders = matchBucket(first, fingerprint) | matchBucket(second, fingerprint);
     if (overflowEntries > 0) {
       OverflowCopies spill = overflow.get(overflowKey(first, fingerprint));
@@ -352,14 +397,17 @@
   }
 
   /**
-   * Every holder with a matching entry.
+   * Finds every holder with a matching entry.
    *
-   * @param found {@link #bitsetWords()} long, overwritten: bit h & 63 of word h >> 6 is holder h's
-   * @return whether there is any
+   * @param found array of {@link #bitsetWords()} longs, overwritten: bit h &amp; 63 of word h
+   *     &gt;&gt; 6 stands for holder h
+   * @return whether any holder matches
    */
   public boolean lookup(long block, long[] found) {
     if (bitsetWords == 1) return (found[0] = lookup(block)) != 0;
-    int fingerprint = fingerprint(block), first = firstBucket(block), second = first ^ bucketOffset(fingerprint);
+    int fingerprint = fingerprint(block),
+        first = firstBucket(block),
+        second = first ^ bucketOffset(fingerprint);
     Arrays.fill(found, 0, bitsetWords, 0);
     boolean any = matchBucket(first, fingerprint, found);
     any |= matchBucket(second, fingerprint, found);
@@ -385,7 +433,7 @@
     return any;
   }
 
-  /** Takes out all of one holder's entries. */
+  /** Removes all entries of a holder. */
   public void clear(int holder) {
     for (int slot = 0; slot < slots.length; slot++)
       if (slots[slot] != 0 && slots[slot] >>> fingerprintWidth == holder) {
@@ -394,31 +442,37 @@
       }
     for (Long key : overflow.keySet().toArray(new Long[0]))
       while (removeFromOverflow(key, holder)) {
-        // every copy
+        // removes every copy
       }
     for (Long key : overflow.keySet().toArray(new Long[0]))
       while (moveBack(key)) {
-        // as long as there is room
+        // continues while a slot is free
       }
     if (overflow.isEmpty()) unplacedEntries = 0;
   }
 
+  /** Returns the number of entries in the table and the overflow. */
   public int size() {
     return tableEntries + overflowEntries;
   }
 
+  /** Returns the number of entries in the overflow. */
   public int overflowEntries() {
     return overflowEntries;
   }
 
   /**
-   * Of what ever went to the overflow: further copies of one fingerprint, and entries given up
-   * after 300 displacements.
+   * Returns how many entries ever went to the overflow because both buckets held only copies of
+   * their fingerprint.
    */
   public int excessCopies() {
     return excessCopies;
   }
 
+  /**
+   * Returns how many entries went to the overflow after 300 displacements since the overflow was
+   * last empty.
+   */
   public int unplacedEntries() {
     return unplacedEntries;
   }
@@ -427,38 +481,47 @@
     return displacements;
   }
 
+  /** Returns the number of slots of the table. */
   public int capacity() {
     return slots.length;
   }
 
+  /** Returns the used share of the table's slots, from 0 to 1. */
   public double occupancy() {
     return (double) tableEntries / slots.length;
   }
 
   /**
-   * Entries in the overflow now that a larger table would hold: of each fingerprint and pair of
-   * buckets, as many as are missing to 2b in the buckets. What goes beyond 2b has no place in any
-   * table and doesn't count.
+   * Counts the entries in the overflow that a larger table would hold: for each fingerprint and
+   * pair of buckets, as many as its copies in the buckets fall short of 2b. Copies beyond 2b fit
+   * into no table and are not counted.
    */
   public int strayCount() {
     int strays = 0;
     for (Map.Entry<Long, OverflowCopies> entry : overflow.entrySet()) {
-      int fingerprint = (int) (entry.getKey() & fingerprintMask), lowBucket = (int) (entry.getKey() >>> 32);
-      strays += Math.min(entry.getValue().count, 2 * slotsPerBucket - countInBucket(lowBucket, fingerprint) - countInBucket(lowBucket ^ bucketOffset(fingerprint), fingerprint));
+      int fingerprint = (int) (entry.getKey() & fingerprintMask),
+          lowBucket = (int) (entry.getKey() >>> 32);
+      strays +=
+          Math.min(
+              entry.getValue().count,
+              2 * slotsPerBucket
+                  - countInBucket(lowBucket, fingerprint)
+                  - countInBucket(lowBucket ^ bucketOffset(fingerprint), fingerprint));
     }
     return strays;
   }
 
   private int countInBucket(int bucket, int fingerprint) {
     int count = 0, start = bucket * slotsPerBucket;
-    for (int slot = start; slot < start + slotsPerBucket; slot++) if ((slots[slot] & fingerprintMask) == fingerprint) count++;
+    for (int slot = start; slot < start + slotsPerBucket; slot++)
+      if ((slots[slot] & fingerprintMask) == fingerprint) count++;
     return count;
   }
 
   /**
-   * Past this the table counts as full, as the paper's does after 300 displacements, and a larger
-   * one is due. The overflow is looked through only when entries were given up since it was last
-   * found in order.
+   * Returns whether the table counts as full, as the paper's table does after 300 displacements, so
+   * that a larger one is needed. The overflow is only examined if entries failed to be placed since
+   * the last examination found it in order.
    */
   public boolean isFull() {
     if (unplacedEntries <= 64 || unplacedEntries == failedInsertsWhenChecked) return false;
--- a/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
@@ -9,27 +9,27 @@
 import java.util.PriorityQueue;
 
 /**
- * What all relays together gave each replica and how scarce the holders' memory is: a relay alone
- * sees its own small part of both. Prompts are reckoned as a queue that is done one after the
- * other, replies as running side by side; what isn't told of any more runs out by itself. A hint,
- * like all of the index. Lives on one thread.
+ * Tracks the work that all relays together sent to each replica, and how scarce the memory of the
+ * holders is; a single relay sees only its own part of both. Prefills are modelled as a queue
+ * processed one after the other, replies as running concurrently; work ends by its estimated time,
+ * not by a report. A hint, like everything in the index. Confined to one thread.
  */
 public final class FleetLoad {
-  /** No work that is told of keeps a replica busy for longer, in ms. */
+  /** The maximum time in ms for which reported work marks a replica as busy. */
   private static final long MAX_BUSY_MS = 10_000;
 
-  /** How many requests of a replica are reckoned with at most. */
+  /** The maximum number of requests tracked per replica. */
   private static final int MAX_RUNNING = 1024;
 
-  /** How many replicas an answer names at most; the busiest, as they are to be avoided. */
+  /** The maximum number of replicas in an answer: the busiest, since those are to be avoided. */
   private static final int MAX_NAMED = 64;
 
-  /** The weight of one stored or evicted block against those before it. */
+  /** The weight of one stored or evicted block in the moving averages. */
   private static final double BLOCK_WEIGHT = 1.0 / 512;
 
   private record Running(long endsAtMs, int units) {}
 
-  /** What one replica was given. */
+  /** The work assigned to one replica. */
   private static final class AssignedWork {
     private final PriorityQueue<Running> running =
         new PriorityQueue<>(Comparator.comparingLong(Running::endsAtMs));
@@ -49,7 +49,7 @@
       units -= ended.units;
     }
 
-    /** Whether nothing is left of it. */
+    /** Removes ended work; returns whether nothing is left. */
     boolean expire(long nowMs) {
       while (!running.isEmpty() && running.peek().endsAtMs <= nowMs) remove(running.poll());
       return running.isEmpty() && busyUntilMs <= nowMs;
@@ -65,13 +65,13 @@
   private double stored;
   private double evicted;
 
-  /** A relay sent a replica so much work. */
+  /** Records that a relay sent work to a replica. */
   public void recordPlacement(String holder, Lookup.Work work, long nowMs) {
     if (work.equals(Lookup.Work.UNKNOWN)) return;
     workByReplica.computeIfAbsent(holder, name -> new AssignedWork()).add(work, nowMs);
   }
 
-  /** A holder told that it keeps a block, or keeps it no more. */
+  /** Records that a holder stored or evicted a block. */
   void recordBlockEvent(boolean keeps) {
     stored += ((keeps ? 1 : 0) - stored) * BLOCK_WEIGHT;
     evicted += ((keeps ? 0 : 1) - evicted) * BLOCK_WEIGHT;
@@ -81,7 +81,7 @@
     workByReplica.remove(holder);
   }
 
-  /** What an answer tells of it now. */
+  /** Returns the load as included in an answer now. */
   public Lookup.Fleet snapshot(long nowMs) {
     workByReplica.values().removeIf(work -> work.expire(nowMs));
     List<Lookup.Load> loads = new ArrayList<>(workByReplica.size());
--- a/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
@@ -18,12 +18,13 @@
 import java.util.function.Function;
 
 /**
- * The Cuckoo Summary of all holders with what feeds it, pure. Holder ids are dense, local to this
- * process, and given again only after the holder's entries were cleared. When holders can keep more
- * than the table holds, or its overflow says it is full, a larger one is filled from fresh lists
- * beside it and swapped in. A holder has one entry of a block, however many events tell of it: an
- * event with units kept inserts it only where it isn't there, one with none removes exactly one
- * copy. How much is kept of a block kept in part stands beside the table, a map a holder.
+ * The Cuckoo Summary of all holders and the feeds that update it; performs no I/O. Holder ids are
+ * dense, local to this process, and reused only after the entries of the former holder were
+ * cleared. When holders can keep more blocks than the table holds, or the table is full, a larger
+ * table is filled from fresh lists alongside and then swapped in. A holder has one entry per block,
+ * however many events report it: an event with units kept inserts the entry if it is missing, one
+ * with none removes exactly one copy. How many units are kept of a partial block is stored outside
+ * the table, in one map per holder.
  */
 public final class FleetSummary {
   public static final int DEFAULT_MAX_HOLDERS = 512;
@@ -44,19 +45,28 @@
   private int rebuildCount;
   private boolean holderLimitLogged;
 
-  /** Of a lookup: a bit for each holder whose chain goes on, and for each that has the block. */
+  /**
+   * The state of a lookup: the holders that have all blocks so far, and those that have the current
+   * block; one bit each.
+   */
   private final long[] continuing;
 
   private final long[] matching;
 
-  /** With room for {@link #DEFAULT_MAX_HOLDERS} holders, each followed strictly. */
+  /**
+   * Creates a summary of up to {@link #DEFAULT_MAX_HOLDERS} holders, each followed with the strict
+   * policy.
+   */
   public FleetSummary(int fingerprintBits) {
     this(fingerprintBits, DEFAULT_MAX_HOLDERS, r -> CacheEventFeed.Policy.STRICT);
   }
 
   /**
-   * @param fingerprintBits f; with the bits of a holder's id at most 31
-   * @param maxHolders how many holders there may be at a time, at most {@link
+   * Creates a summary.
+   *
+   * @param fingerprintBits width of a fingerprint; together with the bits of a holder's id at most
+   *     31
+   * @param maxHolders maximum number of holders at a time, at most {@link
    *     CuckooSummary#MAX_HOLDERS}
    * @param policies how each holder is followed
    */
@@ -72,24 +82,28 @@
   }
 
   private CuckooSummary newTable(long entries) {
-    return new CuckooSummary(entries, fingerprintBits, CuckooSummary.BUCKET_SLOTS, maxHolders, SEED);
+    return new CuckooSummary(
+        entries, fingerprintBits, CuckooSummary.BUCKET_SLOTS, maxHolders, SEED);
   }
 
+  /** Returns all followed holders. */
   public List<Holder> allHolders() {
     return new ArrayList<>(holders.values());
   }
 
+  /** Returns whether this holder is still followed. */
   public boolean isFollowed(Holder holder) {
     return holders.get(holder.replica.instance()) == holder;
   }
 
-  /** Those the configuration and the platform name, and no others. */
+  /** Follows the holders that the configuration and the platform name, and no others. */
   public void updateHolders(ControlStateSnapshot snapshot, long nowMs) {
     Set<String> listedInstances = new HashSet<>();
     for (Holders.Listed listed : Holders.of(snapshot)) {
       Replica replica = listed.replica();
       Holder previous = holders.get(replica.instance());
-      if (previous != null && !previous.replica.address().equals(replica.address())) dropHolder(previous);
+      if (previous != null && !previous.replica.address().equals(replica.address()))
+        dropHolder(previous);
       if (!holders.containsKey(replica.instance())) {
         int id = usedIds.nextClearBit(0);
         if (id >= maxHolders) {
@@ -101,7 +115,8 @@
         byId[id] = new Holder(replica, id, nowMs, policies.apply(replica), effects(id));
         holders.put(replica.instance(), byId[id]);
       }
-      if (listed.capacityBlocks() > 0) holders.get(replica.instance()).capacityBlocks = listed.capacityBlocks();
+      if (listed.capacityBlocks() > 0)
+        holders.get(replica.instance()).capacityBlocks = listed.capacityBlocks();
       listedInstances.add(replica.instance());
     }
     for (Holder holder : new ArrayList<>(holders.values()))
@@ -161,7 +176,10 @@
     };
   }
 
-  /** The most blocks that a holder can keep: the table grows where all of theirs no longer fit. */
+  /**
+   * Sets the maximum number of blocks that a holder can keep, and grows the table if the blocks of
+   * all holders no longer fit.
+   */
   public void setCapacity(Holder holder, long blocks, long nowMs) {
     holder.capacityBlocks = blocks;
     growIfNeeded(nowMs);
@@ -193,6 +211,7 @@
     }
   }
 
+  /** Advances the feeds, and swaps in a larger table once it is filled. */
   public void tick(long nowMs) {
     for (Holder holder : holders.values()) holder.feed.tick(nowMs);
     if (replacement == null && current.isFull()) grow(current.capacity(), nowMs);
@@ -200,15 +219,26 @@
     for (Holder holder : holders.values())
       if (!holder.inReplacement
           && !holder.isSilent(nowMs)
-          && nowMs - replacementSinceMs < SWAP_TIMEOUT_MS + holder.feed.policy().listPauseMs()) return;
+          && nowMs - replacementSinceMs
+              < SWAP_TIMEOUT_MS + holder.feed.policy().minListIntervalMs()) return;
     current = replacement;
     replacement = null;
     rebuildCount++;
     for (Holder holder : holders.values()) holder.inReplacement = false;
     Log.event(
-        "summary-grown", "slots", current.capacity(), "entries", current.size(), "took", nowMs - replacementSinceMs);
+        "summary-grown",
+        "slots",
+        current.capacity(),
+        "entries",
+        current.size(),
+        "took",
+        nowMs - replacementSinceMs);
   }
 
+  /**
+   * Returns whether every holder was contacted and at least one is followed, so that questions can
+   * be answered.
+   */
   public boolean isWarm() {
     int following = 0;
     for (Holder holder : holders.values()) {
@@ -218,14 +248,20 @@
     return following > 0;
   }
 
-  /** A relay sent a prompt there: until events tell, its blocks count as kept. */
+  /**
+   * Records that a relay sent a prompt to a holder: its blocks count as kept until events report
+   * them.
+   */
   public void recordPlacement(Lookup.Placed placement, long nowMs) {
     if (!holders.containsKey(placement.holder())) return;
     placements.recordPlacement(placement.blocks(), placement.holder(), nowMs);
     load.recordPlacement(placement.holder(), placement.work(), nowMs);
   }
 
-  /** The table's matches, and of holders that were sent more of this prompt a moment ago, that. */
+  /**
+   * Answers a query with the table's matches; for holders that were recently sent a longer prefix
+   * of this prompt, with that prefix.
+   */
   public Lookup.Answer answer(Lookup.Question question, long nowMs) {
     Lookup.Answer answer = answer(question);
     if (!answer.warm() || question.blocks().length == 0) return answer;
@@ -242,8 +278,8 @@
   }
 
   /**
-   * A store that tells nothing is down, and may be empty when it is back; a replica that is silent
-   * is found out by the relays that call it.
+   * Returns whether a store is silent. A silent store is down and may be empty when it returns; a
+   * silent replica is detected by the relays that call it.
    */
   private boolean isSilentStore(String name, long nowMs) {
     Holder holder = holders.get(name);
@@ -263,10 +299,15 @@
       any = false;
       for (int word = 0; word < continuing.length; word++) {
         addMatches(matches, continuing[word] & ~matching[word], word, leading);
-        any |= (continuing[word] = addPartialMatches(matches, continuing[word] & matching[word], word, leading, block)) != 0;
+        any |=
+            (continuing[word] =
+                    addPartialMatches(
+                        matches, continuing[word] & matching[word], word, leading, block))
+                != 0;
       }
     }
-    for (int word = 0; word < continuing.length; word++) addMatches(matches, continuing[word], word, leading);
+    for (int word = 0; word < continuing.length; word++)
+      addMatches(matches, continuing[word], word, leading);
     if (!matches.isEmpty()) hitCount++;
     return new Lookup.Answer(question.sequence(), true, matches);
   }
@@ -279,8 +320,12 @@
     }
   }
 
-  /** Ends the chain of those that keep the block in part; gives the bits of the others. */
-  private long addPartialMatches(List<Lookup.Match> matches, long ids, int word, int blocks, long block) {
+  /**
+   * Adds a match for each holder that keeps the block only in part; returns the bits of the other
+   * holders.
+   */
+  private long addPartialMatches(
+      List<Lookup.Match> matches, long ids, int word, int blocks, long block) {
     long remaining = ids;
     for (; ids != 0; ids &= ids - 1) {
       Holder holder = byId(word, ids);
@@ -297,6 +342,7 @@
     return id < byId.length ? byId[id] : null;
   }
 
+  /** Returns the status for operators. */
   public JsonObject toJson(long nowMs) {
     JsonArray array = new JsonArray();
     for (Holder holder : holders.values())
--- a/data-plane/src/main/java/gladelug/data/index/Holder.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holder.java
@@ -4,8 +4,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * One holder as the summary knows it: its dense id, its feed, the blocks it keeps in part, when it
- * was last heard. Pure; who asks it for its list is set by whoever has the connections.
+ * A holder as the summary knows it: its dense id, its feed, the blocks it keeps in part, and when
+ * it was last heard. Performs no I/O; the owner of the connections sets the callback that requests
+ * its list.
  */
 public final class Holder {
   private static final long SILENT_AFTER_MS = 3000;
@@ -15,19 +16,27 @@
   long capacityBlocks;
   boolean inReplacement;
 
-  /** Units of the blocks that it keeps in part. */
+  /** The units of the blocks that the holder keeps in part. */
   final PartialBlocks partialBlocks = new PartialBlocks();
 
-  /** Listed no more: what still arrives must not touch the entries of whoever has its id next. */
+  /**
+   * Whether the holder is no longer listed; what still arrives from it must not change the entries
+   * of the next holder with its id.
+   */
   boolean dropped;
 
-  /** Has answered or failed to at least once. */
+  /** Whether the holder has answered or failed to answer at least once. */
   public boolean contacted;
 
   public long lastHeardMs;
   private LongConsumer listRequester = requestNumber -> {};
 
-  Holder(Replica replica, int id, long nowMs, CacheEventFeed.Policy policy, CacheEventFeed.Effects effects) {
+  Holder(
+      Replica replica,
+      int id,
+      long nowMs,
+      CacheEventFeed.Policy policy,
+      CacheEventFeed.Effects effects) {
     this.replica = replica;
     this.id = id;
     this.lastHeardMs = nowMs;
@@ -57,11 +66,12 @@
             policy);
   }
 
-  /** The most blocks that it can keep, as far as known; 0 = not known. */
+  /** Returns the maximum number of blocks that the holder can keep; 0 = not known. */
   public long capacityBlocks() {
     return capacityBlocks;
   }
 
+  /** Sets the callback that requests the list, given the number of the request. */
   public void setListRequester(LongConsumer listRequester) {
     listRequester = listRequester;
   }
--- a/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
@@ -17,14 +17,15 @@
 import java.util.List;
 
 /**
- * The connections to one holder that the index process follows by the product's own protocol:
- * identity first, then the stream of cache events, and the block list whenever its feed asks.
- * Everything is handed to the sink; an address that turns out to be somebody else's gets nothing
- * more.
+ * The connections to one holder that is followed by the product's own protocol: first its identity,
+ * then the stream of cache events, and the block list whenever the feed requests it. Everything
+ * read is passed to the sink. An address that belongs to another instance is not read any further.
  */
 final class HolderConnection implements HolderFeeds.Subscription {
   private static final long RETRY_DELAY_MS = 300;
-  private static final int MAX_IDENTITY_BYTES = 1 << 16, IDENTITY_TIMEOUT_MS = 1000, LIST_TIMEOUT_MS = 3000;
+  private static final int MAX_IDENTITY_BYTES = 1 << 16,
+      IDENTITY_TIMEOUT_MS = 1000,
+      LIST_TIMEOUT_MS = 3000;
 
   private final Holder holder;
   private final Replica replica;
@@ -88,7 +89,7 @@
             failure -> worker.offer(this::onUnidentified));
   }
 
-  /** What a holder says of itself; empty where that makes no sense. */
+  /** Returns the identity that a holder reports; empty if it is malformed. */
   private static JsonObject parseIdentity(HttpAnswer answer) {
     try (answer) {
       return new JsonObject(answer.body());
@@ -207,7 +208,9 @@
       long[] blocks = new long[array.size()];
       for (int i = 0; i < blocks.length; i++)
         blocks[i] = Long.parseUnsignedLong(array.getString(i), 16);
-      sink.onList(requestNumber, BlockList.whole(json.getString("incarnation"), json.getLong("seq"), blocks));
+      sink.onList(
+          requestNumber,
+          BlockList.whole(json.getString("incarnation"), json.getLong("seq"), blocks));
     } catch (RuntimeException malformed) {
       sink.onListFailed(requestNumber);
     }
--- a/data-plane/src/main/java/gladelug/data/index/HolderFeeds.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderFeeds.java
@@ -7,65 +7,74 @@
 import java.util.List;
 
 /**
- * The seam between the index and a protocol by which holders tell what they keep. An implementation
- * follows one holder at a time and hands what it reads to a sink; whether events come one by one,
- * by pages or by asking is its own matter. follow(), list() and close() are called on the summary's
- * duty thread and must not wait; a sink may be called from any thread and carries everything over
- * to that thread in order, and drops it once the holder is let go.
+ * The interface between the index and a protocol by which holders report what they keep. An
+ * implementation follows each holder separately and passes what it reads to a sink; whether it
+ * receives single events, pages or polls is up to the implementation. follow(), requestList() and
+ * close() are called on the summary's worker thread and must not block. A sink may be called from
+ * any thread; it passes everything to the worker thread in order, and discards it once the holder
+ * is no longer followed.
  */
 public interface HolderFeeds extends AutoCloseable {
-  /** Makes the feeds when the index starts; duty is the summary's. */
+  /** Creates the feeds when the index starts; the worker is the summary's. */
   @FunctionalInterface
   interface Factory {
     HolderFeeds open(ServiceRegistry registry, SingleThreadWorker worker, Clock clock);
   }
 
-  /** How a holder's feed treats gaps, and how often its list may be asked for. */
+  /** Returns how the feed of a holder treats gaps, and how often its list may be requested. */
   default CacheEventFeed.Policy policy(Replica holder) {
     return CacheEventFeed.Policy.STRICT;
   }
 
-  /** Begins to follow a holder. */
+  /** Starts to follow a holder. */
   Subscription follow(Holder holder, Sink sink);
 
   @Override
   void close();
 
-  /** A holder that is followed. */
+  /** The subscription to one holder. */
   interface Subscription extends AutoCloseable {
     /**
-     * The feed wants the holder's list: answer by {@link Sink#onList} or {@link Sink#onListFailed}.
+     * Requests the list of the holder; answered by {@link Sink#onList} or {@link
+     * Sink#onListFailed}.
      */
     void requestList(long requestNumber);
 
-    /** The holder is listed no more. */
+    /** Ends the subscription: the holder is no longer listed. */
     @Override
     void close();
   }
 
   /**
-   * Where what was read goes. Methods that take data give false where there was no room: nothing
-   * was taken.
+   * Receives what was read from a holder. Each method returns false if the queue was full and
+   * nothing was accepted.
    */
   interface Sink {
     /**
-     * The holder answered: it is followed from now on, and its list asked for. capacityBlocks 0 =
-     * not known.
+     * Called when the holder answered: it is followed from now on and its list is requested.
+     * capacityBlocks is 0 if not known.
      */
     boolean onConnected(long capacityBlocks);
 
-    /** The holder was tried and didn't answer; the index doesn't wait for it before it answers. */
+    /**
+     * Called when the holder did not answer; the index no longer waits for it before it answers
+     * questions.
+     */
     boolean onUnreachable();
 
-    /** Events in the order read, a page or one, all or none of them. */
+    /** Called with events in the order read, one or a page; all of them are accepted or none. */
     boolean onEvents(List<CacheEvent> page);
 
-    /** The newest number of the holder, told without an event. */
+    /** Called with the newest sequence number of the holder, reported without an event. */
     boolean onPulse(String incarnation, long newestSequence);
 
+    /** Called with the list that was requested under this number. */
     boolean onList(long requestNumber, BlockList list);
 
-    /** The list of this nr won't come; another is asked for after the pause. */
+    /**
+     * Called when the list of this request is not available; another one is requested after the
+     * minimum interval.
+     */
     boolean onListFailed(long requestNumber);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/HolderSink.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderSink.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Carries what was read of one holder over to the summary's duty thread and into its feed. */
+/** Passes what was read from one holder to its feed on the summary's worker thread. */
 final class HolderSink implements HolderFeeds.Sink {
   private final Holder holder;
   private final FleetSummary summary;
   private final Predicate<Runnable> worker;
   private final Clock clock;
 
-  /** duty takes work for the summary's thread, or is full and gives false. */
+  /** Creates a sink; worker accepts tasks for the summary's thread and returns false when full. */
   HolderSink(Holder holder, FleetSummary summary, Predicate<Runnable> worker, Clock clock) {
     this.holder = holder;
     this.summary = summary;
--- a/data-plane/src/main/java/gladelug/data/index/HttpHolderFeeds.java
+++ b/data-plane/src/main/java/gladelug/data/index/HttpHolderFeeds.java
@@ -11,7 +11,7 @@
 import io.vertx.mutiny.core.Vertx;
 import io.vertx.mutiny.core.http.HttpClient;
 
-/** Holders followed by the product's own protocol over HTTP, whole blocks only. */
+/** Follows holders by the product's own protocol over HTTP, which reports whole blocks only. */
 public final class HttpHolderFeeds implements HolderFeeds {
   private final SingleThreadWorker worker;
   private final Clock clock;
@@ -47,7 +47,9 @@
             MemoryBudget.ofAnswers());
   }
 
-  /** Feeds from the address that the process's doors call from, all with this policy. */
+  /**
+   * Returns a factory of feeds that connect from the process's local address, all with this policy.
+   */
   public static Factory factory(Vertx vertx, CacheEventFeed.Policy policy) {
     return (registry, worker, clock) ->
         new HttpHolderFeeds(
--- a/data-plane/src/main/java/gladelug/data/index/IndexService.java
+++ b/data-plane/src/main/java/gladelug/data/index/IndexService.java
@@ -20,8 +20,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The index process's one duty: the Cuckoo Summary of all holders, fed by one feed a holder and
- * asked by relays.
+ * The service of the index process: the Cuckoo Summary of all holders, updated by one feed per
+ * holder and queried by relays.
  */
 public final class IndexService implements ServiceRegistry.Service {
   private final Clock clock;
@@ -37,9 +37,11 @@
   private FleetSummary summary;
 
   /**
-   * @param fingerprintBits width f of a fingerprint
-   * @param maxHolders how many holders there may be at a time
-   * @param feedFactory by which protocol holders are followed
+   * Creates a service that always follows the holders.
+   *
+   * @param fingerprintBits width of a fingerprint
+   * @param maxHolders maximum number of holders at a time
+   * @param feedFactory creates the feeds for the protocol by which holders are followed
    */
   public IndexService(
       Clock clock, int fingerprintBits, int maxHolders, HolderFeeds.Factory feedFactory) {
@@ -47,8 +49,9 @@
   }
 
   /**
-   * standsBy: asked once a second; while it holds, another index does the work and no holder is
-   * followed.
+   * Creates a service that stands by while another index does the work.
+   *
+   * @param standbyCondition evaluated once a second; while it holds, no holder is followed
    */
   public IndexService(
       Clock clock,
@@ -66,7 +69,8 @@
 
   @Override
   public void start(ServiceRegistry registry) {
-    StateSubscriptionService stateSubscription = registry.find("news", StateSubscriptionService.class);
+    StateSubscriptionService stateSubscription =
+        registry.find("news", StateSubscriptionService.class);
     feeds = feedFactory.open(registry, worker, clock);
     summary = new FleetSummary(fingerprintBits, maxHolders, feeds::policy);
     stateSubscription.addListener(snapshot -> worker.offer(() -> applySnapshot(snapshot)));
@@ -87,7 +91,7 @@
                       return;
                     }
                     if (!(lookup instanceof Lookup.Question question))
-                      throw new IOException("an answer nobody asked for");
+                      throw new IOException("answer received without a question");
                     if (!worker.offer(() -> connection.send(summary.answer(question, clock.now()))))
                       connection.send(new Lookup.Answer(question.sequence(), false, List.of()));
                   }
@@ -122,9 +126,10 @@
       }
   }
 
-  /** For operators, from the duty's own thread. */
+  /** Returns the status for operators, computed on the worker thread. */
   public Uni<JsonObject> status() {
-    return Uni.createFrom().emitter(emitter -> worker.offer(() -> emitter.complete(summary.toJson(clock.now()))));
+    return Uni.createFrom()
+        .emitter(emitter -> worker.offer(() -> emitter.complete(summary.toJson(clock.now()))));
   }
 
   @Override
--- a/data-plane/src/main/java/gladelug/data/index/PartialBlocks.java
+++ b/data-plane/src/main/java/gladelug/data/index/PartialBlocks.java
@@ -3,17 +3,17 @@
 import java.util.Arrays;
 
 /**
- * Units of one holder's blocks that are kept in part: a bounded open-addressing map from a 32-bit
- * tag of the block to units, 8 bytes a slot, at most 3/4 full. It begins with no slots and grows by
- * doubling to 65536 slots, 512 KiB a holder; what doesn't go in any more counts as whole. Two
- * blocks of one tag share a value (a chance of one in 2^32 a pair). All of it is a hint: a wrong
- * value costs the recompute of less than a block.
+ * The units of the blocks that a holder keeps in part: a bounded open-addressing map from a 32-bit
+ * tag of the block to units, 8 bytes per slot, at most 3/4 full. Starts with no slots and doubles
+ * up to 65536 slots, 512 KiB per holder; blocks that no longer fit count as whole. Two blocks with
+ * the same tag share a value (probability 2^-32 per pair). All values are hints: a wrong one costs
+ * recomputing less than a block.
  */
 final class PartialBlocks {
   static final int MAX_SLOTS = 1 << 16;
   private int[] tags = {};
 
-  /** 0 = the slot is free. */
+  /** Units by slot; 0 marks a free slot. */
   private int[] units = {};
 
   private int size;
@@ -29,14 +29,18 @@
     return i;
   }
 
-  /** Units of a block that is kept in part, else 0. */
+  /** Returns the units of a block that is kept in part, otherwise 0. */
   int get(long block) {
     return size == 0 ? 0 : units[slotOf(tag(block))];
   }
 
-  /** False where there is no more room and the block goes on counting as whole. */
+  /**
+   * Sets the units of a block; returns false if the map is full and the block continues to count as
+   * whole.
+   */
   boolean put(long block, int blockUnits) {
-    if (blockUnits <= 0) throw new IllegalArgumentException(blockUnits + " units");
+    if (blockUnits <= 0)
+      throw new IllegalArgumentException(blockUnits + " units; must be positive");
     int tag = tag(block);
     if (size > 0) {
       int i = slotOf(tag);
@@ -70,7 +74,7 @@
     return true;
   }
 
-  /** Closes the gap by moving up what stood after it, so that no search ends too early. */
+  /** Removes a block and moves up the entries after it, so that no search ends too early. */
   void remove(long block) {
     if (size == 0) return;
     int mask = tags.length - 1, gap = slotOf(tag(block));
--- a/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
+++ b/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Where prompts were sent a moment ago: their blocks will be kept there though no event told of
- * them yet. A relay remembers its own, an index those it is told of. Bounded, and a hint like the
- * table's own. Lives on one thread.
+ * Remembers where prompts were sent recently: their blocks will be kept there although no event has
+ * reported them yet. A relay remembers its own placements, an index those that relays report.
+ * Bounded, and a hint like the summary. Confined to one thread.
  */
 public final class RecentPlacements {
   static final int MAX_ENTRIES = 4096;
@@ -22,7 +22,7 @@
         }
       };
 
-  /** A prompt of these blocks goes to an instance. */
+  /** Records that a prompt with these blocks was sent to an instance. */
   public void recordPlacement(long[] blocks, String instance, long nowMs) {
     for (long block : blocks) {
       Key key = new Key(block, instance);
@@ -31,7 +31,9 @@
     }
   }
 
-  /** How many of the first blocks an instance should have by what was sent there. */
+  /**
+   * Returns how many of the first blocks an instance should have, according to recent placements.
+   */
   public int leadingBlocks(long[] blocks, String instance, long nowMs) {
     int count = 0;
     while (count < blocks.length
--- a/data-plane/src/main/java/gladelug/data/index/ZoneFollower.java
+++ b/data-plane/src/main/java/gladelug/data/index/ZoneFollower.java
@@ -9,16 +9,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Which index of a zone follows the holders where one does: the first by name of those that are
- * seen. The indexes and the relays that tell them of placements go by this one rule. Pure.
+ * Selects the index of a zone that follows the holders if only one does: of the visible indexes,
+ * the first by name. The indexes and the relays that report placements to them use the same rule.
+ * Performs no I/O.
  */
 public final class ZoneFollower {
   private static final String INDEX = "index";
 
   private ZoneFollower() {}
 
-  /** The index that follows, by zone. */
-  public static Map<String, Shuffle.Descriptor> followersByZone(Collection<Shuffle.Descriptor> seen) {
+  /** Returns the index that follows the holders, by zone. */
+  public static Map<String, Shuffle.Descriptor> followersByZone(
+      Collection<Shuffle.Descriptor> seen) {
     return seen.stream()
         .filter(node -> node.role().equals(INDEX))
         .collect(
@@ -28,7 +30,10 @@
                 BinaryOperator.minBy(Comparator.comparing(Shuffle.Descriptor::name))));
   }
 
-  /** Whether an index stands by: another of its zone that it sees comes first. */
+  /**
+   * Returns whether an index stands by because it sees another index of its zone that precedes it
+   * by name.
+   */
   public static boolean isStandby(Shuffle.Descriptor self, Collection<Shuffle.Descriptor> others) {
     Shuffle.Descriptor first = followersByZone(others).get(self.zone());
     return first != null && first.name().compareTo(self.name()) < 0;
--- a/data-plane/src/main/java/gladelug/data/package-info.java
+++ b/data-plane/src/main/java/gladelug/data/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The program data-plane: a relay takes callers' requests to replicas, an index keeps the Cuckoo
- * Summary of which replica or store has which prefix block. Neither has a disk; what they know of
- * the control state is a copy that leases bound in time.
+ * The data-plane program: a relay forwards callers' requests to replicas, an index maintains the
+ * Cuckoo Summary of which replica or store keeps which prefix block. Neither uses a disk; both hold
+ * a copy of the control state whose use is limited by leases.
  */
 package gladelug.data;
--- a/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
@@ -9,10 +9,10 @@
 import gladelug.common.Result;
 import gladelug.common.configuration.Configuration;
 import gladelug.data.request.Decision;
-import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Prompt;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Request;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerRequest;
@@ -191,7 +191,8 @@
   public void refuse(Request request, FilterResult.Refuse v) {
     RoutingContext context = calls.remove(request);
     if (context == null || context.response().ended() || context.response().closed()) return;
-    if (v.retryAfterMs() > 0) context.response().putHeader("Retry-After", seconds(v.retryAfterMs()));
+    if (v.retryAfterMs() > 0)
+      context.response().putHeader("Retry-After", seconds(v.retryAfterMs()));
     context
         .response()
         .setStatusCode(v.status())
--- a/data-plane/src/main/java/gladelug/data/relay/Exchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Exchange.java
@@ -1,7 +1,7 @@
 package gladelug.data.relay;
 
-import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Request;
+import gladelug.data.request.ResponseHead;
 import io.vertx.core.buffer.Buffer;
 
 /**
--- a/data-plane/src/main/java/gladelug/data/relay/FetchPlanFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/FetchPlanFilter.java
@@ -23,7 +23,9 @@
               .add("kept", request.matchedBlocks)
               .add("from", request.fetchFrom)
               .add("pull", request.fetchBlocks)
-              .add("compute", request.blockKeys.length - request.matchedBlocks - request.fetchBlocks));
+              .add(
+                  "compute",
+                  request.blockKeys.length - request.matchedBlocks - request.fetchBlocks));
     return FilterResult.CONTINUE;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
@@ -5,10 +5,10 @@
 import gladelug.common.configuration.Replicas;
 import gladelug.data.request.CacheScope;
 import gladelug.data.request.FilterResult;
-import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Request;
 import gladelug.data.request.RequestFilter;
 import gladelug.data.request.RequestState;
+import gladelug.data.request.ResponseHead;
 import gladelug.data.state.ControlStateSnapshot;
 import io.smallrye.mutiny.Uni;
 import io.smallrye.mutiny.subscription.UniEmitter;
@@ -286,7 +286,8 @@
       if (o.state.end()) {
         o.decision.setOutcome("complete");
         if (!o.callerGone) {
-          if (o.piecesOut == 0) o.caller.sendHead(o, o.responseHead == null ? ResponseHead.EMPTY_OK : o.responseHead);
+          if (o.piecesOut == 0)
+            o.caller.sendHead(o, o.responseHead == null ? ResponseHead.EMPTY_OK : o.responseHead);
           o.caller.complete(o, o.piecesOut);
         }
       }
--- a/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
@@ -6,10 +6,10 @@
 import com.eclipsesource.json.JsonValue;
 import gladelug.common.Log;
 import gladelug.common.configuration.Replicas;
-import gladelug.data.request.ResponseHead;
 import gladelug.data.request.Prompt;
 import gladelug.data.request.Request;
 import gladelug.data.request.RequestState;
+import gladelug.data.request.ResponseHead;
 import io.vertx.core.buffer.Buffer;
 
 /**
--- a/data-plane/src/main/java/gladelug/data/relay/OwnProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/OwnProtocol.java
@@ -1,8 +1,8 @@
 package gladelug.data.relay;
 
 import gladelug.common.Address;
-import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
+import gladelug.data.request.RecentDecisions;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
@@ -32,7 +32,8 @@
     long askedAt = relay.clock.now();
     return lookups
         .ask(
-            hints ? request.blockKeys : NO_BLOCKS, fleet -> relay.fleet(request.service.name(), fleet))
+            hints ? request.blockKeys : NO_BLOCKS,
+            fleet -> relay.fleet(request.service.name(), fleet))
         .map(
             found -> {
               request.lookupMs = relay.clock.now() - askedAt;
--- a/data-plane/src/main/java/gladelug/data/relay/Relay.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Relay.java
@@ -416,7 +416,8 @@
           .forEach(
               (leaf, n) -> {
                 JsonObject x = Json.object().add("waiting", n[0]).add("using", n[1]);
-                if (fresh && a.full()) x.add("part", a.milliSlotsByLeaf().getOrDefault(leaf, 1000) / 1000.0);
+                if (fresh && a.full())
+                  x.add("part", a.milliSlotsByLeaf().getOrDefault(leaf, 1000) / 1000.0);
                 l.add(leaf, x);
               });
       o.add(
@@ -535,7 +536,8 @@
         if (request.tenant == null || request.route != null && request.route.open()) continue;
         Configuration.Tenant n = snapshot.configuration().tenantOfHash(request.apiKeyHash);
         boolean runs =
-            request.state.phase() == RequestState.Phase.FORWARDED || request.state.phase() == RequestState.Phase.STREAMING;
+            request.state.phase() == RequestState.Phase.FORWARDED
+                || request.state.phase() == RequestState.Phase.STREAMING;
         if ((n == null || !n.name().equals(request.tenant.name()))
             && (settings.cutsStreams() || !runs)) stop(request, "key revoked", 401);
       }
@@ -551,7 +553,8 @@
       for (Request x : queue(o.service.name()).leave(y -> y == o))
         x.onLeaveQueue.accept(
             FilterResult.notRun(status, why, status == 401 ? 0 : retryAdvice.untilStateMs()));
-    } else if (at == RequestState.Phase.FORWARDED || at == RequestState.Phase.STREAMING) cutOff(o, why);
+    } else if (at == RequestState.Phase.FORWARDED || at == RequestState.Phase.STREAMING)
+      cutOff(o, why);
     // an admitted request still waiting meets the same check at the hand-over
   }
 
@@ -625,11 +628,13 @@
           for (Request x : queue(o.service.name()).leave(y -> y == o))
             x.onLeaveQueue.accept(
                 FilterResult.notRun(503, "expired in the backlog", retryAdvice.untilRoomMs(x)));
-        } else if (at == RequestState.Phase.FORWARDED || at == RequestState.Phase.STREAMING) cutOff(o, "expired");
+        } else if (at == RequestState.Phase.FORWARDED || at == RequestState.Phase.STREAMING)
+          cutOff(o, "expired");
         else if (at == RequestState.Phase.WAITING && o.admitted) expireUnsent(o);
       } else if (o.backend != null
           && o.backend.silent(now, awake)
-          && o.state.phase() != RequestState.Phase.WAITING) o.onReplicaLost.accept("has fallen silent");
+          && o.state.phase() != RequestState.Phase.WAITING)
+        o.onReplicaLost.accept("has fallen silent");
     }
     if (settings.cutsStreams() && now - news.leases.validUntilMs(StateKeys.CONFIGURATION) > GRACE)
       for (Request o : live())
--- a/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
@@ -2,8 +2,8 @@
 
 import gladelug.common.Clock;
 import gladelug.common.connection.BindAddress;
-import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
+import gladelug.data.request.RecentDecisions;
 import io.smallrye.mutiny.Uni;
 import io.vertx.mutiny.core.Vertx;
 
--- a/data-plane/src/main/java/gladelug/data/relay/RelayService.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayService.java
@@ -133,7 +133,8 @@
               DecisionLogService.SEND_INTERVAL_MS,
               i -> {
                 for (Request request : r.live())
-                  if (request.state.phase() != RequestState.Phase.WAITING) ended.add(request.decision);
+                  if (request.state.phase() != RequestState.Phase.WAITING)
+                    ended.add(request.decision);
                 reasons.submit(List.copyOf(ended), decisions.runId());
                 ended.clear();
               });
@@ -223,7 +224,8 @@
 
   private void explain(RoutingContext context) {
     RecentDecisions.FindResult f = decisions.find(context.pathParam("id"));
-    if (f instanceof RecentDecisions.FindResult.Present y) StatusEndpoint.sendJson(context, 200, y.decision().toJson());
+    if (f instanceof RecentDecisions.FindResult.Present y)
+      StatusEndpoint.sendJson(context, 200, y.decision().toJson());
     else if (f instanceof RecentDecisions.FindResult.Malformed)
       StatusEndpoint.sendJson(
           context,
--- a/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
@@ -25,7 +25,9 @@
     if (request.model.isEmpty()) request.model = usualModel(request.service);
     request.leaf = Configuration.leaf(request.tenant, request.route);
     request.repeatable =
-        request.declaredRepeatable == null ? request.route.repeatable() : request.declaredRepeatable;
+        request.declaredRepeatable == null
+            ? request.route.repeatable()
+            : request.declaredRepeatable;
     request.deadlineMs = request.receivedAtMs + mayTakeMs(request);
     request.decision.add(
         "mapping",
--- a/data-plane/src/main/java/gladelug/data/request/CacheSalt.java
+++ b/data-plane/src/main/java/gladelug/data/request/CacheSalt.java
@@ -6,17 +6,17 @@
 import java.util.HexFormat;
 
 /**
- * The text under which replicas cache parts of prompts: a digest of the model, its weights and the
- * {@link CacheScope}. Replicas and stores look a part up only under the text it was stored with and
- * check neither tenant nor weights, so this text is what isolates: what was cached under other
- * weights or in another scope is never found, wherever it lies.
+ * Computes the salt under which replicas cache parts of prompts: a digest of model, weights and
+ * {@link CacheScope}. Replicas and stores find a part only under the salt with which it was stored
+ * and check neither tenant nor weights, so the salt alone provides isolation: what was cached under
+ * other weights or in another scope is never found, wherever it is stored.
  */
 public final class CacheSalt {
   private static final int DIGEST_BYTES = 10;
 
   private CacheSalt() {}
 
-  /** 20 hex digits. */
+  /** Returns the salt as 20 hex digits. */
   public static String of(String model, String weights, String scope) {
     byte[] digest =
         Digest.sha256()
@@ -24,7 +24,7 @@
     return HexFormat.of().formatHex(digest, 0, DIGEST_BYTES);
   }
 
-  /** The index's key of a part kept under a salt. */
+  /** Returns the index key of a part that is cached under a salt. */
   public static long partKey(String salt, String part) {
     return ByteBuffer.wrap(
             Digest.sha256().digest((salt + "/" + part).getBytes(StandardCharsets.UTF_8)))
--- a/data-plane/src/main/java/gladelug/data/request/CacheScope.java
+++ b/data-plane/src/main/java/gladelug/data/request/CacheScope.java
@@ -3,29 +3,30 @@
 import gladelug.common.configuration.Configuration;
 
 /**
- * Among whom a request shares cached prefixes, as a text that is part of every prefix's key: its
- * tenant alone where that is isolated, else all tenants that share since the same configuration.
- * Two requests find each other's prefixes only if their texts are equal, wherever the prefixes lie,
- * so whoever may not share any more needs another text; see {@link
- * gladelug.common.configuration.PrefixSharing}.
+ * Defines which requests share cached prefixes, as a text that is part of every prefix key: the
+ * tenant name for an isolated tenant, otherwise a text common to all tenants that share prefixes
+ * since the same configuration. Two requests find each other's prefixes only if their scopes are
+ * equal, wherever the prefixes are stored, so a tenant that must no longer share needs a different
+ * scope; see {@link gladelug.common.configuration.PrefixSharing}.
  */
 public final class CacheScope {
-  /** No tenant has such a name: a slash is refused in one protocol, a line's end in the other. */
+  /** Cannot be a tenant name: one protocol rejects slashes, the other rejects line breaks. */
   private static final String SHARED_SINCE = "/shared\n";
 
   private CacheScope() {}
 
   /**
-   * The scope of a tenant's requests.
+   * Returns the scope of a tenant's requests.
    *
-   * @param sharingSince the number of the configuration with which sharing began anew, or 0
+   * @param sharingSince number of the configuration in which prefix sharing last restarted, or 0 if
+   *     it never did
    */
   public static String of(Configuration.Tenant tenant, long sharingSince) {
     if (tenant.isolated()) return tenant.name();
     return sharingSince == 0 ? "" : SHARED_SINCE + sharingSince;
   }
 
-  /** Whether this is the scope of tenants that share. */
+  /** Returns whether tenants share this scope. */
   public static boolean isShared(String scope) {
     return scope.isEmpty() || scope.startsWith(SHARED_SINCE);
   }
--- a/data-plane/src/main/java/gladelug/data/request/Decision.java
+++ b/data-plane/src/main/java/gladelug/data/request/Decision.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /**
- * Why a request went where it went: what each filter found and chose, in order, with the time in ms
- * since the request was received. Written by the request thread; read as a whole by whoever
- * explains it. Contains names, numbers and reasons, never a key or a prompt. Once the request has
- * ended the record is stored as its JSON in bytes, a quarter of the objects' size, because a relay
- * remembers thousands.
+ * Records why a request was routed as it was: what each filter found and chose, in order, with the
+ * time in ms since the request was received. Written by the request thread, readable from any
+ * thread. Contains names, numbers and reasons, never an API key or a prompt. When the request ends,
+ * the record is stored as JSON bytes, a quarter of the size of the objects, because a relay keeps
+ * thousands of records.
  */
 public final class Decision {
   private record Step(String stage, long atMs, JsonObject details) {}
@@ -21,7 +21,7 @@
   public final String id;
   public final long number;
 
-  /** The caller's own id of it, where it has one. */
+  /** The id that the caller gave the request; empty if it gave none. */
   String callerId = "";
 
   private final long receivedAtMs;
@@ -36,6 +36,7 @@
     this.receivedAtMs = receivedAtMs;
   }
 
+  /** Adds what a stage decided; ignored once the record is closed. */
   public synchronized void add(String stage, long nowMs, JsonObject details) {
     if (endedJson == null) steps.add(new Step(stage, nowMs - receivedAtMs, details));
   }
@@ -48,20 +49,21 @@
     return outcome;
   }
 
-  /** Nothing is added from now on. */
+  /** Closes the record: nothing is added from now on. */
   public synchronized void end() {
     if (endedJson != null) return;
     endedJson = toJson().toString().getBytes(StandardCharsets.UTF_8);
     steps = null;
   }
 
-  /** The record as text, whole or so far. */
+  /** Returns the record as JSON text in UTF-8, complete or as far as it goes now. */
   public synchronized byte[] toBytes() {
     return endedJson != null ? endedJson : toJson().toString().getBytes(StandardCharsets.UTF_8);
   }
 
   public synchronized JsonObject toJson() {
-    if (endedJson != null) return Json.parse(new String(endedJson, StandardCharsets.UTF_8)).asObject();
+    if (endedJson != null)
+      return Json.parse(new String(endedJson, StandardCharsets.UTF_8)).asObject();
     JsonArray array = new JsonArray();
     for (Step step : steps) {
       JsonObject json = Json.object().add("stage", step.stage).add("atMs", step.atMs);
--- a/data-plane/src/main/java/gladelug/data/request/FilterChain.java
+++ b/data-plane/src/main/java/gladelug/data/request/FilterChain.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * Passes a request through the filters in turn until one ends or refuses it. A filter may send it
- * back to the choice; the chain bounds how often.
+ * Runs a request through the filters in order until one of them ends or refuses it. A filter may
+ * send the request back to the choice of a replica; the chain bounds how often.
  */
 public final class FilterChain {
   private static final int MAX_CHOICES = 6;
@@ -21,12 +21,14 @@
       List<RequestFilter> filters, String choiceFilter, Clock clock, Consumer<Request> onEnded) {
     this.filters = List.copyOf(filters);
     int choice = 0;
-    for (int i = 0; i < filters.size(); i++) if (filters.get(i).name().equals(choiceFilter)) choice = i;
+    for (int i = 0; i < filters.size(); i++)
+      if (filters.get(i).name().equals(choiceFilter)) choice = i;
     this.choiceIndex = choice;
     this.clock = clock;
     this.onEnded = onEnded;
   }
 
+  /** Starts a request at the first filter. */
   public void start(Request request) {
     runFilter(request, 0);
   }
@@ -45,10 +47,8 @@
                   request,
                   index,
                   forwarded
-                      ? FilterResult.unknown(
-                          502, "an internal problem", FilterResult.RETRY_AT_ONCE_MS)
-                      : FilterResult.notRun(
-                          503, "an internal problem", FilterResult.RETRY_AT_ONCE_MS));
+                      ? FilterResult.unknown(502, "internal error", FilterResult.RETRY_AT_ONCE_MS)
+                      : FilterResult.notRun(503, "internal error", FilterResult.RETRY_AT_ONCE_MS));
             });
   }
 
@@ -60,7 +60,8 @@
         refuse(
             request,
             (FilterResult.Refuse)
-                FilterResult.notRun(503, "no replica took it", FilterResult.RETRY_AT_ONCE_MS));
+                FilterResult.notRun(
+                    503, "no replica accepted the request", FilterResult.RETRY_AT_ONCE_MS));
       else runFilter(request, choiceIndex);
     } else if (result instanceof FilterResult.Refuse refusal) refuse(request, refusal);
     else onEnded.accept(request);
@@ -86,11 +87,13 @@
     onEnded.accept(request);
   }
 
-  /** A stream that broke and that nobody takes up. */
+  /** Ends a request whose answer broke off and cannot be resumed. */
   private void cutOff(Request request, String reason) {
     if (request.state.end()) {
       request.decision.add(
-          "cut-off", clock.now(), Json.object().add("why", reason).add("pieces", request.piecesOut));
+          "cut-off",
+          clock.now(),
+          Json.object().add("why", reason).add("pieces", request.piecesOut));
       request.decision.setOutcome("cut-off");
       if (!request.callerGone) request.caller.cutOff(request, reason);
     }
--- a/data-plane/src/main/java/gladelug/data/request/FilterResult.java
+++ b/data-plane/src/main/java/gladelug/data/request/FilterResult.java
@@ -1,30 +1,36 @@
 package gladelug.data.request;
 
-/**
- * What a filter decides on a request: go on, go back to the choice, it has ended here, or refuse
- * it.
- */
+/** The result of a filter: continue, choose a replica again, ended here, or refuse. */
 public sealed interface FilterResult {
+  /** Passes the request to the next filter. */
   record Continue() implements FilterResult {}
 
-  /** To the choice of a replica once more; why goes into the decision. */
+  /**
+   * Sends the request back to the choice of a replica; the reason is added to the decision record.
+   */
   record ChooseAgain(String reason) implements FilterResult {}
 
+  /** The filter has ended the request. */
   record Ended() implements FilterResult {}
 
-  /** outcome is not-run or unknown; retryMs 0 is no advice. */
-  record Refuse(int status, String outcome, String reason, long retryAfterMs) implements FilterResult {
+  /**
+   * Refuses the request. The outcome is "not-run" or "unknown"; retryAfterMs is when the caller
+   * should retry, 0 for no advice.
+   */
+  record Refuse(int status, String outcome, String reason, long retryAfterMs)
+      implements FilterResult {
     private static final String UNKNOWN = "unknown";
 
-    /** The same, but for a request that an earlier try may have run: that is of unknown fate. */
+    /** Returns this refusal, with outcome "unknown" if an earlier try may have run the request. */
     public Refuse adjustedForTriesOf(Request request) {
       if (!request.mayHaveRun || outcome.equals(UNKNOWN)) return this;
-      return new Refuse(502, UNKNOWN, reason + ", and an earlier try may have run", retryAfterMs);
+      return new Refuse(
+          502, UNKNOWN, reason + "; an earlier try may have run the request", retryAfterMs);
     }
   }
 
   /**
-   * The advice, in ms, to come back at once: what the request lacked is there now, here or at
+   * The advice to retry almost at once, in ms: what the request lacked is now available, here or at
    * another relay.
    */
   long RETRY_AT_ONCE_MS = 10;
--- a/data-plane/src/main/java/gladelug/data/request/PrefixBlocks.java
+++ b/data-plane/src/main/java/gladelug/data/request/PrefixBlocks.java
@@ -6,14 +6,16 @@
 import java.security.MessageDigest;
 
 /**
- * The ids of a prompt's prefix blocks, as the back ends' protocol defines them: a chain of SHA-256,
- * begun from service, weights and scope of sharing, over blocks of so many bytes; an id is the
- * first 8 bytes of its link. So equal text under other weights or in another scope has unrelated
- * ids. Only complete blocks count, and the last byte of a prompt is never part of a reusable block.
+ * Computes the ids of a prompt's prefix blocks as the replicas' protocol defines them: a SHA-256
+ * chain seeded with service, weights and cache scope, over blocks of fixed size in bytes. An id is
+ * the first 8 bytes of its link, so equal text under other weights or in another scope has
+ * unrelated ids. Only complete blocks have an id, and the last byte of a prompt never belongs to a
+ * reusable block.
  */
 public final class PrefixBlocks {
   private PrefixBlocks() {}
 
+  /** Returns the ids of all complete blocks of the prompt, in order. */
   public static long[] computeIds(
       String service, String weights, String scope, byte[] prompt, int blockBytes) {
     int count = Math.max(0, prompt.length - 1) / blockBytes;
--- a/data-plane/src/main/java/gladelug/data/request/Prompt.java
+++ b/data-plane/src/main/java/gladelug/data/request/Prompt.java
@@ -4,28 +4,35 @@
 import java.util.List;
 
 /**
- * What a request's prompt is to the index and to the choice of a replica: its prefix blocks in
- * order, each with a key that no other model, weights or scope of sharing has, and a size in units.
- * The product's own callers send text, which is split into blocks of bytes, one unit each; others
- * send the parts and their tokens, one unit a token.
+ * A request's prompt as the index and the choice of a replica see it: its prefix blocks in order,
+ * each with a size in units and a key that depends on model, weights and cache scope. Callers of
+ * the product's own protocol send text, which is split into blocks of bytes of one unit each; other
+ * protocols send parts with their token counts, one unit per token.
  */
 public sealed interface Prompt {
   Prompt NONE = new Parts(List.of());
 
-  /** The keys of the prefix blocks under these; blockBytes is what the replicas cut text into. */
+  /**
+   * Returns the keys of the prefix blocks; blockBytes is the block size with which replicas split
+   * text.
+   */
   long[] blockKeys(String model, String weights, String scope, int blockBytes);
 
-  /** The size of the block at i, in units. */
+  /** Returns the size of a block in units. */
   int blockUnits(int index);
 
-  /** The size of all of it, in units; blockBytes is what the replicas cut text into. */
+  /**
+   * Returns the size of the whole prompt in units; blockBytes is the block size with which replicas
+   * split text.
+   */
   int totalUnits(int blockBytes);
 
-  /** A prompt as text. */
+  /** A prompt given as text. */
   record Text(String text) implements Prompt {
     @Override
     public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
-      return PrefixBlocks.computeIds(model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
+      return PrefixBlocks.computeIds(
+          model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
     }
 
     @Override
@@ -39,10 +46,10 @@
     }
   }
 
-  /** A named part of a prompt and its tokens. */
+  /** A named part of a prompt and its length in tokens. */
   record Part(String id, int tokens) {}
 
-  /** A prompt as its parts in order. */
+  /** A prompt given as its parts in order. */
   record Parts(List<Part> parts) implements Prompt {
     public Parts {
       parts = List.copyOf(parts);
@@ -52,7 +59,8 @@
     public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
       String salt = CacheSalt.of(model, weights, scope);
       long[] keys = new long[parts.size()];
-      for (int index = 0; index < keys.length; index++) keys[index] = CacheSalt.partKey(salt, parts.get(index).id);
+      for (int index = 0; index < keys.length; index++)
+        keys[index] = CacheSalt.partKey(salt, parts.get(index).id);
       return keys;
     }
 
--- a/data-plane/src/main/java/gladelug/data/request/ReceivedRequest.java
+++ b/data-plane/src/main/java/gladelug/data/request/ReceivedRequest.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * A request as it was received, to be passed on byte for byte: method, target (path and query),
- * headers without those of one connection, and body. id is the caller's own. Immutable.
+ * A request as received, to be forwarded byte for byte: method, target (path and query), headers
+ * without hop-by-hop headers, and body. The id is the caller's own. Immutable.
  */
 public record ReceivedRequest(
     String id,
@@ -15,7 +15,8 @@
     List<Map.Entry<String, String>> headers,
     Buffer body,
     String lastEventId) {
-  public static final ReceivedRequest NONE = new ReceivedRequest("", "POST", "/", List.of(), Buffer.buffer(), "");
+  public static final ReceivedRequest NONE =
+      new ReceivedRequest("", "POST", "/", List.of(), Buffer.buffer(), "");
 
   public ReceivedRequest {
     headers = List.copyOf(headers);
--- a/data-plane/src/main/java/gladelug/data/request/RecentDecisions.java
+++ b/data-plane/src/main/java/gladelug/data/request/RecentDecisions.java
@@ -4,10 +4,11 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * The bounded ring of decision records a relay remembers, by the request's number. An older one is
- * overwritten and then reported as such.
+ * Keeps the most recent decision records of a relay in a ring buffer indexed by request number. A
+ * record that was overwritten is reported as such.
  */
 public final class RecentDecisions {
+  /** The result of a search for a record. */
   public sealed interface FindResult {
     record Present(Decision decision) implements FindResult {}
 
@@ -36,7 +37,7 @@
     return runId;
   }
 
-  /** From the request thread only. */
+  /** Begins the record of the next request. Called on the request thread only. */
   public Decision begin(long receivedAtMs) {
     long number = nextNumber;
     Decision decision = new Decision(relay + "." + runId + "." + number, number, receivedAtMs);
@@ -46,7 +47,7 @@
     return decision;
   }
 
-  /** The same, for a request that its caller names by an id of its own. */
+  /** Begins the record of the next request, which the caller identifies by its own id. */
   public Decision begin(long receivedAtMs, String callerId) {
     Decision decision = begin(receivedAtMs);
     decision.callerId = callerId;
@@ -54,7 +55,7 @@
     return decision;
   }
 
-  /** By the relay's id of a request, or by its caller's. */
+  /** Finds a record by the relay's id of the request or by the caller's id. */
   public FindResult find(String id) {
     Long number = numbersByCallerId.get(id);
     if (number == null) return findByRelayId(id);
@@ -72,12 +73,15 @@
     } catch (NumberFormatException e) {
       number = -1;
     }
-    if (number < 0 || parts[0].isEmpty() || !parts[1].matches("[0-9a-f]{4}")) return new FindResult.Malformed();
+    if (number < 0 || parts[0].isEmpty() || !parts[1].matches("[0-9a-f]{4}"))
+      return new FindResult.Malformed();
     if (!parts[0].equals(relay)) return new FindResult.Unknown();
     if (!parts[1].equals(runId)) return new FindResult.OtherRun();
-    // the slot alone tells all three, so that no two askers can see different moments
+    // Decides from a single read of the slot, so that concurrent readers see a consistent state.
     Decision decision = ring.get((int) (number % ring.length()));
     if (decision == null || decision.number < number) return new FindResult.Unknown();
-    return decision.number == number ? new FindResult.Present(decision) : new FindResult.Overwritten();
+    return decision.number == number
+        ? new FindResult.Present(decision)
+        : new FindResult.Overwritten();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/request/Request.java
+++ b/data-plane/src/main/java/gladelug/data/request/Request.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * One request under way: what the caller sent, what the filters found, and the caller that gets its
- * answer. Confined to the request thread but for its state.
+ * A request in progress: what the caller sent, what the filters found, and the caller that receives
+ * the answer. Confined to the request thread except for its state.
  */
 public final class Request {
   public final RequestState state = new RequestState();
@@ -26,79 +26,93 @@
   public long forwardedAtMs;
   public boolean repeatable;
 
-  /** What the caller said of it, or null. */
+  /** Whether the caller declared the request repeatable; null if it did not say. */
   public Boolean declaredRepeatable;
 
-  /** Of the path's host, empty where the caller names none. */
+  /** The host that the caller named; empty if it named none. */
   public String host = "";
 
   public ReceivedRequest received = ReceivedRequest.NONE;
   public Prompt prompt = Prompt.NONE;
 
-  /** Whose weights it runs on: the model it names, or its service. */
+  /** The model that the caller named, otherwise the service; selects the weights. */
   public String model = "";
 
   public int maxPieces;
 
-  /** Tokens put out at most, as the caller said; 0 where it didn't. */
+  /** The maximum number of output tokens that the caller set; 0 if it set none. */
   public int maxTokensOut;
 
-  /** Estimated before it is given a place, in ms: its prompt and reply; and those with all else. */
+  /**
+   * The estimated time of prefill and reply in ms, set before the request is admitted to a replica.
+   */
   public double ownWorkMs;
 
+  /** The estimated time of the whole request in ms, including queueing and transfers. */
   public double expectedMs;
 
-  /** How long the caller waits in all, in ms; 0 where it didn't say. */
+  /** The total time in ms that the caller waits for the answer; 0 if it did not say. */
   public long patienceMs;
 
-  /** Told by the caller that what it sends may be taken up in the middle, after this event. */
+  /**
+   * The id of the event after which the caller wants the answer resumed; empty if the answer cannot
+   * be resumed.
+   */
   public String lastEventId = "";
 
   /**
-   * Whether the last piece that went out is the event named by lastEvent, so that the answer can be
-   * taken up after it.
+   * Whether the last piece sent is the event named by lastEventId, so that the answer can resume
+   * after it.
    */
   public boolean canResumeAfterLastEvent;
 
   public ResponseHead responseHead;
 
-  /** Why it was refused or cut off, for the log. */
+  /** The reason why the request was refused or cut off, for the log. */
   public String failureReason = "";
 
-  /** The only replica that may be chosen now, or null. */
+  /** The only replica that may be chosen now, or null for any. */
   public Backend requiredBackend;
 
   /**
-   * From 0 to 1, the same for every try at the same replicas: which part of a split route it takes.
+   * A draw from 0 to 1 that selects a branch of a split route; the same for every try at the same
+   * replicas.
    */
   public double splitDraw;
 
   public String weights = "";
 
-  /** Among whom it shares cached prefixes. */
+  /** The scope in which the request shares cached prefixes; see {@link CacheScope}. */
   public String cacheScope = "";
 
   public long[] blockKeys = new long[0];
   public List<Lookup.Match> matches = List.of();
 
-  /** How the index answered: answered, warming, late, no-index or no-block; - where not asked. */
+  /**
+   * The outcome of the index lookup: answered, warming, late, no-index or no-block; "-" if the
+   * index was not queried.
+   */
   public String lookupOutcome = "-";
 
-  /** How long the index's answer was waited for, in ms. */
+  /** The time waited for the index's answer, in ms. */
   public long lookupMs;
 
-  /** The most units of its prompt's first blocks that any one holder keeps, as the index told. */
+  /**
+   * The maximum over all holders of the units of the prompt's first blocks that a holder keeps,
+   * according to the index.
+   */
   public int maxHeldUnits;
 
-  /** From its arrival to the first piece of the answer, in ms; -1 before that. */
+  /** The time from arrival to the first piece of the answer in ms; -1 before that. */
   public long firstPieceMs = -1;
 
-  /** When the last piece of the answer came, on the relay's clock; counts from the first one on. */
+  /** The time of the last piece of the answer on the relay's clock; valid after the first piece. */
   private long lastPieceAtMs;
 
-  /** The longest time between two pieces of the answer, in ms, and when it ended. */
+  /** The longest pause between two pieces of the answer, in ms. */
   private long longestPauseMs;
 
+  /** The time on the relay's clock at which the longest pause ended. */
   private long longestPauseEndedAtMs;
 
   public Backend backend;
@@ -106,29 +120,32 @@
   public String fetchFrom = "";
   public int fetchBlocks;
 
-  /** The store to which its replica is to save the prompt; empty for none. */
+  /** The store to which the replica saves the prompt; empty for none. */
   public String saveTo = "";
 
-  /**
-   * What the choice reckoned with: units to compute, ms of that and of pulling, ms in the replica's
-   * queue.
-   */
+  /** The units that the chosen replica must compute, as estimated by the choice. */
   public int computeUnits;
 
+  /** The estimated time in ms to compute and to fetch from other holders. */
   public double workMs;
+
+  /** The estimated time in ms in the chosen replica's queue. */
   public double queueMs;
 
-  /** Requests that the chosen replica had by then, as far as the relay and the index knew. */
+  /**
+   * The number of requests at the chosen replica at that time, as far as the relay and the index
+   * knew.
+   */
   public int runningOnBackend;
 
   public int tryCount;
 
-  /** The replica it went to last, or null. */
+  /** The replica that was tried last, or null. */
   public Backend lastTriedBackend;
 
   /**
-   * A replica had it and didn't say that it did not run it, so nothing may be called not-run any
-   * more.
+   * Whether a replica received the request and did not report it as not run; the outcome can then
+   * no longer be "not-run".
    */
   public boolean mayHaveRun;
 
@@ -138,19 +155,25 @@
   public boolean callerGone;
   public Runnable cancel = () -> {};
 
-  /** Told why, where its replica is known to be silent; nothing more of it counts then. */
+  /**
+   * Called with the reason when the replica is found to be silent; nothing more that it sends is
+   * used.
+   */
   public Consumer<String> onReplicaLost = why -> {};
 
   public Consumer<FilterResult> onLeaveQueue;
 
-  /** The caller's side of a request. */
+  /** The connection to the caller of a request. */
   public interface Caller {
     void refuse(Request request, FilterResult.Refuse refusal);
 
-    /** False where the caller can't take more for now; ready is then called once. */
+    /**
+     * Sends a piece of the answer. Returns false if the caller cannot take more for now; ready is
+     * then called once.
+     */
     boolean sendPiece(Request request, Buffer piece, Runnable ready);
 
-    /** Before the first piece, once. */
+    /** Sends the head of the answer; called once, before the first piece. */
     default void sendHead(Request request, ResponseHead head) {}
 
     void complete(Request request, int pieces);
@@ -159,8 +182,8 @@
   }
 
   /**
-   * Cached prefixes are shared among others from now on: none is known that it may use, and what
-   * was found in the former scope is forgotten.
+   * Moves the request to another cache scope: discards the matches found in the former scope, since
+   * the request may not use them.
    */
   public void changeCacheScope(String newScope, int blockBytes) {
     cacheScope = newScope;
@@ -171,7 +194,8 @@
     fetchBlocks = 0;
   }
 
-  public Request(Decision decision, long receivedAtMs, String apiKeyHash, String path, Caller caller) {
+  public Request(
+      Decision decision, long receivedAtMs, String apiKeyHash, String path, Caller caller) {
     this.decision = decision;
     this.receivedAtMs = receivedAtMs;
     this.apiKeyHash = apiKeyHash;
@@ -179,7 +203,7 @@
     this.caller = caller;
   }
 
-  /** A piece of the answer came, the first or a later one. */
+  /** Records that a piece of the answer arrived. */
   public void recordPiece(long nowMs) {
     if (piecesOut > 0 && nowMs - lastPieceAtMs > longestPauseMs) {
       longestPauseMs = nowMs - lastPieceAtMs;
@@ -189,42 +213,51 @@
     piecesOut++;
   }
 
-  /** The longest time between two pieces of the answer so far, in ms; 0 before the second. */
+  /**
+   * Returns the longest pause between two pieces of the answer so far in ms; 0 before the second
+   * piece.
+   */
   public long longestPauseMs() {
     return longestPauseMs;
   }
 
-  /** From its arrival to the end of that pause, in ms; -1 where there is none. */
+  /** Returns the time from arrival to the end of the longest pause in ms; -1 if there was none. */
   public long longestPauseEndedMs() {
     return longestPauseMs == 0 ? -1 : longestPauseEndedAtMs - receivedAtMs;
   }
 
-  /** Whether a pause was longer than its route allows. */
+  /** Returns whether a pause between two pieces was longer than the route allows. */
   public boolean pausedTooLong() {
     return route != null && route.gapMs() > 0 && longestPauseMs > route.gapMs();
   }
 
-  /** The last moment at which it may begin and is still likely to end before its deadline. */
+  /**
+   * Returns the latest start time at which the request is still expected to end before its
+   * deadline.
+   */
   public long latestStartMs() {
     return deadlineMs - Math.round(expectedMs);
   }
 
-  /** The most that is put out for it, in tokens or, where those aren't told, in pieces. */
+  /** Returns the bound on the output, in tokens if the caller set one, otherwise in pieces. */
   public int outputLimit() {
     return maxTokensOut > 0 ? maxTokensOut : maxPieces;
   }
 
-  /** What it takes of a replica's memory, in units: its prompt and what is put out at most. */
+  /**
+   * Returns the memory that the request takes at a replica, in units: its prompt and its maximum
+   * output.
+   */
   public int units() {
     return promptUnits() + maxTokensOut;
   }
 
-  /** The size of its prompt, in units. */
+  /** Returns the size of the prompt in units. */
   public int promptUnits() {
     return promptUnits(blockKeys.length);
   }
 
-  /** The size of the first so many blocks of its prompt, in units. */
+  /** Returns the size of the first blocks of the prompt in units. */
   public int promptUnits(int blockCount) {
     int units = 0;
     for (int i = 0; i < blockCount; i++) units += prompt.blockUnits(i);
--- a/data-plane/src/main/java/gladelug/data/request/RequestFilter.java
+++ b/data-plane/src/main/java/gladelug/data/request/RequestFilter.java
@@ -3,15 +3,17 @@
 import io.smallrye.mutiny.Uni;
 
 /**
- * One step of a request through the relay. It writes its reason into the request's decision record
- * and gives a result, now or later, always on the request thread.
+ * A step of a request through the relay. Writes its reason into the decision record and completes
+ * with a result, immediately or later, always on the request thread.
  */
 public interface RequestFilter {
+  /** Returns the name of the stage in decision records. */
   String name();
 
+  /** Applies the filter to a request. */
   Uni<FilterResult> apply(Request request);
 
-  /** For stages that decide at once. */
+  /** A filter that decides immediately. */
   interface Synchronous extends RequestFilter {
     FilterResult decide(Request request);
 
--- a/data-plane/src/main/java/gladelug/data/request/ResponseHead.java
+++ b/data-plane/src/main/java/gladelug/data/request/ResponseHead.java
@@ -4,8 +4,7 @@
 import java.util.Map;
 
 /**
- * The head of a replica's answer as it goes to the caller: status and headers, without those of one
- * connection.
+ * The status and headers of a replica's answer as sent to the caller, without hop-by-hop headers.
  */
 public record ResponseHead(int status, List<Map.Entry<String, String>> headers) {
   public static final ResponseHead EMPTY_OK = new ResponseHead(200, List.of());
--- a/data-plane/src/main/java/gladelug/data/request/package-info.java
+++ b/data-plane/src/main/java/gladelug/data/request/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A request under way and what is decided about it: {@link gladelug.data.request.Request} with its
- * {@link gladelug.data.request.State}, the chain of filters, and the decision record that explains
- * afterwards why it went where it went. Touched by the relay's event loop alone.
+ * A request in progress and the decisions about it: {@link gladelug.data.request.Request} with its
+ * {@link gladelug.data.request.RequestState}, the filter chain, and the decision record that
+ * explains the routing afterwards. Used on the relay's event loop only.
  */
 package gladelug.data.request;
--- a/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
+++ b/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
@@ -6,11 +6,11 @@
 import gladelug.common.configuration.Weights;
 
 /**
- * The control state as this process has received it: one immutable snapshot, replaced as a whole.
- * Numbers only rise. A number of 0 means that no value has been received.
+ * The control state as this process has received it: an immutable snapshot, replaced as a whole.
+ * Version numbers only rise; 0 means that no value has been received.
  *
- * @param prefixSharingSince the number of the configuration with which the tenants that share
- *     cached prefixes began anew, 0 where they never did
+ * @param prefixSharingSince number of the configuration in which the sharing of cached prefixes
+ *     between tenants last restarted; 0 if it never did
  */
 public record ControlStateSnapshot(
     long configurationNumber,
@@ -84,6 +84,7 @@
         core);
   }
 
+  /** Returns whether a configuration and a list of replicas have been received. */
   public boolean isComplete() {
     return configurationNumber > 0 && replicasNumber > 0;
   }
--- a/data-plane/src/main/java/gladelug/data/state/Leases.java
+++ b/data-plane/src/main/java/gladelug/data/state/Leases.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * The leases of this process, one per leased key, as deadlines in its own monotonic time. A grant
- * counts from when the subscription request was sent, less a margin for clocks that drift, and is
- * accepted only from an epoch not below the highest seen and for exactly the number at hand. No
- * I/O.
+ * The leases of this process, one per leased key, as deadlines on its own monotonic clock. A grant
+ * counts from the time when the subscription request was sent, less a margin for clock drift. It is
+ * accepted only from an epoch not below the highest seen, and only for exactly the version number
+ * held. Performs no I/O.
  */
 public final class Leases {
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -20,10 +20,11 @@
     for (int i = 0; i < deadlinesMs.length(); i++) deadlinesMs.set(i, NEVER);
   }
 
-  /** When the last of the leases ran out or will: the moment up to which requests may start. */
+  /** Returns the earliest expiry of all leases: the time until which requests may start. */
   public long validUntilMs() {
     long earliestMs = Long.MAX_VALUE;
-    for (int i = 0; i < deadlinesMs.length(); i++) earliestMs = Math.min(earliestMs, deadlinesMs.get(i));
+    for (int i = 0; i < deadlinesMs.length(); i++)
+      earliestMs = Math.min(earliestMs, deadlinesMs.get(i));
     return earliestMs;
   }
 
@@ -31,16 +32,17 @@
     return deadlinesMs.get(StateKeys.LEASED.indexOf(key));
   }
 
+  /** Returns whether all leases are valid. */
   public boolean isValid(long nowMs) {
     return nowMs < validUntilMs();
   }
 
-  /** From this moment nothing starts on weights named before the newest. */
+  /** Returns the time from which no request may start on weights older than the newest. */
   public long cutoffAtMs() {
     return cutoffAtMs;
   }
 
-  /** A push under this epoch was taken. */
+  /** Records that a push under this epoch was accepted. */
   public void recordEpoch(String key, long epoch) {
     int keyIndex = StateKeys.LEASED.indexOf(key);
     if (keyIndex >= 0) epochs.set(keyIndex, Math.max(epochs.get(keyIndex), epoch));
@@ -51,12 +53,17 @@
     return keyIndex < 0 ? 0 : epochs.get(keyIndex);
   }
 
+  /** Applies a grant to the request sent at requestedAtMs, if it is for the version number held. */
   public void applyGrant(StateUpdate.LeaseGrant grant, long requestedAtMs, long heldNumber) {
     int keyIndex = StateKeys.LEASED.indexOf(grant.key());
-    if (keyIndex < 0 || grant.epoch() < epochs.get(keyIndex) || grant.number() != heldNumber) return;
+    if (keyIndex < 0 || grant.epoch() < epochs.get(keyIndex) || grant.number() != heldNumber)
+      return;
     epochs.set(keyIndex, grant.epoch());
     long marginMs = 10L + grant.remainingMs() / 50;
-    deadlinesMs.set(keyIndex, Math.max(deadlinesMs.get(keyIndex), requestedAtMs + grant.remainingMs() - marginMs));
-    if (grant.key().equals(StateKeys.WEIGHTS)) cutoffAtMs = requestedAtMs + grant.cutoffRemainingMs();
+    deadlinesMs.set(
+        keyIndex,
+        Math.max(deadlinesMs.get(keyIndex), requestedAtMs + grant.remainingMs() - marginMs));
+    if (grant.key().equals(StateKeys.WEIGHTS))
+      cutoffAtMs = requestedAtMs + grant.cutoffRemainingMs();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
+++ b/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
@@ -11,17 +11,18 @@
 import java.util.Map;
 
 /**
- * A data-plane process's side of a subscription, without I/O: which number it has of each key,
- * under which leases, what it requests and what it accepts. A lower number is never accepted,
- * nothing under an epoch below the highest seen, and a delta only on exactly the number it is based
- * on and only if the result has the digest that came with it.
+ * The state of a data-plane process's subscription, without I/O: the version number of each key,
+ * its leases, what it requests and what it accepts. A lower number is never accepted, nothing under
+ * an epoch below the highest seen, and a delta only on exactly the number it is based on and only
+ * if the result has the digest sent with it.
  */
 public final class ReplicatedStateView {
-  /** Makes use of a push, always whole; false where it can't be read. */
+  /** Receives pushed values, always in full; returns false if a value cannot be parsed. */
   public interface ValueConsumer {
     boolean accept(StateUpdate.ValuePush push);
   }
 
+  /** The effect of an update. */
   public enum UpdateResult {
     IGNORED,
     APPLIED,
@@ -40,7 +41,8 @@
   private final Map<String, byte[]> values = new HashMap<>();
   private long capacityEpoch;
 
-  public ReplicatedStateView(Shuffle.Descriptor self, long processRun, ValueConsumer valueConsumer) {
+  public ReplicatedStateView(
+      Shuffle.Descriptor self, long processRun, ValueConsumer valueConsumer) {
     this.self = self;
     this.processRun = processRun;
     this.valueConsumer = valueConsumer;
@@ -55,7 +57,9 @@
   }
 
   public StateUpdate.SubscriptionRequest subscriptionRequest(
-      long nowMs, List<StateUpdate.QuotaDemand> demands, List<StateUpdate.ServiceCapacity> serviceCapacities) {
+      long nowMs,
+      List<StateUpdate.QuotaDemand> demands,
+      List<StateUpdate.ServiceCapacity> serviceCapacities) {
     List<StateUpdate.KnownVersion> knownVersions = new ArrayList<>();
     for (String key : StateKeys.PUSHED)
       knownVersions.add(new StateUpdate.KnownVersion(key, leases.epoch(key), number(key)));
@@ -73,6 +77,7 @@
         serviceCapacities);
   }
 
+  /** Applies an update from the core. */
   public UpdateResult apply(StateUpdate update) {
     if (update instanceof StateUpdate.LeaseGrants grants) {
       for (StateUpdate.LeaseGrant grant : grants.grants())
@@ -90,12 +95,18 @@
             push.base() == number(push.key())
                 ? BinaryDelta.apply(values.getOrDefault(push.key(), new byte[0]), push.value())
                 : null;
-        if (value == null || !Digest.hex(value).equals(push.digest())) return UpdateResult.NEEDS_FULL_VALUE;
+        if (value == null || !Digest.hex(value).equals(push.digest()))
+          return UpdateResult.NEEDS_FULL_VALUE;
       }
       if (!valueConsumer.accept(
           new StateUpdate.ValuePush(
-              push.key(), push.epoch(), push.number(), -1, push.digest(), value, push.sharingSince())))
-        return UpdateResult.IGNORED;
+              push.key(),
+              push.epoch(),
+              push.number(),
+              -1,
+              push.digest(),
+              value,
+              push.sharingSince()))) return UpdateResult.IGNORED;
       numbers.put(push.key(), push.number());
       values.put(push.key(), value);
       leases.recordEpoch(push.key(), push.epoch());
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
@@ -20,12 +20,15 @@
 import java.util.function.Function;
 
 /**
- * What a data-plane process has of the control state: its view of numbers and leases, the snapshot
- * made of it, and the newest capacity allocation. No connections and no clock of its own: the
- * subscription service feeds it, and so does the simulator. Written on one thread, read on any.
+ * The control state of a data-plane process: its view of version numbers and leases, the snapshot
+ * built from it, and the newest capacity allocation. Has no connections and no timers of its own;
+ * the subscription service or the simulator feeds it. Written on one thread, readable from any.
  */
 public final class StateSubscription {
-  /** milli: thousandths of a place by leaf; empty and not full where nothing is bounded. */
+  /**
+   * A capacity allocation. milliSlotsByLeaf holds thousandths of a slot by quota leaf; it is empty,
+   * and full is false, if nothing is limited.
+   */
   public record Allotment(long receivedAtMs, boolean full, Map<String, Integer> milliSlotsByLeaf) {}
 
   public final Leases leases;
@@ -39,13 +42,18 @@
   private volatile List<StateUpdate.QuotaDemand> demands = List.of();
   private volatile List<StateUpdate.ServiceCapacity> serviceCapacities = List.of();
 
-  /** swapped is told of each new snapshot. */
+  /** Creates a subscription; snapshotListener receives each new snapshot. */
   public StateSubscription(
-      Clock clock, Shuffle.Descriptor self, long run, Consumer<ControlStateSnapshot> snapshotListener) {
+      Clock clock,
+      Shuffle.Descriptor self,
+      long run,
+      Consumer<ControlStateSnapshot> snapshotListener) {
     this(clock, self, run, snapshotListener, Configuration::parse);
   }
 
-  /** reader: how the configuration, as operators sent it, is read. */
+  /**
+   * Creates a subscription; configurationParser parses the configuration text as operators sent it.
+   */
   public StateSubscription(
       Clock clock,
       Shuffle.Descriptor self,
@@ -63,13 +71,14 @@
     return current;
   }
 
-  /** Where a relay puts what it has waiting and sees free, for whoever divides. */
-  public void reportDemand(List<StateUpdate.QuotaDemand> newDemands, List<StateUpdate.ServiceCapacity> newCapacities) {
+  /** Sets a relay's queued demand and free capacity, sent to the core that allocates capacity. */
+  public void reportDemand(
+      List<StateUpdate.QuotaDemand> newDemands, List<StateUpdate.ServiceCapacity> newCapacities) {
     demands = newDemands;
     serviceCapacities = newCapacities;
   }
 
-  /** The newest division for this process, or null. */
+  /** Returns the newest capacity allocation of a service for this process, or null. */
   public Allotment allotment(String service) {
     return allotments.get(service);
   }
@@ -82,11 +91,12 @@
     return view.number(key);
   }
 
-  /** How many relays the core hears, 0 where that isn't known. */
+  /** Returns the number of relays that the core hears; 0 if not known. */
   public int relayCount() {
     return relayCount;
   }
 
+  /** Applies an update from the core, and notifies the listener if the snapshot changed. */
   public ReplicatedStateView.UpdateResult apply(StateUpdate update) {
     if (update instanceof StateUpdate.LeaseGrants grants) relayCount = grants.relays();
     ReplicatedStateView.UpdateResult result = view.apply(update);
@@ -108,7 +118,8 @@
     } else if (result == ReplicatedStateView.UpdateResult.CAPACITY_GRANTED) {
       StateUpdate.CapacityGrant grant = (StateUpdate.CapacityGrant) update;
       Map<String, Integer> milliSlotsByLeaf = new HashMap<>();
-      for (StateUpdate.QuotaAllotment allotment : grant.allotments()) milliSlotsByLeaf.put(allotment.leaf(), allotment.milliSlots());
+      for (StateUpdate.QuotaAllotment allotment : grant.allotments())
+        milliSlotsByLeaf.put(allotment.leaf(), allotment.milliSlots());
       allotments.put(grant.service(), new Allotment(clock.now(), grant.full(), milliSlotsByLeaf));
     }
     return result;
@@ -129,7 +140,8 @@
               configurationParser
                   .apply(text)
                   .then(
-                      configuration -> Result.good(withConfiguration(snapshot, push, configuration)));
+                      configuration ->
+                          Result.good(withConfiguration(snapshot, push, configuration)));
           case StateKeys.WEIGHTS ->
               Weights.parse(text)
                   .then(weights -> Result.good(snapshot.withWeights(push.number(), weights)));
@@ -137,11 +149,19 @@
               Replicas.parse(text)
                   .then(replicas -> Result.good(snapshot.withReplicas(push.number(), replicas)));
           case StateKeys.CORE ->
-              CoreMemberList.parse(text).then(core -> Result.good(snapshot.withCore(push.number(), core)));
-          default -> Result.bad(push.key(), "is no key");
+              CoreMemberList.parse(text)
+                  .then(core -> Result.good(snapshot.withCore(push.number(), core)));
+          default -> Result.bad(push.key(), "is not a known key");
         };
     if (!(result instanceof Result.Good<ControlStateSnapshot> parsed)) {
-      Log.warn("news-refused", "key", push.key(), "number", push.number(), "findings", result.toString());
+      Log.warn(
+          "news-refused",
+          "key",
+          push.key(),
+          "number",
+          push.number(),
+          "findings",
+          result.toString());
       return false;
     }
     current = parsed.value();
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
@@ -26,13 +26,14 @@
 import java.util.function.Function;
 
 /**
- * Subscribes this process to the core: persistent connections to every core member it knows of,
- * with a subscription request on each every 400 ms; pushes become a new snapshot and are
- * acknowledged by a request at once. Whom to connect to comes from the newest member list, else
- * from the partial view, else from the seeds, so it goes on when all of the core has moved.
+ * Subscribes this process to the core: keeps persistent connections to every known core member and
+ * sends a subscription request on each every 400 ms. A push becomes a new snapshot and is
+ * acknowledged by an immediate request. The members come from the newest member list, else from the
+ * partial view, else from the seeds, so the subscription survives the replacement of the whole
+ * core.
  */
 public final class StateSubscriptionService implements ServiceRegistry.Service {
-  /** How often the core is asked where nothing else is set, in ms. */
+  /** The default interval of subscription requests, in ms. */
   public static final long REQUEST_INTERVAL_MS = 400;
 
   private static final long CONNECTION_CHECK_INTERVAL_MS = 1000;
@@ -54,8 +55,10 @@
   }
 
   /**
-   * askMs: how often the core is asked; reader: how the configuration, as operators sent it, is
-   * read.
+   * Creates a service.
+   *
+   * @param requestIntervalMs interval of subscription requests
+   * @param configurationParser parses the configuration text as operators sent it
    */
   public StateSubscriptionService(
       Vertx vertx,
@@ -68,7 +71,8 @@
     this.vertx = vertx;
     this.seeds = seeds;
     this.worker = new SingleThreadWorker("news", 4096, clock);
-    this.subscription = new StateSubscription(clock, self, run, this::onSnapshot, configurationParser);
+    this.subscription =
+        new StateSubscription(clock, self, run, this::onSnapshot, configurationParser);
   }
 
   private void onSnapshot(ControlStateSnapshot snapshot) {
@@ -85,8 +89,8 @@
   }
 
   /**
-   * Called on the news duty with what is held now, which may have come before anybody listened, and
-   * after each swap.
+   * Adds a listener, called on the worker with the current snapshot, which may have been received
+   * earlier, and with each new one.
    */
   public void addListener(Consumer<ControlStateSnapshot> listener) {
     worker.offer(
@@ -106,7 +110,8 @@
 
   private void updateConnections() {
     Set<Address> wanted = new HashSet<>();
-    for (CoreMemberList.Member member : subscription.snapshot().core().all()) wanted.add(member.records());
+    for (CoreMemberList.Member member : subscription.snapshot().core().all())
+      wanted.add(member.records());
     boolean reached = connections.values().stream().anyMatch(PersistentConnection::open);
     if (wanted.isEmpty() || !reached) {
       for (Shuffle.Descriptor descriptor : partialView.all())
@@ -134,10 +139,11 @@
                     StateUpdate update = WireRecord.read(record, StateUpdate::read);
                     worker.offer(() -> onUpdate(connection, update));
                   },
-                  connection -> worker.offer(() -> connection.send(subscription.subscriptionRequest()))));
+                  connection ->
+                      worker.offer(() -> connection.send(subscription.subscriptionRequest()))));
   }
 
-  /** Whether a connection to the core member with this address for records is open now. */
+  /** Returns whether a connection to the core member with this records address is open. */
   public boolean isConnectedTo(Address records) {
     PersistentConnection connection = connections.get(records);
     return connection != null && connection.open();
--- a/data-plane/src/main/java/gladelug/data/state/package-info.java
+++ b/data-plane/src/main/java/gladelug/data/state/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The control state as a data-plane process has it: a subscription at the core's members, the
- * newest values with their leases, and an immutable snapshot that is swapped whole when one
+ * The control state of a data-plane process: a subscription to the members of the core, the newest
+ * values with their leases, and an immutable snapshot that is replaced as a whole when a value
  * changes.
  */
 package gladelug.data.state;
--- a/data-plane/src/test/java/gladelug/data/PublishedNamesTest.java
+++ b/data-plane/src/test/java/gladelug/data/PublishedNamesTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The names of the program's settings, in its settings file and as flags, held against literals:
- * operators' files and scripts hold them.
+ * Checks the names of the program's settings, in the settings file and as flags, against literals,
+ * since operators' files and scripts contain them.
  */
 final class PublishedNamesTest {
-  private static final String BOTH =
+  private static final String COMMON =
       """
       {
         "name": "p-1",
@@ -38,7 +38,7 @@
       """;
 
   private static final String RELAY =
-      BOTH
+      COMMON
           + """
             "callers": "10.0.0.1:80",
             "index": "10.0.0.1:4002",
@@ -49,7 +49,7 @@
           """;
 
   private static final String INDEX =
-      BOTH
+      COMMON
           + """
             "fingerprintBits": 15,
             "mostHolders": 20,
@@ -126,8 +126,8 @@
         Result.Bad.class, read(true, RELAY.replace("least-occupancy", "other")));
   }
 
-  /** What the program prints, run as a process of its own. */
-  private static String printed(String... arguments) throws Exception {
+  /** Returns the output of the program, run as a separate process. */
+  private static String outputOf(String... arguments) throws Exception {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -150,7 +150,7 @@
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  private static Set<String> withBoth(String... more) {
+  private static Set<String> withCommonFlags(String... more) {
     Set<String> flags =
         new TreeSet<>(
             Set.of(
@@ -172,10 +172,10 @@
   @Timeout(60)
   void theCommandsTakeTheseFlags() throws Exception {
     Assertions.assertEquals(
-        withBoth("--callers", "--index", "--backlog", "--choice", "--division"),
-        flags(printed("relay", "--help")));
+        withCommonFlags("--callers", "--index", "--backlog", "--choice", "--division"),
+        flags(outputOf("relay", "--help")));
     Assertions.assertEquals(
-        withBoth("--fingerprint-bits", "--most-holders", "--list-pause-ms"),
-        flags(printed("index", "--help")));
+        withCommonFlags("--fingerprint-bits", "--most-holders", "--list-pause-ms"),
+        flags(outputOf("index", "--help")));
   }
 }
--- a/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
+++ b/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
@@ -19,8 +19,7 @@
         low,
         low + lines.length - 1,
         0,
-        pack(
-            List.of(lines).stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toList()));
+        pack(List.of(lines).stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toList()));
   }
 
   private static String line(long n, String outcome) {
@@ -28,7 +27,7 @@
   }
 
   @Test
-  void theNewestOfARequestIsFoundAndNothingElse() {
+  void onlyTheNewestRecordOfARequestIsFound() {
     DecisionLog k = new DecisionLog(1 << 20);
     Assertions.assertTrue(k.add(batch("00aa", 5, line(5, "live"), line(6, "complete"))));
     Assertions.assertEquals("live", k.find("relay-1.00aa.5").getString("outcome", ""));
@@ -41,7 +40,7 @@
   }
 
   @Test
-  void tornBatchesAreRefusedAndTheBoundHolds() {
+  void corruptBatchesAreRefusedAndTheBoundHolds() {
     DecisionLog k = new DecisionLog(200);
     Batch b = batch("00aa", 5, line(5, "complete"));
     byte[] half = Arrays.copyOf(b.packed(), b.packed().length / 2);
@@ -50,7 +49,7 @@
     Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, b.packed())));
     for (int i = 0; i < 50; i++) k.add(batch("00aa", i, line(i, "complete")));
     Assertions.assertTrue(k.toJson().getLong("bytes", 0) <= 200);
-    Assertions.assertNull(k.find("relay-1.00aa.0"), "the oldest went first");
+    Assertions.assertNull(k.find("relay-1.00aa.0"), "the oldest batch was evicted first");
     Assertions.assertNotNull(k.find("relay-1.00aa.49"));
   }
 }
--- a/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
@@ -1,7 +1,7 @@
 package gladelug.data.index;
 
-import static gladelug.data.index.CuckooSummary.MAX_DISPLACEMENTS;
 import static gladelug.data.index.CuckooSummary.BUCKET_SLOTS;
+import static gladelug.data.index.CuckooSummary.MAX_DISPLACEMENTS;
 import static gladelug.data.index.CuckooSummary.fingerprintBits;
 import static gladelug.data.index.CuckooSummary.mix;
 
@@ -29,7 +29,7 @@
     }
   }
 
-  private static void noFalseNegative(CuckooSummary s, Model m, String when) {
+  private static void assertNoFalseNegative(CuckooSummary s, Model m, String when) {
     m.m.forEach(
         (b, hs) ->
             hs.keySet()
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void longHistoriesHaveNoFalseNegativeAgainstAnExactModel() {
+  void longRandomHistoriesHaveNoFalseNegativeAgainstAnExactModel() {
     for (int seed = 1; seed <= 12; seed++) {
       SplittableRandom r = new SplittableRandom(seed);
       CuckooSummary s = new CuckooSummary(2000, seed % 2 == 0 ? 10 : 16, seed);
@@ -62,9 +62,9 @@
           m.m.values().forEach(x -> x.remove(out));
           s.clear(out);
         }
-        if (i % 1000 == 0) noFalseNegative(s, m, "seed " + seed + " step " + i);
+        if (i % 1000 == 0) assertNoFalseNegative(s, m, "seed " + seed + " step " + i);
       }
-      noFalseNegative(s, m, "seed " + seed);
+      assertNoFalseNegative(s, m, "seed " + seed);
       int n = m.m.values().stream().mapToInt(x -> x.values().stream().mapToInt(v -> v).sum()).sum();
       Assertions.assertEquals(n, s.size(), "entries, seed " + seed);
       m.m.forEach(
@@ -79,29 +79,31 @@
   }
 
   @Test
-  void thirteenHoldersOfOnePrefixAreAllFoundWithoutChurn() {
+  void thirteenHoldersOfOnePrefixAreAllFoundWithFewDisplacements() {
     CuckooSummary s = new CuckooSummary(20_000, 16, 1);
     for (long b = 0; b < 100; b++) for (int h = 0; h < 13; h++) s.insert(mix(b + 77), h);
     for (long b = 0; b < 100; b++)
       Assertions.assertEquals((1L << 13) - 1, s.lookup(mix(b + 77)) & (1L << 13) - 1);
-    // five of each go over; two blocks that happen to share a bucket send a few more
+    // Five copies of each block overflow, and a few more of two blocks that share a bucket.
     Assertions.assertTrue(
-        s.overflowEntries() >= 500 && s.overflowEntries() <= 520, "overflow " + s.overflowEntries());
+        s.overflowEntries() >= 500 && s.overflowEntries() <= 520,
+        "overflow " + s.overflowEntries());
     Assertions.assertTrue(s.strayCount() <= 60, "strays " + s.strayCount());
-    Assertions.assertTrue(s.displacements() <= 20 * MAX_DISPLACEMENTS, "churned " + s.displacements());
+    Assertions.assertTrue(
+        s.displacements() <= 20 * MAX_DISPLACEMENTS, "displacements " + s.displacements());
     Assertions.assertFalse(s.isFull());
     for (long b = 0; b < 100; b++) for (int h = 0; h < 9; h++) s.remove(mix(b + 77), h);
     Assertions.assertEquals(0, s.overflowEntries(), "moved back into the table");
   }
 
   @Test
-  void theSmallestTableCanBeMadeWithEachFingerprint() {
+  void theSmallestTableCanBeCreatedWithEachFingerprintWidth() {
     for (int fingerprintBits : new int[] {10, 12, 16})
       Assertions.assertTrue(new CuckooSummary(1, fingerprintBits, 3).capacity() > 0);
   }
 
   @Test
-  void atNinetyPercentEveryEntryIsPlacedAndFalsePositivesKeepToTheBound() {
+  void atNinetyPercentOccupancyEveryEntryIsPlacedAndFalsePositivesStayWithinTheBound() {
     for (int f : new int[] {10, 12, 16}) {
       CuckooSummary s = new CuckooSummary(58_000, f, 3);
       int n = s.capacity() * 9 / 10;
@@ -113,27 +115,28 @@
       double rate = (double) wrong / tries, bound = 2.0 * BUCKET_SLOTS / (1 << f);
       double slack = 4 * Math.sqrt(bound / tries);
       Assertions.assertTrue(rate <= bound + slack, "f " + f + " rate " + rate + " bound " + bound);
-      Assertions.assertTrue(rate >= bound / 2, "f " + f + " suspiciously few: " + rate);
+      Assertions.assertTrue(
+          rate >= bound / 2, "f " + f + " implausibly few false positives: " + rate);
     }
   }
 
   @Test
-  void aRemovalTakesNobodyElsesEntry() {
+  void aRemovalLeavesTheEntriesOfOtherHolders() {
     CuckooSummary s = new CuckooSummary(1000, 10, 9);
     for (int i = 0; i < 800; i++) s.insert(mix(i), i % 2);
     int before = s.size(), wrongly = 0;
     for (int i = 0; i < 800; i++) if (s.remove(mix(i), 2)) wrongly++;
-    Assertions.assertEquals(0, wrongly, "holder 2 never had anything");
+    Assertions.assertEquals(0, wrongly, "holder 2 has no entries");
     Assertions.assertEquals(before, s.size());
   }
 
   @Test
-  void thePapersWidthForOnePercent() {
+  void aFalsePositiveRateOfOnePercentNeedsTenBits() {
     Assertions.assertEquals(10, fingerprintBits(0.01));
   }
 
   @Test
-  void repeatedInsertsLeaveOneEntryAlsoInTheOverflow() {
+  void repeatedInsertsLeaveOneEntryEvenInTheOverflow() {
     CuckooSummary s = new CuckooSummary(1000, 16, BUCKET_SLOTS, 300, 5);
     for (int round = 0; round < 3; round++)
       for (int h = 0; h < 300; h++) Assertions.assertEquals(round == 0, s.insertOnce(mix(7), h));
@@ -160,7 +163,7 @@
   }
 
   @Test
-  void manyHoldersAgainstAnExactModel() {
+  void manyHoldersAgreeWithAnExactModel() {
     for (int holders : new int[] {65, 128, 500, 1024}) {
       SplittableRandom r = new SplittableRandom(holders);
       CuckooSummary s = new CuckooSummary(20_000, 16, BUCKET_SLOTS, holders, holders);
@@ -168,7 +171,7 @@
       long[] found = new long[s.bitsetWords()];
       int n = 0;
       for (int i = 0; i < 120_000; i++) {
-        // a few blocks that everybody keeps, and others
+        // A quarter of the operations concern 20 blocks that most holders keep.
         long b = mix(r.nextInt(4) == 0 ? r.nextInt(20) : 100 + r.nextInt(2000));
         int h = r.nextInt(holders);
         BitSet bs = truth.computeIfAbsent(b, k -> new BitSet());
@@ -207,7 +210,8 @@
       for (long b = 0; b < blocks; b++) s.insertOnce(mix(b + 77), h);
     Assertions.assertEquals(holders * blocks, s.size());
     Assertions.assertTrue(
-        s.overflowEntries() >= (holders - 2 * BUCKET_SLOTS) * blocks, "overflow " + s.overflowEntries());
+        s.overflowEntries() >= (holders - 2 * BUCKET_SLOTS) * blocks,
+        "overflow " + s.overflowEntries());
     Assertions.assertFalse(s.isFull(), "strays " + s.strayCount());
     for (int h = 0; h < holders - 4; h++)
       for (long b = 0; b < blocks; b++) Assertions.assertTrue(s.remove(mix(b + 77), h));
@@ -215,7 +219,7 @@
   }
 
   @Test
-  void aTableTooSmallCountsAsFull() {
+  void anUndersizedTableCountsAsFull() {
     CuckooSummary s = new CuckooSummary(1000, 16, BUCKET_SLOTS, 512, 1);
     for (int i = 0; i < 4000; i++) s.insertOnce(mix(i), i % 100);
     Assertions.assertEquals(4000, s.size());
--- a/data-plane/src/test/java/gladelug/data/index/FleetLoadTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetLoadTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** What the index knows of all relays' work and of scarce memory. */
+/** Tests of FleetLoad. */
 final class FleetLoadTest {
   @Test
-  void workOfAllRelaysAddsUpAndRunsOut() {
+  void workOfAllRelaysAddsUpAndExpires() {
     FleetLoad load = new FleetLoad();
     load.recordPlacement("a", new Lookup.Work(100, 300, 2000), 1000);
     load.recordPlacement("a", new Lookup.Work(50, 10, 500), 1010);
@@ -19,17 +19,19 @@
     Assertions.assertEquals(140, busy(load.snapshot(1010), "a"));
     Assertions.assertEquals(30, busy(load.snapshot(1010), "b"));
     Assertions.assertEquals(50, busy(load.snapshot(1100), "a"));
-    Assertions.assertEquals(0, busy(load.snapshot(1100), "b"), "is free and isn't named");
+    Assertions.assertEquals(0, busy(load.snapshot(1100), "b"), "an idle replica is not listed");
     Assertions.assertEquals(
-        List.of(new Lookup.Load("a", 0, 1, 2000)), load.snapshot(1200).loads(), "one reply goes on");
-    Assertions.assertEquals(List.of(), load.snapshot(1400).loads(), "all has run out");
+        List.of(new Lookup.Load("a", 0, 1, 2000)),
+        load.snapshot(1200).loads(),
+        "one reply is still running");
+    Assertions.assertEquals(List.of(), load.snapshot(1400).loads(), "all work has expired");
     load.recordPlacement("a", new Lookup.Work(100, 300, 2000), 1400);
     load.removeHolder("a");
     Assertions.assertEquals(List.of(), load.snapshot(1400).loads());
   }
 
   @Test
-  void anAnswerNamesABoundedNumberTheBusiestFirst() {
+  void anAnswerListsABoundedNumberOfReplicasBusiestFirst() {
     FleetLoad load = new FleetLoad();
     for (int i = 0; i < 600; i++) load.recordPlacement("r" + i, new Lookup.Work(10 + i, 0, 1), 0);
     List<Lookup.Load> told = load.snapshot(0).loads();
@@ -51,7 +53,7 @@
   }
 
   @Test
-  void anAnswerIsReadBackWithAndWithoutTheFleet() throws IOException {
+  void anAnswerIsDecodedWithAndWithoutFleetLoad() throws IOException {
     List<Lookup.Match> matches = List.of(new Lookup.Match("i", 2, 3));
     Lookup.Fleet fleet = new Lookup.Fleet(List.of(new Lookup.Load("i", 70, 3, 9000)), 0.25);
     for (Lookup lookup :
--- a/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
@@ -23,7 +23,7 @@
 final class FleetSummaryTest {
   private static final int WHOLE = 256;
 
-  private static ControlStateSnapshot tables(int holders) {
+  private static ControlStateSnapshot snapshotOf(int holders) {
     Configuration configuration =
         ((Result.Good<Configuration>)
                 Configuration.parse(
@@ -47,11 +47,11 @@
   }
 
   /**
-   * Holders that were asked for their list and gave an empty one, in the order of their names'
-   * numbers.
+   * Follows holders that were asked for their list and returned an empty one, ordered by the number
+   * in their name.
    */
   private static Holder[] follow(FleetSummary s, int holders) {
-    s.updateHolders(tables(holders), 0);
+    s.updateHolders(snapshotOf(holders), 0);
     Holder[] hs = new Holder[holders];
     for (Holder holder : s.allHolders()) {
       hs[Integer.parseInt(holder.replica.instance().substring(1))] = holder;
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aStoreIsAHolderAndOneThatIsSilentIsNoHint() {
+  void aStoreIsAHolderAndASilentStoreIsNotReturned() {
     FleetSummary s = new FleetSummary(16);
     s.updateHolders(withStore(), 0);
     Holder store = s.allHolders().get(0);
@@ -102,13 +102,14 @@
     Lookup.Question question = new Lookup.Question(1, new long[] {7});
     Assertions.assertEquals(
         List.of(new Lookup.Match("store", 1)), s.answer(question, 2000).matches());
-    Assertions.assertEquals(List.of(), s.answer(question, 5000).matches(), "nothing heard");
+    Assertions.assertEquals(List.of(), s.answer(question, 5000).matches(), "the store is silent");
     store.lastHeardMs = 5000;
-    Assertions.assertEquals(1, s.answer(question, 5000).matches().size(), "heard again");
+    Assertions.assertEquals(
+        1, s.answer(question, 5000).matches().size(), "the store was heard again");
   }
 
   @Test
-  void repeatedStoresKeepOneEntryAndPartialEvictionsTellUnits() {
+  void repeatedStoresKeepOneEntryAndPartialEvictionsReportUnits() {
     FleetSummary s = new FleetSummary(16);
     Holder holder = follow(s, 1)[0];
     long n = 0;
@@ -122,24 +123,28 @@
     Assertions.assertEquals(List.of(new Lookup.Match("h0", 1, 100)), ask(s, 11, 12, 13));
     holder.feed.onEvent(CacheEvent.store("i", ++n, 12, 100), 1);
     Assertions.assertEquals(
-        List.of(new Lookup.Match("h0", 1, 100)), ask(s, 11, 12, 13), "it has not grown");
+        List.of(new Lookup.Match("h0", 1, 100)), ask(s, 11, 12, 13), "the block has not grown");
     holder.feed.onEvent(CacheEvent.store("i", ++n, 12, 200), 1);
     Assertions.assertEquals(
-        List.of(new Lookup.Match("h0", 3, 0)), ask(s, 11, 12, 13), "counts as whole");
+        List.of(new Lookup.Match("h0", 3, 0)),
+        ask(s, 11, 12, 13),
+        "the block counts as whole again");
     holder.feed.onEvent(new CacheEvent("i", ++n, 11, 32, true, false), 1);
     Assertions.assertEquals(
-        List.of(new Lookup.Match("h0", 0, 32)), ask(s, 11, 12, 13), "the first in part");
+        List.of(new Lookup.Match("h0", 0, 32)), ask(s, 11, 12, 13), "the first block is partial");
     holder.feed.onEvent(CacheEvent.evict("i", ++n, 11, 0), 1);
     holder.feed.onEvent(CacheEvent.evict("i", ++n, 11, 0), 1);
     Assertions.assertEquals(List.of(), ask(s, 11, 12, 13));
     Assertions.assertEquals(2, entries(s));
     holder.feed.onEvent(CacheEvent.store("i", ++n, 11, 10), 1);
     Assertions.assertEquals(
-        List.of(new Lookup.Match("h0", 3, 0)), ask(s, 11, 12, 13), "the part is forgotten");
+        List.of(new Lookup.Match("h0", 3, 0)),
+        ask(s, 11, 12, 13),
+        "the partial units were discarded");
   }
 
   @Test
-  void aListTellsParts() {
+  void aListReportsPartialBlocks() {
     FleetSummary s = new FleetSummary(16);
     Holder holder = follow(s, 1)[0];
     BitSet parts = new BitSet();
@@ -156,13 +161,15 @@
   }
 
   /**
-   * Holders' truth: units kept of each block. Gives how many entries a collision of fingerprints
-   * took away.
+   * Applies a random history to the summary and to an exact map of units by block and holder, and
+   * compares both. Returns how many entries are missing because of fingerprint collisions.
    */
-  private static int historyAgainstTruth(int fingerprintBits, int holders, int blocks, long seed) {
+  private static int missingAfterRandomHistory(
+      int fingerprintBits, int holders, int blocks, long seed) {
     SplittableRandom r = new SplittableRandom(seed);
     FleetSummary s = new FleetSummary(fingerprintBits);
-    CuckooSummary twin = new CuckooSummary(1 << 12, fingerprintBits, CuckooSummary.BUCKET_SLOTS, 512, 1);
+    CuckooSummary twin =
+        new CuckooSummary(1 << 12, fingerprintBits, CuckooSummary.BUCKET_SLOTS, 512, 1);
     Holder[] hs = follow(s, holders);
     List<Map<Long, Integer>> truth = new ArrayList<>();
     for (int h = 0; h < holders; h++) truth.add(new HashMap<>());
@@ -187,13 +194,15 @@
         int units = truth.get(h).getOrDefault(b, 0);
         Lookup.Match m = found.get("h" + h);
         boolean alone = true;
-        for (int j = 1; j <= blocks; j++) alone &= j == i || !twin.indistinguishable(b, CuckooSummary.mix(j));
+        for (int j = 1; j <= blocks; j++)
+          alone &= j == i || !twin.indistinguishable(b, CuckooSummary.mix(j));
         if (units > 0) kept++;
         if (units > 0 && m == null) {
           missing++;
-          Assertions.assertFalse(alone, "no other block has the fingerprint and buckets of " + i);
+          Assertions.assertFalse(
+              alone, "missing although no other block has the fingerprint and buckets of " + i);
         } else if (m != null && alone) {
-          Assertions.assertTrue(units > 0, "found and not kept");
+          Assertions.assertTrue(units > 0, "found but not kept");
           Assertions.assertEquals(units == WHOLE ? 1 : 0, m.blocks());
           Assertions.assertEquals(units == WHOLE ? 0 : units, m.units());
         }
@@ -204,17 +213,18 @@
   }
 
   @Test
-  void withPartsItAgreesWithTheTruthButForCollisionsOfFingerprints() {
+  void withPartialBlocksItIsExactExceptForFingerprintCollisions() {
     int missing = 0;
-    for (int seed = 1; seed <= 3; seed++) missing += historyAgainstTruth(16, 10, 300, seed);
-    Assertions.assertEquals(0, missing, "of some 9000 with f = 16");
-    int few = historyAgainstTruth(5, 10, 300, 4);
-    System.out.println("entries that collisions took away, f = 5, 10 holders, 300 blocks: " + few);
+    for (int seed = 1; seed <= 3; seed++) missing += missingAfterRandomHistory(16, 10, 300, seed);
+    Assertions.assertEquals(0, missing, "entries missing of about 9000 with f = 16");
+    int few = missingAfterRandomHistory(5, 10, 300, 4);
+    System.out.println(
+        "entries missing because of collisions, f = 5, 10 holders, 300 blocks: " + few);
     Assertions.assertTrue(few > 0 && few < 150, "with f = 5: " + few);
   }
 
   @Test
-  void manyHoldersAreFoundAndTheirIdsGivenAgain() {
+  void manyHoldersAreFoundAndTheirIdsAreReused() {
     FleetSummary s = new FleetSummary(16);
     Holder[] hs = follow(s, 300);
     for (int h = 0; h < 300; h++) {
@@ -226,27 +236,27 @@
     for (int h = 0; h < 300; h++)
       want.add(new Lookup.Match("h" + h, h % 2 == 0 ? 2 : 1, h % 2 == 0 ? 0 : h));
     Assertions.assertEquals(want, new HashSet<>(ask(s, 1, 2, 3)));
-    Assertions.assertEquals(300, ask(s, 1, 2, 3).size(), "one match a holder");
-    s.updateHolders(tables(100), 2);
+    Assertions.assertEquals(300, ask(s, 1, 2, 3).size(), "one match per holder");
+    s.updateHolders(snapshotOf(100), 2);
     Assertions.assertEquals(100, ask(s, 1, 2).size());
     Assertions.assertEquals(200, entries(s));
-    s.updateHolders(tables(300), 3);
+    s.updateHolders(snapshotOf(300), 3);
     Assertions.assertEquals(300, s.allHolders().size());
-    Assertions.assertEquals(200, entries(s), "a new holder begins with nothing");
+    Assertions.assertEquals(200, entries(s), "a new holder starts without entries");
   }
 
   @Test
-  void moreThanTheMostAreLeftOut() {
+  void holdersBeyondTheMaximumAreIgnored() {
     FleetSummary s = new FleetSummary(16, 70, r -> CacheEventFeed.Policy.STRICT);
-    s.updateHolders(tables(90), 0);
+    s.updateHolders(snapshotOf(90), 0);
     Assertions.assertEquals(70, s.allHolders().size());
   }
 
   @Test
-  void aLargerTableIsFilledFromListsAndWaitsForTheirPause() {
+  void aLargerTableIsFilledFromListsAfterTheirMinimumInterval() {
     FleetSummary s =
         new FleetSummary(16, 512, r -> CacheEventFeed.Policy.STRICT.withMinListIntervalMs(10_000));
-    s.updateHolders(tables(80), 0);
+    s.updateHolders(snapshotOf(80), 0);
     int[] lists = {0};
     for (Holder holder : s.allHolders()) {
       holder.contacted = true;
@@ -262,7 +272,7 @@
     for (long t = 1; t < 10_000; t += 100) {
       for (Holder holder : s.allHolders()) holder.lastHeardMs = t;
       s.tick(t);
-      Assertions.assertEquals(80, lists[0], "before the pause is over, at " + t);
+      Assertions.assertEquals(80, lists[0], "listed before the minimum interval is over, at " + t);
     }
     for (Holder holder : s.allHolders()) holder.lastHeardMs = 10_000;
     s.tick(10_000);
@@ -274,10 +284,11 @@
   }
 
   /**
-   * A line that loses 3 of 100 events for good, reorders and repeats others, into a tolerant feed.
+   * Feeds a tolerant feed from a connection that loses 3 of 100 events for good and reorders or
+   * repeats others.
    */
   @Test
-  void aTolerantFeedOnALossyLineStaysNearTheTruthAndAListRepairsIt() {
+  void aTolerantFeedOnALossyConnectionStaysNearlyExactAndAListRepairsIt() {
     int blocks = 2000;
     for (int seed = 1; seed <= 5; seed++) {
       SplittableRandom r = new SplittableRandom(seed);
@@ -317,10 +328,12 @@
       holder.feed.onPulse("i", nr, now);
       for (int i = 0; i < 10; i++) s.tick(now += 100);
       Assertions.assertEquals(
-          1, holder.feed.resyncCount(), "only the list at the beginning, seed " + seed);
+          1, holder.feed.resyncCount(), "only the initial list is requested, seed " + seed);
       Assertions.assertEquals(nr, holder.feed.appliedSequence());
       Assertions.assertEquals(
-          lost, holder.feed.missedCount(), "what came late or twice is not missing, seed " + seed);
+          lost,
+          holder.feed.missedCount(),
+          "late and repeated events are not missing, seed " + seed);
       int wrong = wrong(s, truth, blocks);
       System.out.println(
           "tolerant, seed "
@@ -331,7 +344,8 @@
               + wrong
               + " of "
               + blocks);
-      // a block is wrong where its last event was lost, 3 of 100, plus slack of four deviations
+      // A block is wrong if its last event was lost, 3 of 100; the slack is four standard
+      // deviations.
       Assertions.assertTrue(
           wrong > 0 && wrong <= blocks * 0.03 + 4 * Math.sqrt(blocks * 0.03), "wrong " + wrong);
 
--- a/data-plane/src/test/java/gladelug/data/index/PartialBlocksTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/PartialBlocksTest.java
@@ -9,7 +9,7 @@
 /** Tests of PartialBlocks. */
 final class PartialBlocksTest {
   @Test
-  void longHistoriesAgreeWithAnExactMap() {
+  void longRandomHistoriesAgreeWithAnExactMap() {
     for (int seed = 1; seed <= 10; seed++) {
       SplittableRandom r = new SplittableRandom(seed);
       PartialBlocks p = new PartialBlocks();
@@ -37,13 +37,13 @@
   }
 
   @Test
-  void pastItsBoundABlockGoesOnCountingAsWhole() {
+  void aBlockBeyondTheBoundCountsAsWhole() {
     PartialBlocks p = new PartialBlocks();
     Assertions.assertEquals(0, p.bytes());
     int room = PartialBlocks.MAX_SLOTS / 4 * 3;
     for (int i = 0; i < room; i++) Assertions.assertTrue(p.put(CuckooSummary.mix(i), 9));
     Assertions.assertFalse(p.put(CuckooSummary.mix(room), 9));
-    Assertions.assertTrue(p.put(CuckooSummary.mix(3), 5), "one that is there can change");
+    Assertions.assertTrue(p.put(CuckooSummary.mix(3), 5), "an existing block can still be updated");
     Assertions.assertEquals(0, p.get(CuckooSummary.mix(room)));
     Assertions.assertEquals(1, p.refusedCount());
     Assertions.assertEquals(512 * 1024, p.bytes());
--- a/data-plane/src/test/java/gladelug/data/index/RecentPlacementsTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/RecentPlacementsTest.java
@@ -8,7 +8,7 @@
   private static final long[] CHAIN = {11, 12, 13};
 
   @Test
-  void whatWasSentCountsFromTheFirstBlockOnAndForAWhile() {
+  void aPlacementCountsAsAPrefixForALimitedTime() {
     RecentPlacements p = new RecentPlacements();
     p.recordPlacement(CHAIN, "a", 0);
     p.recordPlacement(new long[] {12}, "b", 0);
@@ -17,15 +17,17 @@
         0, p.leadingBlocks(CHAIN, "b", 1), "a later block without the first is no prefix");
     Assertions.assertEquals(1, p.leadingBlocks(new long[] {11, 99}, "a", 1));
     Assertions.assertEquals(
-        0, p.leadingBlocks(CHAIN, "a", RecentPlacements.LIFETIME_MS), "events have told by then");
+        0, p.leadingBlocks(CHAIN, "a", RecentPlacements.LIFETIME_MS), "the placement has expired");
   }
 
   @Test
-  void theOldestGiveWay() {
+  void theOldestPlacementsAreEvicted() {
     RecentPlacements p = new RecentPlacements();
     p.recordPlacement(CHAIN, "a", 0);
-    for (int i = 0; i < RecentPlacements.MAX_ENTRIES; i++) p.recordPlacement(new long[] {1000 + i}, "b", 0);
+    for (int i = 0; i < RecentPlacements.MAX_ENTRIES; i++)
+      p.recordPlacement(new long[] {1000 + i}, "b", 0);
     Assertions.assertEquals(0, p.leadingBlocks(CHAIN, "a", 1));
-    Assertions.assertEquals(1, p.leadingBlocks(new long[] {1000 + RecentPlacements.MAX_ENTRIES - 1}, "b", 1));
+    Assertions.assertEquals(
+        1, p.leadingBlocks(new long[] {1000 + RecentPlacements.MAX_ENTRIES - 1}, "b", 1));
   }
 }
--- a/data-plane/src/test/java/gladelug/data/relay/CallersTimeTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/CallersTimeTest.java
@@ -81,7 +81,9 @@
     world.relay().leave(world.nowMs() + REQUEST_MS);
     SimulatedBurst.Outcome refused = world.ask(SimulatedBurst.Call.waiting(LONG_WAIT_MS));
     Assertions.assertEquals(
-        FilterResult.RETRY_AT_ONCE_MS, refused.refusal.retryAfterMs(), "another relay has the time");
+        FilterResult.RETRY_AT_ONCE_MS,
+        refused.refusal.retryAfterMs(),
+        "another relay has the time");
   }
 
   /** Guards against one place reckoned with where all replicas are just about to be usable. */
--- a/data-plane/src/test/java/gladelug/data/request/DecisionTest.java
+++ b/data-plane/src/test/java/gladelug/data/request/DecisionTest.java
@@ -7,7 +7,7 @@
 /** Tests of Decision. */
 final class DecisionTest {
   @Test
-  void readsTheSameBeforeAndAfterItsEnd() {
+  void itsJsonIsTheSameBeforeAndAfterItIsClosed() {
     Decision decision = new Decision("r.0000.0", 0, 10);
     decision.add("key", 12, Json.object().add("tenant", "t"));
     decision.setOutcome("complete");
--- a/data-plane/src/test/java/gladelug/data/request/DecisionsTest.java
+++ b/data-plane/src/test/java/gladelug/data/request/RecentDecisionsTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Decisions. */
-final class DecisionsTest {
-  /** One thread begins requests, others ask. */
-  public static final class Asked {
+/** Tests of RecentDecisions. */
+final class RecentDecisionsTest {
+  /** Begins requests on one thread while others search for their records. */
+  public static final class ConcurrentFinds {
     private final RecentDecisions d = new RecentDecisions(2, "r", 0xabcdL);
 
     @Operation(nonParallelGroup = "order thread")
@@ -26,17 +26,17 @@
   }
 
   @Test
-  void whoAsksWhileRequestsBeginIsToldTheTruth() {
+  void searchesDuringNewRequestsReturnConsistentResults() {
     new ModelCheckingOptions()
         .iterations(5)
         .invocationsPerIteration(100)
         .threads(2)
         .actorsPerThread(4)
-        .check(Asked.class);
+        .check(ConcurrentFinds.class);
   }
 
   @Test
-  void remembersTheLastAndSaysWhatBecameOfOthers() {
+  void keepsTheMostRecentRecordsAndReportsTheFateOfOthers() {
     RecentDecisions ds = new RecentDecisions(4, "r1", 0xabcdL);
     for (int i = 0; i < 6; i++) ds.begin(0);
     Assertions.assertTrue(ds.find("r1.abcd.5") instanceof FindResult.Present);
--- a/data-plane/src/test/java/gladelug/data/request/StateTest.java
+++ b/data-plane/src/test/java/gladelug/data/request/RequestStateTest.java
@@ -5,10 +5,13 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
-/** Tests of State. */
-final class StateTest {
-  /** The steps that the request thread, a deadline and a caller going away may take at once. */
-  public static final class Fates {
+/** Tests of RequestState. */
+final class RequestStateTest {
+  /**
+   * The transitions that the request thread, a deadline and a leaving caller may attempt
+   * concurrently.
+   */
+  public static final class ConcurrentTransitions {
     private final RequestState s = new RequestState();
 
     @Operation
@@ -43,12 +46,12 @@
   }
 
   @Test
-  void everyInterleavingIsAsIfOneAfterTheOther() {
+  void everyInterleavingIsEquivalentToASequentialOrder() {
     new ModelCheckingOptions()
         .iterations(5)
         .invocationsPerIteration(100)
         .threads(3)
         .actorsPerThread(3)
-        .check(Fates.class);
+        .check(ConcurrentTransitions.class);
   }
 }
--- a/data-plane/src/test/java/gladelug/data/state/LeasesTest.java
+++ b/data-plane/src/test/java/gladelug/data/state/LeasesTest.java
@@ -12,7 +12,7 @@
   }
 
   @Test
-  void countsFromTheAskingAndOnlyForTheNumberHeld() {
+  void aLeaseCountsFromTheRequestAndOnlyForTheNumberHeld() {
     Leases l = new Leases();
     Assertions.assertFalse(l.isValid(0));
     for (String k : StateKeys.LEASED) l.applyGrant(g(k, 5, 3, 1000), 100, 3);
--- a/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
+++ b/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aChangeIsTakenOnlyOnItsBaseAndOnlyIfTheDigestAgrees() {
+  void aDeltaIsAppliedOnlyToItsBaseAndOnlyIfTheDigestMatches() {
     List<String> taken = new ArrayList<>();
     ReplicatedStateView b =
         new ReplicatedStateView(
@@ -45,7 +45,8 @@
         "a gap");
     Assertions.assertEquals(UpdateResult.APPLIED, b.apply(push(1, 1, -1, one, bytes(one))));
     Assertions.assertEquals(
-        UpdateResult.APPLIED, b.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))));
+        UpdateResult.APPLIED,
+        b.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))));
     Assertions.assertEquals(
         UpdateResult.NEEDS_FULL_VALUE,
         b.apply(push(1, 3, 2, one, BinaryDelta.between(bytes(two), bytes(three)))),
@@ -58,12 +59,13 @@
   }
 
   @Test
-  void aDivisionUnderALowerEpochIsNotTaken() {
+  void aCapacityGrantUnderALowerEpochIsIgnored() {
     ReplicatedStateView b =
         new ReplicatedStateView(
             new Shuffle.Descriptor("r", "relay", "", "", "", 0, 0), 1, p -> true);
     Assertions.assertEquals(
-        UpdateResult.CAPACITY_GRANTED, b.apply(new StateUpdate.CapacityGrant(5, "m", true, List.of())));
+        UpdateResult.CAPACITY_GRANTED,
+        b.apply(new StateUpdate.CapacityGrant(5, "m", true, List.of())));
     Assertions.assertEquals(
         UpdateResult.IGNORED, b.apply(new StateUpdate.CapacityGrant(4, "m", true, List.of())));
   }
--- a/emulator/src/main/java/gladelug/emulator/Table.java
+++ b/emulator/src/main/java/gladelug/emulator/Table.java
@@ -43,7 +43,9 @@
   }
 
   private static int mostHolders(Shape x) {
-    return x.holders == USUAL ? CuckooSummary.DEFAULT_MAX_HOLDERS : FleetSummary.DEFAULT_MAX_HOLDERS;
+    return x.holders == USUAL
+        ? CuckooSummary.DEFAULT_MAX_HOLDERS
+        : FleetSummary.DEFAULT_MAX_HOLDERS;
   }
 
   static void measure(int rounds, int holders, int shared, int own) {
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
@@ -10,10 +10,10 @@
 import gladelug.data.relay.LineExchange;
 import gladelug.data.relay.Relay;
 import gladelug.data.relay.RelaySettings;
-import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.FilterChain;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Prompt;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Request;
 import gladelug.data.state.ReplicatedStateView;
 import gladelug.data.state.StateSubscription;
@@ -244,7 +244,10 @@
         sim.violation(request.id() + " is not told when to come back");
       if (request.deadlineMs > 0 && now() > Math.max(request.deadlineMs, woke) + LATE)
         sim.violation(
-            request.id() + " was answered " + (now() - request.deadlineMs) + " ms after its expiry");
+            request.id()
+                + " was answered "
+                + (now() - request.deadlineMs)
+                + " ms after its expiry");
       end(c, v.outcome());
     }
 
