--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -122,7 +122,9 @@
               if (parsed.seeds.contains(parsed.recordsAddress))
                 settings.findings.add(
                     "--seeds",
-                    "must not contain this process's own records address " + parsed.recordsAddress);
+                    "must not contain "
+                        + parsed.recordsAddress
+                        + ", this process's own records address");
               if (relay && !CHOICE_MODES.containsKey(parsed.choice))
                 settings.findings.add(
                     "--choice",
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
@@ -111,12 +111,12 @@
    * Sends the records of requests that ended since the last call and of those at replicas now.
    * Called on the request thread.
    */
-  public void submit(List<Decision> decisions, String run) {
+  public void submit(List<Decision> decisions, String runId) {
     if (decisions.isEmpty()) return;
-    if (!worker.offer(() -> send(decisions, run))) skippedRecords += decisions.size();
+    if (!worker.offer(() -> send(decisions, runId))) skippedRecords += decisions.size();
   }
 
-  private void send(List<Decision> decisions, String run) {
+  private void send(List<Decision> decisions, String runId) {
     List<byte[]> lines = new ArrayList<>();
     long low = Long.MAX_VALUE, high = 0;
     int size = 0;
@@ -134,7 +134,7 @@
     if (lines.isEmpty()) return;
     DecisionRecords.Batch batch =
         new DecisionRecords.Batch(
-            name, run, ++batchSequence, low, high, skippedRecords, DecisionLog.pack(lines));
+            name, runId, ++batchSequence, low, high, skippedRecords, DecisionLog.pack(lines));
     int sent = 0;
     for (Address address : updatePeers())
       if (sent < PEERS_PER_BATCH && connections.get(address).send(batch)) sent++;
--- a/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
+++ b/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
@@ -31,8 +31,7 @@
     record Tolerant(int maxMissing, int outOf) implements GapPolicy {
       public Tolerant {
         if (maxMissing < 0 || outOf < 1)
-          throw new IllegalArgumentException(
-              "invalid gap tolerance: " + maxMissing + " missing out of " + outOf);
+          throw new IllegalArgumentException(maxMissing + " missing events out of " + outOf);
       }
     }
 
@@ -77,7 +76,9 @@
     /** Replaces all entries of the holder with the list. */
     void replaceAll(BlockList list);
 
-    /** Requests the list of the holder; {@link #onList} follows with the same number. */
+    /**
+     * Requests the list of the holder; {@link CacheEventFeed#onList} follows with the same number.
+     */
     void requestList(long requestNumber);
   }
 
@@ -88,6 +89,8 @@
   private final Policy policy;
   private final GapPolicy.Tolerant tolerance;
   private final int maxBuffered;
+
+  /** The events that wait for earlier ones or for a list, by sequence number. */
   private final TreeMap<Long, Buffered> window = new TreeMap<>();
 
   /** Tolerant only: the missing sequence numbers among the last outOf; at most maxMissing. */
@@ -99,19 +102,31 @@
   private final LinkedHashMap<Long, Long> newestByBlock = new LinkedHashMap<>();
 
   private String incarnation = "";
+
+  /** The incarnation before the current one; its late events are dropped. */
   private String previousIncarnation = "";
+
   private long appliedSequence;
-  private boolean isFollowing;
+  private boolean following;
   private long listRequestNumber;
   private long answeredListNumber;
   private long lastListRequestMs = NEVER;
   private boolean listPending;
+
+  /** The newest event with a loss mark that arrived while a list was awaited; -1 if none did. */
   private long lostUpToSequence = -1;
+
+  /** The time since which events are missing; -1 if none are. */
   private long behindSinceMs = -1;
+
+  /** The newest sequence number that was reported without an event. */
   private long announcedSequence;
+
   private long resyncCount;
   private long duplicateCount;
   private long missedCount;
+
+  /** The incarnation of the events in the window. */
   private String windowIncarnation = "";
 
   public CacheEventFeed(Effects effects) {
@@ -128,7 +143,7 @@
 
   /** Returns whether events are applied; false while a list is awaited. */
   public boolean isFollowing() {
-    return isFollowing;
+    return following;
   }
 
   public String incarnation() {
@@ -170,7 +185,7 @@
   }
 
   private void stopFollowing() {
-    isFollowing = false;
+    following = false;
     behindSinceMs = -1;
   }
 
@@ -192,7 +207,7 @@
 
   /** Handles the list that was requested under this number. */
   public void onList(long requestNumber, BlockList list) {
-    if (isFollowing || requestNumber != listRequestNumber || requestNumber == answeredListNumber)
+    if (following || requestNumber != listRequestNumber || requestNumber == answeredListNumber)
       return;
     answeredListNumber = requestNumber;
     if (!list.incarnation().equals(windowIncarnation)) window.clear();
@@ -201,7 +216,7 @@
     appliedSequence = list.lastSequence();
     missing.clear();
     newestByBlock.clear();
-    isFollowing = true;
+    following = true;
     behindSinceMs = -1;
     effects.replaceAll(list);
     applyInOrder();
@@ -212,7 +227,7 @@
 
   /** Handles a list request that failed: requests another list after the minimum interval. */
   public void onListFailed(long requestNumber, long nowMs) {
-    if (!isFollowing && requestNumber == listRequestNumber && requestNumber != answeredListNumber)
+    if (!following && requestNumber == listRequestNumber && requestNumber != answeredListNumber)
       resync(nowMs);
   }
 
@@ -224,7 +239,7 @@
       duplicateCount++;
       return;
     }
-    if (!isFollowing) {
+    if (!following) {
       if (!eventIncarnation.equals(windowIncarnation)) {
         window.clear();
         lostUpToSequence = -1;
@@ -245,7 +260,7 @@
       window.put(sequence, new Buffered(event, nowMs));
       if (event.eventsLost()) {
         resync(nowMs);
-        if (!isFollowing) return;
+        if (!following) return;
       }
       applyInOrder();
       if (window.isEmpty()) behindSinceMs = -1;
@@ -278,7 +293,7 @@
 
   /** Handles a report of the newest sequence number without an event. */
   public void onPulse(String eventIncarnation, long newestSequence, long nowMs) {
-    if (!isFollowing || eventIncarnation.equals(previousIncarnation)) return;
+    if (!following || eventIncarnation.equals(previousIncarnation)) return;
     if (!eventIncarnation.equals(incarnation)) {
       window.clear();
       switchIncarnation(eventIncarnation, nowMs);
@@ -294,18 +309,18 @@
   /** Handles timeouts: requests a pending list, and gives up on gaps that outlast the timeout. */
   public void tick(long nowMs) {
     if (listPending && nowMs - lastListRequestMs >= policy.minListIntervalMs) requestList(nowMs);
-    if (!isFollowing || behindSinceMs < 0) return;
+    if (!following || behindSinceMs < 0) return;
     if (tolerance == null) {
       if (nowMs - behindSinceMs > policy.gapTimeoutMs) resync(nowMs);
     } else {
-      while (isFollowing
+      while (following
           && !window.isEmpty()
           && nowMs - window.firstEntry().getValue().receivedAtMs > policy.gapTimeoutMs)
         skipTo(window.firstKey() - 1, nowMs);
-      if (!isFollowing) return;
+      if (!following) return;
       if (window.isEmpty() && nowMs - behindSinceMs > policy.gapTimeoutMs) {
         if (announcedSequence > appliedSequence) skipTo(announcedSequence, nowMs);
-        if (isFollowing) behindSinceMs = -1;
+        if (following) behindSinceMs = -1;
       }
     }
   }
@@ -325,7 +340,7 @@
       newestByBlock.clear();
       resync(nowMs);
     }
-    if (isFollowing) applyInOrder();
+    if (following) applyInOrder();
   }
 
   private void applyInOrder() {
--- a/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
@@ -33,7 +33,7 @@
   private static final class OverflowCopies {
     final long[] holderBitset;
     int count;
-    int[] extraCopies = {};
+    int[] repeatedHolders = {};
 
     OverflowCopies(int wordCount) {
       holderBitset = new long[wordCount];
@@ -46,18 +46,18 @@
     void add(int holder) {
       count++;
       if (contains(holder)) {
-        extraCopies = Arrays.copyOf(extraCopies, extraCopies.length + 1);
-        extraCopies[extraCopies.length - 1] = holder;
+        repeatedHolders = Arrays.copyOf(repeatedHolders, repeatedHolders.length + 1);
+        repeatedHolders[repeatedHolders.length - 1] = holder;
       } else holderBitset[holder >> 6] |= 1L << holder;
     }
 
     boolean remove(int holder) {
       if (!contains(holder)) return false;
       count--;
-      for (int slot = 0; slot < extraCopies.length; slot++)
-        if (extraCopies[slot] == holder) {
-          extraCopies[slot] = extraCopies[extraCopies.length - 1];
-          extraCopies = Arrays.copyOf(extraCopies, extraCopies.length - 1);
+      for (int i = 0; i < repeatedHolders.length; i++)
+        if (repeatedHolders[i] == holder) {
+          repeatedHolders[i] = repeatedHolders[repeatedHolders.length - 1];
+          repeatedHolders = Arrays.copyOf(repeatedHolders, repeatedHolders.length - 1);
           return true;
         }
       holderBitset[holder >> 6] &= ~(1L << holder);
@@ -89,7 +89,9 @@
    */
   private final Map<Integer, List<Long>> overflowByBucket = new HashMap<>();
 
-  private int failedInsertsWhenChecked = -1;
+  /** The value of unplacedEntries when the overflow was last examined and found in order. */
+  private int unplacedEntriesWhenChecked = -1;
+
   private int tableEntries;
   private int overflowEntries;
   private int excessCopies;
@@ -121,7 +123,7 @@
   public CuckooSummary(
       long entries, int fingerprintBits, int bucketSlots, int maxHolders, long seed) {
     if (maxHolders < 1 || maxHolders > MAX_HOLDERS)
-      throw new IllegalArgumentException(maxHolders + " holders; must be 1 to " + MAX_HOLDERS);
+      throw new IllegalArgumentException("cannot index " + maxHolders + " holders");
     if (fingerprintBits < 4 || fingerprintBits > 31 - holderBits(maxHolders))
       throw new IllegalArgumentException(
           "a fingerprint of "
@@ -278,9 +280,9 @@
         second = first ^ bucketOffset(fingerprint),
         entry = holder << fingerprintWidth | fingerprint;
     if (bucketContains(first, entry) || bucketContains(second, entry)) return true;
-    OverflowCopies spill =
+    OverflowCopies copies =
         overflowEntries > 0 ? overflow.get(overflowKey(first, fingerprint)) : null;
-    return spill != null && spill.contains(holder);
+    return copies != null && copies.contains(holder);
   }
 
   private boolean bucketContains(int bucket, int entry) {
@@ -333,10 +335,10 @@
   }
 
   private boolean removeFromOverflow(long key, int holder) {
-    OverflowCopies spill = overflow.get(key);
-    if (spill == null || !spill.remove(holder)) return false;
+    OverflowCopies copies = overflow.get(key);
+    if (copies == null || !copies.remove(holder)) return false;
     overflowEntries--;
-    if (spill.count == 0) {
+    if (copies.count == 0) {
       overflow.remove(key);
       unindexOverflow(key);
     }
@@ -358,11 +360,11 @@
   }
 
   private boolean moveBack(long key) {
-    OverflowCopies spill = overflow.get(key);
-    if (spill == null) return false;
+    OverflowCopies copies = overflow.get(key);
+    if (copies == null) return false;
     int fingerprint = (int) (key & fingerprintMask),
         lowBucket = (int) (key >>> 32),
-        holder = spill.firstHolder(),
+        holder = copies.firstHolder(),
         entry = holder << fingerprintWidth | fingerprint;
     if (!putInBucket(lowBucket, entry)
         && !putInBucket(lowBucket ^ bucketOffset(fingerprint), entry)) return false;
@@ -380,8 +382,8 @@
         second = first ^ bucketOffset(fingerprint);
     long holders = matchBucket(first, fingerprint) | matchBucket(second, fingerprint);
     if (overflowEntries > 0) {
-      OverflowCopies spill = overflow.get(overflowKey(first, fingerprint));
-      if (spill != null) holders |= spill.holderBitset[0];
+      OverflowCopies copies = overflow.get(overflowKey(first, fingerprint));
+      if (copies != null) holders |= copies.holderBitset[0];
     }
     return holders;
   }
@@ -412,10 +414,10 @@
     boolean any = matchBucket(first, fingerprint, found);
     any |= matchBucket(second, fingerprint, found);
     if (overflowEntries > 0) {
-      OverflowCopies spill = overflow.get(overflowKey(first, fingerprint));
-      if (spill != null) {
+      OverflowCopies copies = overflow.get(overflowKey(first, fingerprint));
+      if (copies != null) {
         any = true;
-        for (int word = 0; word < bitsetWords; word++) found[word] |= spill.holderBitset[word];
+        for (int word = 0; word < bitsetWords; word++) found[word] |= copies.holderBitset[word];
       }
     }
     return any;
@@ -524,9 +526,9 @@
    * the last examination found it in order.
    */
   public boolean isFull() {
-    if (unplacedEntries <= 64 || unplacedEntries == failedInsertsWhenChecked) return false;
+    if (unplacedEntries <= 64 || unplacedEntries == unplacedEntriesWhenChecked) return false;
     if (strayCount() > Math.max(64, slots.length / 64)) return true;
-    failedInsertsWhenChecked = unplacedEntries;
+    unplacedEntriesWhenChecked = unplacedEntries;
     return false;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
@@ -36,7 +36,10 @@
   private final Holder[] byId;
   private final BitSet usedIds = new BitSet();
   private CuckooSummary current;
+
+  /** The larger table that is being filled, or null. */
   private CuckooSummary replacement;
+
   private long replacementSinceMs;
   private long questionCount;
   private final RecentPlacements placements = new RecentPlacements();
@@ -45,12 +48,10 @@
   private int rebuildCount;
   private boolean holderLimitLogged;
 
-  /**
-   * The state of a lookup: the holders that have all blocks so far, and those that have the current
-   * block; one bit each.
-   */
+  /** The holders that have all blocks of a question so far, one bit each. */
   private final long[] continuing;
 
+  /** The holders that have the current block, one bit each. */
   private final long[] matching;
 
   /**
@@ -58,7 +59,7 @@
    * policy.
    */
   public FleetSummary(int fingerprintBits) {
-    this(fingerprintBits, DEFAULT_MAX_HOLDERS, r -> CacheEventFeed.Policy.STRICT);
+    this(fingerprintBits, DEFAULT_MAX_HOLDERS, replica -> CacheEventFeed.Policy.STRICT);
   }
 
   /**
@@ -137,17 +138,17 @@
   private CacheEventFeed.Effects effects(int id) {
     return new CacheEventFeed.Effects() {
       @Override
-      public void setKept(long block, int units, boolean part) {
+      public void setKept(long block, int units, boolean partial) {
         load.recordBlockEvent(units > 0);
-        set(block, units, part);
+        set(block, units, partial);
       }
 
-      private void set(long block, int units, boolean part) {
+      private void set(long block, int units, boolean partial) {
         Holder holder = byId[id];
         if (units > 0) {
           current.insertOnce(block, id);
           if (holder.inReplacement) replacement.insertOnce(block, id);
-          if (part) holder.partialBlocks.put(block, units);
+          if (partial) holder.partialBlocks.put(block, units);
           else if (units > holder.partialBlocks.get(block)) holder.partialBlocks.remove(block);
         } else {
           current.remove(block, id);
@@ -172,7 +173,7 @@
       }
 
       @Override
-      public void requestList(long nr) {}
+      public void requestList(long requestNumber) {}
     };
   }
 
@@ -259,8 +260,8 @@
   }
 
   /**
-   * Answers a query with the table's matches; for holders that were recently sent a longer prefix
-   * of this prompt, with that prefix.
+   * Answers a question with the table's matches. A holder that was recently sent a longer prefix of
+   * this prompt than the table reports is returned with that prefix instead.
    */
   public Lookup.Answer answer(Lookup.Question question, long nowMs) {
     Lookup.Answer answer = answer(question);
@@ -286,6 +287,7 @@
     return holder != null && Holders.isStore(holder.replica) && holder.isSilent(nowMs);
   }
 
+  /** Answers a question from the table alone. */
   public Lookup.Answer answer(Lookup.Question question) {
     questionCount++;
     if (!isWarm()) return new Lookup.Answer(question.sequence(), false, List.of());
--- a/data-plane/src/main/java/gladelug/data/index/Holder.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holder.java
@@ -14,6 +14,8 @@
   public final CacheEventFeed feed;
   final int id;
   long capacityBlocks;
+
+  /** Whether the replacement table holds the entries of this holder. */
   boolean inReplacement;
 
   /** The units of the blocks that the holder keeps in part. */
@@ -28,7 +30,9 @@
   /** Whether the holder has answered or failed to answer at least once. */
   public boolean contacted;
 
+  /** When the holder was last heard, in ms on the summary's clock. */
   public long lastHeardMs;
+
   private LongConsumer listRequester = requestNumber -> {};
 
   Holder(
@@ -44,8 +48,8 @@
         new CacheEventFeed(
             new CacheEventFeed.Effects() {
               @Override
-              public void setKept(long block, int units, boolean part) {
-                if (!dropped) effects.setKept(block, units, part);
+              public void setKept(long block, int units, boolean partial) {
+                if (!dropped) effects.setKept(block, units, partial);
               }
 
               @Override
@@ -72,8 +76,8 @@
   }
 
   /** Sets the callback that requests the list, given the number of the request. */
-  public void setListRequester(LongConsumer listRequester) {
-    listRequester = listRequester;
+  public void setListRequester(LongConsumer requester) {
+    listRequester = requester;
   }
 
   boolean isSilent(long nowMs) {
--- a/data-plane/src/main/java/gladelug/data/index/IndexService.java
+++ b/data-plane/src/main/java/gladelug/data/index/IndexService.java
@@ -99,10 +99,10 @@
   }
 
   private void checkStandby() {
-    boolean now = standbyCondition.getAsBoolean();
-    if (now == standby) return;
-    standby = now;
-    Log.event(now ? "index-stands-by" : "index-follows");
+    boolean standsBy = standbyCondition.getAsBoolean();
+    if (standsBy == standby) return;
+    standby = standsBy;
+    Log.event(standsBy ? "index-stands-by" : "index-follows");
     applySnapshot(latestSnapshot);
   }
 
--- a/data-plane/src/main/java/gladelug/data/request/Decision.java
+++ b/data-plane/src/main/java/gladelug/data/request/Decision.java
@@ -41,8 +41,8 @@
     if (endedJson == null) steps.add(new Step(stage, nowMs - receivedAtMs, details));
   }
 
-  public synchronized void setOutcome(String outcome) {
-    outcome = outcome;
+  public synchronized void setOutcome(String newOutcome) {
+    outcome = newOutcome;
   }
 
   public synchronized String outcome() {
--- a/data-plane/src/main/java/gladelug/data/request/Request.java
+++ b/data-plane/src/main/java/gladelug/data/request/Request.java
@@ -21,9 +21,17 @@
   public Configuration.Tenant tenant;
   public Configuration.Route route;
   public Configuration.Service service;
+
+  /** The leaf of the quota tree that the request counts against; set with the route. */
   public String leaf = "";
+
+  /** The deadline on the relay's clock. */
   public long deadlineMs;
+
+  /** The time on the relay's clock at which the request was last forwarded to a replica. */
   public long forwardedAtMs;
+
+  /** Whether the request may be run again after an earlier try may have run it. */
   public boolean repeatable;
 
   /** Whether the caller declared the request repeatable; null if it did not say. */
@@ -38,6 +46,7 @@
   /** The model that the caller named, otherwise the service; selects the weights. */
   public String model = "";
 
+  /** The maximum number of pieces of the answer. */
   public int maxPieces;
 
   /** The maximum number of output tokens that the caller set; 0 if it set none. */
@@ -48,7 +57,10 @@
    */
   public double ownWorkMs;
 
-  /** The estimated time of the whole request in ms, including queueing and transfers. */
+  /**
+   * The expected time in ms from forwarding to the end of the answer, derived from ownWorkMs and
+   * the measured durations of earlier requests.
+   */
   public double expectedMs;
 
   /** The total time in ms that the caller waits for the answer; 0 if it did not say. */
@@ -80,12 +92,15 @@
    */
   public double splitDraw;
 
+  /** The version of the weights that the request runs on. */
   public String weights = "";
 
   /** The scope in which the request shares cached prefixes; see {@link CacheScope}. */
   public String cacheScope = "";
 
+  /** The keys of the prefix blocks of the prompt. */
   public long[] blockKeys = new long[0];
+
   public List<Lookup.Match> matches = List.of();
 
   /**
@@ -116,8 +131,13 @@
   private long longestPauseEndedAtMs;
 
   public Backend backend;
+
+  /** The number of first blocks that the chosen replica already keeps. */
   public int matchedBlocks;
+
+  /** The holder from which the replica fetches blocks; empty for none. */
   public String fetchFrom = "";
+
   public int fetchBlocks;
 
   /** The store to which the replica saves the prompt; empty for none. */
@@ -138,6 +158,7 @@
    */
   public int runningOnBackend;
 
+  /** The number of times the request was forwarded to a replica. */
   public int tryCount;
 
   /** The replica that was tried last, or null. */
@@ -149,22 +170,32 @@
    */
   public boolean mayHaveRun;
 
+  /** The number of times the request was sent back to the choice of a replica. */
   public int choiceCount;
+
   public boolean admitted;
+
+  /** The number of pieces of the answer that arrived so far. */
   public int piecesOut;
+
+  /** Whether the caller closed the connection. */
   public boolean callerGone;
+
+  /** Cancels the exchange with the replica. */
   public Runnable cancel = () -> {};
 
   /**
    * Called with the reason when the replica is found to be silent; nothing more that it sends is
    * used.
    */
-  public Consumer<String> onReplicaLost = why -> {};
+  public Consumer<String> onReplicaLost = reason -> {};
 
+  /** Called with the result when the request leaves the queue of waiting requests. */
   public Consumer<FilterResult> onLeaveQueue;
 
   /** The connection to the caller of a request. */
   public interface Caller {
+    /** Sends a refusal instead of an answer. */
     void refuse(Request request, FilterResult.Refuse refusal);
 
     /**
@@ -176,8 +207,10 @@
     /** Sends the head of the answer; called once, before the first piece. */
     default void sendHead(Request request, ResponseHead head) {}
 
+    /** Ends the answer after its last piece. */
     void complete(Request request, int pieces);
 
+    /** Breaks off an answer that cannot be completed. */
     void cutOff(Request request, String reason);
   }
 
--- a/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
+++ b/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
@@ -19,7 +19,7 @@
 public final class ReplicatedStateView {
   /** Receives pushed values, always in full; returns false if a value cannot be parsed. */
   public interface ValueConsumer {
-    boolean accept(StateUpdate.ValuePush push);
+    boolean acceptValue(StateUpdate.ValuePush push);
   }
 
   /** The effect of an update. */
@@ -98,7 +98,7 @@
         if (value == null || !Digest.hex(value).equals(push.digest()))
           return UpdateResult.NEEDS_FULL_VALUE;
       }
-      if (!valueConsumer.accept(
+      if (!valueConsumer.acceptValue(
           new StateUpdate.ValuePush(
               push.key(),
               push.epoch(),
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
@@ -26,8 +26,8 @@
  */
 public final class StateSubscription {
   /**
-   * A capacity allocation. milliSlotsByLeaf holds thousandths of a slot by quota leaf; it is empty,
-   * and full is false, if nothing is limited.
+   * The capacity of a service allocated to this process. milliSlotsByLeaf holds thousandths of a
+   * slot by quota leaf; it is empty, and full is false, if nothing is limited.
    */
   public record Allotment(long receivedAtMs, boolean full, Map<String, Integer> milliSlotsByLeaf) {}
 
@@ -46,9 +46,9 @@
   public StateSubscription(
       Clock clock,
       Shuffle.Descriptor self,
-      long run,
+      long processRun,
       Consumer<ControlStateSnapshot> snapshotListener) {
-    this(clock, self, run, snapshotListener, Configuration::parse);
+    this(clock, self, processRun, snapshotListener, Configuration::parse);
   }
 
   /**
@@ -57,13 +57,13 @@
   public StateSubscription(
       Clock clock,
       Shuffle.Descriptor self,
-      long run,
+      long processRun,
       Consumer<ControlStateSnapshot> snapshotListener,
       Function<String, Result<Configuration>> configurationParser) {
     this.configurationParser = configurationParser;
     this.clock = clock;
     this.snapshotListener = snapshotListener;
-    this.view = new ReplicatedStateView(self, run, this::applyValue);
+    this.view = new ReplicatedStateView(self, processRun, this::applyValue);
     this.leases = view.leases;
   }
 
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
@@ -26,7 +26,7 @@
 import java.util.function.Function;
 
 /**
- * Subscribes this process to the core: keeps persistent connections to every known core member and
+ * Subscribes this process to the core: keeps a persistent connection to every known core member and
  * sends a subscription request on each every 400 ms. A push becomes a new snapshot and is
  * acknowledged by an immediate request. The members come from the newest member list, else from the
  * partial view, else from the seeds, so the subscription survives the replacement of the whole
--- a/data-plane/src/test/java/gladelug/data/PublishedNamesTest.java
+++ b/data-plane/src/test/java/gladelug/data/PublishedNamesTest.java
@@ -95,7 +95,7 @@
 
   @Test
   void theRelaysSettingsFileHasTheseNames() throws IOException {
-    DataPlane.DataPlaneSettings place =
+    DataPlane.DataPlaneSettings expected =
         place(
             Address.of("10.0.0.1:80"),
             Address.of("10.0.0.1:4002"),
@@ -105,7 +105,7 @@
             0,
             0,
             0);
-    Assertions.assertEquals(Result.good(place), read(true, RELAY));
+    Assertions.assertEquals(Result.good(expected), read(true, RELAY));
   }
 
   @Test
--- a/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
+++ b/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
@@ -22,34 +22,34 @@
         pack(List.of(lines).stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toList()));
   }
 
-  private static String line(long n, String outcome) {
-    return "{\"order\":\"relay-1.00aa." + n + "\",\"outcome\":\"" + outcome + "\"}";
+  private static String line(long number, String outcome) {
+    return "{\"order\":\"relay-1.00aa." + number + "\",\"outcome\":\"" + outcome + "\"}";
   }
 
   @Test
   void onlyTheNewestRecordOfARequestIsFound() {
-    DecisionLog k = new DecisionLog(1 << 20);
-    Assertions.assertTrue(k.add(batch("00aa", 5, line(5, "live"), line(6, "complete"))));
-    Assertions.assertEquals("live", k.find("relay-1.00aa.5").getString("outcome", ""));
-    Assertions.assertTrue(k.add(batch("00aa", 5, line(5, "complete"))));
-    Assertions.assertEquals("complete", k.find("relay-1.00aa.5").getString("outcome", ""));
+    DecisionLog log = new DecisionLog(1 << 20);
+    Assertions.assertTrue(log.add(batch("00aa", 5, line(5, "live"), line(6, "complete"))));
+    Assertions.assertEquals("live", log.find("relay-1.00aa.5").getString("outcome", ""));
+    Assertions.assertTrue(log.add(batch("00aa", 5, line(5, "complete"))));
+    Assertions.assertEquals("complete", log.find("relay-1.00aa.5").getString("outcome", ""));
     for (String id :
         new String[] {
           "relay-1.00aa.7", "relay-1.00ab.5", "relay-2.00aa.5", "relay-1.00aa", "", "x.y.z"
-        }) Assertions.assertNull(k.find(id), id);
+        }) Assertions.assertNull(log.find(id), id);
   }
 
   @Test
   void corruptBatchesAreRefusedAndTheBoundHolds() {
-    DecisionLog k = new DecisionLog(200);
-    Batch b = batch("00aa", 5, line(5, "complete"));
-    byte[] half = Arrays.copyOf(b.packed(), b.packed().length / 2);
-    Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 5, 0, half)));
-    Assertions.assertFalse(k.add(new Batch("no such name", "00aa", 1, 5, 5, 0, b.packed())));
-    Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, b.packed())));
-    for (int i = 0; i < 50; i++) k.add(batch("00aa", i, line(i, "complete")));
-    Assertions.assertTrue(k.toJson().getLong("bytes", 0) <= 200);
-    Assertions.assertNull(k.find("relay-1.00aa.0"), "the oldest batch was evicted first");
-    Assertions.assertNotNull(k.find("relay-1.00aa.49"));
+    DecisionLog log = new DecisionLog(200);
+    Batch batch = batch("00aa", 5, line(5, "complete"));
+    byte[] half = Arrays.copyOf(batch.packed(), batch.packed().length / 2);
+    Assertions.assertFalse(log.add(new Batch("relay-1", "00aa", 1, 5, 5, 0, half)));
+    Assertions.assertFalse(log.add(new Batch("no such name", "00aa", 1, 5, 5, 0, batch.packed())));
+    Assertions.assertFalse(log.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, batch.packed())));
+    for (int i = 0; i < 50; i++) log.add(batch("00aa", i, line(i, "complete")));
+    Assertions.assertTrue(log.toJson().getLong("bytes", 0) <= 200);
+    Assertions.assertNull(log.find("relay-1.00aa.0"), "the oldest batch was evicted first");
+    Assertions.assertNotNull(log.find("relay-1.00aa.49"));
   }
 }
--- a/data-plane/src/test/java/gladelug/data/index/CacheEventFeedTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/CacheEventFeedTest.java
@@ -21,78 +21,85 @@
   void theFollowedSetConvergesToTheHoldersBlocksDespiteLossAndReordering() {
     for (int seed = 1; seed <= 40; seed++) {
       Random random = new Random(seed);
-      Set<Long> truth = new HashSet<>();
-      Map<Long, Integer> seen = new HashMap<>();
-      long[] asked = {0, 0};
-      boolean[] never = {false};
-      CacheEventFeed f =
+      Set<Long> heldBlocks = new HashSet<>();
+      Map<Long, Integer> followedBlocks = new HashMap<>();
+      long[] listRequests = {0, 0};
+      boolean[] removedUnknown = {false};
+      CacheEventFeed feed =
           new CacheEventFeed(
               new Effects() {
                 @Override
-                public void setKept(long b, int units, boolean part) {
-                  if (seen.merge(b, units > 0 ? 1 : -1, Integer::sum) < 0) never[0] = true;
-                  seen.remove(b, 0);
+                public void setKept(long block, int units, boolean part) {
+                  if (followedBlocks.merge(block, units > 0 ? 1 : -1, Integer::sum) < 0)
+                    removedUnknown[0] = true;
+                  followedBlocks.remove(block, 0);
                 }
 
                 @Override
                 public void clear() {
-                  seen.clear();
+                  followedBlocks.clear();
                 }
 
                 @Override
                 public void replaceAll(BlockList list) {
-                  seen.clear();
-                  for (long b : list.blocks()) setKept(b, 1, false);
+                  followedBlocks.clear();
+                  for (long block : list.blocks()) setKept(block, 1, false);
                 }
 
                 @Override
                 public void requestList(long nr) {
-                  asked[0] = nr;
+                  listRequests[0] = nr;
                 }
               });
-      String inc = "i0";
-      long seq = 0, now = 0;
-      List<Runnable> line = new ArrayList<>();
-      f.resync(now);
+      String incarnation = "i0";
+      long sequence = 0, nowMs = 0;
+      List<Runnable> inFlight = new ArrayList<>();
+      feed.resync(nowMs);
       for (int step = 0; step < 4000; step++) {
-        now += 5;
-        long t = now;
+        nowMs += 5;
+        long eventMs = nowMs;
         if (step < 3500) {
           if (random.nextInt(700) == 0) {
-            inc = "i" + step;
-            seq = 0;
-            truth.clear();
+            incarnation = "i" + step;
+            sequence = 0;
+            heldBlocks.clear();
           }
-          long b = random.nextInt(50);
-          boolean store = truth.add(b);
-          if (!store) truth.remove(b);
-          long s = ++seq;
-          String i = inc;
-          CacheEvent event = store ? CacheEvent.store(i, s, b, 1) : CacheEvent.evict(i, s, b, 0);
-          Runnable task = () -> f.onEvent(event, t);
-          int c = random.nextInt(100);
-          if (c >= 2) line.add(task);
-          if (c > 95) line.add(task);
+          long block = random.nextInt(50);
+          boolean store = heldBlocks.add(block);
+          if (!store) heldBlocks.remove(block);
+          long eventSequence = ++sequence;
+          String eventIncarnation = incarnation;
+          CacheEvent event =
+              store
+                  ? CacheEvent.store(eventIncarnation, eventSequence, block, 1)
+                  : CacheEvent.evict(eventIncarnation, eventSequence, block, 0);
+          Runnable delivery = () -> feed.onEvent(event, eventMs);
+          int roll = random.nextInt(100);
+          if (roll >= 2) inFlight.add(delivery);
+          if (roll > 95) inFlight.add(delivery);
         }
         if (random.nextInt(20) == 0 || step > 3500) {
-          long s = seq;
-          String i = inc;
-          line.add(() -> f.onPulse(i, s, t));
+          long eventSequence = sequence;
+          String eventIncarnation = incarnation;
+          inFlight.add(() -> feed.onPulse(eventIncarnation, eventSequence, eventMs));
         }
-        while (line.size() > 4 || step > 3500 && !line.isEmpty())
-          line.remove(random.nextInt(Math.min(line.size(), 4))).run();
-        f.tick(now);
-        if (asked[0] != asked[1] && random.nextInt(10) == 0) {
-          asked[1] = asked[0];
-          f.onList(asked[0], BlockList.whole(inc, seq, truth.stream().mapToLong(x -> x).toArray()));
+        while (inFlight.size() > 4 || step > 3500 && !inFlight.isEmpty())
+          inFlight.remove(random.nextInt(Math.min(inFlight.size(), 4))).run();
+        feed.tick(nowMs);
+        if (listRequests[0] != listRequests[1] && random.nextInt(10) == 0) {
+          listRequests[1] = listRequests[0];
+          feed.onList(
+              listRequests[0],
+              BlockList.whole(
+                  incarnation, sequence, heldBlocks.stream().mapToLong(x -> x).toArray()));
         }
       }
-      Assertions.assertTrue(f.isFollowing(), "seed " + seed);
-      Assertions.assertEquals(truth, seen.keySet(), "seed " + seed);
+      Assertions.assertTrue(feed.isFollowing(), "seed " + seed);
+      Assertions.assertEquals(heldBlocks, followedBlocks.keySet(), "seed " + seed);
       Assertions.assertFalse(
-          never[0], "a block was removed without having been inserted, seed " + seed);
+          removedUnknown[0], "a block was removed without having been inserted, seed " + seed);
       Assertions.assertTrue(
-          f.resyncCount() > 1 && f.duplicateCount() > 0,
+          feed.resyncCount() > 1 && feed.duplicateCount() > 0,
           "the connection caused no resync or duplicate, seed " + seed);
     }
   }
@@ -102,8 +109,8 @@
     final List<String> recorded = new ArrayList<>();
 
     @Override
-    public void setKept(long b, int units, boolean part) {
-      recorded.add(b + "=" + units + (part ? "p" : ""));
+    public void setKept(long block, int units, boolean part) {
+      recorded.add(block + "=" + units + (part ? "p" : ""));
     }
 
     @Override
@@ -131,156 +138,157 @@
   private static final CacheEventFeed.Policy TOLERANT =
       CacheEventFeed.Policy.STRICT.withGaps(CacheEventFeed.GapPolicy.tolerant(3, 100));
 
-  private static CacheEventFeed startFeed(RecordedEffects log, CacheEventFeed.Policy p) {
-    CacheEventFeed f = new CacheEventFeed(log, p);
-    f.resync(0);
-    f.onList(1, BlockList.whole("i", 10, new long[0]));
-    Assertions.assertEquals("list 1 load 0", log.takeRecorded());
-    return f;
+  private static CacheEventFeed startFeed(RecordedEffects effects, CacheEventFeed.Policy policy) {
+    CacheEventFeed feed = new CacheEventFeed(effects, policy);
+    feed.resync(0);
+    feed.onList(1, BlockList.whole("i", 10, new long[0]));
+    Assertions.assertEquals("list 1 load 0", effects.takeRecorded());
+    return feed;
   }
 
   @Test
   void aTolerantFeedSkipsAGapAfterTheTimeout() {
-    RecordedEffects log = new RecordedEffects();
-    CacheEventFeed f = startFeed(log, TOLERANT);
-    f.onEvent(CacheEvent.store("i", 12, 5, 1), 1000);
-    f.onEvent(CacheEvent.store("i", 13, 6, 1), 1001);
-    f.tick(1300);
-    Assertions.assertEquals("", log.takeRecorded(), "the gap has not timed out");
-    f.tick(1301);
-    Assertions.assertEquals("5=1 6=1", log.takeRecorded());
-    Assertions.assertEquals(1, f.missedCount());
-    f.onEvent(CacheEvent.store("i", 11, 7, 1), 1400);
-    f.onEvent(CacheEvent.store("i", 11, 7, 1), 1401);
-    Assertions.assertEquals("7=1", log.takeRecorded(), "a late event is applied once");
-    Assertions.assertEquals(0, f.missedCount());
-    f.onEvent(CacheEvent.evict("i", 15, 6, 0), 2000);
-    f.tick(2400);
-    f.onEvent(CacheEvent.store("i", 14, 6, 1), 2500);
+    RecordedEffects effects = new RecordedEffects();
+    CacheEventFeed feed = startFeed(effects, TOLERANT);
+    feed.onEvent(CacheEvent.store("i", 12, 5, 1), 1000);
+    feed.onEvent(CacheEvent.store("i", 13, 6, 1), 1001);
+    feed.tick(1300);
+    Assertions.assertEquals("", effects.takeRecorded(), "the gap has not timed out");
+    feed.tick(1301);
+    Assertions.assertEquals("5=1 6=1", effects.takeRecorded());
+    Assertions.assertEquals(1, feed.missedCount());
+    feed.onEvent(CacheEvent.store("i", 11, 7, 1), 1400);
+    feed.onEvent(CacheEvent.store("i", 11, 7, 1), 1401);
+    Assertions.assertEquals("7=1", effects.takeRecorded(), "a late event is applied once");
+    Assertions.assertEquals(0, feed.missedCount());
+    feed.onEvent(CacheEvent.evict("i", 15, 6, 0), 2000);
+    feed.tick(2400);
+    feed.onEvent(CacheEvent.store("i", 14, 6, 1), 2500);
     Assertions.assertEquals(
-        "6=0", log.takeRecorded(), "a late event is dropped if a newer one reported its block");
-    f.onPulse("i", 17, 3000);
-    f.tick(3301);
-    Assertions.assertEquals(17, f.appliedSequence(), "the last events were lost");
-    Assertions.assertEquals(2, f.missedCount());
-    Assertions.assertEquals(1, f.resyncCount());
+        "6=0", effects.takeRecorded(), "a late event is dropped if a newer one reported its block");
+    feed.onPulse("i", 17, 3000);
+    feed.tick(3301);
+    Assertions.assertEquals(17, feed.appliedSequence(), "the last events were lost");
+    Assertions.assertEquals(2, feed.missedCount());
+    Assertions.assertEquals(1, feed.resyncCount());
   }
 
   @Test
   void tooManyMissingEventsCauseAListRequest() {
-    RecordedEffects log = new RecordedEffects();
-    CacheEventFeed f = startFeed(log, TOLERANT);
-    long n = 10, t = 1000;
+    RecordedEffects effects = new RecordedEffects();
+    CacheEventFeed feed = startFeed(effects, TOLERANT);
+    long sequence = 10, nowMs = 1000;
     for (int i = 0; i < 20; i++) {
-      n += 2;
-      f.onEvent(CacheEvent.store("i", n, 1, 1), t += 400);
-      f.tick(t += 400);
-      for (int j = 0; j < 38; j++) f.onEvent(CacheEvent.store("i", ++n, 1, 1), t);
+      sequence += 2;
+      feed.onEvent(CacheEvent.store("i", sequence, 1, 1), nowMs += 400);
+      feed.tick(nowMs += 400);
+      for (int j = 0; j < 38; j++) feed.onEvent(CacheEvent.store("i", ++sequence, 1, 1), nowMs);
     }
-    Assertions.assertEquals(20, f.missedCount());
-    Assertions.assertEquals(1, f.resyncCount(), "at most 3 of the last 100 were missing");
-    log.takeRecorded();
-    n += 5;
-    f.onEvent(CacheEvent.store("i", n, 2, 1), t += 400);
-    f.tick(t += 400);
-    Assertions.assertEquals("list 2", log.takeRecorded(), "four missing at once");
-    f.onEvent(CacheEvent.store("i", n + 1, 3, 1), t);
-    f.onList(2, BlockList.whole("i", n, new long[4]));
-    f.onList(2, BlockList.whole("i", n, new long[4]));
-    Assertions.assertEquals("load 4 3=1", log.takeRecorded());
-    f.onEvent(CacheEvent.store("i", n + 1_000_000_000_000L, 3, 1), t += 400);
-    f.tick(t += 400);
-    Assertions.assertEquals("list 3", log.takeRecorded());
+    Assertions.assertEquals(20, feed.missedCount());
+    Assertions.assertEquals(1, feed.resyncCount(), "at most 3 of the last 100 were missing");
+    effects.takeRecorded();
+    sequence += 5;
+    feed.onEvent(CacheEvent.store("i", sequence, 2, 1), nowMs += 400);
+    feed.tick(nowMs += 400);
+    Assertions.assertEquals("list 2", effects.takeRecorded(), "four missing at once");
+    feed.onEvent(CacheEvent.store("i", sequence + 1, 3, 1), nowMs);
+    feed.onList(2, BlockList.whole("i", sequence, new long[4]));
+    feed.onList(2, BlockList.whole("i", sequence, new long[4]));
+    Assertions.assertEquals("load 4 3=1", effects.takeRecorded());
+    feed.onEvent(CacheEvent.store("i", sequence + 1_000_000_000_000L, 3, 1), nowMs += 400);
+    feed.tick(nowMs += 400);
+    Assertions.assertEquals("list 3", effects.takeRecorded());
   }
 
   @Test
   void aHolderThatLostEventsIsListedNoMoreOftenThanTheMinimumInterval() {
-    for (CacheEventFeed.Policy p :
+    for (CacheEventFeed.Policy policy :
         List.of(
             TOLERANT.withMinListIntervalMs(5000),
             CacheEventFeed.Policy.STRICT.withMinListIntervalMs(5000))) {
-      RecordedEffects log = new RecordedEffects();
-      CacheEventFeed f = startFeed(log, p);
-      f.onEvent(CacheEvent.store("i", 11, 1, 1).afterLoss(), 1000);
-      f.onEvent(CacheEvent.store("i", 12, 2, 1), 1100);
-      f.tick(4999);
+      RecordedEffects effects = new RecordedEffects();
+      CacheEventFeed feed = startFeed(effects, policy);
+      feed.onEvent(CacheEvent.store("i", 11, 1, 1).afterLoss(), 1000);
+      feed.onEvent(CacheEvent.store("i", 12, 2, 1), 1100);
+      feed.tick(4999);
       Assertions.assertEquals(
-          p.gaps() == CacheEventFeed.GapPolicy.STRICT ? "" : "1=1 2=1", log.takeRecorded());
-      Assertions.assertEquals(p.gaps() != CacheEventFeed.GapPolicy.STRICT, f.isFollowing());
-      f.tick(5000);
-      Assertions.assertEquals("list 2", log.takeRecorded());
-      f.onEvent(CacheEvent.store("i", 20, 3, 1).afterLoss(), 5100);
-      f.onList(2, BlockList.whole("i", 15, new long[2]));
-      Assertions.assertEquals("load 2", log.takeRecorded());
-      f.tick(9999);
-      f.tick(10_000);
+          policy.gaps() == CacheEventFeed.GapPolicy.STRICT ? "" : "1=1 2=1",
+          effects.takeRecorded());
+      Assertions.assertEquals(policy.gaps() != CacheEventFeed.GapPolicy.STRICT, feed.isFollowing());
+      feed.tick(5000);
+      Assertions.assertEquals("list 2", effects.takeRecorded());
+      feed.onEvent(CacheEvent.store("i", 20, 3, 1).afterLoss(), 5100);
+      feed.onList(2, BlockList.whole("i", 15, new long[2]));
+      Assertions.assertEquals("load 2", effects.takeRecorded());
+      feed.tick(9999);
+      feed.tick(10_000);
       Assertions.assertEquals(
-          "list 3", log.takeRecorded(), "events were lost after that list was made");
-      f.onListFailed(3, 10_010);
-      f.tick(14_999);
-      Assertions.assertEquals("", log.takeRecorded());
-      f.tick(15_000);
-      Assertions.assertEquals("list 4", log.takeRecorded());
-      f.onList(4, BlockList.whole("i", 20, new long[3]));
-      f.tick(30_000);
-      Assertions.assertEquals("load 3", log.takeRecorded());
+          "list 3", effects.takeRecorded(), "events were lost after that list was made");
+      feed.onListFailed(3, 10_010);
+      feed.tick(14_999);
+      Assertions.assertEquals("", effects.takeRecorded());
+      feed.tick(15_000);
+      Assertions.assertEquals("list 4", effects.takeRecorded());
+      feed.onList(4, BlockList.whole("i", 20, new long[3]));
+      feed.tick(30_000);
+      Assertions.assertEquals("load 3", effects.takeRecorded());
     }
   }
 
   @Test
   void aFeedListedForAnotherReasonAppliesEventsUntilTheListIsRequested() {
-    for (CacheEventFeed.Policy p :
+    for (CacheEventFeed.Policy policy :
         List.of(
             TOLERANT.withMinListIntervalMs(5000),
             CacheEventFeed.Policy.STRICT.withMinListIntervalMs(5000))) {
-      RecordedEffects log = new RecordedEffects();
-      CacheEventFeed f = startFeed(log, p);
-      f.requestList(1000);
-      f.onEvent(CacheEvent.store("i", 11, 1, 1), 1000);
-      Assertions.assertTrue(f.isFollowing());
-      f.tick(5000);
-      Assertions.assertEquals("1=1 list 2", log.takeRecorded());
-      Assertions.assertFalse(f.isFollowing());
-      f.onEvent(CacheEvent.store("i", 12, 2, 1), 5001);
-      f.onList(2, BlockList.whole("i", 11, new long[1]));
-      Assertions.assertEquals("load 1 2=1", log.takeRecorded());
+      RecordedEffects effects = new RecordedEffects();
+      CacheEventFeed feed = startFeed(effects, policy);
+      feed.requestList(1000);
+      feed.onEvent(CacheEvent.store("i", 11, 1, 1), 1000);
+      Assertions.assertTrue(feed.isFollowing());
+      feed.tick(5000);
+      Assertions.assertEquals("1=1 list 2", effects.takeRecorded());
+      Assertions.assertFalse(feed.isFollowing());
+      feed.onEvent(CacheEvent.store("i", 12, 2, 1), 5001);
+      feed.onList(2, BlockList.whole("i", 11, new long[1]));
+      Assertions.assertEquals("load 1 2=1", effects.takeRecorded());
     }
   }
 
   @Test
   void aTolerantFeedThatMissesTooMuchAppliesEventsUntilItsListMayBeRequested() {
-    RecordedEffects log = new RecordedEffects();
-    CacheEventFeed f = startFeed(log, TOLERANT.withMinListIntervalMs(5000));
-    f.onEvent(CacheEvent.store("i", 50, 1, 1), 1000);
-    f.tick(1301);
-    f.onEvent(CacheEvent.store("i", 51, 2, 1), 1302);
-    f.onEvent(CacheEvent.store("i", 60, 3, 1), 1303);
-    f.tick(1700);
-    Assertions.assertEquals("1=1 2=1 3=1", log.takeRecorded());
-    f.tick(5000);
-    Assertions.assertEquals("list 2", log.takeRecorded());
-    f.onEvent(CacheEvent.store("j", 1, 1, 1), 5100);
-    f.onList(2, BlockList.whole("i", 60, new long[1]));
-    f.onEvent(CacheEvent.store("j", 2, 1, 1), 5200);
-    Assertions.assertEquals("load 1 clear", log.takeRecorded());
-    f.tick(10_000);
-    Assertions.assertEquals("list 3", log.takeRecorded());
+    RecordedEffects effects = new RecordedEffects();
+    CacheEventFeed feed = startFeed(effects, TOLERANT.withMinListIntervalMs(5000));
+    feed.onEvent(CacheEvent.store("i", 50, 1, 1), 1000);
+    feed.tick(1301);
+    feed.onEvent(CacheEvent.store("i", 51, 2, 1), 1302);
+    feed.onEvent(CacheEvent.store("i", 60, 3, 1), 1303);
+    feed.tick(1700);
+    Assertions.assertEquals("1=1 2=1 3=1", effects.takeRecorded());
+    feed.tick(5000);
+    Assertions.assertEquals("list 2", effects.takeRecorded());
+    feed.onEvent(CacheEvent.store("j", 1, 1, 1), 5100);
+    feed.onList(2, BlockList.whole("i", 60, new long[1]));
+    feed.onEvent(CacheEvent.store("j", 2, 1, 1), 5200);
+    Assertions.assertEquals("load 1 clear", effects.takeRecorded());
+    feed.tick(10_000);
+    Assertions.assertEquals("list 3", effects.takeRecorded());
   }
 
   @Test
   void aNewIncarnationClearsImmediatelyAndLateEventsOfTheOldOneAreIgnored() {
-    for (CacheEventFeed.Policy p : List.of(TOLERANT, CacheEventFeed.Policy.STRICT)) {
-      RecordedEffects log = new RecordedEffects();
-      CacheEventFeed f = startFeed(log, p);
-      f.onEvent(CacheEvent.store("i", 11, 1, 1), 1000);
-      f.onEvent(CacheEvent.store("j", 1, 2, 1), 1001);
-      Assertions.assertEquals("1=1 clear list 2", log.takeRecorded());
-      f.onEvent(CacheEvent.store("i", 12, 3, 1), 1002);
-      f.onList(2, BlockList.whole("j", 0, new long[0]));
-      f.onEvent(CacheEvent.store("i", 13, 3, 1), 1003);
-      f.onPulse("i", 13, 1004);
-      Assertions.assertEquals("load 0 2=1", log.takeRecorded());
-      Assertions.assertTrue(f.isFollowing());
+    for (CacheEventFeed.Policy policy : List.of(TOLERANT, CacheEventFeed.Policy.STRICT)) {
+      RecordedEffects effects = new RecordedEffects();
+      CacheEventFeed feed = startFeed(effects, policy);
+      feed.onEvent(CacheEvent.store("i", 11, 1, 1), 1000);
+      feed.onEvent(CacheEvent.store("j", 1, 2, 1), 1001);
+      Assertions.assertEquals("1=1 clear list 2", effects.takeRecorded());
+      feed.onEvent(CacheEvent.store("i", 12, 3, 1), 1002);
+      feed.onList(2, BlockList.whole("j", 0, new long[0]));
+      feed.onEvent(CacheEvent.store("i", 13, 3, 1), 1003);
+      feed.onPulse("i", 13, 1004);
+      Assertions.assertEquals("load 0 2=1", effects.takeRecorded());
+      Assertions.assertTrue(feed.isFollowing());
     }
   }
 }
--- a/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
@@ -15,85 +15,95 @@
 /** Tests of CuckooSummary. */
 final class CuckooSummaryTest {
   private static final class Model {
-    final Map<Long, Map<Integer, Integer>> m = new HashMap<>();
+    final Map<Long, Map<Integer, Integer>> copiesByBlock = new HashMap<>();
 
-    void insert(long b, int h) {
-      m.computeIfAbsent(b, k -> new HashMap<>()).merge(h, 1, Integer::sum);
+    void insert(long block, int holder) {
+      copiesByBlock.computeIfAbsent(block, k -> new HashMap<>()).merge(holder, 1, Integer::sum);
     }
 
-    boolean remove(long b, int h) {
-      Map<Integer, Integer> x = m.get(b);
-      if (x == null || !x.containsKey(h)) return false;
-      x.computeIfPresent(h, (k, v) -> v == 1 ? null : v - 1);
+    boolean remove(long block, int holder) {
+      Map<Integer, Integer> copiesByHolder = copiesByBlock.get(block);
+      if (copiesByHolder == null || !copiesByHolder.containsKey(holder)) return false;
+      copiesByHolder.computeIfPresent(holder, (k, v) -> v == 1 ? null : v - 1);
       return true;
     }
   }
 
-  private static void assertNoFalseNegative(CuckooSummary s, Model m, String when) {
-    m.m.forEach(
-        (b, hs) ->
-            hs.keySet()
+  private static void assertNoFalseNegative(CuckooSummary summary, Model model, String when) {
+    model.copiesByBlock.forEach(
+        (block, holderCopies) ->
+            holderCopies
+                .keySet()
                 .forEach(
-                    h ->
+                    holder ->
                         Assertions.assertTrue(
-                            (s.lookup(b) & 1L << h) != 0,
-                            () -> when + ": block " + b + " holder " + h)));
+                            (summary.lookup(block) & 1L << holder) != 0,
+                            () -> when + ": block " + block + " holder " + holder)));
   }
 
   @Test
   void longRandomHistoriesHaveNoFalseNegativeAgainstAnExactModel() {
     for (int seed = 1; seed <= 12; seed++) {
-      SplittableRandom r = new SplittableRandom(seed);
-      CuckooSummary s = new CuckooSummary(2000, seed % 2 == 0 ? 10 : 16, seed);
-      Model m = new Model();
+      SplittableRandom random = new SplittableRandom(seed);
+      CuckooSummary summary = new CuckooSummary(2000, seed % 2 == 0 ? 10 : 16, seed);
+      Model model = new Model();
       for (int i = 0; i < 30_000; i++) {
-        long b = mix(r.nextInt(seed % 3 == 0 ? 160 : 400));
-        int h = r.nextInt(13);
-        boolean has = m.m.containsKey(b) && m.m.get(b).containsKey(h);
-        if (!has && s.size() < 1900) {
-          m.insert(b, h);
-          s.insert(b, h);
-        } else if (has && r.nextInt(3) > 0) {
-          Assertions.assertTrue(m.remove(b, h));
-          Assertions.assertTrue(s.remove(b, h));
+        long block = mix(random.nextInt(seed % 3 == 0 ? 160 : 400));
+        int holder = random.nextInt(13);
+        boolean has =
+            model.copiesByBlock.containsKey(block)
+                && model.copiesByBlock.get(block).containsKey(holder);
+        if (!has && summary.size() < 1900) {
+          model.insert(block, holder);
+          summary.insert(block, holder);
+        } else if (has && random.nextInt(3) > 0) {
+          Assertions.assertTrue(model.remove(block, holder));
+          Assertions.assertTrue(summary.remove(block, holder));
         }
         if (i % 5000 == 4999) {
-          int out = r.nextInt(13);
-          m.m.values().forEach(x -> x.remove(out));
-          s.clear(out);
+          int removedHolder = random.nextInt(13);
+          model.copiesByBlock.values().forEach(x -> x.remove(removedHolder));
+          summary.clear(removedHolder);
         }
-        if (i % 1000 == 0) assertNoFalseNegative(s, m, "seed " + seed + " step " + i);
+        if (i % 1000 == 0) assertNoFalseNegative(summary, model, "seed " + seed + " step " + i);
       }
-      assertNoFalseNegative(s, m, "seed " + seed);
-      int n = m.m.values().stream().mapToInt(x -> x.values().stream().mapToInt(v -> v).sum()).sum();
-      Assertions.assertEquals(n, s.size(), "entries, seed " + seed);
-      m.m.forEach(
-          (b, hs) ->
-              hs.forEach(
-                  (h, c) -> {
-                    for (int j = 0; j < c; j++) Assertions.assertTrue(s.remove(b, h));
+      assertNoFalseNegative(summary, model, "seed " + seed);
+      int entries =
+          model.copiesByBlock.values().stream()
+              .mapToInt(x -> x.values().stream().mapToInt(v -> v).sum())
+              .sum();
+      Assertions.assertEquals(entries, summary.size(), "entries, seed " + seed);
+      model.copiesByBlock.forEach(
+          (block, holderCopies) ->
+              holderCopies.forEach(
+                  (holder, copies) -> {
+                    for (int j = 0; j < copies; j++)
+                      Assertions.assertTrue(summary.remove(block, holder));
                   }));
-      Assertions.assertEquals(0, s.size());
-      Assertions.assertEquals(0, s.overflowEntries());
+      Assertions.assertEquals(0, summary.size());
+      Assertions.assertEquals(0, summary.overflowEntries());
     }
   }
 
   @Test
   void thirteenHoldersOfOnePrefixAreAllFoundWithFewDisplacements() {
-    CuckooSummary s = new CuckooSummary(20_000, 16, 1);
-    for (long b = 0; b < 100; b++) for (int h = 0; h < 13; h++) s.insert(mix(b + 77), h);
-    for (long b = 0; b < 100; b++)
-      Assertions.assertEquals((1L << 13) - 1, s.lookup(mix(b + 77)) & (1L << 13) - 1);
+    CuckooSummary summary = new CuckooSummary(20_000, 16, 1);
+    for (long block = 0; block < 100; block++)
+      for (int holder = 0; holder < 13; holder++) summary.insert(mix(block + 77), holder);
+    for (long block = 0; block < 100; block++)
+      Assertions.assertEquals((1L << 13) - 1, summary.lookup(mix(block + 77)) & (1L << 13) - 1);
     // Five copies of each block overflow, and a few more of two blocks that share a bucket.
     Assertions.assertTrue(
-        s.overflowEntries() >= 500 && s.overflowEntries() <= 520,
-        "overflow " + s.overflowEntries());
-    Assertions.assertTrue(s.strayCount() <= 60, "strays " + s.strayCount());
+        summary.overflowEntries() >= 500 && summary.overflowEntries() <= 520,
+        "overflow " + summary.overflowEntries());
+    Assertions.assertTrue(summary.strayCount() <= 60, "strays " + summary.strayCount());
     Assertions.assertTrue(
-        s.displacements() <= 20 * MAX_DISPLACEMENTS, "displacements " + s.displacements());
-    Assertions.assertFalse(s.isFull());
-    for (long b = 0; b < 100; b++) for (int h = 0; h < 9; h++) s.remove(mix(b + 77), h);
-    Assertions.assertEquals(0, s.overflowEntries(), "moved back into the table");
+        summary.displacements() <= 20 * MAX_DISPLACEMENTS,
+        "displacements " + summary.displacements());
+    Assertions.assertFalse(summary.isFull());
+    for (long block = 0; block < 100; block++)
+      for (int holder = 0; holder < 9; holder++) summary.remove(mix(block + 77), holder);
+    Assertions.assertEquals(0, summary.overflowEntries(), "moved back into the table");
   }
 
   @Test
@@ -104,30 +114,32 @@
 
   @Test
   void atNinetyPercentOccupancyEveryEntryIsPlacedAndFalsePositivesStayWithinTheBound() {
-    for (int f : new int[] {10, 12, 16}) {
-      CuckooSummary s = new CuckooSummary(58_000, f, 3);
-      int n = s.capacity() * 9 / 10;
-      for (int i = 0; i < n; i++) s.insert(mix(i), i % 13);
-      for (int i = 0; i < n; i++) Assertions.assertTrue((s.lookup(mix(i)) & 1L << i % 13) != 0);
-      Assertions.assertEquals(0, s.unplacedEntries());
+    for (int fingerprintBits : new int[] {10, 12, 16}) {
+      CuckooSummary summary = new CuckooSummary(58_000, fingerprintBits, 3);
+      int entries = summary.capacity() * 9 / 10;
+      for (int i = 0; i < entries; i++) summary.insert(mix(i), i % 13);
+      for (int i = 0; i < entries; i++)
+        Assertions.assertTrue((summary.lookup(mix(i)) & 1L << i % 13) != 0);
+      Assertions.assertEquals(0, summary.unplacedEntries());
       int wrong = 0, tries = 400_000;
-      for (int i = 0; i < tries; i++) if (s.lookup(mix(i + 10_000_000L)) != 0) wrong++;
-      double rate = (double) wrong / tries, bound = 2.0 * BUCKET_SLOTS / (1 << f);
+      for (int i = 0; i < tries; i++) if (summary.lookup(mix(i + 10_000_000L)) != 0) wrong++;
+      double rate = (double) wrong / tries, bound = 2.0 * BUCKET_SLOTS / (1 << fingerprintBits);
       double slack = 4 * Math.sqrt(bound / tries);
-      Assertions.assertTrue(rate <= bound + slack, "f " + f + " rate " + rate + " bound " + bound);
       Assertions.assertTrue(
-          rate >= bound / 2, "f " + f + " implausibly few false positives: " + rate);
+          rate <= bound + slack, "f " + fingerprintBits + " rate " + rate + " bound " + bound);
+      Assertions.assertTrue(
+          rate >= bound / 2, "f " + fingerprintBits + " implausibly few false positives: " + rate);
     }
   }
 
   @Test
   void aRemovalLeavesTheEntriesOfOtherHolders() {
-    CuckooSummary s = new CuckooSummary(1000, 10, 9);
-    for (int i = 0; i < 800; i++) s.insert(mix(i), i % 2);
-    int before = s.size(), wrongly = 0;
-    for (int i = 0; i < 800; i++) if (s.remove(mix(i), 2)) wrongly++;
+    CuckooSummary summary = new CuckooSummary(1000, 10, 9);
+    for (int i = 0; i < 800; i++) summary.insert(mix(i), i % 2);
+    int before = summary.size(), wrongly = 0;
+    for (int i = 0; i < 800; i++) if (summary.remove(mix(i), 2)) wrongly++;
     Assertions.assertEquals(0, wrongly, "holder 2 has no entries");
-    Assertions.assertEquals(before, s.size());
+    Assertions.assertEquals(before, summary.size());
   }
 
   @Test
@@ -137,67 +149,68 @@
 
   @Test
   void repeatedInsertsLeaveOneEntryEvenInTheOverflow() {
-    CuckooSummary s = new CuckooSummary(1000, 16, BUCKET_SLOTS, 300, 5);
+    CuckooSummary summary = new CuckooSummary(1000, 16, BUCKET_SLOTS, 300, 5);
     for (int round = 0; round < 3; round++)
-      for (int h = 0; h < 300; h++) Assertions.assertEquals(round == 0, s.insertOnce(mix(7), h));
-    Assertions.assertEquals(300, s.size());
-    Assertions.assertEquals(292, s.overflowEntries());
-    for (int h = 0; h < 300; h++) {
-      Assertions.assertTrue(s.contains(mix(7), h));
-      Assertions.assertTrue(s.remove(mix(7), h));
-      Assertions.assertFalse(s.contains(mix(7), h));
-      Assertions.assertFalse(s.remove(mix(7), h), "a second copy");
+      for (int holder = 0; holder < 300; holder++)
+        Assertions.assertEquals(round == 0, summary.insertOnce(mix(7), holder));
+    Assertions.assertEquals(300, summary.size());
+    Assertions.assertEquals(292, summary.overflowEntries());
+    for (int holder = 0; holder < 300; holder++) {
+      Assertions.assertTrue(summary.contains(mix(7), holder));
+      Assertions.assertTrue(summary.remove(mix(7), holder));
+      Assertions.assertFalse(summary.contains(mix(7), holder));
+      Assertions.assertFalse(summary.remove(mix(7), holder), "a second copy");
     }
-    Assertions.assertEquals(0, s.size());
-    Assertions.assertEquals(0, s.overflowEntries());
+    Assertions.assertEquals(0, summary.size());
+    Assertions.assertEquals(0, summary.overflowEntries());
   }
 
   @Test
   void copiesOfOneHolderInTheOverflowAreCounted() {
-    CuckooSummary s = new CuckooSummary(1000, 16, BUCKET_SLOTS, 1024, 5);
-    for (int i = 0; i < 20; i++) s.insert(mix(7), 1000);
-    Assertions.assertEquals(12, s.overflowEntries());
-    for (int i = 0; i < 20; i++) Assertions.assertTrue(s.remove(mix(7), 1000));
-    Assertions.assertFalse(s.remove(mix(7), 1000));
-    Assertions.assertEquals(0, s.size());
+    CuckooSummary summary = new CuckooSummary(1000, 16, BUCKET_SLOTS, 1024, 5);
+    for (int i = 0; i < 20; i++) summary.insert(mix(7), 1000);
+    Assertions.assertEquals(12, summary.overflowEntries());
+    for (int i = 0; i < 20; i++) Assertions.assertTrue(summary.remove(mix(7), 1000));
+    Assertions.assertFalse(summary.remove(mix(7), 1000));
+    Assertions.assertEquals(0, summary.size());
   }
 
   @Test
   void manyHoldersAgreeWithAnExactModel() {
     for (int holders : new int[] {65, 128, 500, 1024}) {
-      SplittableRandom r = new SplittableRandom(holders);
-      CuckooSummary s = new CuckooSummary(20_000, 16, BUCKET_SLOTS, holders, holders);
+      SplittableRandom random = new SplittableRandom(holders);
+      CuckooSummary summary = new CuckooSummary(20_000, 16, BUCKET_SLOTS, holders, holders);
       Map<Long, BitSet> truth = new HashMap<>();
-      long[] found = new long[s.bitsetWords()];
-      int n = 0;
+      long[] found = new long[summary.bitsetWords()];
+      int entries = 0;
       for (int i = 0; i < 120_000; i++) {
         // A quarter of the operations concern 20 blocks that most holders keep.
-        long b = mix(r.nextInt(4) == 0 ? r.nextInt(20) : 100 + r.nextInt(2000));
-        int h = r.nextInt(holders);
-        BitSet bs = truth.computeIfAbsent(b, k -> new BitSet());
-        if (r.nextInt(5) < 3 && n < 18_000) {
-          Assertions.assertEquals(!bs.get(h), s.insertOnce(b, h));
-          if (!bs.get(h)) n++;
-          bs.set(h);
+        long block = mix(random.nextInt(4) == 0 ? random.nextInt(20) : 100 + random.nextInt(2000));
+        int holder = random.nextInt(holders);
+        BitSet holdersOfBlock = truth.computeIfAbsent(block, k -> new BitSet());
+        if (random.nextInt(5) < 3 && entries < 18_000) {
+          Assertions.assertEquals(!holdersOfBlock.get(holder), summary.insertOnce(block, holder));
+          if (!holdersOfBlock.get(holder)) entries++;
+          holdersOfBlock.set(holder);
         } else {
-          Assertions.assertEquals(bs.get(h), s.remove(b, h));
-          if (bs.get(h)) n--;
-          bs.clear(h);
+          Assertions.assertEquals(holdersOfBlock.get(holder), summary.remove(block, holder));
+          if (holdersOfBlock.get(holder)) entries--;
+          holdersOfBlock.clear(holder);
         }
         if (i % 20_000 == 19_999) {
-          int out = r.nextInt(holders);
+          int removedHolder = random.nextInt(holders);
           for (BitSet x : truth.values()) {
-            if (x.get(out)) n--;
-            x.clear(out);
+            if (x.get(removedHolder)) entries--;
+            x.clear(removedHolder);
           }
-          s.clear(out);
+          summary.clear(removedHolder);
         }
-        Assertions.assertEquals(n, s.size());
+        Assertions.assertEquals(entries, summary.size());
       }
       truth.forEach(
-          (b, bs) -> {
-            Assertions.assertEquals(!bs.isEmpty(), s.lookup(b, found));
-            Assertions.assertEquals(bs, BitSet.valueOf(found), holders + " holders");
+          (block, holdersOfBlock) -> {
+            Assertions.assertEquals(!holdersOfBlock.isEmpty(), summary.lookup(block, found));
+            Assertions.assertEquals(holdersOfBlock, BitSet.valueOf(found), holders + " holders");
           });
     }
   }
@@ -205,25 +218,26 @@
   @Test
   void manyHoldersOfOnePrefixDoNotMakeTheTableCountAsFull() {
     int holders = 100, blocks = 300;
-    CuckooSummary s = new CuckooSummary((long) holders * blocks, 16, BUCKET_SLOTS, 512, 1);
-    for (int h = 0; h < holders; h++)
-      for (long b = 0; b < blocks; b++) s.insertOnce(mix(b + 77), h);
-    Assertions.assertEquals(holders * blocks, s.size());
+    CuckooSummary summary = new CuckooSummary((long) holders * blocks, 16, BUCKET_SLOTS, 512, 1);
+    for (int holder = 0; holder < holders; holder++)
+      for (long block = 0; block < blocks; block++) summary.insertOnce(mix(block + 77), holder);
+    Assertions.assertEquals(holders * blocks, summary.size());
     Assertions.assertTrue(
-        s.overflowEntries() >= (holders - 2 * BUCKET_SLOTS) * blocks,
-        "overflow " + s.overflowEntries());
-    Assertions.assertFalse(s.isFull(), "strays " + s.strayCount());
-    for (int h = 0; h < holders - 4; h++)
-      for (long b = 0; b < blocks; b++) Assertions.assertTrue(s.remove(mix(b + 77), h));
-    Assertions.assertEquals(0, s.overflowEntries(), "moved back into the table");
+        summary.overflowEntries() >= (holders - 2 * BUCKET_SLOTS) * blocks,
+        "overflow " + summary.overflowEntries());
+    Assertions.assertFalse(summary.isFull(), "strays " + summary.strayCount());
+    for (int holder = 0; holder < holders - 4; holder++)
+      for (long block = 0; block < blocks; block++)
+        Assertions.assertTrue(summary.remove(mix(block + 77), holder));
+    Assertions.assertEquals(0, summary.overflowEntries(), "moved back into the table");
   }
 
   @Test
   void anUndersizedTableCountsAsFull() {
-    CuckooSummary s = new CuckooSummary(1000, 16, BUCKET_SLOTS, 512, 1);
-    for (int i = 0; i < 4000; i++) s.insertOnce(mix(i), i % 100);
-    Assertions.assertEquals(4000, s.size());
-    Assertions.assertTrue(s.isFull());
+    CuckooSummary summary = new CuckooSummary(1000, 16, BUCKET_SLOTS, 512, 1);
+    for (int i = 0; i < 4000; i++) summary.insertOnce(mix(i), i % 100);
+    Assertions.assertEquals(4000, summary.size());
+    Assertions.assertTrue(summary.isFull());
   }
 
   @Test
@@ -235,10 +249,10 @@
         IllegalArgumentException.class, () -> new CuckooSummary(10, 22, BUCKET_SLOTS, 1024, 1));
     Assertions.assertThrows(
         IllegalArgumentException.class, () -> new CuckooSummary(10, 16, BUCKET_SLOTS, 1025, 1));
-    CuckooSummary s = new CuckooSummary(10, 21, BUCKET_SLOTS, 1024, 1);
-    s.insert(1, 1023);
+    CuckooSummary summary = new CuckooSummary(10, 21, BUCKET_SLOTS, 1024, 1);
+    summary.insert(1, 1023);
     long[] found = new long[16];
-    Assertions.assertTrue(s.lookup(1, found));
+    Assertions.assertTrue(summary.lookup(1, found));
     Assertions.assertEquals(1L << 63, found[15]);
   }
 }
--- a/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
@@ -31,45 +31,55 @@
                         + " {\"name\": \"a\", \"kind\": \"application\", \"allow\": [\"10.0.0.0/16\"]}],"
                         + " \"mappings\": [], \"tenants\": []}"))
             .value();
-    List<Replicas.Replica> rs = new ArrayList<>();
-    for (int h = 0; h < holders; h++)
-      rs.add(
+    List<Replicas.Replica> replicas = new ArrayList<>();
+    for (int index = 0; index < holders; index++)
+      replicas.add(
           new Replicas.Replica(
               "m",
-              "h" + h,
-              Address.of("10.0." + h / 200 + "." + (1 + h % 200) + ":80"),
+              "h" + index,
+              Address.of("10.0." + index / 200 + "." + (1 + index % 200) + ":80"),
               "z",
               true));
-    rs.add(new Replicas.Replica("a", "no-holder", Address.of("10.0.200.1:80"), "z", true));
-    rs.add(new Replicas.Replica("m", "not-allowed", Address.of("10.9.0.1:80"), "z", true));
+    replicas.add(new Replicas.Replica("a", "no-holder", Address.of("10.0.200.1:80"), "z", true));
+    replicas.add(new Replicas.Replica("m", "not-allowed", Address.of("10.9.0.1:80"), "z", true));
     return new ControlStateSnapshot(
-        1, "", configuration, 0, 0, Weights.NONE, 1, new Replicas(rs), 0, CoreMemberList.NONE);
+        1,
+        "",
+        configuration,
+        0,
+        0,
+        Weights.NONE,
+        1,
+        new Replicas(replicas),
+        0,
+        CoreMemberList.NONE);
   }
 
   /**
    * Follows holders that were asked for their list and returned an empty one, ordered by the number
    * in their name.
    */
-  private static Holder[] follow(FleetSummary s, int holders) {
-    s.updateHolders(snapshotOf(holders), 0);
-    Holder[] hs = new Holder[holders];
-    for (Holder holder : s.allHolders()) {
-      hs[Integer.parseInt(holder.replica.instance().substring(1))] = holder;
+  private static Holder[] follow(FleetSummary summary, int holders) {
+    summary.updateHolders(snapshotOf(holders), 0);
+    Holder[] followed = new Holder[holders];
+    for (Holder holder : summary.allHolders()) {
+      followed[Integer.parseInt(holder.replica.instance().substring(1))] = holder;
       holder.contacted = true;
-      holder.setListRequester(nr -> holder.feed.onList(nr, BlockList.whole("i", 0, new long[0])));
+      holder.setListRequester(
+          sequence -> holder.feed.onList(sequence, BlockList.whole("i", 0, new long[0])));
       holder.feed.resync(0);
     }
-    return hs;
+    return followed;
   }
 
-  private static List<Lookup.Match> ask(FleetSummary s, long... blocks) {
-    Lookup.Answer a = s.answer(new Lookup.Question(1, blocks));
-    Assertions.assertTrue(a.warm());
-    return a.matches();
+  private static List<Lookup.Match> ask(FleetSummary summary, long... blocks) {
+    Lookup.Answer answer = summary.answer(new Lookup.Question(1, blocks));
+    Assertions.assertTrue(answer.warm());
+    return answer.matches();
   }
 
-  private static int entries(FleetSummary s) {
-    return s.toJson(0).getInt("entries", -1);
+  private static int entries(FleetSummary summary) {
+    return summary.toJson(0).getInt("entries", -1);
   }
 
   private static ControlStateSnapshot withStore() {
@@ -91,73 +101,79 @@
 
   @Test
   void aStoreIsAHolderAndASilentStoreIsNotReturned() {
-    FleetSummary s = new FleetSummary(16);
-    s.updateHolders(withStore(), 0);
-    Holder store = s.allHolders().get(0);
+    FleetSummary summary = new FleetSummary(16);
+    summary.updateHolders(withStore(), 0);
+    Holder store = summary.allHolders().get(0);
     Assertions.assertTrue(Holders.isStore(store.replica));
     store.contacted = true;
-    store.setListRequester(nr -> store.feed.onList(nr, BlockList.whole("i", 0, new long[] {7})));
+    store.setListRequester(
+        sequence -> store.feed.onList(sequence, BlockList.whole("i", 0, new long[] {7})));
     store.feed.resync(0);
     store.lastHeardMs = 1000;
     Lookup.Question question = new Lookup.Question(1, new long[] {7});
     Assertions.assertEquals(
-        List.of(new Lookup.Match("store", 1)), s.answer(question, 2000).matches());
-    Assertions.assertEquals(List.of(), s.answer(question, 5000).matches(), "the store is silent");
+        List.of(new Lookup.Match("store", 1)), summary.answer(question, 2000).matches());
+    Assertions.assertEquals(
+        List.of(), summary.answer(question, 5000).matches(), "the store is silent");
     store.lastHeardMs = 5000;
     Assertions.assertEquals(
-        1, s.answer(question, 5000).matches().size(), "the store was heard again");
+        1, summary.answer(question, 5000).matches().size(), "the store was heard again");
   }
 
   @Test
   void repeatedStoresKeepOneEntryAndPartialEvictionsReportUnits() {
-    FleetSummary s = new FleetSummary(16);
-    Holder holder = follow(s, 1)[0];
+    FleetSummary summary = new FleetSummary(16);
+    Holder holder = follow(summary, 1)[0];
     long n = 0;
     for (int i = 1; i <= 4; i++) holder.feed.onEvent(CacheEvent.store("i", ++n, 11, 64 * i), 1);
     holder.feed.onEvent(CacheEvent.store("i", ++n, 12, WHOLE), 1);
     holder.feed.onEvent(CacheEvent.store("i", ++n, 13, WHOLE), 1);
-    Assertions.assertEquals(3, entries(s));
-    Assertions.assertEquals(List.of(new Lookup.Match("h0", 3, 0)), ask(s, 11, 12, 13, 14));
+    Assertions.assertEquals(3, entries(summary));
+    Assertions.assertEquals(List.of(new Lookup.Match("h0", 3, 0)), ask(summary, 11, 12, 13, 14));
     holder.feed.onEvent(CacheEvent.evict("i", ++n, 12, 100), 1);
-    Assertions.assertEquals(3, entries(s));
-    Assertions.assertEquals(List.of(new Lookup.Match("h0", 1, 100)), ask(s, 11, 12, 13));
+    Assertions.assertEquals(3, entries(summary));
+    Assertions.assertEquals(List.of(new Lookup.Match("h0", 1, 100)), ask(summary, 11, 12, 13));
     holder.feed.onEvent(CacheEvent.store("i", ++n, 12, 100), 1);
     Assertions.assertEquals(
-        List.of(new Lookup.Match("h0", 1, 100)), ask(s, 11, 12, 13), "the block has not grown");
+        List.of(new Lookup.Match("h0", 1, 100)),
+        ask(summary, 11, 12, 13),
+        "the block has not grown");
     holder.feed.onEvent(CacheEvent.store("i", ++n, 12, 200), 1);
     Assertions.assertEquals(
         List.of(new Lookup.Match("h0", 3, 0)),
-        ask(s, 11, 12, 13),
+        ask(summary, 11, 12, 13),
         "the block counts as whole again");
     holder.feed.onEvent(new CacheEvent("i", ++n, 11, 32, true, false), 1);
     Assertions.assertEquals(
-        List.of(new Lookup.Match("h0", 0, 32)), ask(s, 11, 12, 13), "the first block is partial");
+        List.of(new Lookup.Match("h0", 0, 32)),
+        ask(summary, 11, 12, 13),
+        "the first block is partial");
     holder.feed.onEvent(CacheEvent.evict("i", ++n, 11, 0), 1);
     holder.feed.onEvent(CacheEvent.evict("i", ++n, 11, 0), 1);
-    Assertions.assertEquals(List.of(), ask(s, 11, 12, 13));
-    Assertions.assertEquals(2, entries(s));
+    Assertions.assertEquals(List.of(), ask(summary, 11, 12, 13));
+    Assertions.assertEquals(2, entries(summary));
     holder.feed.onEvent(CacheEvent.store("i", ++n, 11, 10), 1);
     Assertions.assertEquals(
         List.of(new Lookup.Match("h0", 3, 0)),
-        ask(s, 11, 12, 13),
+        ask(summary, 11, 12, 13),
         "the partial units were discarded");
   }
 
   @Test
   void aListReportsPartialBlocks() {
-    FleetSummary s = new FleetSummary(16);
-    Holder holder = follow(s, 1)[0];
+    FleetSummary summary = new FleetSummary(16);
+    Holder holder = follow(summary, 1)[0];
     BitSet parts = new BitSet();
     parts.set(1);
     holder.setListRequester(
-        nr ->
+        sequence ->
             holder.feed.onList(
-                nr,
+                sequence,
                 new BlockList(
                     "i", 5, new long[] {1, 2, 3, 4}, new int[] {WHOLE, 40, WHOLE, 0}, parts)));
     holder.feed.resync(1000);
-    Assertions.assertEquals(3, entries(s));
-    Assertions.assertEquals(List.of(new Lookup.Match("h0", 1, 40)), ask(s, 1, 2, 3));
+    Assertions.assertEquals(3, entries(summary));
+    Assertions.assertEquals(List.of(new Lookup.Match("h0", 1, 40)), ask(summary, 1, 2, 3));
   }
 
   /**
@@ -166,49 +182,53 @@
    */
   private static int missingAfterRandomHistory(
       int fingerprintBits, int holders, int blocks, long seed) {
-    SplittableRandom r = new SplittableRandom(seed);
-    FleetSummary s = new FleetSummary(fingerprintBits);
-    CuckooSummary twin =
+    SplittableRandom random = new SplittableRandom(seed);
+    FleetSummary summary = new FleetSummary(fingerprintBits);
+    CuckooSummary table =
         new CuckooSummary(1 << 12, fingerprintBits, CuckooSummary.BUCKET_SLOTS, 512, 1);
-    Holder[] hs = follow(s, holders);
+    Holder[] followed = follow(summary, holders);
     List<Map<Long, Integer>> truth = new ArrayList<>();
-    for (int h = 0; h < holders; h++) truth.add(new HashMap<>());
-    long[] nr = new long[holders];
+    for (int index = 0; index < holders; index++) truth.add(new HashMap<>());
+    long[] sequence = new long[holders];
     for (int i = 0; i < 60_000; i++) {
-      int h = r.nextInt(holders);
-      long b = CuckooSummary.mix(1 + r.nextInt(blocks));
-      int had = truth.get(h).getOrDefault(b, 0);
-      boolean store = had < WHOLE && r.nextBoolean();
+      int index = random.nextInt(holders);
+      long block = CuckooSummary.mix(1 + random.nextInt(blocks));
+      int had = truth.get(index).getOrDefault(block, 0);
+      boolean store = had < WHOLE && random.nextBoolean();
       int kept =
-          store ? Math.min(WHOLE, had + 64 * (1 + r.nextInt(4))) : r.nextInt(3) == 0 ? had / 2 : 0;
-      hs[h].feed.onEvent(new CacheEvent("i", ++nr[h], b, kept, kept < WHOLE && kept > 0, false), i);
-      if (kept == 0) truth.get(h).remove(b);
-      else truth.get(h).put(b, kept);
+          store
+              ? Math.min(WHOLE, had + 64 * (1 + random.nextInt(4)))
+              : random.nextInt(3) == 0 ? had / 2 : 0;
+      followed[index].feed.onEvent(
+          new CacheEvent("i", ++sequence[index], block, kept, kept < WHOLE && kept > 0, false), i);
+      if (kept == 0) truth.get(index).remove(block);
+      else truth.get(index).put(block, kept);
     }
     int missing = 0, kept = 0;
     for (int i = 1; i <= blocks; i++) {
-      long b = CuckooSummary.mix(i);
+      long block = CuckooSummary.mix(i);
       Map<String, Lookup.Match> found = new HashMap<>();
-      for (Lookup.Match m : ask(s, b)) found.put(m.holder(), m);
-      for (int h = 0; h < holders; h++) {
-        int units = truth.get(h).getOrDefault(b, 0);
-        Lookup.Match m = found.get("h" + h);
+      for (Lookup.Match match : ask(summary, block)) found.put(match.holder(), match);
+      for (int index = 0; index < holders; index++) {
+        int units = truth.get(index).getOrDefault(block, 0);
+        Lookup.Match match = found.get("h" + index);
         boolean alone = true;
         for (int j = 1; j <= blocks; j++)
-          alone &= j == i || !twin.indistinguishable(b, CuckooSummary.mix(j));
+          alone &= j == i || !table.indistinguishable(block, CuckooSummary.mix(j));
         if (units > 0) kept++;
-        if (units > 0 && m == null) {
+        if (units > 0 && match == null) {
           missing++;
           Assertions.assertFalse(
               alone, "missing although no other block has the fingerprint and buckets of " + i);
-        } else if (m != null && alone) {
+        } else if (match != null && alone) {
           Assertions.assertTrue(units > 0, "found but not kept");
-          Assertions.assertEquals(units == WHOLE ? 1 : 0, m.blocks());
-          Assertions.assertEquals(units == WHOLE ? 0 : units, m.units());
+          Assertions.assertEquals(units == WHOLE ? 1 : 0, match.blocks());
+          Assertions.assertEquals(units == WHOLE ? 0 : units, match.units());
         }
       }
     }
-    Assertions.assertTrue(kept - missing >= entries(s), kept + " kept, entries " + entries(s));
+    Assertions.assertTrue(
+        kept - missing >= entries(summary), kept + " kept, entries " + entries(summary));
     return missing;
   }
 
@@ -225,62 +245,63 @@
 
   @Test
   void manyHoldersAreFoundAndTheirIdsAreReused() {
-    FleetSummary s = new FleetSummary(16);
-    Holder[] hs = follow(s, 300);
-    for (int h = 0; h < 300; h++) {
-      hs[h].feed.onEvent(CacheEvent.store("i", 1, 1, 1), 1);
-      if (h % 2 == 0) hs[h].feed.onEvent(CacheEvent.store("i", 2, 2, 1), 1);
-      else hs[h].feed.onEvent(new CacheEvent("i", 2, 2, h, true, false), 1);
+    FleetSummary summary = new FleetSummary(16);
+    Holder[] followed = follow(summary, 300);
+    for (int index = 0; index < 300; index++) {
+      followed[index].feed.onEvent(CacheEvent.store("i", 1, 1, 1), 1);
+      if (index % 2 == 0) followed[index].feed.onEvent(CacheEvent.store("i", 2, 2, 1), 1);
+      else followed[index].feed.onEvent(new CacheEvent("i", 2, 2, index, true, false), 1);
     }
     Set<Lookup.Match> want = new HashSet<>();
-    for (int h = 0; h < 300; h++)
-      want.add(new Lookup.Match("h" + h, h % 2 == 0 ? 2 : 1, h % 2 == 0 ? 0 : h));
-    Assertions.assertEquals(want, new HashSet<>(ask(s, 1, 2, 3)));
-    Assertions.assertEquals(300, ask(s, 1, 2, 3).size(), "one match per holder");
-    s.updateHolders(snapshotOf(100), 2);
-    Assertions.assertEquals(100, ask(s, 1, 2).size());
-    Assertions.assertEquals(200, entries(s));
-    s.updateHolders(snapshotOf(300), 3);
-    Assertions.assertEquals(300, s.allHolders().size());
-    Assertions.assertEquals(200, entries(s), "a new holder starts without entries");
+    for (int index = 0; index < 300; index++)
+      want.add(new Lookup.Match("h" + index, index % 2 == 0 ? 2 : 1, index % 2 == 0 ? 0 : index));
+    Assertions.assertEquals(want, new HashSet<>(ask(summary, 1, 2, 3)));
+    Assertions.assertEquals(300, ask(summary, 1, 2, 3).size(), "one match per holder");
+    summary.updateHolders(snapshotOf(100), 2);
+    Assertions.assertEquals(100, ask(summary, 1, 2).size());
+    Assertions.assertEquals(200, entries(summary));
+    summary.updateHolders(snapshotOf(300), 3);
+    Assertions.assertEquals(300, summary.allHolders().size());
+    Assertions.assertEquals(200, entries(summary), "a new holder starts without entries");
   }
 
   @Test
   void holdersBeyondTheMaximumAreIgnored() {
-    FleetSummary s = new FleetSummary(16, 70, r -> CacheEventFeed.Policy.STRICT);
-    s.updateHolders(snapshotOf(90), 0);
-    Assertions.assertEquals(70, s.allHolders().size());
+    FleetSummary summary = new FleetSummary(16, 70, random -> CacheEventFeed.Policy.STRICT);
+    summary.updateHolders(snapshotOf(90), 0);
+    Assertions.assertEquals(70, summary.allHolders().size());
   }
 
   @Test
   void aLargerTableIsFilledFromListsAfterTheirMinimumInterval() {
-    FleetSummary s =
-        new FleetSummary(16, 512, r -> CacheEventFeed.Policy.STRICT.withMinListIntervalMs(10_000));
-    s.updateHolders(snapshotOf(80), 0);
+    FleetSummary summary =
+        new FleetSummary(
+            16, 512, random -> CacheEventFeed.Policy.STRICT.withMinListIntervalMs(10_000));
+    summary.updateHolders(snapshotOf(80), 0);
     int[] lists = {0};
-    for (Holder holder : s.allHolders()) {
+    for (Holder holder : summary.allHolders()) {
       holder.contacted = true;
       holder.setListRequester(
-          nr -> {
+          sequence -> {
             lists[0]++;
-            holder.feed.onList(nr, BlockList.whole("i", 0, new long[] {1, 2, 3}));
+            holder.feed.onList(sequence, BlockList.whole("i", 0, new long[] {1, 2, 3}));
           });
       holder.feed.resync(0);
     }
     Assertions.assertEquals(80, lists[0]);
-    s.setCapacity(s.allHolders().get(0), 100_000, 1);
+    summary.setCapacity(summary.allHolders().get(0), 100_000, 1);
     for (long t = 1; t < 10_000; t += 100) {
-      for (Holder holder : s.allHolders()) holder.lastHeardMs = t;
-      s.tick(t);
+      for (Holder holder : summary.allHolders()) holder.lastHeardMs = t;
+      summary.tick(t);
       Assertions.assertEquals(80, lists[0], "listed before the minimum interval is over, at " + t);
     }
-    for (Holder holder : s.allHolders()) holder.lastHeardMs = 10_000;
-    s.tick(10_000);
+    for (Holder holder : summary.allHolders()) holder.lastHeardMs = 10_000;
+    summary.tick(10_000);
     Assertions.assertEquals(160, lists[0]);
-    Assertions.assertEquals(1, s.toJson(0).getInt("rebuilt", 0));
-    Assertions.assertTrue(s.toJson(0).getInt("slots", 0) >= 110_000);
-    Assertions.assertEquals(240, entries(s));
-    Assertions.assertEquals(80, ask(s, 1, 2, 3, 4).size());
+    Assertions.assertEquals(1, summary.toJson(0).getInt("rebuilt", 0));
+    Assertions.assertTrue(summary.toJson(0).getInt("slots", 0) >= 110_000);
+    Assertions.assertEquals(240, entries(summary));
+    Assertions.assertEquals(80, ask(summary, 1, 2, 3, 4).size());
   }
 
   /**
@@ -291,8 +312,8 @@
   void aTolerantFeedOnALossyConnectionStaysNearlyExactAndAListRepairsIt() {
     int blocks = 2000;
     for (int seed = 1; seed <= 5; seed++) {
-      SplittableRandom r = new SplittableRandom(seed);
-      FleetSummary s =
+      SplittableRandom random = new SplittableRandom(seed);
+      FleetSummary summary =
           new FleetSummary(
               16,
               512,
@@ -300,41 +321,41 @@
                   CacheEventFeed.Policy.STRICT
                       .withGaps(CacheEventFeed.GapPolicy.tolerant(80, 1000))
                       .withMinListIntervalMs(1000));
-      Holder holder = follow(s, 1)[0];
+      Holder holder = follow(summary, 1)[0];
       Map<Long, Integer> truth = new HashMap<>();
-      List<CacheEvent> line = new ArrayList<>();
-      long nr = 0, now = 0, lost = 0;
-      for (int i = 0; i < 40_000 || !line.isEmpty(); i++) {
+      List<CacheEvent> inFlight = new ArrayList<>();
+      long sequence = 0, now = 0, lost = 0;
+      for (int i = 0; i < 40_000 || !inFlight.isEmpty(); i++) {
         now += 2;
         if (i < 40_000) {
-          long b = CuckooSummary.mix(1 + r.nextInt(blocks));
-          int had = truth.getOrDefault(b, 0);
-          int kept = had == 0 ? WHOLE : r.nextInt(3) == 0 ? had / 2 : 0;
+          long block = CuckooSummary.mix(1 + random.nextInt(blocks));
+          int had = truth.getOrDefault(block, 0);
+          int kept = had == 0 ? WHOLE : random.nextInt(3) == 0 ? had / 2 : 0;
           CacheEvent event =
               had == 0
-                  ? CacheEvent.store("i", ++nr, b, kept)
-                  : CacheEvent.evict("i", ++nr, b, kept);
-          if (kept == 0) truth.remove(b);
-          else truth.put(b, kept);
-          int c = r.nextInt(100);
-          if (c < 3) lost++;
-          else line.add(event);
-          if (c > 95) line.add(event);
+                  ? CacheEvent.store("i", ++sequence, block, kept)
+                  : CacheEvent.evict("i", ++sequence, block, kept);
+          if (kept == 0) truth.remove(block);
+          else truth.put(block, kept);
+          int roll = random.nextInt(100);
+          if (roll < 3) lost++;
+          else inFlight.add(event);
+          if (roll > 95) inFlight.add(event);
         }
-        while (line.size() > 6 || i >= 40_000 && !line.isEmpty())
-          holder.feed.onEvent(line.remove(r.nextInt(Math.min(line.size(), 6))), now);
-        if (i % 50 == 0) s.tick(now);
+        while (inFlight.size() > 6 || i >= 40_000 && !inFlight.isEmpty())
+          holder.feed.onEvent(inFlight.remove(random.nextInt(Math.min(inFlight.size(), 6))), now);
+        if (i % 50 == 0) summary.tick(now);
       }
-      holder.feed.onPulse("i", nr, now);
-      for (int i = 0; i < 10; i++) s.tick(now += 100);
+      holder.feed.onPulse("i", sequence, now);
+      for (int i = 0; i < 10; i++) summary.tick(now += 100);
       Assertions.assertEquals(
           1, holder.feed.resyncCount(), "only the initial list is requested, seed " + seed);
-      Assertions.assertEquals(nr, holder.feed.appliedSequence());
+      Assertions.assertEquals(sequence, holder.feed.appliedSequence());
       Assertions.assertEquals(
           lost,
           holder.feed.missedCount(),
           "late and repeated events are not missing, seed " + seed);
-      int wrong = wrong(s, truth, blocks);
+      int wrong = wrong(summary, truth, blocks);
       System.out.println(
           "tolerant, seed "
               + seed
@@ -349,34 +370,34 @@
       Assertions.assertTrue(
           wrong > 0 && wrong <= blocks * 0.03 + 4 * Math.sqrt(blocks * 0.03), "wrong " + wrong);
 
-      long at = nr;
+      long at = sequence;
       holder.setListRequester(
           n -> {
-            long[] bs = truth.keySet().stream().mapToLong(x -> x).toArray();
-            int[] us = new int[bs.length];
+            long[] keptBlocks = truth.keySet().stream().mapToLong(x -> x).toArray();
+            int[] keptUnits = new int[keptBlocks.length];
             BitSet parts = new BitSet();
-            for (int i = 0; i < bs.length; i++) {
-              us[i] = truth.get(bs[i]);
-              parts.set(i, us[i] < WHOLE);
+            for (int i = 0; i < keptBlocks.length; i++) {
+              keptUnits[i] = truth.get(keptBlocks[i]);
+              parts.set(i, keptUnits[i] < WHOLE);
             }
-            holder.feed.onList(n, new BlockList("i", at, bs, us, parts));
+            holder.feed.onList(n, new BlockList("i", at, keptBlocks, keptUnits, parts));
           });
       holder.feed.resync(now);
-      Assertions.assertEquals(0, wrong(s, truth, blocks), "after a list, seed " + seed);
-      Assertions.assertEquals(truth.size(), entries(s));
+      Assertions.assertEquals(0, wrong(summary, truth, blocks), "after a list, seed " + seed);
+      Assertions.assertEquals(truth.size(), entries(summary));
     }
   }
 
-  private static int wrong(FleetSummary s, Map<Long, Integer> truth, int blocks) {
+  private static int wrong(FleetSummary summary, Map<Long, Integer> truth, int blocks) {
     int wrong = 0;
     for (int i = 1; i <= blocks; i++) {
-      long b = CuckooSummary.mix(i);
-      int units = truth.getOrDefault(b, 0);
+      long block = CuckooSummary.mix(i);
+      int units = truth.getOrDefault(block, 0);
       List<Lookup.Match> want =
           units == 0
               ? List.of()
               : List.of(new Lookup.Match("h0", units == WHOLE ? 1 : 0, units == WHOLE ? 0 : units));
-      if (!ask(s, b).equals(want)) wrong++;
+      if (!ask(summary, block).equals(want)) wrong++;
     }
     return wrong;
   }
--- a/data-plane/src/test/java/gladelug/data/index/PartialBlocksTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/PartialBlocksTest.java
@@ -11,43 +11,47 @@
   @Test
   void longRandomHistoriesAgreeWithAnExactMap() {
     for (int seed = 1; seed <= 10; seed++) {
-      SplittableRandom r = new SplittableRandom(seed);
-      PartialBlocks p = new PartialBlocks();
-      Map<Long, Integer> m = new HashMap<>();
+      SplittableRandom random = new SplittableRandom(seed);
+      PartialBlocks partialBlocks = new PartialBlocks();
+      Map<Long, Integer> expected = new HashMap<>();
       for (int i = 0; i < 30_000; i++) {
-        long b = CuckooSummary.mix(r.nextInt(800));
-        if (r.nextInt(2) == 0) {
-          int n = 1 + r.nextInt(256);
-          Assertions.assertTrue(p.put(b, n));
-          m.put(b, n);
+        long block = CuckooSummary.mix(random.nextInt(800));
+        if (random.nextInt(2) == 0) {
+          int units = 1 + random.nextInt(256);
+          Assertions.assertTrue(partialBlocks.put(block, units));
+          expected.put(block, units);
         } else {
-          p.remove(b);
-          m.remove(b);
+          partialBlocks.remove(block);
+          expected.remove(block);
         }
-        Assertions.assertEquals(m.size(), p.size());
+        Assertions.assertEquals(expected.size(), partialBlocks.size());
         if (i % 500 == 0)
           for (int j = 0; j < 800; j++)
             Assertions.assertEquals(
-                m.getOrDefault(CuckooSummary.mix(j), 0), p.get(CuckooSummary.mix(j)));
+                expected.getOrDefault(CuckooSummary.mix(j), 0),
+                partialBlocks.get(CuckooSummary.mix(j)));
       }
-      p.clear();
-      Assertions.assertEquals(0, p.size());
-      for (int j = 0; j < 800; j++) Assertions.assertEquals(0, p.get(CuckooSummary.mix(j)));
+      partialBlocks.clear();
+      Assertions.assertEquals(0, partialBlocks.size());
+      for (int j = 0; j < 800; j++)
+        Assertions.assertEquals(0, partialBlocks.get(CuckooSummary.mix(j)));
     }
   }
 
   @Test
   void aBlockBeyondTheBoundCountsAsWhole() {
-    PartialBlocks p = new PartialBlocks();
-    Assertions.assertEquals(0, p.bytes());
+    PartialBlocks partialBlocks = new PartialBlocks();
+    Assertions.assertEquals(0, partialBlocks.bytes());
     int room = PartialBlocks.MAX_SLOTS / 4 * 3;
-    for (int i = 0; i < room; i++) Assertions.assertTrue(p.put(CuckooSummary.mix(i), 9));
-    Assertions.assertFalse(p.put(CuckooSummary.mix(room), 9));
-    Assertions.assertTrue(p.put(CuckooSummary.mix(3), 5), "an existing block can still be updated");
-    Assertions.assertEquals(0, p.get(CuckooSummary.mix(room)));
-    Assertions.assertEquals(1, p.refusedCount());
-    Assertions.assertEquals(512 * 1024, p.bytes());
-    p.remove(CuckooSummary.mix(3));
-    Assertions.assertTrue(p.put(CuckooSummary.mix(room), 9));
+    for (int i = 0; i < room; i++)
+      Assertions.assertTrue(partialBlocks.put(CuckooSummary.mix(i), 9));
+    Assertions.assertFalse(partialBlocks.put(CuckooSummary.mix(room), 9));
+    Assertions.assertTrue(
+        partialBlocks.put(CuckooSummary.mix(3), 5), "an existing block can still be updated");
+    Assertions.assertEquals(0, partialBlocks.get(CuckooSummary.mix(room)));
+    Assertions.assertEquals(1, partialBlocks.refusedCount());
+    Assertions.assertEquals(512 * 1024, partialBlocks.bytes());
+    partialBlocks.remove(CuckooSummary.mix(3));
+    Assertions.assertTrue(partialBlocks.put(CuckooSummary.mix(room), 9));
   }
 }
--- a/data-plane/src/test/java/gladelug/data/request/PrefixBlocksTest.java
+++ b/data-plane/src/test/java/gladelug/data/request/PrefixBlocksTest.java
@@ -14,11 +14,11 @@
 
   @Test
   void aPrefixIsSharedOnlyUnderTheSameWeightsAndCacheScope() {
-    long[] a = idsOf("w1", "", "aaaabbbbcccc"), b = idsOf("w1", "", "aaaabbbbXccc");
-    Assertions.assertEquals(2, a.length);
-    Assertions.assertArrayEquals(a, b);
-    for (long[] o :
+    long[] first = idsOf("w1", "", "aaaabbbbcccc"), second = idsOf("w1", "", "aaaabbbbXccc");
+    Assertions.assertEquals(2, first.length);
+    Assertions.assertArrayEquals(first, second);
+    for (long[] other :
         new long[][] {idsOf("w2", "", "aaaabbbbcccc"), idsOf("w1", "t", "aaaabbbbcccc")})
-      for (long x : o) for (long y : a) Assertions.assertNotEquals(x, y);
+      for (long x : other) for (long y : first) Assertions.assertNotEquals(x, y);
   }
 }
--- a/data-plane/src/test/java/gladelug/data/request/RecentDecisionsTest.java
+++ b/data-plane/src/test/java/gladelug/data/request/RecentDecisionsTest.java
@@ -12,16 +12,16 @@
 final class RecentDecisionsTest {
   /** Begins requests on one thread while others search for their records. */
   public static final class ConcurrentFinds {
-    private final RecentDecisions d = new RecentDecisions(2, "r", 0xabcdL);
+    private final RecentDecisions decisions = new RecentDecisions(2, "r", 0xabcdL);
 
     @Operation(nonParallelGroup = "order thread")
     public String begin() {
-      return d.begin(0).id;
+      return decisions.begin(0).id;
     }
 
     @Operation
-    public String find(@Param(gen = IntGen.class, conf = "0:3") int n) {
-      return d.find("r.abcd." + n).getClass().getSimpleName();
+    public String find(@Param(gen = IntGen.class, conf = "0:3") int number) {
+      return decisions.find("r.abcd." + number).getClass().getSimpleName();
     }
   }
 
@@ -37,14 +37,14 @@
 
   @Test
   void keepsTheMostRecentRecordsAndReportsTheFateOfOthers() {
-    RecentDecisions ds = new RecentDecisions(4, "r1", 0xabcdL);
-    for (int i = 0; i < 6; i++) ds.begin(0);
-    Assertions.assertTrue(ds.find("r1.abcd.5") instanceof FindResult.Present);
-    Assertions.assertTrue(ds.find("r1.abcd.2") instanceof FindResult.Present);
-    Assertions.assertTrue(ds.find("r1.abcd.1") instanceof FindResult.Overwritten);
-    Assertions.assertTrue(ds.find("r1.abcd.6") instanceof FindResult.Unknown);
-    Assertions.assertTrue(ds.find("r1.abce.5") instanceof FindResult.OtherRun);
+    RecentDecisions decisions = new RecentDecisions(4, "r1", 0xabcdL);
+    for (int i = 0; i < 6; i++) decisions.begin(0);
+    Assertions.assertTrue(decisions.find("r1.abcd.5") instanceof FindResult.Present);
+    Assertions.assertTrue(decisions.find("r1.abcd.2") instanceof FindResult.Present);
+    Assertions.assertTrue(decisions.find("r1.abcd.1") instanceof FindResult.Overwritten);
+    Assertions.assertTrue(decisions.find("r1.abcd.6") instanceof FindResult.Unknown);
+    Assertions.assertTrue(decisions.find("r1.abce.5") instanceof FindResult.OtherRun);
     for (String text : new String[] {"", "r1", "r1.abcd.x", "r1.zz.1", "r1.abcd.-1", "a.b.c.d"})
-      Assertions.assertTrue(ds.find(text) instanceof FindResult.Malformed, text);
+      Assertions.assertTrue(decisions.find(text) instanceof FindResult.Malformed, text);
   }
 }
--- a/data-plane/src/test/java/gladelug/data/request/RequestStateTest.java
+++ b/data-plane/src/test/java/gladelug/data/request/RequestStateTest.java
@@ -12,36 +12,36 @@
    * concurrently.
    */
   public static final class ConcurrentTransitions {
-    private final RequestState s = new RequestState();
+    private final RequestState state = new RequestState();
 
     @Operation
     public boolean handOver() {
-      return s.transition(Phase.WAITING, Phase.FORWARDED);
+      return state.transition(Phase.WAITING, Phase.FORWARDED);
     }
 
     @Operation
     public boolean refuse() {
-      return s.transition(Phase.WAITING, Phase.ENDED);
+      return state.transition(Phase.WAITING, Phase.ENDED);
     }
 
     @Operation
     public boolean firstPiece() {
-      return s.transition(Phase.FORWARDED, Phase.STREAMING);
+      return state.transition(Phase.FORWARDED, Phase.STREAMING);
     }
 
     @Operation
     public boolean notRunThere() {
-      return s.transition(Phase.FORWARDED, Phase.WAITING);
+      return state.transition(Phase.FORWARDED, Phase.WAITING);
     }
 
     @Operation
     public boolean end() {
-      return s.end();
+      return state.end();
     }
 
     @Operation
     public Phase at() {
-      return s.phase();
+      return state.phase();
     }
   }
 
--- a/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
+++ b/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
@@ -19,19 +19,19 @@
   }
 
   private static StateUpdate.ValuePush push(
-      long epoch, long nr, long base, String digestOf, byte[] v) {
+      long epoch, long number, long base, String digestOf, byte[] value) {
     return new StateUpdate.ValuePush(
-        StateKeys.CONFIGURATION, epoch, nr, base, Digest.hex(digestOf), v);
+        StateKeys.CONFIGURATION, epoch, number, base, Digest.hex(digestOf), value);
   }
 
   @Test
   void aDeltaIsAppliedOnlyToItsBaseAndOnlyIfTheDigestMatches() {
     List<String> taken = new ArrayList<>();
-    ReplicatedStateView b =
+    ReplicatedStateView view =
         new ReplicatedStateView(
             new Shuffle.Descriptor("r", "relay", "", "", "", 0, 0),
             1,
-            p -> taken.add(new String(p.value(), StandardCharsets.UTF_8)));
+            push -> taken.add(new String(push.value(), StandardCharsets.UTF_8)));
     String
         one =
             "so it begins and goes on. ".repeat(20)
@@ -41,32 +41,32 @@
         three = two + "!";
     Assertions.assertEquals(
         UpdateResult.NEEDS_FULL_VALUE,
-        b.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))),
+        view.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))),
         "a gap");
-    Assertions.assertEquals(UpdateResult.APPLIED, b.apply(push(1, 1, -1, one, bytes(one))));
+    Assertions.assertEquals(UpdateResult.APPLIED, view.apply(push(1, 1, -1, one, bytes(one))));
     Assertions.assertEquals(
         UpdateResult.APPLIED,
-        b.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))));
+        view.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))));
     Assertions.assertEquals(
         UpdateResult.NEEDS_FULL_VALUE,
-        b.apply(push(1, 3, 2, one, BinaryDelta.between(bytes(two), bytes(three)))),
+        view.apply(push(1, 3, 2, one, BinaryDelta.between(bytes(two), bytes(three)))),
         "another digest");
     Assertions.assertEquals(
-        UpdateResult.IGNORED, b.apply(push(1, 1, -1, one, bytes(one))), "a lower number");
+        UpdateResult.IGNORED, view.apply(push(1, 1, -1, one, bytes(one))), "a lower number");
     Assertions.assertEquals(
-        UpdateResult.IGNORED, b.apply(push(0, 9, -1, three, bytes(three))), "a lower epoch");
+        UpdateResult.IGNORED, view.apply(push(0, 9, -1, three, bytes(three))), "a lower epoch");
     Assertions.assertEquals(List.of(one, two), taken);
   }
 
   @Test
   void aCapacityGrantUnderALowerEpochIsIgnored() {
-    ReplicatedStateView b =
+    ReplicatedStateView view =
         new ReplicatedStateView(
-            new Shuffle.Descriptor("r", "relay", "", "", "", 0, 0), 1, p -> true);
+            new Shuffle.Descriptor("r", "relay", "", "", "", 0, 0), 1, push -> true);
     Assertions.assertEquals(
         UpdateResult.CAPACITY_GRANTED,
-        b.apply(new StateUpdate.CapacityGrant(5, "m", true, List.of())));
+        view.apply(new StateUpdate.CapacityGrant(5, "m", true, List.of())));
     Assertions.assertEquals(
-        UpdateResult.IGNORED, b.apply(new StateUpdate.CapacityGrant(4, "m", true, List.of())));
+        UpdateResult.IGNORED, view.apply(new StateUpdate.CapacityGrant(4, "m", true, List.of())));
   }
 }
