--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
@@ -75,6 +75,7 @@
     return null;
   }
 
+  /** Returns the status for operators. */
   public synchronized JsonObject toJson() {
     return Json.object()
         .add("batches", batches.size())
@@ -84,6 +85,7 @@
         .add("turnedAway", refusedBatches);
   }
 
+  /** Compresses the lines of a batch. */
   static byte[] pack(List<byte[]> lines) {
     Deflater deflater = new Deflater(Deflater.BEST_SPEED);
     ByteArrayOutputStream unpacked = new ByteArrayOutputStream();
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
@@ -191,6 +191,7 @@
     return chosen;
   }
 
+  /** Adds the routes by which operators read the stored records. */
   public void addRoutes(Router router) {
     router
         .get("/operator/reasons/:id")
--- a/data-plane/src/main/java/gladelug/data/index/BlockList.java
+++ b/data-plane/src/main/java/gladelug/data/index/BlockList.java
@@ -21,9 +21,9 @@
   }
 
   /** Returns a list of blocks that are all kept whole. */
-  public static BlockList whole(String incarnation, long number, long[] blocks) {
+  public static BlockList whole(String incarnation, long lastSequence, long[] blocks) {
     int[] units = new int[blocks.length];
     Arrays.fill(units, 1);
-    return new BlockList(incarnation, number, blocks, units, new BitSet());
+    return new BlockList(incarnation, lastSequence, blocks, units, new BitSet());
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
+++ b/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
@@ -17,7 +17,13 @@
  * to apply events until then.
  */
 public final class CacheEventFeed {
+  /** The maximum number of events that wait for a missing one. */
   public static final int REORDER_WINDOW_EVENTS = 64;
+
+  /**
+   * The default time that a missing event is waited for, and the default minimum interval between
+   * list requests.
+   */
   public static final long GAP_TIMEOUT_MS = 300, MIN_LIST_INTERVAL_MS = 300;
 
   /** How gaps in the sequence are treated. */
@@ -56,12 +62,12 @@
       return new Policy(gapPolicy, gapTimeoutMs, minListIntervalMs);
     }
 
-    public Policy withGapTimeoutMs(long ms) {
-      return new Policy(gaps, ms, minListIntervalMs);
+    public Policy withGapTimeoutMs(long timeoutMs) {
+      return new Policy(gaps, timeoutMs, minListIntervalMs);
     }
 
-    public Policy withMinListIntervalMs(long ms) {
-      return new Policy(gaps, gapTimeoutMs, ms);
+    public Policy withMinListIntervalMs(long intervalMs) {
+      return new Policy(gaps, gapTimeoutMs, intervalMs);
     }
   }
 
@@ -88,6 +94,8 @@
   private final Effects effects;
   private final Policy policy;
   private final GapPolicy.Tolerant tolerance;
+
+  /** The maximum number of events that wait for a list. */
   private final int maxBuffered;
 
   /** The events that wait for earlier ones or for a list, by sequence number. */
@@ -146,6 +154,7 @@
     return following;
   }
 
+  /** Returns the incarnation whose events are applied; empty before the first list. */
   public String incarnation() {
     return incarnation;
   }
--- a/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
@@ -21,6 +21,7 @@
  * long for at most 64 holders.
  */
 public final class CuckooSummary {
+  /** The slots per bucket and the maximum number of displacements per insert, as in the paper. */
   public static final int BUCKET_SLOTS = 4, MAX_DISPLACEMENTS = 300;
 
   /** The default maximum number of holders, and the largest one supported. */
@@ -479,6 +480,7 @@
     return unplacedEntries;
   }
 
+  /** Returns the number of displacements of all inserts. */
   public long displacements() {
     return displacements;
   }
--- a/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
@@ -72,9 +72,9 @@
   }
 
   /** Records that a holder stored or evicted a block. */
-  void recordBlockEvent(boolean stored) {
-    stored += ((stored ? 1 : 0) - stored) * BLOCK_WEIGHT;
-    evicted += ((stored ? 0 : 1) - evicted) * BLOCK_WEIGHT;
+  void recordBlockEvent(boolean kept) {
+    stored += ((kept ? 1 : 0) - stored) * BLOCK_WEIGHT;
+    evicted += ((kept ? 0 : 1) - evicted) * BLOCK_WEIGHT;
   }
 
   void removeHolder(String holder) {
--- a/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
@@ -193,6 +193,7 @@
     if (totalBlocks > table.capacity() * 9L / 10) grow(totalBlocks, nowMs);
   }
 
+  /** Starts to fill a larger table from fresh lists. */
   private void grow(long entries, long nowMs) {
     replacement = newTable(entries);
     replacementSinceMs = nowMs;
--- a/data-plane/src/main/java/gladelug/data/index/Holder.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holder.java
@@ -9,7 +9,9 @@
  * its list.
  */
 public final class Holder {
+  /** The time after which a holder that was not heard counts as silent. */
   private static final long SILENT_AFTER_MS = 3000;
+
   public final Replica replica;
   public final CacheEventFeed feed;
   final int id;
--- a/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
@@ -169,6 +169,7 @@
         .onFailure(failure -> onStreamEnd());
   }
 
+  /** Follows the holder again after a delay; checks its identity first if it is silent. */
   private void onStreamEnd() {
     worker.offer(
         () ->
--- a/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
+++ b/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
@@ -9,7 +9,10 @@
  * Bounded, and a hint like the summary. Confined to one thread.
  */
 public final class RecentPlacements {
+  /** The maximum number of block and instance pairs; the oldest are evicted. */
   static final int MAX_ENTRIES = 4096;
+
+  /** The time for which a placement counts; events report the blocks by then. */
   static final long LIFETIME_MS = 4000;
 
   private record Key(long block, String instance) {}
@@ -17,7 +20,7 @@
   private final Map<Key, Long> expiryMs =
       new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Key, Long> e) {
+        protected boolean removeEldestEntry(Map.Entry<Key, Long> eldest) {
           return size() > MAX_ENTRIES;
         }
       };
--- a/data-plane/src/main/java/gladelug/data/request/RecentDecisions.java
+++ b/data-plane/src/main/java/gladelug/data/request/RecentDecisions.java
@@ -10,14 +10,19 @@
 public final class RecentDecisions {
   /** The result of a search for a record. */
   public sealed interface FindResult {
+    /** The record is available. */
     record Present(Decision decision) implements FindResult {}
 
+    /** The record was overwritten by a newer one. */
     record Overwritten() implements FindResult {}
 
+    /** No such request is known to this relay. */
     record Unknown() implements FindResult {}
 
+    /** The request belongs to another run of this relay. */
     record OtherRun() implements FindResult {}
 
+    /** The text is not a request id. */
     record Malformed() implements FindResult {}
   }
 
@@ -33,6 +38,7 @@
     this.runId = String.format("%04x", incarnation & 0xffff);
   }
 
+  /** Returns the part of request ids that identifies this run of the relay. */
   public String runId() {
     return runId;
   }
--- a/data-plane/src/main/java/gladelug/data/state/Leases.java
+++ b/data-plane/src/main/java/gladelug/data/state/Leases.java
@@ -28,6 +28,7 @@
     return earliestMs;
   }
 
+  /** Returns the expiry of the lease of a key. */
   public long validUntilMs(String key) {
     return deadlinesMs.get(StateKeys.LEASED.indexOf(key));
   }
@@ -48,6 +49,7 @@
     if (keyIndex >= 0) epochs.set(keyIndex, Math.max(epochs.get(keyIndex), epoch));
   }
 
+  /** Returns the highest epoch seen of a key; 0 if the key is not leased. */
   public long epoch(String key) {
     int keyIndex = StateKeys.LEASED.indexOf(key);
     return keyIndex < 0 ? 0 : epochs.get(keyIndex);
--- a/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
+++ b/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
@@ -24,9 +24,13 @@
 
   /** The effect of an update. */
   public enum UpdateResult {
+    /** Nothing changed. */
     IGNORED,
+    /** A new value was accepted. */
     APPLIED,
+    /** A new capacity allocation was accepted. */
     CAPACITY_GRANTED,
+    /** A delta could not be applied; the full value must be requested. */
     NEEDS_FULL_VALUE
   }
 
@@ -48,14 +52,19 @@
     this.valueConsumer = valueConsumer;
   }
 
+  /** Returns the version number held of a key; 0 for none. */
   public long number(String key) {
     return numbers.getOrDefault(key, 0L);
   }
 
+  /** Returns a subscription request without demand. */
   public StateUpdate.SubscriptionRequest subscriptionRequest(long nowMs) {
     return subscriptionRequest(nowMs, NO_DEMAND, List.of());
   }
 
+  /**
+   * Returns a subscription request with the versions held, the queued demand and the free capacity.
+   */
   public StateUpdate.SubscriptionRequest subscriptionRequest(
       long nowMs,
       List<StateUpdate.QuotaDemand> demands,
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
@@ -67,6 +67,7 @@
     this.leases = view.leases;
   }
 
+  /** Returns the current snapshot. */
   public ControlStateSnapshot snapshot() {
     return current;
   }
@@ -83,6 +84,7 @@
     return allotments.get(service);
   }
 
+  /** Returns a subscription request for the current state. */
   public StateUpdate.SubscriptionRequest subscriptionRequest() {
     return view.subscriptionRequest(clock.now(), demands, serviceCapacities);
   }
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
@@ -84,6 +84,7 @@
     for (Consumer<ControlStateSnapshot> listener : listeners) listener.accept(snapshot);
   }
 
+  /** Returns the random number that identifies this run of the process. */
   public long run() {
     return run;
   }
--- a/data-plane/src/test/java/gladelug/data/index/CacheEventFeedTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/CacheEventFeedTest.java
@@ -29,7 +29,7 @@
           new CacheEventFeed(
               new Effects() {
                 @Override
-                public void setKept(long block, int units, boolean part) {
+                public void setKept(long block, int units, boolean partial) {
                   if (followedBlocks.merge(block, units > 0 ? 1 : -1, Integer::sum) < 0)
                     removedUnknown[0] = true;
                   followedBlocks.remove(block, 0);
@@ -47,8 +47,8 @@
                 }
 
                 @Override
-                public void requestList(long nr) {
-                  listRequests[0] = nr;
+                public void requestList(long requestNumber) {
+                  listRequests[0] = requestNumber;
                 }
               });
       String incarnation = "i0";
@@ -91,7 +91,7 @@
           feed.onList(
               listRequests[0],
               BlockList.whole(
-                  incarnation, sequence, heldBlocks.stream().mapToLong(x -> x).toArray()));
+                  incarnation, sequence, heldBlocks.stream().mapToLong(block -> block).toArray()));
         }
       }
       Assertions.assertTrue(feed.isFollowing(), "seed " + seed);
@@ -109,8 +109,8 @@
     final List<String> recorded = new ArrayList<>();
 
     @Override
-    public void setKept(long block, int units, boolean part) {
-      recorded.add(block + "=" + units + (part ? "p" : ""));
+    public void setKept(long block, int units, boolean partial) {
+      recorded.add(block + "=" + units + (partial ? "p" : ""));
     }
 
     @Override
@@ -124,8 +124,8 @@
     }
 
     @Override
-    public void requestList(long nr) {
-      recorded.add("list " + nr);
+    public void requestList(long requestNumber) {
+      recorded.add("list " + requestNumber);
     }
 
     String takeRecorded() {
--- a/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
@@ -24,7 +24,7 @@
     boolean remove(long block, int holder) {
       Map<Integer, Integer> copiesByHolder = copiesByBlock.get(block);
       if (copiesByHolder == null || !copiesByHolder.containsKey(holder)) return false;
-      copiesByHolder.computeIfPresent(holder, (k, v) -> v == 1 ? null : v - 1);
+      copiesByHolder.computeIfPresent(holder, (key, count) -> count == 1 ? null : count - 1);
       return true;
     }
   }
@@ -62,7 +62,7 @@
         }
         if (i % 5000 == 4999) {
           int removedHolder = random.nextInt(13);
-          model.copiesByBlock.values().forEach(x -> x.remove(removedHolder));
+          model.copiesByBlock.values().forEach(copies -> copies.remove(removedHolder));
           summary.clear(removedHolder);
         }
         if (i % 1000 == 0) assertNoFalseNegative(summary, model, "seed " + seed + " step " + i);
@@ -70,7 +70,7 @@
       assertNoFalseNegative(summary, model, "seed " + seed);
       int entries =
           model.copiesByBlock.values().stream()
-              .mapToInt(x -> x.values().stream().mapToInt(v -> v).sum())
+              .mapToInt(copies -> copies.values().stream().mapToInt(count -> count).sum())
               .sum();
       Assertions.assertEquals(entries, summary.size(), "entries, seed " + seed);
       model.copiesByBlock.forEach(
@@ -103,7 +103,7 @@
     Assertions.assertFalse(summary.isFull());
     for (long block = 0; block < 100; block++)
       for (int holder = 0; holder < 9; holder++) summary.remove(mix(block + 77), holder);
-    Assertions.assertEquals(0, summary.overflowEntries(), "moved back into the table");
+    Assertions.assertEquals(0, summary.overflowEntries(), "the overflow moved back into the table");
   }
 
   @Test
@@ -159,7 +159,7 @@
       Assertions.assertTrue(summary.contains(mix(7), holder));
       Assertions.assertTrue(summary.remove(mix(7), holder));
       Assertions.assertFalse(summary.contains(mix(7), holder));
-      Assertions.assertFalse(summary.remove(mix(7), holder), "a second copy");
+      Assertions.assertFalse(summary.remove(mix(7), holder), "there was a second copy");
     }
     Assertions.assertEquals(0, summary.size());
     Assertions.assertEquals(0, summary.overflowEntries());
@@ -199,9 +199,9 @@
         }
         if (i % 20_000 == 19_999) {
           int removedHolder = random.nextInt(holders);
-          for (BitSet x : truth.values()) {
-            if (x.get(removedHolder)) entries--;
-            x.clear(removedHolder);
+          for (BitSet remainingHolders : truth.values()) {
+            if (remainingHolders.get(removedHolder)) entries--;
+            remainingHolders.clear(removedHolder);
           }
           summary.clear(removedHolder);
         }
@@ -229,7 +229,7 @@
     for (int holder = 0; holder < holders - 4; holder++)
       for (long block = 0; block < blocks; block++)
         Assertions.assertTrue(summary.remove(mix(block + 77), holder));
-    Assertions.assertEquals(0, summary.overflowEntries(), "moved back into the table");
+    Assertions.assertEquals(0, summary.overflowEntries(), "the overflow moved back into the table");
   }
 
   @Test
--- a/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
@@ -66,7 +66,7 @@
       followed[Integer.parseInt(holder.replica.instance().substring(1))] = holder;
       holder.contacted = true;
       holder.setListRequester(
-          sequence -> holder.feed.onList(sequence, BlockList.whole("i", 0, new long[0])));
+          requestNumber -> holder.feed.onList(requestNumber, BlockList.whole("i", 0, new long[0])));
       holder.feed.resync(0);
     }
     return followed;
@@ -107,7 +107,7 @@
     Assertions.assertTrue(Holders.isStore(store.replica));
     store.contacted = true;
     store.setListRequester(
-        sequence -> store.feed.onList(sequence, BlockList.whole("i", 0, new long[] {7})));
+        requestNumber -> store.feed.onList(requestNumber, BlockList.whole("i", 0, new long[] {7})));
     store.feed.resync(0);
     store.lastHeardMs = 1000;
     Lookup.Question question = new Lookup.Question(1, new long[] {7});
@@ -124,35 +124,36 @@
   void repeatedStoresKeepOneEntryAndPartialEvictionsReportUnits() {
     FleetSummary summary = new FleetSummary(16);
     Holder holder = follow(summary, 1)[0];
-    long n = 0;
-    for (int i = 1; i <= 4; i++) holder.feed.onEvent(CacheEvent.store("i", ++n, 11, 64 * i), 1);
-    holder.feed.onEvent(CacheEvent.store("i", ++n, 12, WHOLE), 1);
-    holder.feed.onEvent(CacheEvent.store("i", ++n, 13, WHOLE), 1);
+    long sequence = 0;
+    for (int i = 1; i <= 4; i++)
+      holder.feed.onEvent(CacheEvent.store("i", ++sequence, 11, 64 * i), 1);
+    holder.feed.onEvent(CacheEvent.store("i", ++sequence, 12, WHOLE), 1);
+    holder.feed.onEvent(CacheEvent.store("i", ++sequence, 13, WHOLE), 1);
     Assertions.assertEquals(3, entries(summary));
     Assertions.assertEquals(List.of(new Lookup.Match("h0", 3, 0)), ask(summary, 11, 12, 13, 14));
-    holder.feed.onEvent(CacheEvent.evict("i", ++n, 12, 100), 1);
+    holder.feed.onEvent(CacheEvent.evict("i", ++sequence, 12, 100), 1);
     Assertions.assertEquals(3, entries(summary));
     Assertions.assertEquals(List.of(new Lookup.Match("h0", 1, 100)), ask(summary, 11, 12, 13));
-    holder.feed.onEvent(CacheEvent.store("i", ++n, 12, 100), 1);
+    holder.feed.onEvent(CacheEvent.store("i", ++sequence, 12, 100), 1);
     Assertions.assertEquals(
         List.of(new Lookup.Match("h0", 1, 100)),
         ask(summary, 11, 12, 13),
         "the block has not grown");
-    holder.feed.onEvent(CacheEvent.store("i", ++n, 12, 200), 1);
+    holder.feed.onEvent(CacheEvent.store("i", ++sequence, 12, 200), 1);
     Assertions.assertEquals(
         List.of(new Lookup.Match("h0", 3, 0)),
         ask(summary, 11, 12, 13),
         "the block counts as whole again");
-    holder.feed.onEvent(new CacheEvent("i", ++n, 11, 32, true, false), 1);
+    holder.feed.onEvent(new CacheEvent("i", ++sequence, 11, 32, true, false), 1);
     Assertions.assertEquals(
         List.of(new Lookup.Match("h0", 0, 32)),
         ask(summary, 11, 12, 13),
         "the first block is partial");
-    holder.feed.onEvent(CacheEvent.evict("i", ++n, 11, 0), 1);
-    holder.feed.onEvent(CacheEvent.evict("i", ++n, 11, 0), 1);
+    holder.feed.onEvent(CacheEvent.evict("i", ++sequence, 11, 0), 1);
+    holder.feed.onEvent(CacheEvent.evict("i", ++sequence, 11, 0), 1);
     Assertions.assertEquals(List.of(), ask(summary, 11, 12, 13));
     Assertions.assertEquals(2, entries(summary));
-    holder.feed.onEvent(CacheEvent.store("i", ++n, 11, 10), 1);
+    holder.feed.onEvent(CacheEvent.store("i", ++sequence, 11, 10), 1);
     Assertions.assertEquals(
         List.of(new Lookup.Match("h0", 3, 0)),
         ask(summary, 11, 12, 13),
@@ -166,9 +167,9 @@
     BitSet parts = new BitSet();
     parts.set(1);
     holder.setListRequester(
-        sequence ->
+        requestNumber ->
             holder.feed.onList(
-                sequence,
+                requestNumber,
                 new BlockList(
                     "i", 5, new long[] {1, 2, 3, 4}, new int[] {WHOLE, 40, WHOLE, 0}, parts)));
     holder.feed.resync(1000);
@@ -193,12 +194,12 @@
     for (int i = 0; i < 60_000; i++) {
       int index = random.nextInt(holders);
       long block = CuckooSummary.mix(1 + random.nextInt(blocks));
-      int had = truth.get(index).getOrDefault(block, 0);
-      boolean store = had < WHOLE && random.nextBoolean();
+      int unitsBefore = truth.get(index).getOrDefault(block, 0);
+      boolean store = unitsBefore < WHOLE && random.nextBoolean();
       int kept =
           store
-              ? Math.min(WHOLE, had + 64 * (1 + random.nextInt(4)))
-              : random.nextInt(3) == 0 ? had / 2 : 0;
+              ? Math.min(WHOLE, unitsBefore + 64 * (1 + random.nextInt(4)))
+              : random.nextInt(3) == 0 ? unitsBefore / 2 : 0;
       followed[index].feed.onEvent(
           new CacheEvent("i", ++sequence[index], block, kept, kept < WHOLE && kept > 0, false), i);
       if (kept == 0) truth.get(index).remove(block);
@@ -212,15 +213,16 @@
       for (int index = 0; index < holders; index++) {
         int units = truth.get(index).getOrDefault(block, 0);
         Lookup.Match match = found.get("h" + index);
-        boolean alone = true;
+        boolean isUnambiguous = true;
         for (int j = 1; j <= blocks; j++)
-          alone &= j == i || !table.indistinguishable(block, CuckooSummary.mix(j));
+          isUnambiguous &= j == i || !table.indistinguishable(block, CuckooSummary.mix(j));
         if (units > 0) kept++;
         if (units > 0 && match == null) {
           missing++;
           Assertions.assertFalse(
-              alone, "missing although no other block has the fingerprint and buckets of " + i);
-        } else if (match != null && alone) {
+              isUnambiguous,
+              "missing although no other block has the fingerprint and buckets of " + i);
+        } else if (match != null && isUnambiguous) {
           Assertions.assertTrue(units > 0, "found but not kept");
           Assertions.assertEquals(units == WHOLE ? 1 : 0, match.blocks());
           Assertions.assertEquals(units == WHOLE ? 0 : units, match.units());
@@ -252,10 +254,11 @@
       if (index % 2 == 0) followed[index].feed.onEvent(CacheEvent.store("i", 2, 2, 1), 1);
       else followed[index].feed.onEvent(new CacheEvent("i", 2, 2, index, true, false), 1);
     }
-    Set<Lookup.Match> want = new HashSet<>();
+    Set<Lookup.Match> expected = new HashSet<>();
     for (int index = 0; index < 300; index++)
-      want.add(new Lookup.Match("h" + index, index % 2 == 0 ? 2 : 1, index % 2 == 0 ? 0 : index));
-    Assertions.assertEquals(want, new HashSet<>(ask(summary, 1, 2, 3)));
+      expected.add(
+          new Lookup.Match("h" + index, index % 2 == 0 ? 2 : 1, index % 2 == 0 ? 0 : index));
+    Assertions.assertEquals(expected, new HashSet<>(ask(summary, 1, 2, 3)));
     Assertions.assertEquals(300, ask(summary, 1, 2, 3).size(), "one match per holder");
     summary.updateHolders(snapshotOf(100), 2);
     Assertions.assertEquals(100, ask(summary, 1, 2).size());
@@ -267,7 +270,7 @@
 
   @Test
   void holdersBeyondTheMaximumAreIgnored() {
-    FleetSummary summary = new FleetSummary(16, 70, random -> CacheEventFeed.Policy.STRICT);
+    FleetSummary summary = new FleetSummary(16, 70, replica -> CacheEventFeed.Policy.STRICT);
     summary.updateHolders(snapshotOf(90), 0);
     Assertions.assertEquals(70, summary.allHolders().size());
   }
@@ -276,24 +279,25 @@
   void aLargerTableIsFilledFromListsAfterTheirMinimumInterval() {
     FleetSummary summary =
         new FleetSummary(
-            16, 512, random -> CacheEventFeed.Policy.STRICT.withMinListIntervalMs(10_000));
+            16, 512, replica -> CacheEventFeed.Policy.STRICT.withMinListIntervalMs(10_000));
     summary.updateHolders(snapshotOf(80), 0);
     int[] lists = {0};
     for (Holder holder : summary.allHolders()) {
       holder.contacted = true;
       holder.setListRequester(
-          sequence -> {
+          requestNumber -> {
             lists[0]++;
-            holder.feed.onList(sequence, BlockList.whole("i", 0, new long[] {1, 2, 3}));
+            holder.feed.onList(requestNumber, BlockList.whole("i", 0, new long[] {1, 2, 3}));
           });
       holder.feed.resync(0);
     }
     Assertions.assertEquals(80, lists[0]);
     summary.setCapacity(summary.allHolders().get(0), 100_000, 1);
-    for (long t = 1; t < 10_000; t += 100) {
-      for (Holder holder : summary.allHolders()) holder.lastHeardMs = t;
-      summary.tick(t);
-      Assertions.assertEquals(80, lists[0], "listed before the minimum interval is over, at " + t);
+    for (long nowMs = 1; nowMs < 10_000; nowMs += 100) {
+      for (Holder holder : summary.allHolders()) holder.lastHeardMs = nowMs;
+      summary.tick(nowMs);
+      Assertions.assertEquals(
+          80, lists[0], "listed before the minimum interval is over, at " + nowMs);
     }
     for (Holder holder : summary.allHolders()) holder.lastHeardMs = 10_000;
     summary.tick(10_000);
@@ -324,15 +328,15 @@
       Holder holder = follow(summary, 1)[0];
       Map<Long, Integer> truth = new HashMap<>();
       List<CacheEvent> inFlight = new ArrayList<>();
-      long sequence = 0, now = 0, lost = 0;
+      long sequence = 0, nowMs = 0, lost = 0;
       for (int i = 0; i < 40_000 || !inFlight.isEmpty(); i++) {
-        now += 2;
+        nowMs += 2;
         if (i < 40_000) {
           long block = CuckooSummary.mix(1 + random.nextInt(blocks));
-          int had = truth.getOrDefault(block, 0);
-          int kept = had == 0 ? WHOLE : random.nextInt(3) == 0 ? had / 2 : 0;
+          int unitsBefore = truth.getOrDefault(block, 0);
+          int kept = unitsBefore == 0 ? WHOLE : random.nextInt(3) == 0 ? unitsBefore / 2 : 0;
           CacheEvent event =
-              had == 0
+              unitsBefore == 0
                   ? CacheEvent.store("i", ++sequence, block, kept)
                   : CacheEvent.evict("i", ++sequence, block, kept);
           if (kept == 0) truth.remove(block);
@@ -343,11 +347,11 @@
           if (roll > 95) inFlight.add(event);
         }
         while (inFlight.size() > 6 || i >= 40_000 && !inFlight.isEmpty())
-          holder.feed.onEvent(inFlight.remove(random.nextInt(Math.min(inFlight.size(), 6))), now);
-        if (i % 50 == 0) summary.tick(now);
+          holder.feed.onEvent(inFlight.remove(random.nextInt(Math.min(inFlight.size(), 6))), nowMs);
+        if (i % 50 == 0) summary.tick(nowMs);
       }
-      holder.feed.onPulse("i", sequence, now);
-      for (int i = 0; i < 10; i++) summary.tick(now += 100);
+      holder.feed.onPulse("i", sequence, nowMs);
+      for (int i = 0; i < 10; i++) summary.tick(nowMs += 100);
       Assertions.assertEquals(
           1, holder.feed.resyncCount(), "only the initial list is requested, seed " + seed);
       Assertions.assertEquals(sequence, holder.feed.appliedSequence());
@@ -372,7 +376,7 @@
 
       long at = sequence;
       holder.setListRequester(
-          n -> {
+          requestNumber -> {
             long[] keptBlocks = truth.keySet().stream().mapToLong(x -> x).toArray();
             int[] keptUnits = new int[keptBlocks.length];
             BitSet parts = new BitSet();
@@ -380,9 +384,9 @@
               keptUnits[i] = truth.get(keptBlocks[i]);
               parts.set(i, keptUnits[i] < WHOLE);
             }
-            holder.feed.onList(n, new BlockList("i", at, keptBlocks, keptUnits, parts));
+            holder.feed.onList(requestNumber, new BlockList("i", at, keptBlocks, keptUnits, parts));
           });
-      holder.feed.resync(now);
+      holder.feed.resync(nowMs);
       Assertions.assertEquals(0, wrong(summary, truth, blocks), "after a list, seed " + seed);
       Assertions.assertEquals(truth.size(), entries(summary));
     }
@@ -393,11 +397,11 @@
     for (int i = 1; i <= blocks; i++) {
       long block = CuckooSummary.mix(i);
       int units = truth.getOrDefault(block, 0);
-      List<Lookup.Match> want =
+      List<Lookup.Match> expected =
           units == 0
               ? List.of()
               : List.of(new Lookup.Match("h0", units == WHOLE ? 1 : 0, units == WHOLE ? 0 : units));
-      if (!ask(summary, block).equals(want)) wrong++;
+      if (!ask(summary, block).equals(expected)) wrong++;
     }
     return wrong;
   }
--- a/data-plane/src/test/java/gladelug/data/request/PrefixBlocksTest.java
+++ b/data-plane/src/test/java/gladelug/data/request/PrefixBlocksTest.java
@@ -19,6 +19,6 @@
     Assertions.assertArrayEquals(first, second);
     for (long[] other :
         new long[][] {idsOf("w2", "", "aaaabbbbcccc"), idsOf("w1", "t", "aaaabbbbcccc")})
-      for (long x : other) for (long y : first) Assertions.assertNotEquals(x, y);
+      for (long otherId : other) for (long id : first) Assertions.assertNotEquals(otherId, id);
   }
 }
--- a/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
+++ b/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
@@ -19,9 +19,9 @@
   }
 
   private static StateUpdate.ValuePush push(
-      long epoch, long number, long base, String digestOf, byte[] value) {
+      long epoch, long number, long base, String digestedText, byte[] value) {
     return new StateUpdate.ValuePush(
-        StateKeys.CONFIGURATION, epoch, number, base, Digest.hex(digestOf), value);
+        StateKeys.CONFIGURATION, epoch, number, base, Digest.hex(digestedText), value);
   }
 
   @Test
@@ -42,7 +42,7 @@
     Assertions.assertEquals(
         UpdateResult.NEEDS_FULL_VALUE,
         view.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))),
-        "a gap");
+        "the base of the delta is missing");
     Assertions.assertEquals(UpdateResult.APPLIED, view.apply(push(1, 1, -1, one, bytes(one))));
     Assertions.assertEquals(
         UpdateResult.APPLIED,
@@ -50,7 +50,7 @@
     Assertions.assertEquals(
         UpdateResult.NEEDS_FULL_VALUE,
         view.apply(push(1, 3, 2, one, BinaryDelta.between(bytes(two), bytes(three)))),
-        "another digest");
+        "the digest does not match");
     Assertions.assertEquals(
         UpdateResult.IGNORED, view.apply(push(1, 1, -1, one, bytes(one))), "a lower number");
     Assertions.assertEquals(
