--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -53,6 +53,7 @@
   private static final String[] RELAY_FLAGS = {"callers", "index", "backlog", "choice", "division"};
   private static final String[] INDEX_FLAGS = {"fingerprintBits", "mostHolders", "listPauseMs"};
 
+  /** The settings of a relay or an index; those of the other command are null, empty or 0. */
   record DataPlaneSettings(
       String name,
       String zone,
@@ -118,7 +119,7 @@
                         + " holders");
               if (parsed.seeds.isEmpty())
                 settings.findings.add(
-                    "--seeds", "needs the records address of at least one other process");
+                    "--seeds", "at least one records address of another process is required");
               if (parsed.seeds.contains(parsed.recordsAddress))
                 settings.findings.add(
                     "--seeds",
--- a/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
+++ b/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
@@ -19,7 +19,8 @@
 public final class ReplicatedStateView {
   /** Receives pushed values, always in full; returns false if a value cannot be parsed. */
   public interface ValueConsumer {
-    boolean acceptValue(StateUpdate.ValuePush push);
+    /** Takes over a pushed value; returns false, without any change, if it cannot be parsed. */
+    boolean take(StateUpdate.ValuePush push);
   }
 
   /** The effect of an update. */
@@ -107,7 +108,7 @@
         if (value == null || !Digest.hex(value).equals(push.digest()))
           return UpdateResult.NEEDS_FULL_VALUE;
       }
-      if (!valueConsumer.acceptValue(
+      if (!valueConsumer.take(
           new StateUpdate.ValuePush(
               push.key(),
               push.epoch(),
--- a/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/CuckooSummaryTest.java
@@ -180,14 +180,14 @@
     for (int holders : new int[] {65, 128, 500, 1024}) {
       SplittableRandom random = new SplittableRandom(holders);
       CuckooSummary summary = new CuckooSummary(20_000, 16, BUCKET_SLOTS, holders, holders);
-      Map<Long, BitSet> truth = new HashMap<>();
+      Map<Long, BitSet> groundTruth = new HashMap<>();
       long[] found = new long[summary.bitsetWords()];
       int entries = 0;
       for (int i = 0; i < 120_000; i++) {
         // A quarter of the operations concern 20 blocks that most holders keep.
         long block = mix(random.nextInt(4) == 0 ? random.nextInt(20) : 100 + random.nextInt(2000));
         int holder = random.nextInt(holders);
-        BitSet holdersOfBlock = truth.computeIfAbsent(block, k -> new BitSet());
+        BitSet holdersOfBlock = groundTruth.computeIfAbsent(block, k -> new BitSet());
         if (random.nextInt(5) < 3 && entries < 18_000) {
           Assertions.assertEquals(!holdersOfBlock.get(holder), summary.insertOnce(block, holder));
           if (!holdersOfBlock.get(holder)) entries++;
@@ -199,7 +199,7 @@
         }
         if (i % 20_000 == 19_999) {
           int removedHolder = random.nextInt(holders);
-          for (BitSet remainingHolders : truth.values()) {
+          for (BitSet remainingHolders : groundTruth.values()) {
             if (remainingHolders.get(removedHolder)) entries--;
             remainingHolders.clear(removedHolder);
           }
@@ -207,7 +207,7 @@
         }
         Assertions.assertEquals(entries, summary.size());
       }
-      truth.forEach(
+      groundTruth.forEach(
           (block, holdersOfBlock) -> {
             Assertions.assertEquals(!holdersOfBlock.isEmpty(), summary.lookup(block, found));
             Assertions.assertEquals(holdersOfBlock, BitSet.valueOf(found), holders + " holders");
--- a/data-plane/src/test/java/gladelug/data/index/FleetLoadTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetLoadTest.java
@@ -34,9 +34,9 @@
   void anAnswerListsABoundedNumberOfReplicasBusiestFirst() {
     FleetLoad load = new FleetLoad();
     for (int i = 0; i < 600; i++) load.recordPlacement("r" + i, new Lookup.Work(10 + i, 0, 1), 0);
-    List<Lookup.Load> told = load.snapshot(0).loads();
-    Assertions.assertEquals(64, told.size());
-    Assertions.assertEquals(609, told.get(0).busyMs());
+    List<Lookup.Load> loads = load.snapshot(0).loads();
+    Assertions.assertEquals(64, loads.size());
+    Assertions.assertEquals(609, loads.get(0).busyMs());
   }
 
   @Test
--- a/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
@@ -164,14 +164,18 @@
   void aListReportsPartialBlocks() {
     FleetSummary summary = new FleetSummary(16);
     Holder holder = follow(summary, 1)[0];
-    BitSet parts = new BitSet();
-    parts.set(1);
+    BitSet partialBlocks = new BitSet();
+    partialBlocks.set(1);
     holder.setListRequester(
         requestNumber ->
             holder.feed.onList(
                 requestNumber,
                 new BlockList(
-                    "i", 5, new long[] {1, 2, 3, 4}, new int[] {WHOLE, 40, WHOLE, 0}, parts)));
+                    "i",
+                    5,
+                    new long[] {1, 2, 3, 4},
+                    new int[] {WHOLE, 40, WHOLE, 0},
+                    partialBlocks)));
     holder.feed.resync(1000);
     Assertions.assertEquals(3, entries(summary));
     Assertions.assertEquals(List.of(new Lookup.Match("h0", 1, 40)), ask(summary, 1, 2, 3));
@@ -188,13 +192,13 @@
     CuckooSummary table =
         new CuckooSummary(1 << 12, fingerprintBits, CuckooSummary.BUCKET_SLOTS, 512, 1);
     Holder[] followed = follow(summary, holders);
-    List<Map<Long, Integer>> truth = new ArrayList<>();
-    for (int index = 0; index < holders; index++) truth.add(new HashMap<>());
+    List<Map<Long, Integer>> groundTruth = new ArrayList<>();
+    for (int index = 0; index < holders; index++) groundTruth.add(new HashMap<>());
     long[] sequence = new long[holders];
     for (int i = 0; i < 60_000; i++) {
       int index = random.nextInt(holders);
       long block = CuckooSummary.mix(1 + random.nextInt(blocks));
-      int unitsBefore = truth.get(index).getOrDefault(block, 0);
+      int unitsBefore = groundTruth.get(index).getOrDefault(block, 0);
       boolean store = unitsBefore < WHOLE && random.nextBoolean();
       int kept =
           store
@@ -202,8 +206,8 @@
               : random.nextInt(3) == 0 ? unitsBefore / 2 : 0;
       followed[index].feed.onEvent(
           new CacheEvent("i", ++sequence[index], block, kept, kept < WHOLE && kept > 0, false), i);
-      if (kept == 0) truth.get(index).remove(block);
-      else truth.get(index).put(block, kept);
+      if (kept == 0) groundTruth.get(index).remove(block);
+      else groundTruth.get(index).put(block, kept);
     }
     int missing = 0, kept = 0;
     for (int i = 1; i <= blocks; i++) {
@@ -211,7 +215,7 @@
       Map<String, Lookup.Match> found = new HashMap<>();
       for (Lookup.Match match : ask(summary, block)) found.put(match.holder(), match);
       for (int index = 0; index < holders; index++) {
-        int units = truth.get(index).getOrDefault(block, 0);
+        int units = groundTruth.get(index).getOrDefault(block, 0);
         Lookup.Match match = found.get("h" + index);
         boolean isUnambiguous = true;
         for (int j = 1; j <= blocks; j++)
@@ -321,26 +325,26 @@
           new FleetSummary(
               16,
               512,
-              x ->
+              replica ->
                   CacheEventFeed.Policy.STRICT
                       .withGaps(CacheEventFeed.GapPolicy.tolerant(80, 1000))
                       .withMinListIntervalMs(1000));
       Holder holder = follow(summary, 1)[0];
-      Map<Long, Integer> truth = new HashMap<>();
+      Map<Long, Integer> groundTruth = new HashMap<>();
       List<CacheEvent> inFlight = new ArrayList<>();
       long sequence = 0, nowMs = 0, lost = 0;
       for (int i = 0; i < 40_000 || !inFlight.isEmpty(); i++) {
         nowMs += 2;
         if (i < 40_000) {
           long block = CuckooSummary.mix(1 + random.nextInt(blocks));
-          int unitsBefore = truth.getOrDefault(block, 0);
+          int unitsBefore = groundTruth.getOrDefault(block, 0);
           int kept = unitsBefore == 0 ? WHOLE : random.nextInt(3) == 0 ? unitsBefore / 2 : 0;
           CacheEvent event =
               unitsBefore == 0
                   ? CacheEvent.store("i", ++sequence, block, kept)
                   : CacheEvent.evict("i", ++sequence, block, kept);
-          if (kept == 0) truth.remove(block);
-          else truth.put(block, kept);
+          if (kept == 0) groundTruth.remove(block);
+          else groundTruth.put(block, kept);
           int roll = random.nextInt(100);
           if (roll < 3) lost++;
           else inFlight.add(event);
@@ -359,7 +363,7 @@
           lost,
           holder.feed.missedCount(),
           "late and repeated events are not missing, seed " + seed);
-      int wrong = wrong(summary, truth, blocks);
+      int wrong = wrong(summary, groundTruth, blocks);
       System.out.println(
           "tolerant, seed "
               + seed
@@ -374,29 +378,31 @@
       Assertions.assertTrue(
           wrong > 0 && wrong <= blocks * 0.03 + 4 * Math.sqrt(blocks * 0.03), "wrong " + wrong);
 
-      long at = sequence;
+      long listedSequence = sequence;
       holder.setListRequester(
           requestNumber -> {
-            long[] keptBlocks = truth.keySet().stream().mapToLong(x -> x).toArray();
+            long[] keptBlocks = groundTruth.keySet().stream().mapToLong(block -> block).toArray();
             int[] keptUnits = new int[keptBlocks.length];
-            BitSet parts = new BitSet();
+            BitSet partialBlocks = new BitSet();
             for (int i = 0; i < keptBlocks.length; i++) {
-              keptUnits[i] = truth.get(keptBlocks[i]);
-              parts.set(i, keptUnits[i] < WHOLE);
+              keptUnits[i] = groundTruth.get(keptBlocks[i]);
+              partialBlocks.set(i, keptUnits[i] < WHOLE);
             }
-            holder.feed.onList(requestNumber, new BlockList("i", at, keptBlocks, keptUnits, parts));
+            holder.feed.onList(
+                requestNumber,
+                new BlockList("i", listedSequence, keptBlocks, keptUnits, partialBlocks));
           });
       holder.feed.resync(nowMs);
-      Assertions.assertEquals(0, wrong(summary, truth, blocks), "after a list, seed " + seed);
-      Assertions.assertEquals(truth.size(), entries(summary));
+      Assertions.assertEquals(0, wrong(summary, groundTruth, blocks), "after a list, seed " + seed);
+      Assertions.assertEquals(groundTruth.size(), entries(summary));
     }
   }
 
-  private static int wrong(FleetSummary summary, Map<Long, Integer> truth, int blocks) {
+  private static int wrong(FleetSummary summary, Map<Long, Integer> groundTruth, int blocks) {
     int wrong = 0;
     for (int i = 1; i <= blocks; i++) {
       long block = CuckooSummary.mix(i);
-      int units = truth.getOrDefault(block, 0);
+      int units = groundTruth.getOrDefault(block, 0);
       List<Lookup.Match> expected =
           units == 0
               ? List.of()
