--- a/data-plane/src/test/java/gladelug/data/index/CacheEventFeedTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/CacheEventFeedTest.java
@@ -21,86 +21,77 @@
   void theFollowedSetConvergesToTheHoldersBlocksDespiteLossAndReordering() {
     for (int seed = 1; seed <= 40; seed++) {
       Random random = new Random(seed);
-      Set<Long> heldBlocks = new HashSet<>();
-      Map<Long, Integer> followedBlocks = new HashMap<>();
-      long[] listRequests = {0, 0};
-      boolean[] removedUnknown = {false};
-      CacheEventFeed feed =
+      Set<Long> held = new HashSet<>();
+      Map<Long, Integer> seen = new HashMap<>();
+      long[] asked = {0, 0};
+      boolean[] unknown = {false};
+      CacheEventFeed f =
           new CacheEventFeed(
               new Effects() {
                 @Override
-                public void setKept(long block, int units, boolean partial) {
-                  if (followedBlocks.merge(block, units > 0 ? 1 : -1, Integer::sum) < 0)
-                    removedUnknown[0] = true;
-                  followedBlocks.remove(block, 0);
+                public void setKept(long b, int units, boolean part) {
+                  if (seen.merge(b, units > 0 ? 1 : -1, Integer::sum) < 0) unknown[0] = true;
+                  seen.remove(b, 0);
                 }
 
                 @Override
                 public void clear() {
-                  followedBlocks.clear();
+                  seen.clear();
                 }
 
                 @Override
                 public void replaceAll(BlockList list) {
-                  followedBlocks.clear();
-                  for (long block : list.blocks()) setKept(block, 1, false);
+                  seen.clear();
+                  for (long b : list.blocks()) setKept(b, 1, false);
                 }
 
                 @Override
-                public void requestList(long requestNumber) {
-                  listRequests[0] = requestNumber;
+                public void requestList(long nr) {
+                  asked[0] = nr;
                 }
               });
-      String incarnation = "i0";
-      long sequence = 0, nowMs = 0;
+      String id = "i0";
+      long last = 0, now = 0;
       List<Runnable> inFlight = new ArrayList<>();
-      feed.resync(nowMs);
+      f.resync(now);
       for (int step = 0; step < 4000; step++) {
-        nowMs += 5;
-        long eventMs = nowMs;
+        now += 5;
+        long t = now;
         if (step < 3500) {
           if (random.nextInt(700) == 0) {
-            incarnation = "i" + step;
-            sequence = 0;
-            heldBlocks.clear();
+            id = "i" + step;
+            last = 0;
+            held.clear();
           }
-          long block = random.nextInt(50);
-          boolean store = heldBlocks.add(block);
-          if (!store) heldBlocks.remove(block);
-          long eventSequence = ++sequence;
-          String eventIncarnation = incarnation;
+          long b = random.nextInt(50);
+          boolean store = held.add(b);
+          if (!store) held.remove(b);
+          long seq = ++last;
+          String inc = id;
           CacheEvent event =
-              store
-                  ? CacheEvent.store(eventIncarnation, eventSequence, block, 1)
-                  : CacheEvent.evict(eventIncarnation, eventSequence, block, 0);
-          Runnable delivery = () -> feed.onEvent(event, eventMs);
+              store ? CacheEvent.store(inc, seq, b, 1) : CacheEvent.evict(inc, seq, b, 0);
+          Runnable task = () -> f.onEvent(event, t);
           int roll = random.nextInt(100);
-          if (roll >= 2) inFlight.add(delivery);
-          if (roll > 95) inFlight.add(delivery);
+          if (roll >= 2) inFlight.add(task);
+          if (roll > 95) inFlight.add(task);
         }
         if (random.nextInt(20) == 0 || step > 3500) {
-          long eventSequence = sequence;
-          String eventIncarnation = incarnation;
-          inFlight.add(() -> feed.onPulse(eventIncarnation, eventSequence, eventMs));
+          long seq = last;
+          String inc = id;
+          inFlight.add(() -> f.onPulse(inc, seq, t));
         }
         while (inFlight.size() > 4 || step > 3500 && !inFlight.isEmpty())
           inFlight.remove(random.nextInt(Math.min(inFlight.size(), 4))).run();
-        feed.tick(nowMs);
-        if (listRequests[0] != listRequests[1] && random.nextInt(10) == 0) {
-          listRequests[1] = listRequests[0];
-          feed.onList(
-              listRequests[0],
-              BlockList.whole(
-                  incarnation, sequence, heldBlocks.stream().mapToLong(block -> block).toArray()));
+        f.tick(now);
+        if (asked[0] != asked[1] && random.nextInt(10) == 0) {
+          asked[1] = asked[0];
+          f.onList(asked[0], BlockList.whole(id, last, held.stream().mapToLong(b -> b).toArray()));
         }
       }
-      Assertions.assertTrue(feed.isFollowing(), "seed " + seed);
-      Assertions.assertEquals(heldBlocks, followedBlocks.keySet(), "seed " + seed);
-      Assertions.assertFalse(
-          removedUnknown[0], "a block was removed without having been inserted, seed " + seed);
-      Assertions.assertTrue(
-          feed.resyncCount() > 1 && feed.duplicateCount() > 0,
-          "the connection caused no resync or duplicate, seed " + seed);
+      Assertions.assertTrue(f.isFollowing(), "seed " + seed);
+      Assertions.assertEquals(held, seen.keySet(), "seed " + seed);
+      Assertions.assertFalse(unknown[0], "removed, seed " + seed);
+      Assertions.assertTrue(f.resyncCount() > 1 && f.duplicateCount() > 0, "no loss, seed " + seed);
     }
   }
 
--- a/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
@@ -330,21 +330,21 @@
                       .withGaps(CacheEventFeed.GapPolicy.tolerant(80, 1000))
                       .withMinListIntervalMs(1000));
       Holder holder = follow(summary, 1)[0];
-      Map<Long, Integer> groundTruth = new HashMap<>();
+      Map<Long, Integer> truth = new HashMap<>();
       List<CacheEvent> inFlight = new ArrayList<>();
       long sequence = 0, nowMs = 0, lost = 0;
       for (int i = 0; i < 40_000 || !inFlight.isEmpty(); i++) {
         nowMs += 2;
         if (i < 40_000) {
           long block = CuckooSummary.mix(1 + random.nextInt(blocks));
-          int unitsBefore = groundTruth.getOrDefault(block, 0);
-          int kept = unitsBefore == 0 ? WHOLE : random.nextInt(3) == 0 ? unitsBefore / 2 : 0;
+          int had = truth.getOrDefault(block, 0);
+          int kept = had == 0 ? WHOLE : random.nextInt(3) == 0 ? had / 2 : 0;
           CacheEvent event =
-              unitsBefore == 0
+              had == 0
                   ? CacheEvent.store("i", ++sequence, block, kept)
                   : CacheEvent.evict("i", ++sequence, block, kept);
-          if (kept == 0) groundTruth.remove(block);
-          else groundTruth.put(block, kept);
+          if (kept == 0) truth.remove(block);
+          else truth.put(block, kept);
           int roll = random.nextInt(100);
           if (roll < 3) lost++;
           else inFlight.add(event);
@@ -356,14 +356,10 @@
       }
       holder.feed.onPulse("i", sequence, nowMs);
       for (int i = 0; i < 10; i++) summary.tick(nowMs += 100);
-      Assertions.assertEquals(
-          1, holder.feed.resyncCount(), "only the initial list is requested, seed " + seed);
+      Assertions.assertEquals(1, holder.feed.resyncCount(), "one list, seed " + seed);
       Assertions.assertEquals(sequence, holder.feed.appliedSequence());
-      Assertions.assertEquals(
-          lost,
-          holder.feed.missedCount(),
-          "late and repeated events are not missing, seed " + seed);
-      int wrong = wrong(summary, groundTruth, blocks);
+      Assertions.assertEquals(lost, holder.feed.missedCount(), "late events count, seed " + seed);
+      int wrong = wrong(summary, truth, blocks);
       System.out.println(
           "tolerant, seed "
               + seed
@@ -373,28 +369,25 @@
               + wrong
               + " of "
               + blocks);
-      // A block is wrong if its last event was lost, 3 of 100; the slack is four standard
-      // deviations.
+      // A block is wrong if its last event was lost, 3 of 100; slack: four standard deviations.
       Assertions.assertTrue(
           wrong > 0 && wrong <= blocks * 0.03 + 4 * Math.sqrt(blocks * 0.03), "wrong " + wrong);
 
-      long listedSequence = sequence;
+      long last = sequence;
       holder.setListRequester(
-          requestNumber -> {
-            long[] keptBlocks = groundTruth.keySet().stream().mapToLong(block -> block).toArray();
-            int[] keptUnits = new int[keptBlocks.length];
-            BitSet partialBlocks = new BitSet();
-            for (int i = 0; i < keptBlocks.length; i++) {
-              keptUnits[i] = groundTruth.get(keptBlocks[i]);
-              partialBlocks.set(i, keptUnits[i] < WHOLE);
+          request -> {
+            long[] blockIds = truth.keySet().stream().mapToLong(block -> block).toArray();
+            int[] units = new int[blockIds.length];
+            BitSet partial = new BitSet();
+            for (int i = 0; i < blockIds.length; i++) {
+              units[i] = truth.get(blockIds[i]);
+              partial.set(i, units[i] < WHOLE);
             }
-            holder.feed.onList(
-                requestNumber,
-                new BlockList("i", listedSequence, keptBlocks, keptUnits, partialBlocks));
+            holder.feed.onList(request, new BlockList("i", last, blockIds, units, partial));
           });
       holder.feed.resync(nowMs);
-      Assertions.assertEquals(0, wrong(summary, groundTruth, blocks), "after a list, seed " + seed);
-      Assertions.assertEquals(groundTruth.size(), entries(summary));
+      Assertions.assertEquals(0, wrong(summary, truth, blocks), "after a list, seed " + seed);
+      Assertions.assertEquals(truth.size(), entries(summary));
     }
   }
 
