--- a/control-plane/src/main/java/gladelug/control/ChangeSummary.java
+++ b/control-plane/src/main/java/gladelug/control/ChangeSummary.java
@@ -11,32 +11,33 @@
 import java.util.Map;
 
 /**
- * What a change of the control state is, in a few words for people who ask about its number: names
- * that are new, gone or changed. Never a caller's key. Pure; any thread.
+ * Summarizes a change of the control state in one line for the change history that operators read:
+ * which names were added, removed or changed. Summaries never contain a caller's API key. Stateless
+ * and thread-safe.
  */
 public final class ChangeSummary {
-  /** More names than these are counted, not listed. */
+  /** The longest list of names in a summary; further names are only counted. */
   private static final int MAX_NAMES = 6;
 
   private ChangeSummary() {}
 
-  /** In place of no difference at all. */
-  private static final String NOTHING_NAMED = "nothing that has a name";
+  /** The summary of a change in which no named entry differs. */
+  private static final String NO_NAMED_DIFFERENCE = "nothing that has a name";
 
   /**
    * Summarizes a change of the named weights.
    *
-   * @param before the value before, JSON; empty where there was none
-   * @param after the value after, JSON
-   * @return one line, empty where the values aren't such JSON
+   * @param before the previous value as JSON; empty if there was none
+   * @param after the new value as JSON
+   * @return one line; empty if either value is not valid JSON of this form
    */
-  public static String ofWeights(byte[] before, byte[] after) {
+  public static String summarizeWeights(byte[] before, byte[] after) {
     try {
       List<String> differences = new ArrayList<>();
       addWeightDifferences(parseObject(before), parseObject(after), differences);
-      return line(differences);
+      return join(differences);
     } catch (RuntimeException unreadable) {
-      // whatever stands there and however it fails to be read: a change isn't lost for its summary
+      // no unreadable value may make the change itself fail for want of a summary
       return "";
     }
   }
@@ -44,61 +45,65 @@
   /**
    * Summarizes a change of the configuration.
    *
-   * @param before the one before, EMPTY where there was none
+   * @param before the previous configuration; EMPTY if there was none
    * @return one line
    */
-  public static String ofConfiguration(Configuration before, Configuration after) {
+  public static String summarizeConfiguration(Configuration before, Configuration after) {
     List<String> differences = new ArrayList<>();
-    addDifferences("services", services(before), services(after), differences);
-    addDifferences("mappings", routes(before), routes(after), differences);
-    addDifferences("tenants", tenants(before), tenants(after), differences);
-    return line(differences);
+    addDifferences("services", servicesByName(before), servicesByName(after), differences);
+    addDifferences("mappings", routesByName(before), routesByName(after), differences);
+    addDifferences("tenants", tenantsByName(before), tenantsByName(after), differences);
+    return join(differences);
   }
 
-  private static String line(List<String> differences) {
-    return differences.isEmpty() ? NOTHING_NAMED : String.join("; ", differences);
+  private static String join(List<String> differences) {
+    return differences.isEmpty() ? NO_NAMED_DIFFERENCE : String.join("; ", differences);
   }
 
-  /** By name, what makes a service what it is beside its place in the list. */
-  private static Map<String, Object> services(Configuration configuration) {
+  /** Returns, by service name, every property of the service except its position in the list. */
+  private static Map<String, Object> servicesByName(Configuration configuration) {
     Map<String, Object> services = new LinkedHashMap<>();
-    for (Configuration.Service s : configuration.services)
+    for (Configuration.Service service : configuration.services)
       services.put(
-          s.name(),
+          service.name(),
           List.of(
-              s.kind(),
-              s.allow(),
-              s.connections(),
-              s.engine(),
-              String.valueOf(s.store()),
-              s.zone()));
+              service.kind(),
+              service.allow(),
+              service.connections(),
+              service.engine(),
+              String.valueOf(service.store()),
+              service.zone()));
     return services;
   }
 
-  /** By name, what makes a route what it is; services by their names, not their places. */
-  private static Map<String, Object> routes(Configuration configuration) {
+  /**
+   * Returns, by route name, every property of the route, with services referred to by name instead
+   * of by their position in the list.
+   */
+  private static Map<String, Object> routesByName(Configuration configuration) {
     Map<String, Object> routes = new LinkedHashMap<>();
     for (Configuration.Route route : configuration.routes)
       routes.put(
-          route.name(), new NamedRoute(route.withoutPlaces(), targets(configuration, route)));
+          route.name(),
+          new NamedRoute(route.withoutPlaces(), describeTargets(configuration, route)));
     return routes;
   }
 
-  /** A route without places in lists, and the names of services with their parts. */
+  /** A route without list positions, and the names and weights of the services it is split over. */
   private record NamedRoute(Configuration.Route route, String targets) {}
 
-  private static String targets(Configuration configuration, Configuration.Route route) {
+  private static String describeTargets(Configuration configuration, Configuration.Route route) {
     StringBuilder targets = new StringBuilder();
-    for (Configuration.Weighted part : route.split())
+    for (Configuration.Weighted target : route.split())
       targets
-          .append(configuration.services.get(part.service()).name())
+          .append(configuration.services.get(target.service()).name())
           .append(' ')
-          .append(part.weight())
+          .append(target.weight())
           .append(' ');
     return targets.toString();
   }
 
-  private static Map<String, Object> tenants(Configuration configuration) {
+  private static Map<String, Object> tenantsByName(Configuration configuration) {
     Map<String, Object> tenants = new LinkedHashMap<>();
     for (Configuration.Tenant tenant : configuration.tenants)
       tenants.put(tenant.name(), List.of(tenant.keys(), tenant.isolated(), tenant.share()));
@@ -108,15 +113,15 @@
   private static void addWeightDifferences(
       JsonObject before, JsonObject after, List<String> differences) {
     for (JsonObject.Member model : after) {
-      String newWeights = namedWeights(model.getValue());
+      String newWeights = currentWeights(model.getValue());
       JsonValue old = before.get(model.getName());
-      String oldWeights = old == null ? "nothing" : namedWeights(old);
+      String oldWeights = old == null ? "nothing" : currentWeights(old);
       if (!newWeights.equals(oldWeights))
         differences.add(model.getName() + " from " + oldWeights + " to " + newWeights);
     }
   }
 
-  private static String namedWeights(JsonValue model) {
+  private static String currentWeights(JsonValue model) {
     return model.asObject().getString("now", "?");
   }
 
--- a/control-plane/src/main/java/gladelug/control/ControlOwnerTasks.java
+++ b/control-plane/src/main/java/gladelug/control/ControlOwnerTasks.java
@@ -15,32 +15,33 @@
 import java.util.function.Function;
 
 /**
- * What a member of the core does for whoever owns the keys: divides places over relays by the
- * configuration, records which cached prefixes its tenants share, and says in a few words what a
- * change is. Not thread-safe: lives on the core's thread.
+ * The tasks of a key's owner that depend on the content of values: allocates request slots to
+ * relays according to the configuration, records which cached prefixes its tenants share, and
+ * summarizes changes. Not thread-safe: confined to the core's thread.
  */
 public final class ControlOwnerTasks implements OwnerTasks {
   private final Function<String, Result<Configuration>> configurationParser;
 
-  /** The one that was read last: with a change under way the next, else the newest. */
-  private ReadConfiguration lastRead = NOTHING_READ;
+  /** The configuration parsed last: during a change the proposed one, otherwise the newest. */
+  private ParsedConfiguration lastParsed = NOTHING_PARSED;
 
-  /** The one that was read before it, while a change is under way. */
-  private ReadConfiguration readBeforeIt = NOTHING_READ;
+  /** The configuration parsed before {@link #lastParsed}; kept only during a change. */
+  private ParsedConfiguration previouslyParsed = NOTHING_PARSED;
 
   /**
-   * A configuration by the array that holds its text.
+   * A parsed configuration, identified by the array that holds its text.
    *
-   * @param configuration null where the text can't be read
+   * @param configuration null if the text is not a valid configuration
    */
-  private record ReadConfiguration(byte[] body, Configuration configuration) {}
+  private record ParsedConfiguration(byte[] body, Configuration configuration) {}
 
-  private static final ReadConfiguration NOTHING_READ = new ReadConfiguration(new byte[0], null);
+  private static final ParsedConfiguration NOTHING_PARSED =
+      new ParsedConfiguration(new byte[0], null);
 
   /**
-   * Tasks that read the configuration so.
+   * Creates the tasks with a parser for the configuration.
    *
-   * @param configurationParser reads the configuration as operators sent it
+   * @param configurationParser parses the configuration as operators sent it
    */
   public ControlOwnerTasks(Function<String, Result<Configuration>> configurationParser) {
     this.configurationParser = configurationParser;
@@ -49,45 +50,48 @@
   @Override
   public Map<String, List<StateUpdate.CapacityGrant>> allocateCapacity(
       long epoch, List<SubscriberStatus> relays, byte[] body) {
-    Configuration configuration = read(body);
-    readBeforeIt = NOTHING_READ;
+    Configuration configuration = parse(body);
+    previouslyParsed = NOTHING_PARSED;
     return CapacityAllocation.allocate(
         epoch, relays, configuration == null ? Configuration.EMPTY : configuration);
   }
 
-  /** Where one of the two can't be read, who shared before isn't known: sharing begins anew. */
+  /**
+   * Starts a new sharing period if either configuration is invalid, because it is then unknown
+   * which tenants shared prefixes before.
+   */
   @Override
   public PrefixSharing prefixSharing(String key, VersionedValue before, byte[] after) {
     if (!key.equals(StateKeys.CONFIGURATION)) return PrefixSharing.UNRECORDED;
     if (before.number() == 0) return PrefixSharing.FIRST;
-    Configuration readBefore = read(before.body());
-    Configuration readAfter = read(after);
-    return readBefore == null || readAfter == null
+    Configuration configurationBefore = parse(before.body());
+    Configuration configurationAfter = parse(after);
+    return configurationBefore == null || configurationAfter == null
         ? PrefixSharing.beginningWith(before.number() + 1)
-        : before.sharing().next(readBefore, before.number(), readAfter);
+        : before.sharing().next(configurationBefore, before.number(), configurationAfter);
   }
 
-  private Configuration read(byte[] body) {
-    if (body == lastRead.body()) return lastRead.configuration();
-    if (body == readBeforeIt.body()) return readBeforeIt.configuration();
+  private Configuration parse(byte[] body) {
+    if (body == lastParsed.body()) return lastParsed.configuration();
+    if (body == previouslyParsed.body()) return previouslyParsed.configuration();
     Result<Configuration> parsed =
         configurationParser.apply(new String(body, StandardCharsets.UTF_8));
     Configuration configuration =
         parsed instanceof Result.Good<Configuration> good ? good.value() : null;
-    readBeforeIt = lastRead;
-    lastRead = new ReadConfiguration(body, configuration);
+    previouslyParsed = lastParsed;
+    lastParsed = new ParsedConfiguration(body, configuration);
     return configuration;
   }
 
   @Override
   public String summarizeChange(String key, byte[] before, byte[] after) {
-    if (key.equals(StateKeys.WEIGHTS)) return ChangeSummary.ofWeights(before, after);
+    if (key.equals(StateKeys.WEIGHTS)) return ChangeSummary.summarizeWeights(before, after);
     if (!key.equals(StateKeys.CONFIGURATION)) return "";
-    Configuration readBefore = before.length == 0 ? Configuration.EMPTY : read(before);
-    Configuration readAfter = read(after);
-    readBeforeIt = NOTHING_READ;
-    return readBefore == null || readAfter == null
+    Configuration configurationBefore = before.length == 0 ? Configuration.EMPTY : parse(before);
+    Configuration configurationAfter = parse(after);
+    previouslyParsed = NOTHING_PARSED;
+    return configurationBefore == null || configurationAfter == null
         ? ""
-        : ChangeSummary.ofConfiguration(readBefore, readAfter);
+        : ChangeSummary.summarizeConfiguration(configurationBefore, configurationAfter);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/ControlPlane.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlane.java
@@ -33,15 +33,16 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * The program control-plane. `bootstrap` prepares the data folder of one of the first members of a
- * new fleet; `run` serves, from a folder that was bootstrapped or has joined.
+ * Entry point of the control-plane program. The command {@code bootstrap} prepares the data folder
+ * of one of the first members of a new fleet; {@code run} serves from a data folder that was
+ * bootstrapped or that belongs to a member that joins an existing fleet.
  */
 public final class ControlPlane {
   private static final String PROGRAM = "control-plane";
   private static final String BOOTSTRAP = "bootstrap";
   private static final String RUN = "run";
 
-  /** What {@link #BOOTSTRAP} was called before; accepted for one release. */
+  /** The former name of {@link #BOOTSTRAP}, accepted for one release. */
   private static final String FORMER_BOOTSTRAP = "found";
 
   private static final int MAX_BOOTSTRAP_MEMBERS = 9;
@@ -49,14 +50,14 @@
 
   private ControlPlane() {}
 
-  /** Parses the command line, then bootstraps or serves; ends the process on what is wrong. */
+  /** Parses the command line, then bootstraps or serves; exits the process on any error. */
   public static void main(String[] args) {
     Namespace arguments = Program.parse(argumentParser(), args);
     String command = arguments.getString("command");
     if (command.equals(FORMER_BOOTSTRAP))
-      notice(ControlPlaneSettings.renamed("command " + FORMER_BOOTSTRAP, BOOTSTRAP));
-    ControlPlaneSettings settings = Program.orExit(PROGRAM, settings(arguments));
-    Log.setUp(settings.name(), Program.level(settings.log()), System.out);
+      printNotice(ControlPlaneSettings.renameNotice("command " + FORMER_BOOTSTRAP, BOOTSTRAP));
+    ControlPlaneSettings settings = Program.orExit(PROGRAM, parseSettings(arguments));
+    Log.setUp(settings.name(), Program.level(settings.logLevel()), System.out);
     try {
       if (command.equals(RUN)) run(settings);
       else bootstrap(settings);
@@ -66,7 +67,7 @@
     }
   }
 
-  private static void notice(String line) {
+  private static void printNotice(String line) {
     System.err.println(PROGRAM + ": " + line);
   }
 
@@ -75,20 +76,20 @@
         ArgumentParsers.newFor(PROGRAM)
             .build()
             .defaultHelp(true)
-            .description("Knows which servers and nodes exist and keeps the state they share.");
+            .description("Tracks which servers and nodes exist and stores the state they share.");
     var commands = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
     for (String command : List.of(BOOTSTRAP, FORMER_BOOTSTRAP, RUN)) {
       Subparser commandParser = commands.addParser(command).help(commandHelp(command));
       commandParser
           .addArgument("--settings")
           .metavar("FILE")
-          .help("settings file in JSON; flags go first");
+          .help("settings file in JSON; flags take precedence");
       for (String name : ControlPlaneSettings.NAMES)
         commandParser
             .addArgument(Settings.flag(name))
             .dest(name)
             .metavar("VALUE")
-            .help(ControlPlaneSettings.help(name));
+            .help(ControlPlaneSettings.helpText(name));
     }
     return parser;
   }
@@ -101,30 +102,34 @@
     };
   }
 
-  private static Result<ControlPlaneSettings> settings(Namespace arguments) {
+  private static Result<ControlPlaneSettings> parseSettings(Namespace arguments) {
     Map<String, String> flags = new HashMap<>();
     for (String name : ControlPlaneSettings.NAMES) flags.put(name, arguments.getString(name));
-    return ControlPlaneSettings.parse(arguments.getString("settings"), flags, ControlPlane::notice);
+    return ControlPlaneSettings.parse(
+        arguments.getString("settings"), flags, ControlPlane::printNotice);
   }
 
-  /** Prepares the data folder of a first member; nothing is changed where it is in use already. */
+  /**
+   * Prepares the data folder of a first member; fails without changes if the folder already has an
+   * identity.
+   */
   static void bootstrap(ControlPlaneSettings settings) {
     checkBootstrapMembers(settings);
-    String data = settings.data();
+    String data = settings.dataFolder();
     try (DataFolder folder = new DataFolder(Path.of(data), settings.ringFileMb() << 20)) {
       String identity = folder.identity();
       if (identity != null)
         throw new ServiceRegistry.StartupException(
             "data folder "
                 + data
-                + " is already that of "
+                + " already belongs to "
                 + (DiskIdentity.read(identity) instanceof Result.Good<DiskIdentity> known
                     ? known.value().name()
-                    : "somebody; its identity.json cannot be read"));
+                    : "an unknown member; its identity.json cannot be read"));
       CoreDataFolder.create(folder, settings.name(), settings.bootstrapMembers());
     } catch (IOException e) {
       throw new ServiceRegistry.StartupException(
-          "data folder " + data + " cannot be founded: " + e, e);
+          "data folder " + data + " cannot be prepared:  " + e, e);
     }
     Log.event("bootstrapped", "name", settings.name(), "data", data);
   }
@@ -137,34 +142,39 @@
         || names != members.size()
         || members.stream().noneMatch(member -> member.name().equals(settings.name())))
       throw new ServiceRegistry.StartupException(
-          "a new fleet is founded by one to "
+          "a new fleet needs 1 to "
               + MAX_BOOTSTRAP_MEMBERS
-              + " of different names, of which this is one; give "
+              + " bootstrap members with distinct names, including this one; set "
               + Settings.flag(ControlPlaneSettings.BOOTSTRAP_MEMBERS));
   }
 
-  /** Opens the data folder, wires the services and starts them; returns while they serve. */
+  /** Opens the data folder, creates the services and starts them; returns once they are running. */
   static void run(ControlPlaneSettings settings) {
     CoreDataFolder disk =
-        CoreDataFolder.open(settings.name(), settings.data(), settings.ringFileMb(), List.of());
+        CoreDataFolder.open(
+            settings.name(), settings.dataFolder(), settings.ringFileMb(), List.of());
     Vertx vertx = Vertx.vertx();
     vertx.getDelegate().exceptionHandler(FatalFailure::onUncaught);
-    Program.run(PROGRAM, services(vertx, settings, disk), STOP_TIMEOUT_MS);
+    Program.run(PROGRAM, createServices(vertx, settings, disk), STOP_TIMEOUT_MS);
   }
 
-  /** All services of a control machine in the order in which they start. */
-  private static ServiceRegistry services(
+  /** Creates all services of a control-plane machine in the order in which they start. */
+  private static ServiceRegistry createServices(
       Vertx vertx, ControlPlaneSettings settings, CoreDataFolder disk) {
     return new ServiceRegistry()
         .add(
             "doors",
-            new ConnectionAcceptor(vertx, settings.records(), settings.local(), settings.name()))
-        .add("views", new PartialViewService(vertx, descriptor(settings), settings.seeds()))
-        .add("core", core(vertx, settings, disk))
+            new ConnectionAcceptor(
+                vertx, settings.recordsAddress(), settings.bindAddress(), settings.name()))
+        .add(
+            "views",
+            new PartialViewService(vertx, createDescriptor(settings), settings.seedAddresses()))
+        .add("core", createCore(vertx, settings, disk))
         .add(
             "platform-watch",
             new InstanceListWatcher(
-                vertx, local -> new HttpInstanceListSource(vertx, local, settings.platform())))
+                vertx,
+                local -> new HttpInstanceListSource(vertx, local, settings.platformAddress())))
         .add(
             "commander",
             new ReplicaController(
@@ -172,36 +182,41 @@
                 settings.name(),
                 new WeightRollout(settings.cutoffMs()),
                 local -> new HttpReplicaCommands(vertx, local)))
-        .add("operator-endpoint", new OperatorEndpoint(vertx, settings.operator()));
+        .add("operator-endpoint", new OperatorEndpoint(vertx, settings.operatorAddress()));
   }
 
-  private static Shuffle.Descriptor descriptor(ControlPlaneSettings settings) {
+  private static Shuffle.Descriptor createDescriptor(ControlPlaneSettings settings) {
     return new Shuffle.Descriptor(
         settings.name(),
         "control",
-        settings.records().toString(),
-        settings.operator().toString(),
+        settings.recordsAddress().toString(),
+        settings.operatorAddress().toString(),
         settings.zone(),
         0,
         0);
   }
 
-  private static CoreService core(Vertx vertx, ControlPlaneSettings settings, CoreDataFolder disk) {
+  private static CoreService createCore(
+      Vertx vertx, ControlPlaneSettings settings, CoreDataFolder disk) {
     return new CoreService(
         vertx,
         disk.ring(),
         QuorumConfig.DEFAULT,
-        new MemberSet.Member(settings.name(), disk.id(), settings.records(), settings.operator()),
-        settings.seeds(),
+        new MemberSet.Member(
+            settings.name(), disk.diskId(), settings.recordsAddress(), settings.operatorAddress()),
+        settings.seedAddresses(),
         settings.cutoffMs(),
-        disk.founders().isEmpty() ? null : new BootstrapMembers(disk.founders()),
+        disk.bootstrapMembers().isEmpty() ? null : new BootstrapMembers(disk.bootstrapMembers()),
         new ControlOwnerTasks(Configuration::parse),
-        ControlPlane::halt);
+        ControlPlane::haltAfterDiskFailure);
   }
 
-  /** A disk that failed may hold less than was promised on it: no more is done, not even a stop. */
-  private static void halt(String what) {
-    System.err.println(PROGRAM + ": the disk failed and this member stops: " + what);
+  /**
+   * Halts the process at once, without a regular shutdown: after a disk failure, state that this
+   * member has promised to keep may be missing.
+   */
+  private static void haltAfterDiskFailure(String problem) {
+    System.err.println(PROGRAM + ": the disk failed, so this member halts:  " + problem);
     Runtime.getRuntime().halt(Program.CANNOT);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
@@ -12,39 +12,39 @@
 import java.util.function.Consumer;
 
 /**
- * The settings of one control machine, from its settings file, its flags, or both.
+ * The settings of one control-plane machine, read from its settings file, its flags, or both.
  *
  * @param name this machine's name in the core
- * @param zone the domain it stands in; may be empty
- * @param records advertised address for connections between processes
- * @param operator advertised address for operators and the platform
- * @param local the number that is listened on and called from
- * @param platform where the platform lists replicas
- * @param seeds records addresses of other processes
- * @param bootstrapMembers first members of a new fleet; needed by `bootstrap` only
- * @param data the data folder
- * @param log fine, info or warning
- * @param cutoffMs after new weights, for how long requests may begin on the old ones, ms
- * @param ringFileMb size of each of the four ring files, MiB
+ * @param zone the failure domain (zone) of this machine; may be empty
+ * @param recordsAddress advertised address for connections between processes
+ * @param operatorAddress advertised address for operators and the platform
+ * @param bindAddress the local IP address that this process listens on and connects from
+ * @param platformAddress the address of the platform's replica list
+ * @param seedAddresses records addresses of other processes, contacted first
+ * @param parseBootstrapMembers first members of a new fleet; needed by `bootstrap` only
+ * @param dataFolder the data folder
+ * @param logLevel fine, info or warning
+ * @param cutoffMs after new weights, how long requests may still start on the old ones, in ms
+ * @param ringFileMb size of each of the four ring files, in MiB
  */
 record ControlPlaneSettings(
     String name,
     String zone,
-    Address records,
-    Address operator,
-    BindAddress local,
-    Address platform,
-    List<Address> seeds,
+    Address recordsAddress,
+    Address operatorAddress,
+    BindAddress bindAddress,
+    Address platformAddress,
+    List<Address> seedAddresses,
     List<MemberSet.Member> bootstrapMembers,
-    String data,
-    String log,
+    String dataFolder,
+    String logLevel,
     int cutoffMs,
     int ringFileMb) {
 
-  /** The setting that names the first members. */
+  /** The setting that lists the first members. */
   static final String BOOTSTRAP_MEMBERS = "bootstrapMembers";
 
-  /** What {@link #BOOTSTRAP_MEMBERS} was called before; accepted for one release. */
+  /** The former name of {@link #BOOTSTRAP_MEMBERS}, accepted for one release. */
   static final String FORMER_BOOTSTRAP_MEMBERS = "founders";
 
   /** All settings by the names they have in the settings file; flags are derived from them. */
@@ -65,11 +65,11 @@
           "ringFileMb");
 
   /**
-   * Reads and checks all settings; everything wrong with them is reported together.
+   * Parses and validates all settings; all problems are reported together.
    *
-   * @param file path of the settings file, or null
-   * @param flags settings given as flags, by setting name; these go first
-   * @param notices gets one line for each former name in use
+   * @param file path of the settings file, or null if there is none
+   * @param flags settings given as flags, by setting name; they take precedence over the file
+   * @param notices receives one line for each former name in use
    */
   static Result<ControlPlaneSettings> parse(
       String file, Map<String, String> flags, Consumer<String> notices) {
@@ -77,33 +77,36 @@
         .then(settings -> parse(settings, notices));
   }
 
-  /** The flags with the former name replaced, so that a flag of either name precedes the file. */
+  /**
+   * Replaces the former name among the flags, so that a flag of either name takes precedence over
+   * the file.
+   */
   private static Map<String, String> withCurrentNames(
       Map<String, String> flags, Consumer<String> notices) {
     if (flags.get(FORMER_BOOTSTRAP_MEMBERS) == null) return flags;
     notices.accept(
-        renamed(Settings.flag(FORMER_BOOTSTRAP_MEMBERS), Settings.flag(BOOTSTRAP_MEMBERS)));
+        renameNotice(Settings.flag(FORMER_BOOTSTRAP_MEMBERS), Settings.flag(BOOTSTRAP_MEMBERS)));
     Map<String, String> current = new HashMap<>(flags);
     String members = current.remove(FORMER_BOOTSTRAP_MEMBERS);
     if (current.get(BOOTSTRAP_MEMBERS) == null) current.put(BOOTSTRAP_MEMBERS, members);
     return current;
   }
 
-  /** The notice that a name in use is the former one. */
-  static String renamed(String former, String current) {
+  /** Returns the notice that a former name is in use. */
+  static String renameNotice(String former, String current) {
     return former + " is now " + current + "; the former name goes away with the next release";
   }
 
   private static Result<ControlPlaneSettings> parse(Settings settings, Consumer<String> notices) {
-    List<MemberSet.Member> bootstrapMembers = bootstrapMembers(settings, notices);
-    Address records = settings.address("records");
+    List<MemberSet.Member> bootstrapMembers = parseBootstrapMembers(settings, notices);
+    Address recordsAddress = settings.address("records");
     ControlPlaneSettings parsed =
         new ControlPlaneSettings(
             settings.name("name"),
             settings.text("domain", ""),
-            records,
+            recordsAddress,
             settings.address("operator"),
-            BindAddress.of(settings, records),
+            BindAddress.of(settings, recordsAddress),
             settings.address("platform"),
             settings.addresses("seeds"),
             bootstrapMembers,
@@ -114,13 +117,13 @@
     return settings.done(() -> parsed);
   }
 
-  private static List<MemberSet.Member> bootstrapMembers(
+  private static List<MemberSet.Member> parseBootstrapMembers(
       Settings settings, Consumer<String> notices) {
-    // both names are read in any case: a field that nobody read is reported as unknown
+    // reads both names in any case, because a field that is not read is reported as unknown
     List<String> current = settings.texts(BOOTSTRAP_MEMBERS);
     List<String> former = settings.texts(FORMER_BOOTSTRAP_MEMBERS);
     boolean formerInFile = settings.has(FORMER_BOOTSTRAP_MEMBERS);
-    if (formerInFile) notices.accept(renamed(FORMER_BOOTSTRAP_MEMBERS, BOOTSTRAP_MEMBERS));
+    if (formerInFile) notices.accept(renameNotice(FORMER_BOOTSTRAP_MEMBERS, BOOTSTRAP_MEMBERS));
     boolean useFormer = formerInFile && !settings.has(BOOTSTRAP_MEMBERS);
     String setting = useFormer ? FORMER_BOOTSTRAP_MEMBERS : BOOTSTRAP_MEMBERS;
     List<MemberSet.Member> members = new ArrayList<>();
@@ -128,7 +131,7 @@
       String[] parts = text.split("[=/]");
       if (parts.length != 3)
         settings.findings.add(
-            setting, "must be NAME=RECORDS/OPERATOR with two addresses, not " + text);
+            setting, "must be NAME=RECORDS/OPERATOR with two addresses, but is  " + text);
       else
         members.add(
             new MemberSet.Member(
@@ -140,22 +143,24 @@
     return members;
   }
 
-  /** What a setting means, for the programs' help. */
-  static String help(String name) {
+  /** Returns the help text of a setting. */
+  static String helpText(String name) {
     return switch (name) {
       case "name" -> "this machine's name in the core";
-      case "domain" -> "the domain (zone) it stands in";
-      case "records" -> "IP:PORT for circuits between processes";
-      case "bind" -> "IP number to listen on and call from, where it isn't the advertised one";
+      case "domain" -> "the failure domain (zone) of this machine";
+      case "records" -> "IP:PORT for connections between processes";
+      case "bind" ->
+          "IP address to listen on and connect from, if it differs from the advertised one";
       case "operator" -> "IP:PORT for operators and the platform";
-      case "platform" -> "IP:PORT where the platform lists replicas";
+      case "platform" -> "IP:PORT of the platform's replica list";
       case "seeds" -> "IP:PORT,... of other processes' records addresses";
-      case BOOTSTRAP_MEMBERS -> "NAME=RECORDS/OPERATOR,... of all first members, three as a rule";
+      case BOOTSTRAP_MEMBERS -> "NAME=RECORDS/OPERATOR,... of all first members, usually three";
       case FORMER_BOOTSTRAP_MEMBERS ->
           "former name of " + Settings.flag(BOOTSTRAP_MEMBERS) + ", for one release";
       case "data" -> "the data folder";
       case "log" -> "fine, info or warning";
-      case "cutoffMs" -> "after new weights, how long orders may begin on old ones";
+      case "cutoffMs" ->
+          "after new weights, how long requests may still start on the old ones, in ms";
       default -> "size of each of the four ring files, in MiB";
     };
   }
--- a/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
+++ b/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
@@ -14,60 +14,73 @@
 import java.util.stream.Collectors;
 
 /**
- * A member's disk as it is opened: its id and its ring, and the founders it was given while the
- * fleet is not settled. An empty disk gets an id; without founders it only ever joins and votes on
- * nothing until it is let in. A folder that can't be read as a whole is left as it is, and the
- * start fails with what was found where: a member that goes on with less than it promised could
- * undo what was acknowledged.
+ * The opened data folder of a core member: the disk's id, its ring of durable entries, and the
+ * bootstrap members given at the first start. An empty folder gets a new disk id; without bootstrap
+ * members its owner can only join an existing core and does not vote until it is admitted. A folder
+ * that cannot be read completely is left unchanged and the start fails with a description of what
+ * was found where: a member that continued with less state than it promised to keep could undo
+ * acknowledged changes.
  *
- * <p>id: the disk's own. ring: what is kept on it. founders: those given at the first start.
- * folder: where it is; closing lets another process open it.
+ * <p>@param diskId the random id of this disk
+ *
+ * @param ring the durable entries
+ * @param bootstrapMembers the members given at the first start; empty for a member that joins
+ * @param folder the folder itself; closing it lets another process open it
  */
 public record CoreDataFolder(
-    String id, RecordRing ring, List<MemberSet.Member> founders, DataFolder folder)
+    String diskId, RecordRing ring, List<MemberSet.Member> bootstrapMembers, DataFolder folder)
     implements AutoCloseable {
-  private static final String EMPTY_IT = "empty it and this machine joins anew";
+  private static final String RECOVERY_HINT =
+      "empty the folder and this machine joins again as a new member";
 
   /**
-   * founders: those of a fleet that starts for the first time, this one too; they count for an
-   * empty disk only. ringFileMb counts for an empty disk only, too.
+   * Opens a data folder, or prepares it if it is empty.
+   *
+   * @param ringFileMb size of each ring file in MiB; used for an empty folder only
+   * @param bootstrapMembers all first members of a new fleet, including this one; used for an empty
+   *     folder only
    */
   public static CoreDataFolder open(
-      String name, String data, int ringFileMb, List<MemberSet.Member> founders) {
-    DataFolder folder = new DataFolder(Path.of(data), ringFileMb << 20);
+      String name, String dataFolder, int ringFileMb, List<MemberSet.Member> bootstrapMembers) {
+    DataFolder folder = new DataFolder(Path.of(dataFolder), ringFileMb << 20);
     try {
       String identity = folder.identity();
-      return identity == null ? create(folder, name, founders) : reopen(folder, name, identity);
+      return identity == null
+          ? create(folder, name, bootstrapMembers)
+          : reopen(folder, name, identity);
     } catch (RuntimeException e) {
       folder.close();
       throw e;
     } catch (IOException e) {
       folder.close();
-      throw damaged(data, e.getMessage());
+      throw damagedFolder(dataFolder, e.getMessage());
     }
   }
 
-  /** Makes a folder that holds nothing yet. Its ring gets a first frame before it gets an id. */
-  static CoreDataFolder create(DataFolder folder, String name, List<MemberSet.Member> founders)
-      throws IOException {
-    boolean blank = folder.create();
-    RecordRing ring = blank ? RecordRing.blank(folder) : RecordRing.open(folder);
+  /**
+   * Prepares a folder that holds no state yet. The ring's first frame is written before the
+   * identity, so that a folder with an identity always has a readable ring.
+   */
+  static CoreDataFolder create(
+      DataFolder folder, String name, List<MemberSet.Member> bootstrapMembers) throws IOException {
+    boolean isEmpty = folder.create();
+    RecordRing ring = isEmpty ? RecordRing.blank(folder) : RecordRing.open(folder);
     if (!ring.live().isEmpty())
       throw new ServiceRegistry.StartupException(
           "data folder "
               + folder.dir()
-              + " holds state but no identity.json, so it is not known whose; put that back, or "
-              + EMPTY_IT);
+              + " holds state but no identity.json, so its owner is unknown; restore that file, or "
+              + RECOVERY_HINT);
     ring.write(List.of(new RecordRing.Entry("", new byte[0])));
-    DiskIdentity identity = DiskIdentity.create(name, folder.size(), founders);
-    folder.identity(identity.json());
+    DiskIdentity identity = DiskIdentity.create(name, folder.size(), bootstrapMembers);
+    folder.identity(identity.toJson());
     Log.event(
-        founders.isEmpty() ? "empty-disk-joins" : "empty-disk-bootstraps",
+        bootstrapMembers.isEmpty() ? "empty-disk-joins" : "empty-disk-bootstraps",
         "name",
         name,
         "data",
         folder.dir());
-    return new CoreDataFolder(identity.disk(), ring, identity.founders(), folder);
+    return new CoreDataFolder(identity.diskId(), ring, identity.bootstrapMembers(), folder);
   }
 
   private static CoreDataFolder reopen(DataFolder folder, String name, String text)
@@ -75,26 +88,26 @@
     Result<DiskIdentity> read = DiskIdentity.read(text);
     if (read instanceof Result.Bad<DiskIdentity> bad)
       throw new ServiceRegistry.StartupException(
-          "identity.json in " + folder.dir() + " cannot be used: " + told(bad.findings()));
+          "identity.json in " + folder.dir() + " cannot be used: " + describe(bad.findings()));
     DiskIdentity identity = ((Result.Good<DiskIdentity>) read).value();
     if (!identity.name().equals(name))
       throw new ServiceRegistry.StartupException(
           "data folder " + folder.dir() + " belongs to " + identity.name() + ", not to " + name);
-    folder.open(identity.ringFile());
+    folder.open(identity.ringFileBytes());
     RecordRing ring = RecordRing.open(folder);
     if (ring.unwritten() && identity.format() > 0)
-      throw damaged(folder.dir().toString(), "no file of the ring holds a frame");
-    List<Finding> findings = DurableState.findings(ring.live(), name, identity.disk());
-    if (!findings.isEmpty()) throw damaged(folder.dir().toString(), told(findings));
-    return new CoreDataFolder(identity.disk(), ring, identity.founders(), folder);
+      throw damagedFolder(folder.dir().toString(), "no file of the ring holds a frame");
+    List<Finding> findings = DurableState.validate(ring.live(), name, identity.diskId());
+    if (!findings.isEmpty()) throw damagedFolder(folder.dir().toString(), describe(findings));
+    return new CoreDataFolder(identity.diskId(), ring, identity.bootstrapMembers(), folder);
   }
 
-  private static ServiceRegistry.StartupException damaged(String folder, String what) {
+  private static ServiceRegistry.StartupException damagedFolder(String folder, String problem) {
     return new ServiceRegistry.StartupException(
-        "data folder " + folder + " is damaged: " + what + "; " + EMPTY_IT);
+        "data folder " + folder + " is damaged: " + problem + "; " + RECOVERY_HINT);
   }
 
-  private static String told(List<Finding> findings) {
+  private static String describe(List<Finding> findings) {
     return findings.stream().map(Finding::toString).collect(Collectors.joining("; "));
   }
 
--- a/control-plane/src/main/java/gladelug/control/DiskIdentity.java
+++ b/control-plane/src/main/java/gladelug/control/DiskIdentity.java
@@ -14,27 +14,40 @@
 import java.util.List;
 
 /**
- * Whose a data folder is: identity.json beside the ring's files. It is written once, when the
- * folder is made, after the ring's first frame.
+ * The identity of a data folder, stored as identity.json beside the ring files. It is written once,
+ * when the folder is prepared, after the ring's first frame.
  *
- * <p>name: the member's; disk: drawn by chance when the folder was made; ringFile: the size of each
- * of the ring's files in bytes; founders: those given at the first start, none for a member that
- * joins; format: of the whole folder, 0 where none is written, as releases before formats did.
+ * <p>@param name the member's name
+ *
+ * @param diskId a random id, drawn when the folder was prepared
+ * @param ringFileBytes size of each ring file, in bytes
+ * @param bootstrapMembers the members given at the first start; empty for a member that joins
+ * @param format the format version of the whole folder; 0 if none is stored, as by releases that
+ *     had no format versions
  */
 record DiskIdentity(
-    String name, String disk, int ringFile, List<MemberSet.Member> founders, int format) {
-  /** The folder's format that this release writes, and the newest that it reads. */
+    String name,
+    String diskId,
+    int ringFileBytes,
+    List<MemberSet.Member> bootstrapMembers,
+    int format) {
+  /** The folder format that this release writes, and the newest that it can read. */
   static final int FORMAT = 1;
 
-  private static final int ID_BYTES = 12;
+  private static final int DISK_ID_BYTES = 12;
 
-  static DiskIdentity create(String name, int ringFile, List<MemberSet.Member> founders) {
-    byte[] id = new byte[ID_BYTES];
+  static DiskIdentity create(
+      String name, int ringFileBytes, List<MemberSet.Member> bootstrapMembers) {
+    byte[] id = new byte[DISK_ID_BYTES];
     new SecureRandom().nextBytes(id);
-    return new DiskIdentity(name, HexFormat.of().formatHex(id), ringFile, founders, FORMAT);
+    return new DiskIdentity(
+        name, HexFormat.of().formatHex(id), ringFileBytes, bootstrapMembers, FORMAT);
   }
 
-  /** A folder of a newer release is a finding of its own, whatever else may be in it. */
+  /**
+   * Parses an identity. A folder of a newer release is reported as such, without checking the other
+   * fields.
+   */
   static Result<DiskIdentity> read(String text) {
     return LocatedJson.parse(text).then(DiskIdentity::read);
   }
@@ -46,17 +59,21 @@
     if (format > FORMAT)
       return Result.bad(
           "format",
-          "is " + format + ", written by a newer release; this one reads up to " + FORMAT);
+          "is "
+              + format
+              + ", written by a newer release; this release reads formats up to  "
+              + FORMAT);
     String name = fields.text("name");
-    String disk = fields.text("disk");
-    int ringFile = (int) fields.integer("ringFile", 1, Integer.MAX_VALUE);
-    List<MemberSet.Member> founders = new ArrayList<>();
-    for (LocatedJson founder : fields.list("founders", false))
-      founders.add(founder(founder, findings));
-    return Result.of(findings, () -> new DiskIdentity(name, disk, ringFile, founders, format));
+    String diskId = fields.text("disk");
+    int ringFileBytes = (int) fields.integer("ringFile", 1, Integer.MAX_VALUE);
+    List<MemberSet.Member> bootstrapMembers = new ArrayList<>();
+    for (LocatedJson member : fields.list("founders", false))
+      bootstrapMembers.add(readMember(member, findings));
+    return Result.of(
+        findings, () -> new DiskIdentity(name, diskId, ringFileBytes, bootstrapMembers, format));
   }
 
-  private static MemberSet.Member founder(LocatedJson document, Findings findings) {
+  private static MemberSet.Member readMember(LocatedJson document, Findings findings) {
     LocatedJson.Fields fields = document.fields(findings);
     return new MemberSet.Member(
         fields.text("name"),
@@ -65,21 +82,21 @@
         Address.read(fields, "operator", findings));
   }
 
-  String json() {
+  String toJson() {
     JsonObject json =
         Json.object()
             .add("format", format)
             .add("name", name)
-            .add("disk", disk)
-            .add("ringFile", ringFile);
-    if (founders.isEmpty()) return json.toString();
+            .add("disk", diskId)
+            .add("ringFile", ringFileBytes);
+    if (bootstrapMembers.isEmpty()) return json.toString();
     JsonArray list = Json.array();
-    for (MemberSet.Member founder : founders)
+    for (MemberSet.Member member : bootstrapMembers)
       list.add(
           Json.object()
-              .add("name", founder.name())
-              .add("records", founder.records().toString())
-              .add("operator", founder.operator().toString()));
+              .add("name", member.name())
+              .add("records", member.recordsAddress().toString())
+              .add("operator", member.operatorAddress().toString()));
     return json.add("founders", list).toString();
   }
 }
--- a/control-plane/src/main/java/gladelug/control/capacity/CapacityAllocation.java
+++ b/control-plane/src/main/java/gladelug/control/capacity/CapacityAllocation.java
@@ -15,33 +15,34 @@
 import java.util.TreeSet;
 
 /**
- * Divides the places of each service (requests that its replicas run at once) over tenants, shares
- * and relays, fleet-wide, from what relays report. While the demand fits the places nothing is
- * bounded. When it doesn't, each level of the quota tree distributes its places to the lowest tier
- * first and within it by weight, never more than a node asks for or its limit allows, what one
- * leaves going to the others; a leaf's places then go to relays as they asked. Pure; any thread.
+ * Allocates the slots of each service (the requests that its replicas run concurrently) to tenants,
+ * shares and relays across the fleet, from the demand that relays report. While the demand does not
+ * exceed the slots, nothing is limited. Otherwise each level of the quota tree distributes its
+ * slots to the lowest tier first and by weight within a tier, never more than a node's demand or
+ * limit; slots that one node does not need go to the others. A leaf's slots are divided over relays
+ * in proportion to their demand. Stateless and thread-safe.
  */
 public final class CapacityAllocation {
-  /** Fractions of a place that count as nothing. */
-  private static final double NEGLIGIBLE_PLACES = 1e-9;
+  /** Fractions of a slot below this count as zero, which absorbs rounding errors. */
+  private static final double NEGLIGIBLE_SLOTS = 1e-9;
 
-  private static final int MILLI_PLACES = 1000;
+  private static final int MILLI_SLOTS_PER_SLOT = 1000;
 
-  /** A node of the quota tree with what its requests ask for and what it is given. */
+  /** A node of the quota tree with its demand and its allocated slots. */
   private static final class QuotaNode {
     final String path;
     final int weight;
     final int tier;
 
-    /** Places at most; 0 is no limit. */
+    /** The most slots it may get; 0 means no limit. */
     final int limit;
 
     final List<QuotaNode> children = new ArrayList<>();
 
-    /** Places asked for: of a leaf by its requests, of others by their children. */
+    /** The demanded slots: of a leaf by its requests, of an inner node the sum of its children. */
     double demand;
 
-    double places;
+    double slots;
 
     QuotaNode(String path, int weight, int tier, int limit) {
       this.path = path;
@@ -50,7 +51,7 @@
       this.limit = limit;
     }
 
-    /** A leaf outside the configured shares: weight 1, first tier, no limit. */
+    /** Creates a leaf for a path outside the configured shares: weight 1, first tier, no limit. */
     static QuotaNode unconfiguredLeaf(String path, double demand) {
       QuotaNode leaf = new QuotaNode(path, 1, 0, 0);
       leaf.demand = demand;
@@ -63,27 +64,27 @@
   }
 
   /**
-   * How one service's places are divided over the leaves of the quota tree.
+   * The allocation of one service's slots to the leaves of the quota tree.
    *
-   * @param bounded whether the demand exceeds the places or a limit; else nobody is bounded
+   * @param bounded whether the demand exceeds the slots or a limit; otherwise no relay is limited
    */
   private record ServiceAllocation(
       String service,
       boolean bounded,
       Map<String, Double> demandByLeaf,
-      Map<String, Double> placesByLeaf) {
+      Map<String, Double> slotsByLeaf) {
     static ServiceAllocation of(
-        String service, int places, List<SubscriberStatus> relays, Configuration configuration) {
+        String service, int slots, List<SubscriberStatus> relays, Configuration configuration) {
       Map<String, Double> demandByLeaf = CapacityAllocation.demandByLeaf(service, relays);
       double totalDemand = demandByLeaf.values().stream().mapToDouble(demand -> demand).sum();
       QuotaNode root = quotaTree(configuration, demandByLeaf);
-      Map<String, Double> placesByLeaf = new HashMap<>();
-      boolean bounded = totalDemand > places || exceedsLimit(root);
+      Map<String, Double> slotsByLeaf = new HashMap<>();
+      boolean bounded = totalDemand > slots || exceedsLimit(root);
       if (bounded) {
-        distribute(root, Math.min(places, totalDemand));
-        collectLeafPlaces(root, placesByLeaf);
+        distribute(root, Math.min(slots, totalDemand));
+        collectLeafSlots(root, slotsByLeaf);
       }
-      return new ServiceAllocation(service, bounded, demandByLeaf, placesByLeaf);
+      return new ServiceAllocation(service, bounded, demandByLeaf, slotsByLeaf);
     }
 
     CapacityGrant grantFor(SubscriberStatus relay, long epoch) {
@@ -91,37 +92,37 @@
       if (bounded)
         for (QuotaDemand demand : relay.demands())
           if (demand.service().equals(service))
-            allotments.add(new QuotaAllotment(demand.leaf(), milliPlaces(demand)));
+            allotments.add(new QuotaAllotment(demand.leaf(), milliSlots(demand)));
       return new CapacityGrant(epoch, service, bounded, allotments);
     }
 
-    /** One relay's part of a leaf's places, in thousandths of a place. */
-    private int milliPlaces(QuotaDemand demand) {
+    /** Returns one relay's part of a leaf's slots, in thousandths of a slot. */
+    private int milliSlots(QuotaDemand demand) {
       double leafDemand = demandByLeaf.get(demand.leaf());
       double relayDemand = demand.waiting() + demand.using();
       double relayPart = leafDemand == 0 ? 0 : relayDemand / leafDemand;
-      double leafPlaces = placesByLeaf.getOrDefault(demand.leaf(), 0.0);
-      return (int) Math.round(MILLI_PLACES * leafPlaces * relayPart);
+      double leafSlots = slotsByLeaf.getOrDefault(demand.leaf(), 0.0);
+      return (int) Math.round(MILLI_SLOTS_PER_SLOT * leafSlots * relayPart);
     }
   }
 
   private CapacityAllocation() {}
 
   /**
-   * Divides the places of all services.
+   * Allocates the slots of all services.
    *
-   * @param epoch the epoch of the owner that divides, for the grants
-   * @param relays what relays last reported
-   * @return for each relay, by name, a grant for each service
+   * @param epoch the epoch of the allocating owner, written into the grants
+   * @param relays the relays with their last reports
+   * @return by relay name, one grant for each service
    */
   public static Map<String, List<CapacityGrant>> allocate(
       long epoch, List<SubscriberStatus> relays, Configuration configuration) {
     Map<String, List<CapacityGrant>> grantsByRelay = new HashMap<>();
-    placesByService(relays)
+    slotsByService(relays)
         .forEach(
-            (service, places) -> {
+            (service, slots) -> {
               ServiceAllocation allocation =
-                  ServiceAllocation.of(service, places, relays, configuration);
+                  ServiceAllocation.of(service, slots, relays, configuration);
               for (SubscriberStatus relay : relays)
                 grantsByRelay
                     .computeIfAbsent(relay.name(), name -> new ArrayList<>())
@@ -130,16 +131,16 @@
     return grantsByRelay;
   }
 
-  /** The most places that any relay sees at each service. */
-  private static Map<String, Integer> placesByService(List<SubscriberStatus> relays) {
-    Map<String, Integer> placesByService = new TreeMap<>();
+  /** Returns, by service, the highest number of slots that any relay reports. */
+  private static Map<String, Integer> slotsByService(List<SubscriberStatus> relays) {
+    Map<String, Integer> slotsByService = new TreeMap<>();
     for (SubscriberStatus relay : relays)
       for (ServiceCapacity capacity : relay.capacities())
-        placesByService.merge(capacity.service(), capacity.slots(), Math::max);
-    return placesByService;
+        slotsByService.merge(capacity.service(), capacity.slots(), Math::max);
+    return slotsByService;
   }
 
-  /** The places that all relays ask for, by path of the quota leaf. */
+  /** Returns the slots demanded by all relays, by path of the quota leaf. */
   private static Map<String, Double> demandByLeaf(String service, List<SubscriberStatus> relays) {
     Map<String, Double> demandByLeaf = new HashMap<>();
     for (SubscriberStatus relay : relays)
@@ -156,14 +157,14 @@
     Map<String, Double> unassigned = new HashMap<>(demandByLeaf);
     for (Configuration.Tenant tenant : configuration.tenants)
       root.children.add(quotaNode(tenant.share(), unassigned));
-    // leaves of an older configuration still have requests somewhere
+    // leaves of an older configuration may still have requests at some relay
     for (String path : new TreeSet<>(unassigned.keySet()))
       root.children.add(QuotaNode.unconfiguredLeaf(path, unassigned.get(path)));
     sumDemand(root);
     return root;
   }
 
-  /** The node of a share with all below it; what it takes is removed from the unassigned demand. */
+  /** Builds the subtree of a share; the demand it covers is removed from the unassigned demand. */
   private static QuotaNode quotaNode(QuotaShare share, Map<String, Double> unassigned) {
     QuotaNode node = new QuotaNode(share.path(), share.weight(), share.tier(), share.limit());
     Double ownDemand = unassigned.remove(share.path());
@@ -172,12 +173,12 @@
       return node;
     }
     for (QuotaShare child : share.shares()) node.children.add(quotaNode(child, unassigned));
-    // a share that was a leaf in an older configuration still has requests of its own
+    // a share that was a leaf in an older configuration may still have requests of its own
     if (ownDemand != null) node.children.add(QuotaNode.unconfiguredLeaf(share.path(), ownDemand));
     return node;
   }
 
-  /** Sums the demand of all inner nodes; returns what the node may ask of its parent. */
+  /** Sums the demand of all inner nodes; returns the node's demand up to its limit. */
   private static double sumDemand(QuotaNode node) {
     if (!node.children.isEmpty()) {
       node.demand = 0;
@@ -191,45 +192,47 @@
     return node.children.stream().anyMatch(CapacityAllocation::exceedsLimit);
   }
 
-  /** Gives places to a node and all below it. */
-  private static void distribute(QuotaNode node, double places) {
-    node.places = Math.min(places, node.limitedDemand());
+  /** Allocates slots to a node and its descendants. */
+  private static void distribute(QuotaNode node, double slots) {
+    node.slots = Math.min(slots, node.limitedDemand());
     if (node.children.isEmpty()) return;
     TreeSet<Integer> tiers = new TreeSet<>();
     for (QuotaNode child : node.children) tiers.add(child.tier);
-    double remaining = node.places;
+    double remaining = node.slots;
     for (int tier : tiers) remaining -= distributeInTier(node, tier, remaining);
   }
 
-  /** Gives places to a node's children of one tier, by weight; returns how many were given. */
+  /**
+   * Allocates slots to a node's children of one tier, by weight; returns how many were allocated.
+   */
   private static double distributeInTier(QuotaNode parent, int tier, double available) {
     List<QuotaNode> unsatisfied = new ArrayList<>();
     for (QuotaNode child : parent.children)
       if (child.tier == tier && child.limitedDemand() > 0) unsatisfied.add(child);
-    Map<QuotaNode, Double> placesByChild = new HashMap<>();
-    double given = 0;
-    while (!unsatisfied.isEmpty() && available - given > NEGLIGIBLE_PLACES) {
-      double pool = available - given;
+    Map<QuotaNode, Double> slotsByChild = new HashMap<>();
+    double allocated = 0;
+    while (!unsatisfied.isEmpty() && available - allocated > NEGLIGIBLE_SLOTS) {
+      double pool = available - allocated;
       double totalWeight = 0;
       for (QuotaNode child : unsatisfied) totalWeight += child.weight;
       List<QuotaNode> satisfied = new ArrayList<>();
       for (QuotaNode child : unsatisfied) {
-        double due = pool * child.weight / totalWeight;
-        double missing = child.limitedDemand() - placesByChild.getOrDefault(child, 0.0);
-        double granted = Math.min(due, missing);
-        placesByChild.merge(child, granted, Double::sum);
-        given += granted;
-        if (missing <= due + NEGLIGIBLE_PLACES) satisfied.add(child);
+        double fairShare = pool * child.weight / totalWeight;
+        double missing = child.limitedDemand() - slotsByChild.getOrDefault(child, 0.0);
+        double granted = Math.min(fairShare, missing);
+        slotsByChild.merge(child, granted, Double::sum);
+        allocated += granted;
+        if (missing <= fairShare + NEGLIGIBLE_SLOTS) satisfied.add(child);
       }
       if (satisfied.isEmpty()) break;
       unsatisfied.removeAll(satisfied);
     }
-    placesByChild.forEach(CapacityAllocation::distribute);
-    return given;
+    slotsByChild.forEach(CapacityAllocation::distribute);
+    return allocated;
   }
 
-  private static void collectLeafPlaces(QuotaNode node, Map<String, Double> placesByLeaf) {
-    if (node.children.isEmpty()) placesByLeaf.merge(node.path, node.places, Double::sum);
-    for (QuotaNode child : node.children) collectLeafPlaces(child, placesByLeaf);
+  private static void collectLeafSlots(QuotaNode node, Map<String, Double> slotsByLeaf) {
+    if (node.children.isEmpty()) slotsByLeaf.merge(node.path, node.slots, Double::sum);
+    for (QuotaNode child : node.children) collectLeafSlots(child, slotsByLeaf);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/capacity/package-info.java
+++ b/control-plane/src/main/java/gladelug/control/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** Divides each service's places over tenants, shares and relays, fleet-wide. */
+/** Allocates each service's request slots to tenants, shares and relays across the fleet. */
 package gladelug.control.capacity;
--- a/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
+++ b/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
@@ -77,15 +77,15 @@
   void onJoinRequest(MemberSet.Member joining) {
     if (joining.name().equals(self)
         || members.find(joining.name()) == null
-        || bootstrapDisks.contains(joining.disk())) return;
-    joiningByDisk.put(joining.disk(), joining);
-    disksByName.put(joining.name(), joining.disk());
+        || bootstrapDisks.contains(joining.diskId())) return;
+    joiningByDisk.put(joining.diskId(), joining);
+    disksByName.put(joining.name(), joining.diskId());
     storedSets.put(joining.name(), MemberSet.NONE);
   }
 
   private boolean hasSameDisk(MemberSet set, String name) {
     MemberSet.Member member = set.find(name);
-    return member != null && member.disk().equals(disksByName.get(name));
+    return member != null && member.diskId().equals(disksByName.get(name));
   }
 
   private boolean isPossible(MemberSet set) {
@@ -98,7 +98,7 @@
   /** The first by name, of those that can have stored anything. */
   private String proposer(MemberSet set) {
     for (MemberSet.Member member : set.all())
-      if (!joiningByDisk.containsKey(member.disk())) return member.name();
+      if (!joiningByDisk.containsKey(member.diskId())) return member.name();
     return set.all().get(0).name();
   }
 
@@ -115,7 +115,8 @@
     for (MemberSet.Member member : members.all()) {
       String disk = disksByName.get(member.name());
       MemberSet.Member bootstrapping =
-          new MemberSet.Member(member.name(), disk, member.records(), member.operator());
+          new MemberSet.Member(
+              member.name(), disk, member.recordsAddress(), member.operatorAddress());
       proposed.add(joiningByDisk.getOrDefault(disk, bootstrapping));
     }
     return new MemberSet(1, proposed);
@@ -168,11 +169,11 @@
     int stored = 0, lost = 0;
     for (MemberSet.Member member : storedSet.all()) {
       if (!disksByName.containsKey(member.name())) continue;
-      if (joiningByDisk.containsKey(member.disk()) || !hasSameDisk(storedSet, member.name()))
+      if (joiningByDisk.containsKey(member.diskId()) || !hasSameDisk(storedSet, member.name()))
         lost++;
       else if (storedSet.equals(this.storedSets.get(member.name()))) stored++;
     }
-    return stored + lost == storedSet.all().size() && stored >= storedSet.majority()
+    return stored + lost == storedSet.all().size() && stored >= storedSet.majoritySize()
         ? storedSet
         : null;
   }
--- a/control-plane/src/main/java/gladelug/control/core/ChangeHistory.java
+++ b/control-plane/src/main/java/gladelug/control/core/ChangeHistory.java
@@ -59,8 +59,8 @@
           new ChangeRecord(
               entry.number(),
               entry.digest(),
-              entry.takenAt(),
-              entry.takenBy(),
+              entry.appliedAtMs(),
+              entry.appliedBy(),
               entry.summary(),
               acknowledgedAt == null ? 0 : acknowledgedAt,
               firstSeen));
--- a/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
+++ b/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
@@ -99,7 +99,7 @@
       Set<String> confirmedBy =
           round.confirmedBy.computeIfAbsent(status.key(), key -> new HashSet<>());
       confirmedBy.add(sender);
-      if (confirmedBy.size() >= members.get().majority())
+      if (confirmedBy.size() >= members.get().majoritySize())
         owner.onRoundConfirmed(round.number, round.startedAt);
     }
   }
--- a/control-plane/src/main/java/gladelug/control/core/CoreMember.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreMember.java
@@ -105,7 +105,7 @@
     this.config = config;
     this.membership = new Membership(this, me, founding);
     this.self = me.name();
-    this.disk = me.disk();
+    this.disk = me.diskId();
     this.weightsAgeCutoffMs = cutoff;
     this.ownerTasks = duties;
     this.startedAt = host.now();
@@ -152,7 +152,8 @@
    * every member would end on it.
    */
   long maxValueBytes(String key) {
-    long room = host.mostState() - registers.sizeWithout(key) - RegisterStore.BESIDE_BODY;
+    long room =
+        host.maxStateBytes() - registers.bytesOfOtherKeys(key) - RegisterStore.MAX_METADATA_BYTES;
     return Math.max(0, Math.min(MAX_VALUE_BYTES, room));
   }
 
@@ -364,7 +365,7 @@
 
   /** Who claims the key and was heard lately; a claim is kept up only while a majority confirms. */
   private String claimedOwner(String key, long now) {
-    return failureDetector.claimedOwner(key, register(key).promised(), now);
+    return failureDetector.claimedOwner(key, register(key).promisedEpoch(), now);
   }
 
   /** A claimant that what is handed on will reach, and whose answer will reach this member. */
@@ -395,7 +396,7 @@
       return;
     }
     MemberSet.Member member = members().find(envelope.sender());
-    if (member == null || !member.disk().equals(envelope.senderDisk())) return;
+    if (member == null || !member.diskId().equals(envelope.senderDisk())) return;
     dispatch(envelope.sender(), envelope.message(), now);
   }
 
@@ -506,7 +507,7 @@
   // ---- the member's side: durable before answered
 
   void store(String key, Register register, Runnable done) {
-    registers.keep(key, register, done);
+    registers.put(key, register, done);
   }
 
   private void onPrepareRequest(String from, PrepareRequest prepare) {
@@ -538,7 +539,7 @@
 
   /** A change that isn't remembered; see the other. */
   public void change(String key, long match, byte[] body, Consumer<ChangeResult> answer) {
-    change(ChangeRequest.forgettable(key, match, body), answer);
+    change(ChangeRequest.withoutBase(key, match, body), answer);
   }
 
   /** Has a change taken by the key's owner, here or elsewhere, and answers what became of it. */
@@ -558,12 +559,12 @@
     }
     long requestId = requestSequence.next();
     if (other == null) {
-      forwardedChanges.onForwarded(requestId, ANY_MEMBER, request.expectedNumber(), now, answer);
+      forwardedChanges.onForwarded(requestId, ANY_MEMBER, request.resultingNumber(), now, answer);
       sendToAddress(door, new ForwardedChangeRequest(requestId, request));
       return;
     }
-    boolean anyNumber = request.match() == ChangeRequest.ANY_NUMBER;
-    long expected = anyNumber ? register(key).value().number() + 1 : request.expectedNumber();
+    boolean anyNumber = request.requiredNumber() == ChangeRequest.ANY_NUMBER;
+    long expected = anyNumber ? register(key).value().number() + 1 : request.resultingNumber();
     forwardedChanges.onForwarded(requestId, other, expected, now, answer);
     send(other, new ForwardedChangeRequest(requestId, request));
   }
@@ -704,7 +705,7 @@
             new KeyStatus(
                 owner.key,
                 other == null ? "" : other,
-                register.epoch(),
+                register.acceptedEpoch(),
                 register.value().number(),
                 register.value().digest(),
                 -1,
--- a/control-plane/src/main/java/gladelug/control/core/CoreService.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreService.java
@@ -146,14 +146,14 @@
   }
 
   private void tick() {
-    member.healthy(disk.stalled() < DISK_STALL_MS);
+    member.healthy(disk.stalledMs() < DISK_STALL_MS);
     member.tick();
     peers.values().forEach(PersistentConnection::closeIfSilent);
   }
 
   /** An empty write shows whether the disk still answers while nothing changes. */
   private void probe() {
-    disk.want("", new byte[0], () -> {});
+    disk.enqueue("", new byte[0], () -> {});
     unknownNodes.values().removeIf(connection -> connection.closeIfIdle(now()));
   }
 
@@ -205,7 +205,7 @@
 
   /** A change that isn't remembered; see {@link #change(ChangeRequest)}. */
   public Uni<ChangeResult> change(String key, long match, byte[] body) {
-    return change(ChangeRequest.forgettable(key, match, body));
+    return change(ChangeRequest.withoutBase(key, match, body));
   }
 
   /**
@@ -217,7 +217,7 @@
     return retryWhileOwnerless(changeOnce(request), new ChangeResult.NoOwner())
         .ifNoItem()
         .after(Duration.ofMillis(config.changeResponseTimeoutMs()))
-        .recoverWithItem(new ChangeResult.Unknown(request.expectedNumber()));
+        .recoverWithItem(new ChangeResult.Unknown(request.resultingNumber()));
   }
 
   /**
@@ -254,7 +254,7 @@
             emitter -> {
               Consumer<ReadResult> answer =
                   result -> {
-                    if (result.owned() || member.unavailable()) emitter.complete(result);
+                    if (result.hasOwner() || member.unavailable()) emitter.complete(result);
                     else emitter.fail(new NoOwnerException());
                   };
               if (!worker.offer(() -> member.readNewest(key, answer)))
@@ -368,12 +368,12 @@
 
   @Override
   public void sync(String key, byte[] state, Runnable done) {
-    disk.want(key, state, done);
+    disk.enqueue(key, state, done);
   }
 
   /** Some of a ring file is left for frames and the members' own records. */
   @Override
-  public long mostState() {
+  public long maxStateBytes() {
     return ring.fileSize() / 8 * 7L;
   }
 
@@ -391,7 +391,8 @@
         .removeIf(
             peer -> {
               MemberSet.Member still = members.find(peer.getKey());
-              if (still != null && still.records().equals(peer.getValue().remote)) return false;
+              if (still != null && still.recordsAddress().equals(peer.getValue().remote))
+                return false;
               peer.getValue().close();
               return true;
             });
@@ -401,7 +402,7 @@
             other.name(),
             name ->
                 connect(
-                    other.records(),
+                    other.recordsAddress(),
                     connection -> worker.offer(() -> member.onPeerConnected(name))));
   }
 
--- a/control-plane/src/main/java/gladelug/control/core/Elections.java
+++ b/control-plane/src/main/java/gladelug/control/core/Elections.java
@@ -87,7 +87,7 @@
   private void maybeStart(KeyOwner owner, long now) {
     String other = context.claimedOwner(owner.key, now);
     List<String> order =
-        candidateOrders.computeIfAbsent(owner.key, key -> context.members().order(key));
+        candidateOrders.computeIfAbsent(owner.key, key -> context.members().preferenceOrder(key));
     int rank = rank(order, now);
     if (other == null) {
       maybeStartWithoutOwner(owner, rank, now);
--- a/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
+++ b/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
@@ -63,10 +63,10 @@
    */
   void onGenerationStarted(MemberSet before, MemberSet members) {
     // who was away for a generation knows as little as a new one
-    newcomer = before.generation() + 1 != members.generation() || !members.stays(before, self);
+    newcomer = before.generation() + 1 != members.generation() || !members.retains(before, self);
     generationStartedAt = host.now();
     // who was alive a moment ago still is, so that only the first live one takes a key
-    peers.keySet().removeIf(name -> newcomer || !members.stays(before, name));
+    peers.keySet().removeIf(name -> newcomer || !members.retains(before, name));
     for (PeerStatus peer : peers.values()) peer.claims = Map.of();
     for (MemberSet.Member member : members.all())
       peers.computeIfAbsent(member.name(), name -> new PeerStatus(generationStartedAt));
@@ -152,7 +152,7 @@
     int reached = 0;
     for (MemberSet.Member member : members.get().all())
       if (inContact(member.name(), now)) reached++;
-    return reached >= members.get().majority();
+    return reached >= members.get().majoritySize();
   }
 
   /**
--- a/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
+++ b/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
@@ -233,7 +233,8 @@
     epoch =
         context
             .members()
-            .epoch(Math.max(highestEpochSeen, context.register(key).promised()), context.self());
+            .nextEpoch(
+                Math.max(highestEpochSeen, context.register(key).promisedEpoch()), context.self());
     highestEpochSeen = epoch;
     electionTimerFromMs = now;
     election = new Election();
@@ -247,7 +248,7 @@
   /** Asks this member itself, where its promise is all that a majority lacks. */
   private void prepareSelfLast() {
     if (!election.isPromisedBy(context.self())
-        && election.promiseCount() == context.members().majority() - 1)
+        && election.promiseCount() == context.members().majoritySize() - 1)
       context.send(context.self(), new PrepareRequest(key, epoch));
   }
 
@@ -261,7 +262,7 @@
       return;
     }
     if (election.onPromise(from, response)) prepareSelfLast();
-    if (election.promiseCount() < context.members().majority()) return;
+    if (election.promiseCount() < context.members().majoritySize()) return;
     preparedAtMs = now;
     value = election.newestValue();
     transitionTo(Phase.REWRITING, null, now);
@@ -271,7 +272,7 @@
   /** Where a majority can't be had any more, the owner that the others know is left in peace. */
   private void onElectionDeclined(String from, long now) {
     election.onDeclined(from);
-    int others = context.members().all().size() - context.members().majority();
+    int others = context.members().all().size() - context.members().majoritySize();
     if (election.declinedCount() <= others) return;
     transitionTo(Phase.IDLE, StepDownReason.ELECTION_DECLINED, now);
     electionTimerFromMs = now;
@@ -288,14 +289,14 @@
     }
     if (phase == Phase.REWRITING && response.number() == value.number()) {
       election.onAccepted(from);
-      if (election.acceptedCount() >= context.members().majority()) startServing(now);
+      if (election.acceptedCount() >= context.members().majoritySize()) startServing(now);
     } else if (phase == Phase.SERVING
         && currentChange != null
         && !currentChange.isDuplicate()
         && response.number() == currentChange.number()) {
       currentChange.onAcceptedBy(from);
       if (!currentChange.isCommitted()
-          && currentChange.acceptedCount() >= context.members().majority()) commit(now);
+          && currentChange.acceptedCount() >= context.members().majoritySize()) commit(now);
     }
   }
 
@@ -401,18 +402,19 @@
     }
     long appliedNumber = appliedNumber(change);
     boolean follows =
-        request.match() == ChangeRequest.ANY_NUMBER || request.match() == value.number();
+        request.requiredNumber() == ChangeRequest.ANY_NUMBER
+            || request.requiredNumber() == value.number();
     if (appliedNumber == 0 && follows) writeChange(change, now);
     else if (!change.isOwnershipConfirmed()) confirmThenRetry(change, now);
     else if (appliedNumber > 0) acknowledgeDuplicate(change, appliedNumber, now);
-    else if (value.fate(change.identity(), request.base()) == ChangeStatus.EXPIRED)
-      change.answer(new ChangeResult.Unknown(request.expectedNumber()));
+    else if (value.statusOf(change.identity(), request.base()) == ChangeStatus.EXPIRED)
+      change.answer(new ChangeResult.Unknown(request.resultingNumber()));
     else change.answer(new ChangeResult.Conflict(value.number()));
   }
 
   /** The number under which the same change, or the same value as the newest, was taken; or 0. */
   private long appliedNumber(PendingChange change) {
-    long applied = value.takenNumber(change.identity(), change.request().base());
+    long applied = value.appliedNumber(change.identity(), change.request().base());
     if (applied > 0) return applied;
     return change.digest().equals(value.digest()) ? value.number() : 0;
   }
@@ -426,11 +428,11 @@
             .next(
                 change.digest(),
                 body,
-                new VersionedValue.Sent(change.identity(), change.request().base()),
+                new VersionedValue.ChangeId(change.identity(), change.request().base()),
                 context.wallClockMs(),
                 context.self(),
                 summary(body, sharing))
-            .with(sharing);
+            .withSharing(sharing);
     change.write(next, now);
     context.broadcast(new AcceptRequest(key, epoch, next));
   }
--- a/control-plane/src/main/java/gladelug/control/core/Membership.java
+++ b/control-plane/src/main/java/gladelug/control/core/Membership.java
@@ -104,7 +104,7 @@
     this.bootstrap =
         bootstrapMembers == null
             ? null
-            : new Bootstrap(self.name(), self.disk(), bootstrapMembers.members());
+            : new Bootstrap(self.name(), self.diskId(), bootstrapMembers.members());
   }
 
   /**
@@ -162,17 +162,21 @@
     if (bootstrap == null || now - lastAnnouncedAtMs < ANNOUNCE_INTERVAL_MS) return;
     lastAnnouncedAtMs = now;
     Set<Address> addresses = new HashSet<>(context.host.contacts());
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.remove(founder.records());
-    addresses.remove(self.records());
+    for (MemberSet.Member founder : bootstrap.members().all())
+      addresses.remove(founder.recordsAddress());
+    addresses.remove(self.recordsAddress());
     hasOtherContacts = !addresses.isEmpty();
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.add(founder.records());
-    addresses.remove(self.records());
+    for (MemberSet.Member founder : bootstrap.members().all())
+      addresses.add(founder.recordsAddress());
+    addresses.remove(self.recordsAddress());
     for (Address address : addresses)
       context.host.sendTo(
           address,
           envelope(
               new BootstrapAnnouncement(
-                  self.records().toString(), self.operator().toString(), bootstrap.storedSet())));
+                  self.recordsAddress().toString(),
+                  self.operatorAddress().toString(),
+                  bootstrap.storedSet())));
     agreeOnBootstrapSet();
   }
 
@@ -188,7 +192,7 @@
       bootstrapSetBeingStored = toStore;
       context.host.sync(
           DurableState.BOOTSTRAP_SET,
-          toStore.bytes(),
+          toStore.toBytes(),
           () -> {
             bootstrapSetBeingStored = null;
             if (bootstrap == null) return;
@@ -209,13 +213,15 @@
     if (bootstrap != null || now - lastAnnouncedAtMs < JOIN_INTERVAL_MS) return;
     lastAnnouncedAtMs = now;
     Set<Address> addresses = new HashSet<>(context.host.contacts());
-    for (MemberSet.Member member : newestKnown.all()) addresses.add(member.records());
-    for (MemberSet.Member member : members.all()) addresses.add(member.records());
-    addresses.remove(self.records());
+    for (MemberSet.Member member : newestKnown.all()) addresses.add(member.recordsAddress());
+    for (MemberSet.Member member : members.all()) addresses.add(member.recordsAddress());
+    addresses.remove(self.recordsAddress());
     for (Address address : addresses)
       context.host.sendTo(
           address,
-          envelope(new JoinRequest(self.records().toString(), self.operator().toString())));
+          envelope(
+              new JoinRequest(
+                  self.recordsAddress().toString(), self.operatorAddress().toString())));
   }
 
   /** Whether a later generation than this member's is in force somewhere. */
@@ -247,13 +253,13 @@
       Envelope envelope, BootstrapAnnouncement announcement, long now) {
     if (initialized()) {
       MemberSet.Member member = members.find(envelope.sender());
-      if (member != null && member.disk().equals(envelope.senderDisk()))
+      if (member != null && member.diskId().equals(envelope.senderDisk()))
         sendGeneration(envelope.sender(), now);
       else {
         // it founds what was founded already, with another disk or long after: it shall join
         context.host.event("unknown-node-at-bootstrap", "name", envelope.sender());
         context.host.sendTo(
-            Address.of(announcement.records()), envelope(new Activate(members, List.of())));
+            Address.of(announcement.recordsAddress()), envelope(new Activate(members, List.of())));
       }
       return;
     }
@@ -272,14 +278,14 @@
   void sendGeneration(String name, long now) {
     MemberSet.Member member = members.find(name);
     if (now < resendGenerationAtMs.getOrDefault(name, Long.MIN_VALUE)) return;
-    List<RegisterRecord> registers = member == null ? List.of() : context.registers.all();
+    List<RegisterRecord> registers = member == null ? List.of() : context.registers.records();
     resendGenerationAtMs.put(
         name, now + RESEND_GENERATION_INTERVAL_MS + Reconfiguration.transferTimeMs(registers));
     if (member != null)
-      context.host.sendTo(member.records(), envelope(new Activate(members, registers)));
+      context.host.sendTo(member.recordsAddress(), envelope(new Activate(members, registers)));
     else if (formerMembers.containsKey(name))
       context.host.sendTo(
-          formerMembers.get(name).records(), envelope(new Activate(members, List.of())));
+          formerMembers.get(name).recordsAddress(), envelope(new Activate(members, List.of())));
   }
 
   private void onActivate(Activate activation) {
@@ -287,7 +293,7 @@
     if (received.generation() > newestKnown.generation()) newestKnown = received;
     if (received.generation() <= members.generation()) return;
     MemberSet.Member ownEntry = received.find(context.self);
-    if (ownEntry == null || !ownEntry.disk().equals(context.disk)) {
+    if (ownEntry == null || !ownEntry.diskId().equals(context.disk)) {
       if (!initialized() && bootstrap != null) {
         bootstrap = null;
         context.host.event("bootstrapped-without-this-disk", "generation", received.generation());
@@ -314,7 +320,7 @@
           () -> {});
     context.host.sync(
         DurableState.ACTIVE_MEMBERS,
-        received.bytes(),
+        received.toBytes(),
         () -> {
           if (received.generation() > members.generation()) {
             bootstrap = null;
@@ -328,23 +334,23 @@
         new MemberSet.Member(
             envelope.sender(),
             envelope.senderDisk(),
-            Address.of(request.records()),
-            Address.of(request.operator()));
+            Address.of(request.recordsAddress()),
+            Address.of(request.operatorAddress()));
     if (!initialized() && bootstrap != null) {
       bootstrap.onJoinRequest(candidate);
       agreeOnBootstrapSet();
     }
     if (!initialized() || retired) return;
     MemberSet.Member member = members.find(envelope.sender());
-    if (member != null && member.disk().equals(envelope.senderDisk())) {
+    if (member != null && member.diskId().equals(envelope.senderDisk())) {
       if (envelope.generation() < members.generation()) sendGeneration(envelope.sender(), now);
       return;
     }
     if (sealed()) return;
     if (joinCandidates.onRequest(candidate, now))
       context.host.event(
-          "join-requested", "name", candidate.name(), "records", candidate.records());
-    context.host.sendTo(candidate.records(), envelope(new Activate(members, List.of())));
+          "join-requested", "name", candidate.name(), "records", candidate.recordsAddress());
+    context.host.sendTo(candidate.recordsAddress(), envelope(new Activate(members, List.of())));
   }
 
   private void onDrainNotice(Envelope envelope, long now) {
@@ -353,7 +359,7 @@
       return;
     }
     MemberSet.Member member = members.find(envelope.sender());
-    if (member != null && member.disk().equals(envelope.senderDisk()))
+    if (member != null && member.diskId().equals(envelope.senderDisk()))
       drainNoticeReceivedAtMs.put(member.name(), now);
   }
 
@@ -371,7 +377,7 @@
     context.sendToAll(new DrainNotice());
     for (MemberSet.Member member : newestKnown.all())
       if (!member.equals(members.find(member.name())))
-        context.host.sendTo(member.records(), envelope(new DrainNotice()));
+        context.host.sendTo(member.recordsAddress(), envelope(new DrainNotice()));
   }
 
   /**
@@ -381,13 +387,13 @@
    */
   boolean safeToStop(long now) {
     if (!initialized()) return true;
-    if (retired) return countActive(newestKnown) >= newestKnown.majority();
+    if (retired) return countActive(newestKnown) >= newestKnown.majoritySize();
     if (sealed() || hasStandbySuccessor()) return false;
     int others = 0;
     for (MemberSet.Member member : members.all())
       if (!member.name().equals(context.self) && context.isAliveAndStays(member.name(), now))
         others++;
-    return others >= Math.min(members.majority(), members.all().size() - 1);
+    return others >= Math.min(members.majoritySize(), members.all().size() - 1);
   }
 
   private int countActive(MemberSet generation) {
@@ -413,21 +419,21 @@
       Long receivedAtMs = generationReceivedAtMs.get(member.name());
       if (receivedAtMs == null
           || now - receivedAtMs >= 2L * context.config.peerTimeoutMs()
-          || member.records().equals(self.records())) continue;
+          || member.recordsAddress().equals(self.recordsAddress())) continue;
       if (latest == null || receivedAtMs > generationReceivedAtMs.get(latest.name()))
         latest = member;
     }
-    return latest == null ? null : latest.records();
+    return latest == null ? null : latest.recordsAddress();
   }
 
   /** Where whoever stands by is answered; null for all others and where this member can't help. */
   Address standbyAddress(Envelope envelope) {
     MemberSet.Member candidate = active() ? joinCandidates.find(envelope.sender()) : null;
     return candidate == null
-            || !candidate.disk().equals(envelope.senderDisk())
+            || !candidate.diskId().equals(envelope.senderDisk())
             || members.find(envelope.sender()) != null
         ? null
-        : candidate.records();
+        : candidate.recordsAddress();
   }
 
   /** What an operator may let in: machines that ask to join, lately heard. */
@@ -478,11 +484,11 @@
         "out",
         change.removed(),
         "in",
-        change.added().stream().map(member -> member.name() + "/" + member.disk()).toList(),
+        change.added().stream().map(member -> member.name() + "/" + member.diskId()).toList(),
         "generation",
         change.next().generation());
     ChangeRequest request =
-        ChangeRequest.forgettable(StateKeys.CORE, owner.value().number(), change.next().bytes());
+        ChangeRequest.withoutBase(StateKeys.CORE, owner.value().number(), change.next().toBytes());
     owner.propose(request, answer, context.host.now());
   }
 
@@ -532,7 +538,7 @@
    * may be the only copy beside one that may still be lost.
    */
   boolean mustCompleteReconfiguration() {
-    return sealed() && !(retired && countActive(newestKnown) >= newestKnown.majority());
+    return sealed() && !(retired && countActive(newestKnown) >= newestKnown.majoritySize());
   }
 
   /** The generation is refused from now on, durably; these are to be the next members. */
--- a/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
+++ b/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
@@ -113,7 +113,7 @@
     int aliveCount = 0;
     for (MemberSet.Member member : next.all())
       if (added.contains(member) || alive.test(member.name())) aliveCount++;
-    return aliveCount < next.majority()
+    return aliveCount < next.majoritySize()
         ? null
         : new MembershipChange(reason, List.copyOf(removed), List.copyOf(added), next);
   }
--- a/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
+++ b/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
@@ -81,12 +81,12 @@
     if (nextMembers == null) seal(next, now);
     context.host.sync(
         DurableState.SEALED_FOR,
-        next.bytes(),
+        next.toBytes(),
         () -> {
           if (nextMembers != null)
             context.host.sendTo(
                 envelope.sender().equals(context.self)
-                    ? self.records()
+                    ? self.recordsAddress()
                     : addressOf(envelope.sender()),
                 membership.envelope(sealResponse(next, request)));
         });
@@ -96,13 +96,13 @@
     return new SealResponse(
         next.generation(),
         request.incarnation(),
-        context.registers.besides(request.versions()),
+        context.registers.recordsWithoutKnownValues(request.versions()),
         context.registers.versions());
   }
 
   private Address addressOf(String name) {
     MemberSet.Member member = membership.members().find(name);
-    return member == null ? self.records() : member.records();
+    return member == null ? self.recordsAddress() : member.recordsAddress();
   }
 
   /** Refuses the generation from now on, durably; its owners step down. */
@@ -118,7 +118,7 @@
         membership.members().generation(),
         "next",
         next.generation());
-    context.host.sync(DurableState.SEALED_FOR, next.bytes(), () -> {});
+    context.host.sync(DurableState.SEALED_FOR, next.toBytes(), () -> {});
   }
 
   /**
@@ -127,18 +127,18 @@
    */
   void complete(long now) {
     int rank = 0;
-    for (String member : membership.members().order(StateKeys.CORE)) {
+    for (String member : membership.members().preferenceOrder(StateKeys.CORE)) {
       if (member.equals(context.self)) break;
       if (sealedAtMs - context.lastRoundTripAt(member) < context.config.peerTimeoutMs()) rank++;
     }
     if (now - sealedAtMs < (long) rank * context.config.electionRankDelayMs()
         || now - lastCompletionAttemptAtMs < context.config.confirmIntervalMs()) return;
     lastCompletionAttemptAtMs = now;
-    if (sealResponses.size() < membership.members().majority()) {
+    if (sealResponses.size() < membership.members().majoritySize()) {
       SealRequest request =
           new SealRequest(nextMembers, context.incarnation, context.registers.versions());
       for (MemberSet.Member member : membership.members().all())
-        context.host.sendTo(member.records(), membership.envelope(request));
+        context.host.sendTo(member.recordsAddress(), membership.envelope(request));
       return;
     }
     Map<String, Register> merged = mergedRegisters();
@@ -153,11 +153,11 @@
             ? sealResponses.get(recipient.name())
             : null;
     List<RegisterVersion> stored = response == null ? List.of() : response.versions();
-    List<RegisterRecord> registers = RegisterStore.besides(merged, stored);
+    List<RegisterRecord> registers = RegisterStore.recordsWithoutKnownValues(merged, stored);
     resendActivationAtMs.put(
         recipient.name(), now + context.config.confirmIntervalMs() + transferTimeMs(registers));
     context.host.sendTo(
-        recipient.records(), membership.envelope(new Activate(nextMembers, registers)));
+        recipient.recordsAddress(), membership.envelope(new Activate(nextMembers, registers)));
   }
 
   /** How long registers may take on the slowest link that members are to have, ms. */
@@ -174,7 +174,7 @@
         || response.requesterIncarnation() != context.incarnation) return;
     if (membership.members().find(sender) == null) return;
     sealResponses.put(sender, response);
-    if (sealResponses.size() >= membership.members().majority())
+    if (sealResponses.size() >= membership.members().majoritySize())
       lastCompletionAttemptAtMs = CoreHost.NEVER;
   }
 
@@ -183,7 +183,7 @@
    * whose values the others didn't send again.
    */
   private Map<String, Register> mergedRegisters() {
-    Map<String, Register> registers = context.registers.copy();
+    Map<String, Register> registers = context.registers.snapshot();
     for (SealResponse response : sealResponses.values())
       for (RegisterRecord register : response.registers())
         registers.merge(register.key(), Register.of(register.register()), Register::merge);
--- a/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
+++ b/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
@@ -44,7 +44,7 @@
   /** What all durable entries of a disk together say of a key that has one. */
   public static DecodedRegister cell(Map<String, byte[]> durable, String key) {
     Register c = RegisterStore.read(durable, key);
-    return new DecodedRegister(c.promised(), c.epoch(), value(c.value()));
+    return new DecodedRegister(c.promisedEpoch(), c.acceptedEpoch(), value(c.value()));
   }
 
   /** The value an owner asks the members to accept. */
@@ -65,7 +65,7 @@
 
   /** Encodes a set of members as it is kept on disk. */
   public static byte[] bytes(MemberSet members) {
-    return members.bytes();
+    return members.toBytes();
   }
 
   /** The generation an epoch belongs to. */
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
@@ -208,7 +208,7 @@
             generation,
             NO_BASE,
             "",
-            context.members().coreMemberListJson()));
+            context.members().toCoreMemberListJson()));
   }
 
   private int relayCount(long now) {
--- a/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
+++ b/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
@@ -15,65 +15,83 @@
 import java.util.List;
 
 /**
- * The core's members of one generation: for each name the id of its disk and its address. The
- * generation rises with every replacement and every message between members carries it. Epochs hold
- * the generation, a counter and the member's slot, so no two members ever try with the same.
+ * The core members of one generation. The generation rises with every replacement of a member, and
+ * every message between members carries it. An epoch consists of the generation, a counter and the
+ * member's slot, so no two members ever use the same epoch.
  */
 public record MemberSet(long generation, List<Member> all) {
-  public record Member(String name, String disk, Address records, Address operator) {}
+  /**
+   * One member.
+   *
+   * @param name the member's name
+   * @param diskId the id of its disk; empty while it is not known
+   * @param recordsAddress where other processes connect to it
+   * @param operatorAddress where operators and the platform connect to it
+   */
+  public record Member(
+      String name, String diskId, Address recordsAddress, Address operatorAddress) {}
 
   public static final MemberSet NONE = new MemberSet(0, List.of());
 
-  /** The members of a generation, in whichever order; they are sorted by name. */
+  /** Creates the members of a generation, sorted by name. */
   public MemberSet {
     List<Member> sorted = new ArrayList<>(all);
     sorted.sort(Comparator.comparing(Member::name));
     all = List.copyOf(sorted);
   }
 
-  /** The member of this name, or null where there is none. */
+  /** Returns the member with this name, or null if there is none. */
   public Member find(String name) {
     for (Member member : all) if (member.name.equals(name)) return member;
     return null;
   }
 
-  /** Whether the machine of this name was in that generation too, with the same disk. */
-  public boolean stays(MemberSet before, String name) {
-    Member now = find(name), then = before.find(name);
-    return now != null && then != null && now.disk.equals(then.disk);
+  /** Returns whether this member was also in the previous member set, with the same disk. */
+  public boolean retains(MemberSet previous, String name) {
+    Member current = find(name), former = previous.find(name);
+    return current != null && former != null && current.diskId.equals(former.diskId);
   }
 
-  /** The place of a member in the order of names, from 0; -1 where there is none of that name. */
-  public int slot(String name) {
+  /**
+   * Returns the position of a member in the order of names, from 0; -1 if there is none with that
+   * name.
+   */
+  public int slotOf(String name) {
     for (int slot = 0; slot < all.size(); slot++) if (all.get(slot).name.equals(name)) return slot;
     return -1;
   }
 
-  /** How many members are a majority of all. */
-  public int majority() {
+  /** Returns the smallest number of members that is a majority. */
+  public int majoritySize() {
     return all.size() / 2 + 1;
   }
 
-  /** The agreed order for a key: by name, rotated by the key so that duties spread. */
-  public List<String> order(String key) {
+  /**
+   * Returns the order in which members are preferred as owner of a key: by name, rotated by a hash
+   * of the key to spread ownership.
+   */
+  public List<String> preferenceOrder(String key) {
     List<String> names = new ArrayList<>();
     int size = all.size(),
-        first = Math.floorMod(key.hashCode() * 0x9E3779B1 >>> 7, Math.max(1, size));
-    for (int step = 0; step < size; step++) names.add(all.get((first + step) % size).name);
+        firstSlot = Math.floorMod(key.hashCode() * 0x9E3779B1 >>> 7, Math.max(1, size));
+    for (int offset = 0; offset < size; offset++)
+      names.add(all.get((firstSlot + offset) % size).name);
     return names;
   }
 
   /**
-   * The next epoch of this generation for the member of this name that is higher than the given
-   * one.
+   * Returns the lowest epoch of this generation for this member that is higher than the given one.
+   *
+   * @param lowerBound an epoch of any generation
+   * @param name the name of a member of this set
    */
-  public long epoch(long above, String name) {
-    long first = generation << 40;
-    long counter = above >= first ? (above - first >> 8) + 1 : 1;
-    return first | counter << 8 | slot(name);
+  public long nextEpoch(long lowerBound, String name) {
+    long base = generation << 40;
+    long counter = lowerBound >= base ? (lowerBound - base >> 8) + 1 : 1;
+    return base | counter << 8 | slotOf(name);
   }
 
-  /** Writes it as messages and entries on disk hold it. */
+  /** Writes the set in the format used in messages and on disk. */
   public void write(DataOutputStream out) throws IOException {
     out.writeLong(generation);
     WireRecord.list(
@@ -81,13 +99,17 @@
         all,
         (fields, member) -> {
           fields.writeUTF(member.name);
-          fields.writeUTF(member.disk);
-          fields.writeUTF(member.records.toString());
-          fields.writeUTF(member.operator.toString());
+          fields.writeUTF(member.diskId);
+          fields.writeUTF(member.recordsAddress.toString());
+          fields.writeUTF(member.operatorAddress.toString());
         });
   }
 
-  /** Reads what write wrote; an IOException where that is no such thing. */
+  /**
+   * Reads what {@link #write} wrote.
+   *
+   * @throws IOException if the bytes are malformed
+   */
   public static MemberSet read(DataInputStream in) throws IOException {
     return new MemberSet(
         in.readLong(),
@@ -101,8 +123,8 @@
                     Address.of(fields.readUTF()))));
   }
 
-  /** The entry that holds the set on disk, and the value of the key core. */
-  public byte[] bytes() {
+  /** Returns the set in the format used on disk and as the value of the key {@code core}. */
+  public byte[] toBytes() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       write(out);
@@ -112,19 +134,24 @@
     return bytes.toByteArray();
   }
 
-  /** As data-plane processes are told. */
-  public byte[] coreMemberListJson() {
+  /** Returns the member list as sent to data-plane processes, JSON in UTF-8. */
+  public byte[] toCoreMemberListJson() {
     return new CoreMemberList(
             all.stream()
                 .map(
                     member ->
-                        new CoreMemberList.Member(member.name, member.records, member.operator))
+                        new CoreMemberList.Member(
+                            member.name, member.recordsAddress, member.operatorAddress))
                 .toList())
         .json()
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Members that were checked before. */
+  /**
+   * Parses a set that was validated before.
+   *
+   * @throws UncheckedIOException if it is malformed nevertheless
+   */
   public static MemberSet of(byte[] bytes) {
     try {
       return parse(bytes);
@@ -133,13 +160,18 @@
     }
   }
 
-  /** Members from anywhere; what is more or less than that is an IOException. */
+  /**
+   * Parses a set that may be malformed.
+   *
+   * @throws IOException if the bytes are not exactly one valid set
+   */
   public static MemberSet parse(byte[] bytes) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     try {
       MemberSet members = read(in);
       if (in.available() > 0)
-        throw new IOException(in.available() + " bytes after its end, as of a newer release");
+        throw new IOException(
+            in.available() + " bytes after its end, perhaps written by a newer release");
       return members;
     } catch (IllegalArgumentException e) {
       throw new IOException(e.getMessage(), e);
--- a/control-plane/src/main/java/gladelug/control/core/config/package-info.java
+++ b/control-plane/src/main/java/gladelug/control/core/config/package-info.java
@@ -1,2 +1,2 @@
-/** The members of the core in one generation, as every part of the core may know them. */
+/** The member set of a core generation, which every part of the core depends on. */
 package gladelug.control.core.config;
--- a/control-plane/src/main/java/gladelug/control/core/message/ChangeResult.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/ChangeResult.java
@@ -6,15 +6,15 @@
 import java.io.IOException;
 
 /**
- * How a change of a key ended for whoever sent it. Only {@link Conflict}, {@link QueueFull}, {@link
- * NoOwner} and {@link TooLarge} say that it was not applied. On the wire: a tag, then the fields in
- * their order.
+ * The outcome of a change of a key, as reported to its sender. Only {@link Conflict}, {@link
+ * QueueFull}, {@link NoOwner} and {@link TooLarge} mean that the change was not applied. Serialized
+ * as a tag followed by the fields in order.
  */
 public sealed interface ChangeResult {
   /** Writes the tag and the fields. */
   void write(DataOutputStream out) throws IOException;
 
-  /** The tags on the wire; they stay as they are. */
+  /** The tags on the wire; they must not change. */
   final class Tag {
     private static final int ACKNOWLEDGED = 1;
     private static final int CONFLICT = 2;
@@ -27,13 +27,13 @@
   }
 
   /**
-   * The change is on a majority of disks and whoever has a lease acts on it.
+   * The change is durable on a majority of disks, and every subscriber with a lease acts on it.
    *
-   * @param number the number it got
-   * @param repeated whether it had been applied before and is only acknowledged again
-   * @param acks subscribers with a lease that acknowledged it
-   * @param lapsed subscribers whose lease ran out first
-   * @param waited from the change's arrival at the owner to this result, ms
+   * @param number the number assigned to it
+   * @param repeated whether the change had been applied before and is only acknowledged again
+   * @param acks number of subscribers with a lease that acknowledged it
+   * @param lapsed number of subscribers whose lease expired first
+   * @param waited time from the change's arrival at the owner to this result, in ms
    */
   record Acknowledged(long number, boolean repeated, int acks, int lapsed, long waited)
       implements ChangeResult {
@@ -48,7 +48,11 @@
     }
   }
 
-  /** It follows another number than the newest; current is the newest. */
+  /**
+   * The change was based on a number other than the newest one; it was not applied.
+   *
+   * @param current the newest number
+   */
   record Conflict(long current) implements ChangeResult {
     @Override
     public void write(DataOutputStream out) throws IOException {
@@ -57,7 +61,11 @@
     }
   }
 
-  /** It may have been applied; number is the one to ask about. */
+  /**
+   * The change may have been applied.
+   *
+   * @param number the number whose status tells; -1 if that is open
+   */
   record Unknown(long number) implements ChangeResult {
     @Override
     public void write(DataOutputStream out) throws IOException {
@@ -66,7 +74,7 @@
     }
   }
 
-  /** Too many changes of the key are waiting; it was not applied. */
+  /** Too many changes of the key are queued; the change was not applied. */
   record QueueFull() implements ChangeResult {
     @Override
     public void write(DataOutputStream out) throws IOException {
@@ -74,7 +82,7 @@
     }
   }
 
-  /** Nobody who is reached owns the key; it was not applied. */
+  /** No reachable member owns the key; the change was not applied. */
   record NoOwner() implements ChangeResult {
     @Override
     public void write(DataOutputStream out) throws IOException {
@@ -82,7 +90,12 @@
     }
   }
 
-  /** The value has more bytes than the disk has room for beside the other keys' values. */
+  /**
+   * The value does not fit on the disk beside the other keys' values; the change was not applied.
+   *
+   * @param bytes the size of the value
+   * @param most the largest size that fits, in bytes
+   */
   record TooLarge(long bytes, long most) implements ChangeResult {
     @Override
     public void write(DataOutputStream out) throws IOException {
@@ -92,7 +105,11 @@
     }
   }
 
-  /** Reads what {@link #write} wrote; an IOException where that is no such thing. */
+  /**
+   * Reads what {@link #write} wrote.
+   *
+   * @throws IOException if the bytes are malformed
+   */
   static ChangeResult read(DataInputStream in) throws IOException {
     int tag = in.readByte();
     return switch (tag) {
--- a/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
@@ -12,11 +12,12 @@
 import java.util.List;
 
 /**
- * What core members send to each other. Every message carries the generation it was sent in and the
- * sender's name and disk; a member answers none of another generation but tells the newer members
- * where it knows them.
+ * A message between core members. Every message carries the generation it was sent in and the
+ * sender's name and disk id. A member does not answer messages of another generation, but sends the
+ * newer member set if it knows one.
  */
 public sealed interface CoreMessage {
+  /** A message with its sender and the generation it was sent in. */
   record Envelope(long generation, String sender, String senderDisk, CoreMessage message)
       implements WireRecord {
     @Override
@@ -32,13 +33,13 @@
       message.writeBody(out);
     }
 
-    /** Reads an envelope of a message with this tag. */
+    /** Reads the envelope and the body of a message with this tag. */
     public static Envelope read(int type, DataInputStream in) throws IOException {
       return new Envelope(in.readLong(), in.readUTF(), in.readUTF(), CoreMessage.read(type, in));
     }
   }
 
-  /** The tags of messages on the wire; they stay as they are. */
+  /** The tags of messages on the wire; they must not change. */
   final class Tag {
     private static final int HEARTBEAT = 1;
     private static final int PREPARE_REQUEST = 2;
@@ -63,21 +64,31 @@
     private Tag() {}
   }
 
-  /** The number that stands for the type of message on the wire. */
+  /** Returns the number that identifies the message type on the wire. */
   int tag();
 
-  /** Writes what follows the envelope's head. */
+  /** Writes the message's own fields, which follow the envelope's. */
   void writeBody(DataOutputStream out) throws IOException;
 
-  /** What an owner says of a key of its own, so that the others know it and the value's age. */
+  /**
+   * A sender's claim that it owns a key, from which the other members learn the owner and the age
+   * of the value.
+   *
+   * @param number the number of the newest value
+   * @param valueAgeMs the time since that value was applied, in ms
+   * @param changeInFlight whether a change of the key is in progress
+   */
   record OwnershipClaim(
       String key, long epoch, long number, long valueAgeMs, boolean changeInFlight) {}
 
-  /** When something was sent, by the clock of one run of its sender, which alone can read it. */
+  /**
+   * The send time of a message by its sender's monotonic clock. Only the same run of the sender can
+   * interpret it.
+   */
   record SendTime(long incarnation, long atMs) {
     public static final SendTime NONE = new SendTime(0, 0);
 
-    private void put(DataOutputStream out) throws IOException {
+    private void write(DataOutputStream out) throws IOException {
       out.writeLong(incarnation);
       out.writeLong(atMs);
     }
@@ -88,14 +99,14 @@
   }
 
   /**
-   * A sign of life to one member.
+   * A periodic heartbeat to one member.
    *
-   * @param healthy whether the sender's disk works and it is not draining
-   * @param uptimeMs how long the sender has been up, ms
+   * @param healthy whether the sender's disk works and the sender is not draining
+   * @param uptimeMs how long the sender has been running, in ms
    * @param claims the keys that the sender owns
-   * @param sentAt when it was sent, by the sender's clock
-   * @param newestReceived the newest send time that the sender received of the receiver, so that
-   *     the receiver knows what has reached the sender
+   * @param sentAt when the heartbeat was sent, by the sender's clock
+   * @param newestReceived the newest send time that the sender has received from the receiver,
+   *     which tells the receiver which of its heartbeats arrived
    */
   record Heartbeat(
       boolean healthy,
@@ -116,25 +127,27 @@
       WireRecord.list(
           out,
           claims,
-          (target, w) -> {
-            target.writeUTF(w.key);
-            target.writeLong(w.epoch);
-            target.writeLong(w.number);
-            target.writeLong(w.valueAgeMs);
-            target.writeBoolean(w.changeInFlight);
+          (target, claim) -> {
+            target.writeUTF(claim.key);
+            target.writeLong(claim.epoch);
+            target.writeLong(claim.number);
+            target.writeLong(claim.valueAgeMs);
+            target.writeBoolean(claim.changeInFlight);
           });
-      sentAt.put(out);
-      newestReceived.put(out);
+      sentAt.write(out);
+      newestReceived.write(out);
     }
   }
 
   /**
-   * A key is asked for under a higher epoch. handover: the present owner is known and well, and is
-   * to give the key to the one who comes before it in order; else a member that knows of a working
-   * owner refuses.
+   * Phase 1 of taking ownership of a key: asks for a promise under a higher epoch.
+   *
+   * @param handover whether the current owner works and is to hand the key over to a member that
+   *     precedes it in the key's preference order; otherwise a member that knows a working owner
+   *     refuses
    */
   record PrepareRequest(String key, long epoch, boolean handover) implements CoreMessage {
-    /** A request that is no handover. */
+    /** Creates a request that is not a handover. */
     public PrepareRequest(String key, long epoch) {
       this(key, epoch, false);
     }
@@ -153,8 +166,13 @@
   }
 
   /**
-   * The answer to {@link PrepareRequest}. Not granted where promisedEpoch is as high as what was
-   * asked, or the key has a working owner.
+   * The answer to {@link PrepareRequest}. Refused if {@code promisedEpoch} is at least the
+   * requested epoch, or if the key has a working owner.
+   *
+   * @param granted whether the epoch was promised
+   * @param promisedEpoch the highest epoch that the sender has promised
+   * @param acceptedEpoch the epoch under which the sender accepted its value
+   * @param value the value that the sender accepted last
    */
   record PrepareResponse(
       String key,
@@ -180,6 +198,7 @@
     }
   }
 
+  /** Phase 2: asks a member to accept a value under the owner's epoch. */
   record AcceptRequest(String key, long epoch, VersionedValue value) implements CoreMessage {
     @Override
     public int tag() {
@@ -194,6 +213,7 @@
     }
   }
 
+  /** The answer to {@link AcceptRequest}; refused if the sender promised a higher epoch. */
   record AcceptResponse(String key, long epoch, long number, boolean granted, long promisedEpoch)
       implements CoreMessage {
     @Override
@@ -211,9 +231,10 @@
     }
   }
 
+  /** A key and the epoch under which the sender owns it. */
   record KeyEpoch(String key, long epoch) {}
 
-  /** One round for all keys the sender owns. */
+  /** Asks the members to confirm that the sender still owns its keys; one round covers all keys. */
   record ConfirmRequest(long round, List<KeyEpoch> epochs) implements CoreMessage {
     @Override
     public int tag() {
@@ -226,13 +247,19 @@
       WireRecord.list(
           out,
           epochs,
-          (target, c) -> {
-            target.writeUTF(c.key);
-            target.writeLong(c.epoch);
+          (target, keyEpoch) -> {
+            target.writeUTF(keyEpoch.key);
+            target.writeLong(keyEpoch.epoch);
           });
     }
   }
 
+  /**
+   * A member's answer for one key of a {@link ConfirmRequest}.
+   *
+   * @param epoch the epoch that was asked about
+   * @param granted whether the member has promised no higher epoch
+   */
   record EpochStatus(
       String key,
       long epoch,
@@ -241,6 +268,7 @@
       long acceptedEpoch,
       long acceptedNumber) {}
 
+  /** The answer to {@link ConfirmRequest}. */
   record ConfirmResponse(long round, List<EpochStatus> statuses) implements CoreMessage {
     @Override
     public int tag() {
@@ -253,18 +281,18 @@
       WireRecord.list(
           out,
           statuses,
-          (target, s) -> {
-            target.writeUTF(s.key);
-            target.writeLong(s.epoch);
-            target.writeBoolean(s.granted);
-            target.writeLong(s.promisedEpoch);
-            target.writeLong(s.acceptedEpoch);
-            target.writeLong(s.acceptedNumber);
+          (target, status) -> {
+            target.writeUTF(status.key);
+            target.writeLong(status.epoch);
+            target.writeBoolean(status.granted);
+            target.writeLong(status.promisedEpoch);
+            target.writeLong(status.acceptedEpoch);
+            target.writeLong(status.acceptedNumber);
           });
     }
   }
 
-  /** A change taken at one member's door for the key's owner elsewhere. */
+  /** A change received by a member that does not own the key, forwarded to the owner. */
   record ForwardedChangeRequest(long requestId, ChangeRequest request) implements CoreMessage {
     @Override
     public int tag() {
@@ -275,13 +303,14 @@
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeLong(requestId);
       out.writeUTF(request.key());
-      out.writeLong(request.match());
+      out.writeLong(request.requiredNumber());
       WireRecord.blob(out, request.body());
       out.writeLong(request.base());
       if (!request.sentDigest().isEmpty()) out.writeUTF(request.sentDigest());
     }
   }
 
+  /** The owner's answer to {@link ForwardedChangeRequest}. */
   record ForwardedChangeResponse(long requestId, ChangeResult result) implements CoreMessage {
     @Override
     public int tag() {
@@ -295,8 +324,13 @@
     }
   }
 
-  /** A founder looks for the others; pinned: the first members it has on its disk, NONE before. */
-  record BootstrapAnnouncement(String records, String operator, MemberSet storedBootstrapSet)
+  /**
+   * Sent by a bootstrap member to find the others.
+   *
+   * @param storedBootstrapSet the first member set stored on its disk; NONE if there is none yet
+   */
+  record BootstrapAnnouncement(
+      String recordsAddress, String operatorAddress, MemberSet storedBootstrapSet)
       implements CoreMessage {
     @Override
     public int tag() {
@@ -305,15 +339,15 @@
 
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
-      out.writeUTF(records);
-      out.writeUTF(operator);
+      out.writeUTF(recordsAddress);
+      out.writeUTF(operatorAddress);
       storedBootstrapSet.write(out);
     }
   }
 
   /**
-   * A generation is in force; cells hold at least all that was ever acknowledged before it, but for
-   * the values that the one it is told has durably.
+   * Activates a generation. The registers hold at least everything acknowledged before it, except
+   * values that the receiver already stores durably.
    */
   record Activate(MemberSet members, List<RegisterRecord> registers) implements CoreMessage {
     @Override
@@ -328,8 +362,8 @@
     }
   }
 
-  /** A machine with an empty disk would like to be a member. */
-  record JoinRequest(String records, String operator) implements CoreMessage {
+  /** Sent by a machine with an empty disk that asks to become a member. */
+  record JoinRequest(String recordsAddress, String operatorAddress) implements CoreMessage {
     @Override
     public int tag() {
       return Tag.JOIN_REQUEST;
@@ -337,14 +371,17 @@
 
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
-      out.writeUTF(records);
-      out.writeUTF(operator);
+      out.writeUTF(recordsAddress);
+      out.writeUTF(operatorAddress);
     }
   }
 
   /**
-   * Refuse the present generation from now on; next is to follow it. run: the sender's present run,
-   * versions: what it keeps, which needn't be sent to it.
+   * Asks a member to seal the current generation, that is, to refuse its messages from now on.
+   *
+   * @param next the member set of the next generation
+   * @param incarnation identifies the sender's current run
+   * @param versions the values that the sender stores, which need not be sent to it
    */
   record SealRequest(MemberSet next, long incarnation, List<RegisterVersion> versions)
       implements CoreMessage {
@@ -362,8 +399,12 @@
   }
 
   /**
-   * It is refused, durably, and this is all that was kept under it: of keys of which the asking run
-   * keeps the same value or a newer one the promises alone. versions: what is kept here.
+   * Confirms that the generation is sealed durably, with all registers stored under it. Registers
+   * whose value the requesting run already stores, or has a newer one of, carry the promises only.
+   *
+   * @param nextGeneration the generation for which the sender sealed
+   * @param requesterIncarnation the run of the requester for which values are left out
+   * @param versions the values that the sender stores
    */
   record SealResponse(
       long nextGeneration,
@@ -385,7 +426,10 @@
     }
   }
 
-  /** What a data-plane process asked of a member that isn't the key's owner, handed on. */
+  /**
+   * A subscription request of a data-plane process, passed on by a member that does not own the
+   * key.
+   */
   record RelayedSubscriptionRequest(StateUpdate.SubscriptionRequest request)
       implements CoreMessage {
     @Override
@@ -399,7 +443,7 @@
     }
   }
 
-  /** And the owner's answer on the way back. */
+  /** The owner's answer to a {@link RelayedSubscriptionRequest}, passed back the same way. */
   record RelayedStateUpdate(String subscriber, StateUpdate update) implements CoreMessage {
     @Override
     public int tag() {
@@ -413,7 +457,7 @@
     }
   }
 
-  /** A read taken at one member's door for the key's owner elsewhere. */
+  /** A read received by a member that does not own the key, forwarded to the owner. */
   record ForwardedReadRequest(long requestId, String key) implements CoreMessage {
     @Override
     public int tag() {
@@ -427,7 +471,7 @@
     }
   }
 
-  /** And what the owner says. */
+  /** The owner's answer to {@link ForwardedReadRequest}. */
   record ForwardedReadResponse(long requestId, ReadResult result) implements CoreMessage {
     @Override
     public int tag() {
@@ -441,19 +485,19 @@
     }
   }
 
-  private static ChangeRequest changeRequest(DataInputStream in) throws IOException {
+  private static ChangeRequest readChangeRequest(DataInputStream in) throws IOException {
     String key = in.readUTF();
-    long match = in.readLong();
+    long requiredNumber = in.readLong();
     byte[] body = WireRecord.blob(in);
     long base = in.readLong();
-    // written only where it isn't the body's own digest, so that earlier releases are understood
+    // absent if it equals the body's digest, as in messages of earlier releases
     String sentDigest = in.available() > 0 ? in.readUTF() : "";
-    return new ChangeRequest(key, match, base, body, sentDigest);
+    return new ChangeRequest(key, requiredNumber, base, body, sentDigest);
   }
 
   /**
-   * The sender was asked to stop: it owns nothing any more and ends once its place is taken, if a
-   * machine stands by.
+   * Announces that the sender was asked to stop: it owns no keys any more and ends once a standby
+   * machine, if there is one, has replaced it.
    */
   record DrainNotice() implements CoreMessage {
     @Override
@@ -465,13 +509,19 @@
     public void writeBody(DataOutputStream out) {}
   }
 
-  private static RelayedSubscriptionRequest carry(DataInputStream in) throws IOException {
+  private static RelayedSubscriptionRequest readRelayedSubscriptionRequest(DataInputStream in)
+      throws IOException {
     if (WireRecord.read(WireRecord.blob(in), StateUpdate::read)
-        instanceof StateUpdate.SubscriptionRequest a) return new RelayedSubscriptionRequest(a);
-    throw new IOException("only questions are handed on");
+        instanceof StateUpdate.SubscriptionRequest request)
+      return new RelayedSubscriptionRequest(request);
+    throw new IOException("only subscription requests can be relayed");
   }
 
-  /** Reads the body of a message with this tag; an unknown tag is an IOException. */
+  /**
+   * Reads the body of a message with this tag.
+   *
+   * @throws IOException if the tag is unknown or the body is malformed
+   */
   static CoreMessage read(int tag, DataInputStream in) throws IOException {
     return switch (tag) {
       case Tag.HEARTBEAT ->
@@ -521,7 +571,7 @@
                           item.readLong(),
                           item.readLong())));
       case Tag.FORWARDED_CHANGE_REQUEST ->
-          new ForwardedChangeRequest(in.readLong(), changeRequest(in));
+          new ForwardedChangeRequest(in.readLong(), readChangeRequest(in));
       case Tag.FORWARDED_CHANGE_RESPONSE ->
           new ForwardedChangeResponse(in.readLong(), ChangeResult.read(in));
       case Tag.BOOTSTRAP_ANNOUNCEMENT ->
@@ -530,7 +580,7 @@
       case Tag.JOIN_REQUEST -> new JoinRequest(in.readUTF(), in.readUTF());
       case Tag.SEAL_REQUEST ->
           new SealRequest(MemberSet.read(in), in.readLong(), RegisterVersion.readList(in));
-      case Tag.RELAYED_SUBSCRIPTION_REQUEST -> carry(in);
+      case Tag.RELAYED_SUBSCRIPTION_REQUEST -> readRelayedSubscriptionRequest(in);
       case Tag.RELAYED_STATE_UPDATE ->
           new RelayedStateUpdate(
               in.readUTF(), WireRecord.read(WireRecord.blob(in), StateUpdate::read));
--- a/control-plane/src/main/java/gladelug/control/core/message/ReadResult.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/ReadResult.java
@@ -8,65 +8,71 @@
 import java.io.IOException;
 
 /**
- * What a reader of a key is told by the key's owner: the number, digest and value committed last,
- * or that nobody owns the key at the moment, and then nothing else.
- *
- * <p>What was committed last, with its history; nothing where nobody owns the key.
+ * The result of reading a key at its owner: the value committed last with its history, or that no
+ * member owns the key at the moment, in which case there is no value.
  */
 public final class ReadResult {
-  /** Nobody owns the key at the moment. */
+  /** No member owns the key at the moment. */
   public static final ReadResult NO_OWNER = new ReadResult(false, VersionedValue.NONE);
 
-  private final boolean owned;
+  private final boolean hasOwner;
   private final VersionedValue value;
 
-  private ReadResult(boolean owned, VersionedValue value) {
-    this.owned = owned;
+  private ReadResult(boolean hasOwner, VersionedValue value) {
+    this.hasOwner = hasOwner;
     this.value = value;
   }
 
-  /** The result of a read by the owner: the value committed last. */
+  /**
+   * Returns the result of a read by the owner.
+   *
+   * @param value the value committed last
+   */
   public static ReadResult of(VersionedValue value) {
     return new ReadResult(true, value);
   }
 
-  /** Whether a member owns the key, so that the value is known. */
-  public boolean owned() {
-    return owned;
+  /** Returns whether a member owns the key, so that the value is known. */
+  public boolean hasOwner() {
+    return hasOwner;
   }
 
-  /** 0 is "never written". */
+  /** Returns the number of the value; 0 if the key was never written. */
   public long number() {
     return value.number();
   }
 
-  /** The SHA-256 of the body, in hex. */
+  /** Returns the SHA-256 of the body, in hex. */
   public String digest() {
     return value.digest();
   }
 
-  /** The value as it was sent. */
+  /** Returns the body of the value. */
   public byte[] body() {
     return value.body();
   }
 
-  /** What is known of a change with this digest, sent on this base. */
-  public ChangeStatus fate(String digest, long base) {
-    return value.fate(digest, base);
+  /** Returns what is known of a change with this digest, sent on this base. */
+  public ChangeStatus statusOf(String digest, long base) {
+    return value.statusOf(digest, base);
   }
 
-  /** What became of a number, for the sender of a change with this digest. */
-  public NumberStatus fateOfNumber(long number, String digest) {
-    return value.fateOfNumber(number, digest);
+  /** Returns what became of a number, for the sender of a change with this digest. */
+  public NumberStatus statusOfNumber(long number, String digest) {
+    return value.statusOfNumber(number, digest);
   }
 
-  /** Writes it as messages and entries on disk hold it. */
+  /** Writes the result in the format of messages between members. */
   public void write(DataOutputStream out) throws IOException {
-    out.writeBoolean(owned);
+    out.writeBoolean(hasOwner);
     value.write(out);
   }
 
-  /** Reads what write wrote; an IOException where that is no such thing. */
+  /**
+   * Reads what {@link #write} wrote.
+   *
+   * @throws IOException if the bytes are malformed
+   */
   public static ReadResult read(DataInputStream in) throws IOException {
     return new ReadResult(in.readBoolean(), VersionedValue.read(in));
   }
--- a/control-plane/src/main/java/gladelug/control/core/message/package-info.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What core members send to one another, each message with its codec, and what a change or a read
- * of a key asks and gets. Tags and the order of fields are the wire and don't change with names.
+ * The messages between core members, each with its codec, and the requests and results of changes
+ * and reads of a key. Tags and the order of fields define the wire format and must not change.
  */
 package gladelug.control.core.message;
--- a/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
@@ -9,84 +9,95 @@
 import org.pcollections.TreePVector;
 
 /**
- * The changes of one key that were taken last, so that one whose answer was lost and that is sent
- * again is recognised. The list is a part of the key's value: it is written with it to a majority
- * of disks and goes wherever the value goes, through takeover, restart, snapshot and change of
- * members. A change is the same only if its digest and the base its sender named are both the same;
- * the same text sent on another base is a new change.
+ * The most recently applied changes of one key, by which a change that is sent again after its
+ * answer was lost is recognized. The list is part of the key's value: it is written with the value
+ * to a majority of disks and follows it through ownership takeover, restart, snapshot and
+ * membership change. Two changes are the same only if both their digest and the base that the
+ * sender named are equal; the same text sent on another base is a new change.
  *
- * <p>An immutable list, oldest first. forgottenBase is the highest base among the entries that had
- * to make room, NO_BASE while there was none. Bases are counted by the senders of one key and never
- * fall from one taken change to the next, so a change on a base above forgottenBase that isn't
- * listed was never taken.
+ * <p>Immutable. Bases are counted by the senders of one key and never decrease from one applied
+ * change to the next, so a change on a base above {@code highestDroppedBase} that is not listed was
+ * never applied.
+ *
+ * @param entries the remembered changes, oldest first
+ * @param highestDroppedBase the highest base among the entries dropped to make room; NO_BASE if
+ *     none was dropped
  */
-public record AppliedChanges(PVector<AppliedChange> entries, long forgottenBase) {
-  /** The sender names no base: the change is not remembered and never recognised. */
+public record AppliedChanges(PVector<AppliedChange> entries, long highestDroppedBase) {
+  /** Stands for a missing base: the change is not remembered, so a repetition is not recognized. */
   public static final long NO_BASE = -1;
 
   /**
-   * How many are remembered. A day holds hundreds of changes and eight senders at once, so a change
-   * is forgotten only after more than a usual day's changes followed it; one of those is answered
-   * as unknown, never as refused. Each takes 48 bytes beside the value: 24 KiB in all.
+   * The number of remembered changes. A day sees hundreds of changes, by up to eight senders at
+   * once, so a change is forgotten only after more than a usual day's changes have followed it. A
+   * forgotten change is reported as unknown, never as refused. Each entry takes 48 bytes beside the
+   * value, 24 KiB in total.
    */
-  public static final int REMEMBERED = 512;
+  public static final int MAX_ENTRIES = 512;
 
   public static final AppliedChanges NONE = new AppliedChanges(TreePVector.empty(), NO_BASE);
 
   private static final int DIGEST_BYTES = 32;
 
-  /** One taken change: the number it got, the SHA-256 of its body, and the base it was sent on. */
+  /**
+   * One applied change: the number assigned to it, the SHA-256 of its body in hex, and the base it
+   * was sent on.
+   */
   public record AppliedChange(long number, String digest, long base) {}
 
-  /** The list after one more change was taken; a change without a base is not listed. */
+  /** Returns the list with one more applied change; a change without a base is not added. */
   public AppliedChanges plus(long number, String digest, long base) {
     if (base == NO_BASE) return this;
     PVector<AppliedChange> longer = entries.plus(new AppliedChange(number, digest, base));
-    if (longer.size() <= REMEMBERED) return new AppliedChanges(longer, forgottenBase);
+    if (longer.size() <= MAX_ENTRIES) return new AppliedChanges(longer, highestDroppedBase);
     long oldestBase = longer.get(0).base();
-    return new AppliedChanges(longer.minus(0), Math.max(forgottenBase, oldestBase));
+    return new AppliedChanges(longer.minus(0), Math.max(highestDroppedBase, oldestBase));
   }
 
-  /** The number under which this change was taken; 0 where it isn't listed. */
+  /** Returns the number under which a change was applied, or 0 if it is not listed. */
   public long numberOf(String digest, long base) {
     if (base == NO_BASE) return 0;
     for (int i = entries.size() - 1; i >= 0; i--) {
-      AppliedChange taken = entries.get(i);
-      if (taken.base() == base && taken.digest().equals(digest)) return taken.number();
+      AppliedChange applied = entries.get(i);
+      if (applied.base() == base && applied.digest().equals(digest)) return applied.number();
     }
     return 0;
   }
 
-  /** Whether the change that got this number is listed, and last. */
+  /** Returns whether the newest entry has this number. */
   public boolean endsWith(long number) {
     return !entries.isEmpty() && entries.get(entries.size() - 1).number() == number;
   }
 
-  /** What is known of a change with this digest, sent on this base. */
-  public ChangeStatus fate(String digest, long base) {
+  /** Returns what is known of a change with this digest, sent on this base. */
+  public ChangeStatus statusOf(String digest, long base) {
     if (numberOf(digest, base) > 0) return ChangeStatus.APPLIED;
-    boolean tooOld = base != NO_BASE && base <= forgottenBase;
+    boolean tooOld = base != NO_BASE && base <= highestDroppedBase;
     return tooOld ? ChangeStatus.EXPIRED : ChangeStatus.NOT_APPLIED;
   }
 
-  /** Writes it as messages and entries on disk hold it. */
+  /** Writes the list in the format used in messages and on disk. */
   public void write(DataOutputStream out) throws IOException {
-    out.writeLong(forgottenBase);
+    out.writeLong(highestDroppedBase);
     WireRecord.list(
         out,
         entries,
-        (o, taken) -> {
-          o.writeLong(taken.number());
-          o.write(HexFormat.of().parseHex(taken.digest()));
-          o.writeLong(taken.base());
+        (entryOut, applied) -> {
+          entryOut.writeLong(applied.number());
+          entryOut.write(HexFormat.of().parseHex(applied.digest()));
+          entryOut.writeLong(applied.base());
         });
   }
 
-  /** Reads what write wrote; an IOException where that is no such thing. */
+  /**
+   * Reads what {@link #write} wrote.
+   *
+   * @throws IOException if the bytes are malformed
+   */
   public static AppliedChanges read(DataInputStream in) throws IOException {
-    long forgottenBase = in.readLong();
+    long highestDroppedBase = in.readLong();
     return new AppliedChanges(
-        TreePVector.from(WireRecord.list(in, AppliedChanges::readEntry)), forgottenBase);
+        TreePVector.from(WireRecord.list(in, AppliedChanges::readEntry)), highestDroppedBase);
   }
 
   private static AppliedChange readEntry(DataInputStream in) throws IOException {
--- a/control-plane/src/main/java/gladelug/control/core/register/ChangeStatus.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/ChangeStatus.java
@@ -1,13 +1,15 @@
 package gladelug.control.core.register;
 
-/** What the control state knows of a change that may have been sent before. */
+/** What a key's owner knows of a change that may have been sent before. */
 public enum ChangeStatus {
-  /** The very same change, on the same base, was taken. */
+  /** The same change, on the same base, was applied. */
   APPLIED,
 
-  /** It was not taken before the state that was asked. */
+  /** The change had not been applied as of the state that was queried. */
   NOT_APPLIED,
 
-  /** It builds on a state too old to tell: it may have been taken and forgotten since. */
+  /**
+   * The change is based on a state too old to tell: it may have been applied and forgotten since.
+   */
   EXPIRED
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/DiskWriter.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/DiskWriter.java
@@ -14,103 +14,115 @@
 import java.util.function.Consumer;
 
 /**
- * The disk's own thread: takes what waits, writes it as one frame, syncs once, and tells all who
- * waited. A sync that fails is never tried again; the member stops. A disk that takes no bytes, as
- * a full one does, is tried again: it looks stalled meanwhile, and the member hands its keys on.
- * stalled() lets the protocol see it.
+ * Writes entries to the ring on a thread of its own: takes all pending writes, writes them as one
+ * frame, syncs once, and runs their completions. A failed sync is never retried; the member stops.
+ * A refused write, for example on a full disk, is retried. Meanwhile {@link #stalledMs} grows, by
+ * which the protocol notices the stall and hands the member's keys over.
  */
 public final class DiskWriter implements AutoCloseable {
-  private static final long AGAIN = 100;
+  private static final long RETRY_INTERVAL_MS = 100;
 
-  private record PendingWrite(RecordRing.Entry entry, Runnable done, long since) {}
+  private record PendingWrite(RecordRing.Entry entry, Runnable onDurable, long enqueuedAtMs) {}
 
   private final RecordRing ring;
   private final Clock clock;
-  private final Consumer<Runnable> back;
-  private final Consumer<String> failed;
-  private final ArrayBlockingQueue<PendingWrite> wants = new ArrayBlockingQueue<>(4096);
+  private final Consumer<Runnable> completionExecutor;
+  private final Consumer<String> onFailure;
+  private final ArrayBlockingQueue<PendingWrite> pendingWrites = new ArrayBlockingQueue<>(4096);
   private final Thread thread;
-  private volatile long busySince = -1;
-  private volatile boolean broken;
-  private volatile boolean closing;
-  private boolean refused;
+  private volatile long busySinceMs = -1;
+  private volatile boolean hasFailed;
+  private volatile boolean isClosing;
+  private boolean isRefusingWrites;
 
   /**
-   * Starts the disk's thread.
+   * Starts the writer thread.
    *
-   * @param back where the completions of durable writes are run: the protocol's thread
-   * @param failed is told why, on the disk's thread, when the disk failed and nothing more is
-   *     written
+   * @param completionExecutor runs the completions of durable writes, on the protocol's thread
+   * @param onFailure receives the reason, on the writer thread, when the disk failed and nothing
+   *     more will be written
    */
   public DiskWriter(
-      RecordRing ring, Clock clock, Consumer<Runnable> back, Consumer<String> failed) {
+      RecordRing ring,
+      Clock clock,
+      Consumer<Runnable> completionExecutor,
+      Consumer<String> onFailure) {
     this.ring = ring;
     this.clock = clock;
-    this.back = back;
-    this.failed = failed;
-    thread = new Thread(this::work, "disk");
+    this.completionExecutor = completionExecutor;
+    this.onFailure = onFailure;
+    thread = new Thread(this::runWriteLoop, "disk");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** False where the ring of waiting writes is full: then nothing will be answered, as if lost. */
-  public boolean want(String key, byte[] state, Runnable done) {
-    return !broken
-        && wants.offer(new PendingWrite(new RecordRing.Entry(key, state), done, clock.now()));
+  /**
+   * Queues a write. Thread-safe.
+   *
+   * @return false if the queue is full or the disk failed; the write is then dropped and its
+   *     completion never runs
+   */
+  public boolean enqueue(String key, byte[] state, Runnable onDurable) {
+    return !hasFailed
+        && pendingWrites.offer(
+            new PendingWrite(new RecordRing.Entry(key, state), onDurable, clock.now()));
   }
 
-  /** How long the disk has been at the present sync, in ms; 0 when idle. */
-  public long stalled() {
-    long b = busySince;
-    return b < 0 ? 0 : clock.now() - b;
+  /** Returns how long the current write and sync has been in progress, in ms; 0 if idle. */
+  public long stalledMs() {
+    long startedAtMs = busySinceMs;
+    return startedAtMs < 0 ? 0 : clock.now() - startedAtMs;
   }
 
-  private void work() {
+  private void runWriteLoop() {
     List<PendingWrite> batch = new ArrayList<>();
-    while (!broken && !closing) {
+    while (!hasFailed && !isClosing) {
       try {
-        // what a disk refused is written again with what has come since
-        PendingWrite w = batch.isEmpty() ? wants.take() : wants.poll(AGAIN, TimeUnit.MILLISECONDS);
-        if (w != null) batch.add(w);
+        // retries a refused batch together with the writes queued since
+        PendingWrite write =
+            batch.isEmpty()
+                ? pendingWrites.take()
+                : pendingWrites.poll(RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        if (write != null) batch.add(write);
       } catch (InterruptedException e) {
         return;
       }
-      wants.drainTo(batch);
-      batch.removeIf(w -> w.entry == null);
+      pendingWrites.drainTo(batch);
+      batch.removeIf(write -> write.entry == null);
       if (batch.isEmpty()) continue;
-      if (busySince < 0) busySince = clock.now();
-      Map<String, RecordRing.Entry> last = new LinkedHashMap<>();
-      for (PendingWrite w : batch) last.put(w.entry.key(), w.entry);
+      if (busySinceMs < 0) busySinceMs = clock.now();
+      Map<String, RecordRing.Entry> newestEntries = new LinkedHashMap<>();
+      for (PendingWrite write : batch) newestEntries.put(write.entry.key(), write.entry);
       try {
-        ring.write(new ArrayList<>(last.values()));
+        ring.write(new ArrayList<>(newestEntries.values()));
       } catch (RecordRing.WriteRefusedException e) {
-        if (!refused) Log.warn("disk-refuses-writes", "what", e.toString());
-        refused = true;
+        if (!isRefusingWrites) Log.warn("disk-refuses-writes", "what", e.toString());
+        isRefusingWrites = true;
         continue;
       } catch (IOException | RuntimeException e) {
-        broken = true;
+        hasFailed = true;
         Log.warn("disk-failed", "what", e.toString());
-        failed.accept(e.toString());
+        onFailure.accept(e.toString());
         return;
       } catch (Error e) {
         FatalFailure.endProcess(thread.getName(), "ring.write", e);
         return;
       }
-      busySince = -1;
-      if (refused) Log.event("disk-accepts-writes");
-      refused = false;
-      for (PendingWrite w : batch) back.accept(w.done);
+      busySinceMs = -1;
+      if (isRefusingWrites) Log.event("disk-accepts-writes");
+      isRefusingWrites = false;
+      for (PendingWrite write : batch) completionExecutor.accept(write.onDurable);
       batch.clear();
     }
   }
 
   /**
-   * What is being written is written to its end: an interrupt would break the file's channel under
-   * it.
+   * Stops the writer thread after the current write. The thread is not interrupted, because an
+   * interrupt would close the file's channel in the middle of a write.
    */
   @Override
   public void close() {
-    closing = true;
-    wants.offer(new PendingWrite(null, () -> {}, clock.now()));
+    isClosing = true;
+    pendingWrites.offer(new PendingWrite(null, () -> {}, clock.now()));
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/DurableState.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/DurableState.java
@@ -10,47 +10,56 @@
 import java.util.TreeMap;
 
 /**
- * The names under which a member keeps its state on disk, and the check of what is found there
- * before the member begins.
+ * The names of the entries that hold a member's state on disk, and the validation of these entries
+ * before the member starts.
  */
 public final class DurableState {
-  /** The entry that holds the members of the generation this member takes part in. */
+  /** The entry that holds the member set of the generation that this member takes part in. */
   public static final String ACTIVE_MEMBERS = "members";
 
-  /** The entry that holds the next members, for which this member has sealed its generation. */
+  /** The entry that holds the next member set, for which this member has sealed its generation. */
   public static final String SEALED_FOR = "sealed";
 
-  /** The entry that holds the members of the first generation while it is being agreed on. */
+  /** The entry that holds the proposed first member set until bootstrap has completed. */
   public static final String BOOTSTRAP_SET = "pinned";
 
-  /** Before a key's name: the member's register for it, whole. */
+  /** Prefix of the entry that holds a key's complete register; the key's name follows. */
   public static final String REGISTER_PREFIX = "cell/";
 
-  /** Before a key's name: the epochs of its register, where they rose after it was written. */
+  /**
+   * Prefix of the entry that holds a key's epochs if they rose after its register was written; the
+   * key's name follows.
+   */
   public static final String EPOCHS_PREFIX = "epochs/";
 
   private DurableState() {}
 
   /**
-   * What can't be used of a member's state, each with the name under which it is kept; name and
-   * disk are the member's. A name that this release doesn't know is reported and kept as it is.
+   * Returns a finding for each entry that cannot be used, under the entry's name. An entry with an
+   * unknown name is logged and kept.
+   *
+   * @param entries the content of all entries on disk, by name
+   * @param memberName the name of the member that starts
+   * @param diskId the id of its disk
    */
-  public static List<Finding> findings(Map<String, byte[]> durable, String name, String disk) {
+  public static List<Finding> validate(
+      Map<String, byte[]> entries, String memberName, String diskId) {
     List<Finding> findings = new ArrayList<>();
-    new TreeMap<>(durable)
+    new TreeMap<>(entries)
         .forEach(
             (key, bytes) -> {
-              String problem = problem(key, bytes, name, disk);
+              String problem = findProblem(key, bytes, memberName, diskId);
               if (!problem.isEmpty()) findings.add(new Finding(key, problem));
             });
     return findings;
   }
 
-  private static String problem(String key, byte[] bytes, String name, String disk) {
+  private static String findProblem(String key, byte[] bytes, String memberName, String diskId) {
     try {
       if (key.startsWith(REGISTER_PREFIX)) Register.parse(bytes);
-      else if (key.startsWith(EPOCHS_PREFIX)) RegisterStore.checkEpochs(bytes);
-      else if (key.equals(ACTIVE_MEMBERS)) return otherDisk(MemberSet.parse(bytes), name, disk);
+      else if (key.startsWith(EPOCHS_PREFIX)) RegisterStore.validateEpochs(bytes);
+      else if (key.equals(ACTIVE_MEMBERS))
+        return findDiskMismatch(MemberSet.parse(bytes), memberName, diskId);
       else if (key.equals(SEALED_FOR) || key.equals(BOOTSTRAP_SET)) MemberSet.parse(bytes);
       else Log.warn("unknown-state-kept", "key", key, "bytes", bytes.length);
       return "";
@@ -59,11 +68,14 @@
     }
   }
 
-  /** A member is only ever let in with the disk it has; another's state was copied here. */
-  private static String otherDisk(MemberSet members, String name, String disk) {
-    MemberSet.Member self = members.find(name);
-    return self == null || self.disk().equals(disk)
+  /**
+   * Detects state that was copied from another disk: a member is only admitted together with the id
+   * of its own disk.
+   */
+  private static String findDiskMismatch(MemberSet members, String memberName, String diskId) {
+    MemberSet.Member self = members.find(memberName);
+    return self == null || self.diskId().equals(diskId)
         ? ""
-        : "is that of disk " + self.disk() + ", not of this one, " + disk;
+        : "belongs to disk " + self.diskId() + ", not to this one,  " + diskId;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/EpochRecord.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/EpochRecord.java
@@ -7,29 +7,44 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The epochs of a cell whose value is in the whole record; number and digest say which value. */
-public record EpochRecord(long promised, long accepted, long number, String digest) {
-  /** The epochs of a register, for one whose value is on disk already. */
-  public static EpochRecord of(Register cell) {
+/**
+ * The epochs of a register whose value is already on disk in the key's complete register entry.
+ * Written instead of the complete register when only the epochs have risen.
+ *
+ * @param promisedEpoch the highest promised epoch
+ * @param acceptedEpoch the epoch under which the value was accepted
+ * @param number the number of that value
+ * @param digest the SHA-256 of that value's body, in hex
+ */
+public record EpochRecord(long promisedEpoch, long acceptedEpoch, long number, String digest) {
+  /** Returns the epochs of a register. */
+  public static EpochRecord of(Register register) {
     return new EpochRecord(
-        cell.promised(), cell.epoch(), cell.value().number(), cell.value().digest());
+        register.promisedEpoch(),
+        register.acceptedEpoch(),
+        register.value().number(),
+        register.value().digest());
   }
 
-  /** Epochs only rise, so the higher ones are the later; a whole record may be the later one. */
-  public Register after(Register whole) {
-    boolean sameValue = whole.value().number() == number && whole.value().digest().equals(digest);
+  /**
+   * Returns the register with the later of both records' epochs. Epochs only rise, so the higher
+   * ones are the later ones; the complete register may have been written after this record.
+   */
+  public Register applyTo(Register register) {
+    boolean sameValue =
+        register.value().number() == number && register.value().digest().equals(digest);
     return new Register(
-        Math.max(whole.promised(), promised),
-        sameValue ? Math.max(whole.epoch(), accepted) : whole.epoch(),
-        whole.value());
+        Math.max(register.promisedEpoch(), promisedEpoch),
+        sameValue ? Math.max(register.acceptedEpoch(), acceptedEpoch) : register.acceptedEpoch(),
+        register.value());
   }
 
-  /** The entry as it is on disk. */
-  public byte[] bytes() {
+  /** Returns the entry as stored on disk. */
+  public byte[] toBytes() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeLong(promised);
-      out.writeLong(accepted);
+      out.writeLong(promisedEpoch);
+      out.writeLong(acceptedEpoch);
       out.writeLong(number);
       out.writeUTF(digest);
     } catch (IOException e) {
@@ -38,16 +53,25 @@
     return bytes.toByteArray();
   }
 
-  /** An entry from anywhere; what is more or less than one is an IOException. */
+  /**
+   * Parses an entry that may be malformed.
+   *
+   * @throws IOException if the bytes are not exactly one entry
+   */
   public static EpochRecord parse(byte[] bytes) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     EpochRecord epochs = new EpochRecord(in.readLong(), in.readLong(), in.readLong(), in.readUTF());
     if (in.available() > 0)
-      throw new IOException(in.available() + " bytes after its end, as of a newer release");
+      throw new IOException(
+          in.available() + " bytes after its end, perhaps written by a newer release");
     return epochs;
   }
 
-  /** An entry that was checked before; an UncheckedIOException where it cannot be read. */
+  /**
+   * Parses an entry that was validated before.
+   *
+   * @throws UncheckedIOException if it is malformed nevertheless
+   */
   public static EpochRecord of(byte[] bytes) {
     try {
       return parse(bytes);
--- a/control-plane/src/main/java/gladelug/control/core/register/NumberStatus.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/NumberStatus.java
@@ -1,17 +1,17 @@
 package gladelug.control.core.register;
 
 /**
- * What became of a number of a key, for a sender who was told that the end of its change isn't
- * known.
+ * What became of a number of a key, for the sender of a change whose outcome was reported as
+ * unknown.
  */
 public enum NumberStatus {
-  /** The sender's change got this number. */
+  /** The number was assigned to the sender's change. */
   APPLIED,
 
-  /** Another change got this number. */
+  /** The number was assigned to another change. */
   OTHER_CHANGE,
 
-  /** No change has got this number so far; one that is still on its way may. */
+  /** The number has not been assigned so far; a change still in flight may get it. */
   NOT_ASSIGNED,
 
   /** The number is too old to tell. */
--- a/control-plane/src/main/java/gladelug/control/core/register/Register.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/Register.java
@@ -8,31 +8,33 @@
 import java.io.UncheckedIOException;
 
 /**
- * What a member keeps on disk for one key: the highest epoch it promised, and the value it last
- * accepted with the epoch and number it came under. The value's history lets the fate of an earlier
- * number be told. Numbers only rise; a number whose write reached a majority never means anything
- * else.
+ * The state that a member stores for one key: the highest epoch it promised, and the value it last
+ * accepted together with its epoch. The value's history tells what became of earlier numbers.
+ * Numbers only rise; once a write has reached a majority, its number never stands for another
+ * value.
  */
-public record Register(long promised, long epoch, VersionedValue value) {
+public record Register(long promisedEpoch, long acceptedEpoch, VersionedValue value) {
   public static final Register EMPTY = new Register(0, 0, VersionedValue.NONE);
 
-  /** Whether a write under this epoch and number is at least as new as what is kept. */
+  /** Returns whether a write under this epoch and number is at least as new as the stored value. */
   public boolean isReplacedBy(long otherEpoch, long otherNumber) {
-    return otherEpoch > epoch || otherEpoch == epoch && otherNumber >= value.number();
+    return otherEpoch > acceptedEpoch
+        || otherEpoch == acceptedEpoch && otherNumber >= value.number();
   }
 
-  /** The newer value and the higher promise of two members' cells for one key. */
+  /** Merges two members' registers of one key: the newer value and the higher promise. */
   public static Register merge(Register own, Register other) {
-    Register newer = own.isReplacedBy(other.epoch, other.value.number()) ? other : own;
-    return new Register(Math.max(own.promised, other.promised), newer.epoch, newer.value);
+    Register newer = own.isReplacedBy(other.acceptedEpoch, other.value.number()) ? other : own;
+    return new Register(
+        Math.max(own.promisedEpoch, other.promisedEpoch), newer.acceptedEpoch, newer.value);
   }
 
-  /** The register as it is on disk and in messages. */
-  public byte[] bytes() {
+  /** Returns the register in the format used on disk and in messages. */
+  public byte[] toBytes() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeLong(promised);
-      out.writeLong(epoch);
+      out.writeLong(promisedEpoch);
+      out.writeLong(acceptedEpoch);
       value.write(out);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -40,7 +42,11 @@
     return bytes.toByteArray();
   }
 
-  /** A cell that was checked before. */
+  /**
+   * Parses a register that was validated before.
+   *
+   * @throws UncheckedIOException if it is malformed nevertheless
+   */
   public static Register of(byte[] bytes) {
     try {
       return parse(bytes);
@@ -49,12 +55,17 @@
     }
   }
 
-  /** A cell from anywhere; what is more or less than one is an IOException. */
+  /**
+   * Parses a register that may be malformed.
+   *
+   * @throws IOException if the bytes are not exactly one register
+   */
   public static Register parse(byte[] bytes) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-    Register cell = new Register(in.readLong(), in.readLong(), VersionedValue.read(in));
+    Register register = new Register(in.readLong(), in.readLong(), VersionedValue.read(in));
     if (in.available() > 0)
-      throw new IOException(in.available() + " bytes after its end, as of a newer release");
-    return cell;
+      throw new IOException(
+          in.available() + " bytes after its end, perhaps written by a newer release");
+    return register;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/RegisterRecord.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/RegisterRecord.java
@@ -6,9 +6,9 @@
 import java.io.IOException;
 import java.util.List;
 
-/** One key as a member keeps it: its name and the bytes of its register. */
+/** A key and its serialized register. */
 public record RegisterRecord(String key, byte[] register) {
-  /** Writes records as a message between members carries them. */
+  /** Writes records in the format of messages between members. */
   public static void writeList(DataOutputStream out, List<RegisterRecord> records)
       throws IOException {
     WireRecord.list(
@@ -25,7 +25,9 @@
     return WireRecord.list(in, RegisterRecord::read);
   }
 
-  /** A register that can't be read is no record: it never gets as far as a disk. */
+  /**
+   * Reads one record and validates its register, so that a malformed register never reaches a disk.
+   */
   private static RegisterRecord read(DataInputStream in) throws IOException {
     RegisterRecord record = new RegisterRecord(in.readUTF(), WireRecord.blob(in));
     Register.parse(record.register);
--- a/control-plane/src/main/java/gladelug/control/core/register/RegisterStore.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/RegisterStore.java
@@ -8,135 +8,169 @@
 import java.util.Map;
 
 /**
- * What this member keeps of each key, in memory and on its disk. A value is written whole only when
- * it is new to the disk. A promise, or the value that is there already under a higher epoch, is
- * written as a short record of the epochs alone, so that a change of owners costs no copy of a
- * large value.
+ * The registers of one member, in memory and on its disk. A complete register is written only if
+ * its value is not yet on disk. A promise, or the same value under a higher epoch, is written as a
+ * short record of the epochs alone, so that a change of owners does not write a large value again.
+ * Not thread-safe: confined to the protocol's thread.
  */
 public final class RegisterStore {
-  /** Room for what is kept of a key beside its value, in bytes: history, taken changes, sharing. */
-  public static final int BESIDE_BODY = 48 << 10;
+  /**
+   * Space reserved for a key's data beside its body, in bytes: history, applied changes, prefix
+   * sharing.
+   */
+  public static final int MAX_METADATA_BYTES = 48 << 10;
 
-  /** Bytes on disk of a key that holds no value, at the most. */
-  private static final long NEVER_WRITTEN = 512;
+  /** The most bytes on disk that a key without a value takes. */
+  private static final long EMPTY_REGISTER_BYTES = 512;
 
   private final DurableStorage storage;
-  private final Map<String, Register> cells = new HashMap<>();
+  private final Map<String, Register> registers = new HashMap<>();
 
   /**
-   * By key: the value in the newest whole record, once that record lasts; none while it may not.
+   * By key: the value in the newest complete register entry. Absent while that entry may not be
+   * durable yet.
    */
-  private final Map<String, VersionedValue> onDisk = new HashMap<>();
+  private final Map<String, VersionedValue> durableValues = new HashMap<>();
 
-  /** By key: counts the whole records handed to the disk. */
-  private final Map<String, Long> writes = new HashMap<>();
+  /** By key: the number of complete registers handed to the storage so far. */
+  private final Map<String, Long> writeCounts = new HashMap<>();
 
-  /** durable: all records of the disk by name; what isn't a key's is left alone. */
-  public RegisterStore(DurableStorage storage, Map<String, byte[]> durable) {
+  /**
+   * Loads all registers.
+   *
+   * @param entries the content of all entries on disk, by name; entries that hold no register are
+   *     ignored
+   */
+  public RegisterStore(DurableStorage storage, Map<String, byte[]> entries) {
     this.storage = storage;
-    durable.forEach(
+    entries.forEach(
         (name, record) -> {
           if (!name.startsWith(DurableState.REGISTER_PREFIX)) return;
           String key = name.substring(DurableState.REGISTER_PREFIX.length());
-          cells.put(key, read(durable, key));
-          onDisk.put(key, Register.of(record).value());
+          registers.put(key, read(entries, key));
+          durableValues.put(key, Register.of(record).value());
         });
   }
 
-  /** The cell of a key that has a whole record, with the epochs recorded after it. */
-  public static Register read(Map<String, byte[]> durable, String key) {
-    Register whole = Register.of(durable.get(DurableState.REGISTER_PREFIX + key));
-    byte[] later = durable.get(DurableState.EPOCHS_PREFIX + key);
-    return later == null ? whole : EpochRecord.of(later).after(whole);
+  /**
+   * Returns the register of a key from its complete entry and the epochs recorded after it. The
+   * complete entry must exist.
+   */
+  public static Register read(Map<String, byte[]> entries, String key) {
+    Register register = Register.of(entries.get(DurableState.REGISTER_PREFIX + key));
+    byte[] later = entries.get(DurableState.EPOCHS_PREFIX + key);
+    return later == null ? register : EpochRecord.of(later).applyTo(register);
   }
 
-  /** The register of a key in memory; EMPTY where nothing was ever promised or accepted. */
+  /** Returns the register of a key; EMPTY if nothing was ever promised or accepted. */
   public Register get(String key) {
-    return cells.getOrDefault(key, Register.EMPTY);
+    return registers.getOrDefault(key, Register.EMPTY);
   }
 
-  /** What all keys but one take on disk, in bytes. */
-  public long sizeWithout(String key) {
-    long size = 0;
-    for (Map.Entry<String, Register> e : cells.entrySet()) {
-      VersionedValue value = e.getValue().value();
-      if (e.getKey().equals(key)) continue;
-      size += value.number() == 0 ? NEVER_WRITTEN : BESIDE_BODY + value.body().length;
+  /** Returns an upper bound of the disk space of all keys but one, in bytes. */
+  public long bytesOfOtherKeys(String key) {
+    long bytes = 0;
+    for (Map.Entry<String, Register> entry : registers.entrySet()) {
+      VersionedValue value = entry.getValue().value();
+      if (entry.getKey().equals(key)) continue;
+      bytes +=
+          value.number() == 0 ? EMPTY_REGISTER_BYTES : MAX_METADATA_BYTES + value.body().length;
     }
-    return size;
+    return bytes;
   }
 
-  /** Which value of each key is here. */
+  /** Returns which value of each key this member stores. */
   public List<RegisterVersion> versions() {
     List<RegisterVersion> versions = new ArrayList<>();
-    cells.forEach(
-        (key, c) -> versions.add(new RegisterVersion(key, c.epoch(), c.value().number())));
+    registers.forEach(
+        (key, register) ->
+            versions.add(
+                new RegisterVersion(key, register.acceptedEpoch(), register.value().number())));
     return versions;
   }
 
-  /** All cells, those whose value is one of these versions, or older, without it. */
-  public List<RegisterRecord> besides(List<RegisterVersion> versions) {
-    return besides(cells, versions);
+  /**
+   * Returns all registers. A register whose value is one of the given versions, or older, is
+   * returned without the value.
+   */
+  public List<RegisterRecord> recordsWithoutKnownValues(List<RegisterVersion> versions) {
+    return recordsWithoutKnownValues(registers, versions);
   }
 
-  /** These registers, those whose value is one of these versions, or older, without it. */
-  public static List<RegisterRecord> besides(
-      Map<String, Register> cells, List<RegisterVersion> versions) {
+  /**
+   * Returns these registers. A register whose value is one of the given versions, or older, is
+   * returned without the value.
+   */
+  public static List<RegisterRecord> recordsWithoutKnownValues(
+      Map<String, Register> registers, List<RegisterVersion> versions) {
     Map<String, RegisterVersion> known = new HashMap<>();
     for (RegisterVersion version : versions) known.put(version.key(), version);
-    List<RegisterRecord> out = new ArrayList<>();
-    cells.forEach(
-        (key, cell) -> out.add(new RegisterRecord(key, besides(known.get(key), cell).bytes())));
-    return out;
+    List<RegisterRecord> records = new ArrayList<>();
+    registers.forEach(
+        (key, register) ->
+            records.add(
+                new RegisterRecord(
+                    key, recordsWithoutKnownValues(known.get(key), register).toBytes())));
+    return records;
   }
 
-  private static Register besides(RegisterVersion known, Register cell) {
-    return known != null && cell.isReplacedBy(known.epoch(), known.number())
-        ? new Register(cell.promised(), 0, VersionedValue.NONE)
-        : cell;
+  private static Register recordsWithoutKnownValues(RegisterVersion known, Register register) {
+    return known != null && register.isReplacedBy(known.epoch(), known.number())
+        ? new Register(register.promisedEpoch(), 0, VersionedValue.NONE)
+        : register;
   }
 
-  /** All registers, whole. */
-  public List<RegisterRecord> all() {
-    return besides(List.of());
+  /** Returns all registers with their values. */
+  public List<RegisterRecord> records() {
+    return recordsWithoutKnownValues(List.of());
   }
 
-  /** The registers by key, a copy. */
-  public Map<String, Register> copy() {
-    return new HashMap<>(cells);
+  /** Returns a copy of the registers, by key. */
+  public Map<String, Register> snapshot() {
+    return new HashMap<>(registers);
   }
 
-  /** Counts in memory at once; done is run when it lasts. */
-  public void keep(String key, Register cell, Runnable done) {
-    cells.put(key, cell);
-    if (same(onDisk.get(key), cell.value())) {
-      storage.sync(DurableState.EPOCHS_PREFIX + key, EpochRecord.of(cell).bytes(), done);
+  /**
+   * Replaces the register of a key, in memory at once; the completion runs once the register is
+   * durable.
+   */
+  public void put(String key, Register register, Runnable onDurable) {
+    registers.put(key, register);
+    if (haveSameBytes(durableValues.get(key), register.value())) {
+      storage.sync(DurableState.EPOCHS_PREFIX + key, EpochRecord.of(register).toBytes(), onDurable);
       return;
     }
-    // until this record lasts, no shorter one may build on it, nor on the one before
-    onDisk.remove(key);
-    long write = writes.merge(key, 1L, Long::sum);
+    // until this entry is durable, no record of epochs may refer to it, nor to the one before
+    durableValues.remove(key);
+    long writeCount = writeCounts.merge(key, 1L, Long::sum);
     storage.sync(
         DurableState.REGISTER_PREFIX + key,
-        cell.bytes(),
+        register.toBytes(),
         () -> {
-          if (writes.get(key) == write) onDisk.put(key, cell.value());
-          done.run();
+          if (writeCounts.get(key) == writeCount) durableValues.put(key, register.value());
+          onDurable.run();
         });
   }
 
-  /** Whether both are the same on disk; one and the same object needs no comparing. */
+  /**
+   * Returns whether both values have the same bytes on disk. Comparing the references first avoids
+   * serializing the same object twice.
+   */
   @SuppressWarnings("ReferenceEquality")
-  private static boolean same(VersionedValue former, VersionedValue next) {
-    if (former == next) return true;
-    if (former == null
-        || former.number() != next.number()
-        || !former.digest().equals(next.digest())) return false;
-    return Arrays.equals(new Register(0, 0, former).bytes(), new Register(0, 0, next).bytes());
+  private static boolean haveSameBytes(VersionedValue stored, VersionedValue next) {
+    if (stored == next) return true;
+    if (stored == null
+        || stored.number() != next.number()
+        || !stored.digest().equals(next.digest())) return false;
+    return Arrays.equals(new Register(0, 0, stored).toBytes(), new Register(0, 0, next).toBytes());
   }
 
-  /** Throws where a record of epochs can't be read, or holds more than this release knows. */
-  public static void checkEpochs(byte[] record) throws IOException {
+  /**
+   * Validates a record of epochs.
+   *
+   * @throws IOException if it is malformed or longer than this release knows
+   */
+  public static void validateEpochs(byte[] record) throws IOException {
     EpochRecord.parse(record);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/RegisterVersion.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/RegisterVersion.java
@@ -6,9 +6,11 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Which value of a key a member has; epoch and number together mean one value. */
+/**
+ * Identifies the value of a key that a member stores: epoch and number together identify one value.
+ */
 public record RegisterVersion(String key, long epoch, long number) {
-  /** Writes versions as a message between members carries them. */
+  /** Writes versions in the format of messages between members. */
   public static void writeList(DataOutputStream out, List<RegisterVersion> versions)
       throws IOException {
     WireRecord.list(
--- a/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
@@ -10,132 +10,164 @@
 import org.pcollections.TreePVector;
 
 /**
- * A key's value with its number. Number 0 is "never written".
+ * A key's value with its number, history and applied changes. Immutable.
  *
- * @param body what was sent, which is what is pushed
- * @param sharing of a configuration, which cached prefixes its tenants share; of any other key, and
- *     of a value that an earlier release wrote, {@link PrefixSharing#UNRECORDED}
+ * @param number counts the values of the key; 0 if the key was never written
+ * @param digest the SHA-256 of the body, in hex
+ * @param history the newest numbers, oldest first, for operators
+ * @param body the value's bytes, as sent to subscribers
+ * @param appliedChanges the changes applied last, by which repeated changes are recognized
+ * @param sharing which cached prefixes the tenants of a configuration share; {@link
+ *     PrefixSharing#UNRECORDED} for any other key and for a value written by an earlier release
  */
 public record VersionedValue(
     long number,
     String digest,
     PVector<HistoryEntry> history,
     byte[] body,
-    AppliedChanges takenChanges,
+    AppliedChanges appliedChanges,
     PrefixSharing sharing) {
   public static final VersionedValue NONE =
       new VersionedValue(
           0, "", TreePVector.empty(), new byte[0], AppliedChanges.NONE, PrefixSharing.UNRECORDED);
 
-  /** How many numbers are kept for people to look at. */
-  private static final int HISTORY_LENGTH = 32;
+  /** The number of history entries kept for operators. */
+  private static final int MAX_HISTORY_ENTRIES = 32;
 
-  /** The value that follows this one, of a change that is not remembered and has no remarks. */
+  /**
+   * Returns the value that follows this one, for a change that is not remembered and has no
+   * metadata.
+   */
   public VersionedValue next(String nextDigest, byte[] nextBody) {
     return next(nextDigest, nextBody, AppliedChanges.NO_BASE, 0, "", "");
   }
 
   /**
-   * A change as its sender knows it. digest: of what was sent, in hex. base: what it builds on, as
-   * the sender counts; see {@link AppliedChanges}.
+   * Identifies a change by what its sender sent.
+   *
+   * @param digest the SHA-256 of what was sent, in hex
+   * @param base the state that the change builds on, as counted by the sender; see {@link
+   *     AppliedChanges}
    */
-  public record Sent(String digest, long base) {}
+  public record ChangeId(String digest, long base) {}
 
-  /** The value that follows this one; base as its sender counts, who sent the value itself. */
+  /**
+   * Returns the value that follows this one, for a change whose sender sent the value itself.
+   *
+   * @param base the state that the change builds on, as counted by its sender
+   */
   public VersionedValue next(
-      String nextDigest, byte[] nextBody, long base, long takenAt, String takenBy, String summary) {
-    return next(nextDigest, nextBody, new Sent(nextDigest, base), takenAt, takenBy, summary);
+      String nextDigest,
+      byte[] nextBody,
+      long base,
+      long appliedAtMs,
+      String appliedBy,
+      String summary) {
+    return next(
+        nextDigest, nextBody, new ChangeId(nextDigest, base), appliedAtMs, appliedBy, summary);
   }
 
-  /** The value that follows this one; sent is by what the change is recognised later. */
+  /**
+   * Returns the value that follows this one.
+   *
+   * @param changeId by which the change is recognized if it is sent again
+   */
   public VersionedValue next(
-      String nextDigest, byte[] nextBody, Sent sent, long takenAt, String takenBy, String summary) {
-    HistoryEntry entry = new HistoryEntry(number + 1, nextDigest, takenAt, takenBy, summary);
-    PVector<HistoryEntry> longer = history.plus(entry);
+      String nextDigest,
+      byte[] nextBody,
+      ChangeId changeId,
+      long appliedAtMs,
+      String appliedBy,
+      String summary) {
+    HistoryEntry entry = new HistoryEntry(number + 1, nextDigest, appliedAtMs, appliedBy, summary);
+    PVector<HistoryEntry> extended = history.plus(entry);
     return new VersionedValue(
         number + 1,
         nextDigest,
-        longer.size() > HISTORY_LENGTH ? longer.minus(0) : longer,
+        extended.size() > MAX_HISTORY_ENTRIES ? extended.minus(0) : extended,
         nextBody,
-        takenChanges.plus(number + 1, sent.digest(), sent.base()),
+        appliedChanges.plus(number + 1, changeId.digest(), changeId.base()),
         PrefixSharing.UNRECORDED);
   }
 
-  /** The same with a record of the prefixes that its tenants share. */
-  public VersionedValue with(PrefixSharing prefixSharing) {
-    return new VersionedValue(number, digest, history, body, takenChanges, prefixSharing);
+  /** Returns this value with a record of the prefixes that tenants share. */
+  public VersionedValue withSharing(PrefixSharing prefixSharing) {
+    return new VersionedValue(number, digest, history, body, appliedChanges, prefixSharing);
   }
 
-  /** What is known of a change with this digest, sent on this base. */
-  public ChangeStatus fate(String otherDigest, long base) {
-    return takenNumber(otherDigest, base) > 0
+  /** Returns what is known of a change with this digest, sent on this base. */
+  public ChangeStatus statusOf(String otherDigest, long base) {
+    return appliedNumber(otherDigest, base) > 0
         ? ChangeStatus.APPLIED
-        : takenChanges.fate(otherDigest, base);
+        : appliedChanges.statusOf(otherDigest, base);
   }
 
   /**
-   * The number under which such a change was taken, 0 for none. A newest value that isn't listed
-   * was taken without a base, or before bases were kept: it is recognised by its digest alone.
+   * Returns the number under which a change was applied, or 0 if it was not. The newest value, if
+   * not listed, was applied without a base or by a release that kept no bases; it is recognized by
+   * its digest alone.
    */
-  public long takenNumber(String otherDigest, long base) {
-    boolean newestIsListed = takenChanges.endsWith(number);
+  public long appliedNumber(String otherDigest, long base) {
+    boolean newestIsListed = appliedChanges.endsWith(number);
     if (number > 0 && !newestIsListed && digest.equals(otherDigest)) return number;
-    return takenChanges.numberOf(otherDigest, base);
+    return appliedChanges.numberOf(otherDigest, base);
   }
 
-  /** What became of a number, for the sender of a change with this digest. */
-  public NumberStatus fateOfNumber(long asked, String otherDigest) {
-    if (asked > number) return NumberStatus.NOT_ASSIGNED;
-    String known = digestOf(asked);
+  /** Returns what became of a number, for the sender of a change with this digest. */
+  public NumberStatus statusOfNumber(long askedNumber, String otherDigest) {
+    if (askedNumber > number) return NumberStatus.NOT_ASSIGNED;
+    String known = digestOf(askedNumber);
     if (known.isEmpty()) return NumberStatus.EXPIRED;
     return known.equals(otherDigest) ? NumberStatus.APPLIED : NumberStatus.OTHER_CHANGE;
   }
 
-  private String digestOf(long asked) {
-    for (HistoryEntry entry : history) if (entry.number() == asked) return entry.digest();
-    for (AppliedChanges.AppliedChange taken : takenChanges.entries())
-      if (taken.number() == asked) return taken.digest();
+  private String digestOf(long askedNumber) {
+    for (HistoryEntry entry : history) if (entry.number() == askedNumber) return entry.digest();
+    for (AppliedChanges.AppliedChange applied : appliedChanges.entries())
+      if (applied.number() == askedNumber) return applied.digest();
     return "";
   }
 
-  /** Writes the newest format, in which the applied changes and what is shared end the value. */
+  /** Writes the newest format, which ends with the applied changes and the prefix sharing. */
   public void write(DataOutputStream out) throws IOException {
     out.writeLong(number);
     out.writeUTF(digest);
     WireRecord.list(
         out,
         history,
-        (o, entry) -> {
-          o.writeLong(entry.number());
-          o.writeUTF(entry.digest());
+        (entryOut, entry) -> {
+          entryOut.writeLong(entry.number());
+          entryOut.writeUTF(entry.digest());
         });
     WireRecord.blob(out, body);
     for (HistoryEntry entry : history) {
-      out.writeLong(entry.takenAt());
-      out.writeUTF(entry.takenBy());
+      out.writeLong(entry.appliedAtMs());
+      out.writeUTF(entry.appliedBy());
       out.writeUTF(entry.summary());
     }
-    takenChanges.write(out);
+    appliedChanges.write(out);
     sharing.write(out);
   }
 
   /**
-   * Reads this format and the three before it, which end after the body, the remarks or the applied
-   * changes.
+   * Reads this format and the three earlier ones, which end after the body, after the history's
+   * metadata or after the applied changes.
+   *
+   * @throws IOException if the bytes are malformed
    */
   public static VersionedValue read(DataInputStream in) throws IOException {
     long number = in.readLong();
     String digest = in.readUTF();
-    List<HistoryEntry> entries = WireRecord.list(in, HistoryEntry::readIdentity);
+    List<HistoryEntry> entries = WireRecord.list(in, HistoryEntry::readNumberAndDigest);
     byte[] body = WireRecord.blob(in);
-    boolean hasRemarks = in.available() > 0;
+    boolean hasMetadata = in.available() > 0;
     PVector<HistoryEntry> history = TreePVector.empty();
     for (HistoryEntry entry : entries)
-      history = history.plus(hasRemarks ? entry.readRemarks(in) : entry);
-    boolean hasTakenChanges = in.available() > 0;
-    AppliedChanges taken = hasTakenChanges ? AppliedChanges.read(in) : AppliedChanges.NONE;
+      history = history.plus(hasMetadata ? entry.readMetadata(in) : entry);
+    boolean hasAppliedChanges = in.available() > 0;
+    AppliedChanges applied = hasAppliedChanges ? AppliedChanges.read(in) : AppliedChanges.NONE;
     PrefixSharing sharing = in.available() > 0 ? PrefixSharing.read(in) : PrefixSharing.UNRECORDED;
-    return new VersionedValue(number, digest, history, body, taken, sharing);
+    return new VersionedValue(number, digest, history, body, applied, sharing);
   }
 
   @Override
--- a/control-plane/src/main/java/gladelug/control/instances/HttpInstanceListSource.java
+++ b/control-plane/src/main/java/gladelug/control/instances/HttpInstanceListSource.java
@@ -12,45 +12,50 @@
 import io.vertx.core.http.RequestOptions;
 import io.vertx.mutiny.core.Vertx;
 
-/** The list of replicas by the product's own HTTP protocol. */
+/** Fetches the list of replicas over the product's own HTTP protocol. */
 public final class HttpInstanceListSource implements InstanceListSource {
   private static final int HTTP_OK = 200;
   private static final int CONNECT_TIMEOUT_MS = 1000;
   private static final long LIST_TIMEOUT_MS = 1500;
   private static final long POLL_INTERVAL_MS = 250;
 
-  /** The list as a whole: some hundred bytes for each replica. */
-  private static final int LIST_BYTES = 4 << 20;
+  /** The most bytes of the whole list; a replica takes some hundred bytes. */
+  private static final int MAX_LIST_BYTES = 4 << 20;
 
   private final BoundedHttpCalls calls;
-  private final Address platform;
+  private final Address platformAddress;
 
   /**
-   * Opens no connection yet.
+   * Creates the client; connections are opened on demand.
    *
-   * @param local the address that connections are opened from
+   * @param bindAddress the local address that connections are opened from
+   * @param platformAddress the address of the platform
    */
-  public HttpInstanceListSource(Vertx vertx, BindAddress local, Address platform) {
-    this.platform = platform;
+  public HttpInstanceListSource(Vertx vertx, BindAddress bindAddress, Address platformAddress) {
+    this.platformAddress = platformAddress;
     calls =
         new BoundedHttpCalls(
             vertx.getDelegate(),
-            local.withLocalAddress(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS)),
+            bindAddress.withLocalAddress(
+                new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS)),
             MemoryBudget.ofAnswers());
   }
 
   @Override
-  public Uni<Result<Replicas>> list() {
+  public Uni<Result<Replicas>> fetchList() {
     RequestOptions target =
-        new RequestOptions().setHost(platform.host()).setPort(platform.port()).setURI("/replicas");
-    return calls.send(target, LIST_BYTES, LIST_TIMEOUT_MS).map(HttpInstanceListSource::parse);
+        new RequestOptions()
+            .setHost(platformAddress.host())
+            .setPort(platformAddress.port())
+            .setURI("/replicas");
+    return calls.send(target, MAX_LIST_BYTES, LIST_TIMEOUT_MS).map(HttpInstanceListSource::parse);
   }
 
-  private static Result<Replicas> parse(HttpAnswer answer) {
-    try (answer) {
-      return answer.status() == HTTP_OK
-          ? Replicas.parse(answer.body().toString())
-          : Result.bad("status", String.valueOf(answer.status()));
+  private static Result<Replicas> parse(HttpAnswer response) {
+    try (response) {
+      return response.status() == HTTP_OK
+          ? Replicas.parse(response.body().toString())
+          : Result.bad("status", String.valueOf(response.status()));
     }
   }
 
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
@@ -14,16 +14,16 @@
 import java.util.function.Supplier;
 
 /**
- * One poll of the platform's list: the stored list is read before the platform is asked, and what
- * its answer leads to is proposed on that number. A list that comes late, perhaps to a former owner
- * of the key, can then never be put on top of a newer one. Without state.
+ * One poll of the platform's list. The stored list is read before the platform is queried, and a
+ * changed list is proposed on that stored number. A list that arrives late, perhaps at a former
+ * owner of the key, therefore never replaces a newer one. Stateless.
  */
 final class InstanceListPoll {
   /**
-   * A list as it is stored.
+   * A stored list.
    *
-   * @param number its version; 0 where no list is stored
-   * @param list JSON, as stored
+   * @param baseNumber the number of the stored value; 0 if no list is stored
+   * @param list the list as JSON, as stored
    */
   record StoredList(long number, byte[] list) {
     boolean exists() {
@@ -31,30 +31,30 @@
     }
   }
 
-  /** Where lists are stored. */
+  /** The store of lists. */
   interface Store {
-    /** Proposes a list on top of that number. */
-    Uni<ChangeResult> change(long number, byte[] list);
+    /** Proposes a list, JSON, to replace the one stored under this number. */
+    Uni<ChangeResult> propose(long baseNumber, byte[] list);
 
-    /** A list that differs from the one stored under this number is about to be proposed. */
+    /** Called before a list that differs from the stored one is proposed. */
     void onListChanged(StoredList base, Replicas list);
   }
 
   private InstanceListPoll() {}
 
   /**
-   * Asks the source and proposes what is new.
+   * Queries the source and proposes its list if it has changed.
    *
-   * @param base what was stored before the source is asked
-   * @return what became of the proposal; empty where there was nothing to propose, findings where
-   *     the list makes no sense
+   * @param base the list that was stored before the source is queried
+   * @return the result of the proposal; empty if there was nothing to propose, findings if the list
+   *     is invalid
    */
   static Uni<Result<Optional<ChangeResult>>> poll(
       StoredList base, Store store, Supplier<Uni<Result<Replicas>>> source) {
-    return source.get().flatMap(answer -> onAnswer(store, base, answer));
+    return source.get().flatMap(answer -> onPolled(store, base, answer));
   }
 
-  private static Uni<Result<Optional<ChangeResult>>> onAnswer(
+  private static Uni<Result<Optional<ChangeResult>>> onPolled(
       Store store, StoredList base, Result<Replicas> answer) {
     if (answer instanceof Result.Good<Replicas> good)
       return proposeIfChanged(store, base, good.value()).map(Result::good);
@@ -68,22 +68,23 @@
     if (base.exists() && Arrays.equals(base.list, json))
       return Uni.createFrom().item(Optional.empty());
     if (base.exists()) store.onListChanged(base, list);
-    return store.change(base.number, json).map(Optional::of);
+    return store.propose(base.number, json).map(Optional::of);
   }
 
   /**
-   * The stored list less what the platform took away: the part of a list that may still be offered
-   * when the owner may have polled a newer one, because it can send a request to nobody that the
-   * newer one would not (rule DRAIN).
+   * Returns the stored list without the replicas that the polled list no longer contains, and with
+   * those unready that it shows as unready. Such a list may still be proposed after another owner
+   * may have stored a newer one, because it only removes targets (rule DRAIN: replicas that the
+   * platform drains get no new requests).
    *
-   * @return JSON, as it would be stored
+   * @return the list as JSON, as it would be stored
    */
-  static byte[] narrowed(byte[] stored, Replicas polled) {
+  static byte[] retainListed(byte[] stored, Replicas polled) {
     List<Replica> remaining = new ArrayList<>();
     for (Replica replica : parse(stored)) {
-      Replica latest = polled.find(replica.instance());
-      if (latest != null && isSameEndpoint(replica, latest))
-        remaining.add(withReadiness(replica, replica.ready() && latest.ready()));
+      Replica polledReplica = polled.find(replica.instance());
+      if (polledReplica != null && isSameEndpoint(replica, polledReplica))
+        remaining.add(withReadiness(replica, replica.ready() && polledReplica.ready()));
     }
     return new Replicas(remaining).json().getBytes(StandardCharsets.UTF_8);
   }
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListSource.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListSource.java
@@ -4,14 +4,14 @@
 import gladelug.common.configuration.Replicas;
 import io.smallrye.mutiny.Uni;
 
-/** Where the list of replicas comes from: the platform, by whatever protocol it speaks. */
+/** The source of the list of replicas: the platform, independent of its protocol. */
 public interface InstanceListSource {
   /**
-   * Asks for the whole list. Fails where the platform doesn't answer; an answer that makes no sense
-   * is findings. May complete on any thread.
+   * Fetches the complete list. Fails if the platform does not answer; an invalid answer yields
+   * findings. May complete on any thread.
    */
-  Uni<Result<Replicas>> list();
+  Uni<Result<Replicas>> fetchList();
 
-  /** How often it is asked, in ms. */
+  /** Returns the interval between polls, in ms. */
   long pollIntervalMs();
 }
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
@@ -19,28 +19,29 @@
 import java.util.function.Function;
 
 /**
- * The task of the owner of the key replicas: asks the platform for its list and, where it differs
- * from what is stored, proposes the new one. A platform that doesn't answer or makes no sense
- * changes nothing. Other members only offer what they observed as owners and nobody accepted.
+ * Keeps the key {@code replicas} equal to the platform's list. The owner of the key polls the
+ * platform and proposes the list if it differs from the stored one. If the platform does not answer
+ * or its answer is invalid, the stored list stays. Other members only propose again what they
+ * observed while they owned the key and what was not accepted.
  */
 public final class InstanceListWatcher implements ServiceRegistry.Service {
-  /** Longer than any poll takes with its change, so that only a lost answer ends here. */
+  /** Longer than any poll including its change takes, so that only a lost answer times out. */
   private static final Duration POLL_TIMEOUT = Duration.ofSeconds(12);
 
   private final Vertx vertx;
   private final Function<BindAddress, InstanceListSource> sourceFactory;
   private InstanceListSource source;
   private CoreService core;
-  private final PendingObservation pending = new PendingObservation();
+  private final PendingObservation pendingObservation = new PendingObservation();
   private final InstanceListPoll.Store store = new CoreStore();
-  private boolean pollInProgress;
-  private boolean platformFailing;
+  private boolean isPolling;
+  private boolean isPlatformFailing;
   private long timerId;
 
   /**
-   * A watcher that begins with {@link #start}.
+   * Creates a watcher that polls once {@link #start} is called.
    *
-   * @param sourceFactory makes the source for the address this process calls from
+   * @param sourceFactory creates the source for the local address that this process connects from
    */
   public InstanceListWatcher(Vertx vertx, Function<BindAddress, InstanceListSource> sourceFactory) {
     this.vertx = vertx;
@@ -58,18 +59,18 @@
   }
 
   private void poll() {
-    if (pollInProgress) return;
-    pollInProgress = true;
+    if (isPolling) return;
+    isPolling = true;
     core.ask(InstanceListWatcher::storedListIfOwner)
-        .flatMap(stored -> stored.isPresent() ? pollPlatform(stored.get()) : offerPending())
+        .flatMap(stored -> stored.isPresent() ? pollPlatform(stored.get()) : proposePending())
         .ifNoItem()
         .after(POLL_TIMEOUT)
         .fail()
         .subscribe()
-        .with(ignored -> pollInProgress = false, this::onPollFailed);
+        .with(ignored -> isPolling = false, this::onPollFailed);
   }
 
-  /** The list as this member stores it, where it owns the key. On the core's thread. */
+  /** Returns the stored list if this member owns the key; runs on the core's thread. */
   private static Optional<StoredList> storedListIfOwner(CoreMember member) {
     if (!member.owns(StateKeys.REPLICAS)) return Optional.empty();
     Map.Entry<Long, byte[]> stored = member.storedValue(StateKeys.REPLICAS);
@@ -77,51 +78,51 @@
   }
 
   private Uni<?> pollPlatform(StoredList stored) {
-    return InstanceListPoll.poll(stored, store, source::list)
+    return InstanceListPoll.poll(stored, store, source::fetchList)
         .invoke(this::onPolled)
         .onFailure()
-        .call(failure -> offerPending());
+        .call(failure -> proposePending());
   }
 
-  /** Offers the owner of the key what this member observed and nobody accepted. */
-  private Uni<?> offerPending() {
-    Optional<PendingObservation.Offer> offer = pending.offer(core.now());
-    if (offer.isEmpty()) return Uni.createFrom().nullItem();
-    return core.change(StateKeys.REPLICAS, offer.get().baseNumber(), offer.get().value())
-        .invoke(pending::onChangeResult);
+  /** Proposes to the key's owner what this member observed and what was not accepted yet. */
+  private Uni<?> proposePending() {
+    Optional<PendingObservation.Proposal> proposal = pendingObservation.findProposal(core.now());
+    if (proposal.isEmpty()) return Uni.createFrom().nullItem();
+    return core.change(StateKeys.REPLICAS, proposal.get().baseNumber(), proposal.get().value())
+        .invoke(pendingObservation::onChangeResult);
   }
 
   private void onPolled(Result<Optional<ChangeResult>> outcome) {
     if (outcome instanceof Result.Bad<Optional<ChangeResult>> bad) {
-      if (!platformFailing) Log.warn("platform-list-refused", "findings", bad.toString());
-      platformFailing = true;
+      if (!isPlatformFailing) Log.warn("platform-list-refused", "findings", bad.toString());
+      isPlatformFailing = true;
       return;
     }
-    if (platformFailing) Log.event("platform-back");
-    platformFailing = false;
+    if (isPlatformFailing) Log.event("platform-back");
+    isPlatformFailing = false;
   }
 
-  /** A failure of any kind: the platform, or the core, is asked again at the next poll. */
+  /** Handles any failure of the platform or the core; the next poll tries again. */
   private void onPollFailed(Throwable failure) {
-    pollInProgress = false;
-    if (!platformFailing) Log.warn("platform-silent", "what", failure.toString());
-    platformFailing = true;
+    isPolling = false;
+    if (!isPlatformFailing) Log.warn("platform-silent", "what", failure.toString());
+    isPlatformFailing = true;
   }
 
   private final class CoreStore implements InstanceListPoll.Store {
     @Override
     public void onListChanged(StoredList base, Replicas list) {
-      byte[] narrowed = InstanceListPoll.narrowed(base.list(), list);
-      pending.observe(base.number(), narrowed, core.now());
+      byte[] retained = InstanceListPoll.retainListed(base.list(), list);
+      pendingObservation.observe(base.number(), retained, core.now());
     }
 
     @Override
-    public Uni<ChangeResult> change(long number, byte[] list) {
-      return core.change(StateKeys.REPLICAS, number, list).invoke(this::onChangeResult);
+    public Uni<ChangeResult> propose(long baseNumber, byte[] list) {
+      return core.change(StateKeys.REPLICAS, baseNumber, list).invoke(this::onChangeResult);
     }
 
     private void onChangeResult(ChangeResult result) {
-      pending.onChangeResult(result);
+      pendingObservation.onChangeResult(result);
       if (result instanceof ChangeResult.Acknowledged acknowledged) logAcknowledged(acknowledged);
       else Log.event("replicas-not-listed", "answer", result);
     }
