--- a/control-plane/src/main/java/gladelug/control/operator/ChangeHistoryHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/ChangeHistoryHandler.java
@@ -11,7 +11,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** The changes an owner remembers of a key, and what became of one of them. */
+/** Answers requests for the change history of a key and for the status of one change. */
 final class ChangeHistoryHandler {
   private final CoreService core;
 
@@ -19,62 +19,64 @@
     this.core = core;
   }
 
-  /** The changes remembered of a key, for people: stamps are by the owner's wall clock. */
+  /** Sends the remembered changes of a key. Times are those of the owner's wall clock. */
   void showChanges(RoutingContext context, String key) {
     core.ask(member -> member.changeHistory(key))
         .subscribe()
         .with(
             changes -> {
               JsonArray array = new JsonArray();
-              for (ChangeRecord change : changes) array.add(json(change));
+              for (ChangeRecord change : changes) array.add(toJson(change));
               JsonResponses.send(context, 200, Json.object().add("key", key).add("numbers", array));
             },
             failure -> context.fail(500, failure));
   }
 
-  private static JsonObject json(ChangeRecord change) {
+  private static JsonObject toJson(ChangeRecord change) {
     JsonObject firstSeenAt = Json.object();
-    change.firstSeenAt().forEach((name, atMs) -> firstSeenAt.add(name, stamp(atMs)));
+    change.firstSeenAt().forEach((name, atMs) -> firstSeenAt.add(name, formatTime(atMs)));
     return Json.object()
         .add("number", change.number())
         .add("digest", change.digest())
-        .add("taken", stampOrEmpty(change.appliedAt()))
+        .add("taken", formatTimeOrEmpty(change.appliedAt()))
         .add("by", change.appliedBy())
         .add("changed", change.summary())
-        .add("acknowledged", stampOrEmpty(change.acknowledgedAt()))
+        .add("acknowledged", formatTimeOrEmpty(change.acknowledgedAt()))
         .add("firstSeenAt", firstSeenAt);
   }
 
-  private static String stampOrEmpty(long atMs) {
-    return atMs == 0 ? "" : stamp(atMs);
+  private static String formatTimeOrEmpty(long atMs) {
+    return atMs == 0 ? "" : formatTime(atMs);
   }
 
-  private static String stamp(long atMs) {
+  private static String formatTime(long atMs) {
     return Instant.ofEpochMilli(atMs).toString();
   }
 
-  /** What became of a change that was sent under a number, by the digest of its bytes. */
+  /**
+   * Sends what became of a change, identified by its expected number and the digest of its bytes.
+   */
   void showOutcome(RoutingContext context, String key) {
     String digest = context.request().getParam("digest");
-    long number = positive(context.pathParam("number"));
+    long number = parsePositive(context.pathParam("number"));
     if (number == 0 || digest == null) {
       JsonResponses.sendFindings(
           context,
           List.of(
               new Finding(
                   "number and digest",
-                  "needs a number from 1 and ?digest=, the SHA-256 of what was sent")));
+                  "must be a number of at least 1 and the parameter digest, the SHA-256 of what was sent")));
       return;
     }
     core.readNewest(key)
         .subscribe()
         .with(
-            newest -> JsonResponses.send(context, 200, outcome(newest, number, digest)),
+            newest -> JsonResponses.send(context, 200, outcomeJson(newest, number, digest)),
             failure -> context.fail(500, failure));
   }
 
-  /** A number from 1, or 0 for anything else. */
-  private static long positive(String text) {
+  /** Parses a positive number; returns 0 for anything else. */
+  private static long parsePositive(String text) {
     try {
       return Math.max(0, Long.parseLong(text));
     } catch (NumberFormatException e) {
@@ -82,16 +84,16 @@
     }
   }
 
-  private static JsonObject outcome(ReadResult newest, long number, String digest) {
-    String fate =
-        !newest.owned()
+  private static JsonObject outcomeJson(ReadResult newest, long number, String digest) {
+    String status =
+        !newest.hasOwner()
             ? "unknown"
-            : switch (newest.fateOfNumber(number, digest)) {
+            : switch (newest.statusOfNumber(number, digest)) {
               case APPLIED -> "taken";
               case OTHER_CHANGE -> "other";
               case NOT_ASSIGNED -> "not-yet";
               case EXPIRED -> "forgotten";
             };
-    return Json.object().add("number", number).add("fate", fate);
+    return Json.object().add("number", number).add("fate", status);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
@@ -10,7 +10,10 @@
 import io.vertx.mutiny.ext.web.RoutingContext;
 import java.time.Duration;
 
-/** Configurations sent whole under If-Match, and the newest values of all keys. */
+/**
+ * Replaces the configuration, guarded by If-Match, and answers reads of the newest value of any
+ * key.
+ */
 final class ConfigurationHandler {
   private static final Duration CHANGE_TIMEOUT = Duration.ofSeconds(15);
 
@@ -20,14 +23,14 @@
     this.core = core;
   }
 
-  /** Replaces the configuration by the one that was sent, if that is valid. */
+  /** Replaces the configuration by the one in the request body if it is valid. */
   void replace(RoutingContext context) {
-    IfMatch ifMatch = IfMatch.of(context);
+    IfMatch ifMatch = IfMatch.parse(context);
     if (ifMatch.kind() == IfMatch.Kind.ABSENT) {
       JsonResponses.sendNotApplied(
           context,
           428,
-          "say with If-Match which number this configuration is based on, or * to replace whatever is there");
+          "the header If-Match is required: the number that this configuration is based on, or * to replace any");
       return;
     }
     byte[] body =
@@ -40,7 +43,7 @@
       JsonResponses.sendFindings(context, bad.findings());
       return;
     }
-    core.change(ChangeRequest.onNumber(StateKeys.CONFIGURATION, ifMatch.number(), body))
+    core.change(ChangeRequest.basedOnNumber(StateKeys.CONFIGURATION, ifMatch.number(), body))
         .ifNoItem()
         .after(CHANGE_TIMEOUT)
         .recoverWithItem(
@@ -52,13 +55,13 @@
             failure -> context.fail(500, failure));
   }
 
-  /** A key's newest value, as its owner has it once a majority has confirmed that it is one. */
+  /** Sends a key's newest value, read at its owner after a majority has confirmed the ownership. */
   void showNewest(RoutingContext context, String key) {
     core.readNewest(key)
         .subscribe()
         .with(
             newest -> {
-              if (newest.owned()) JsonResponses.sendValue(context, newest);
+              if (newest.hasOwner()) JsonResponses.sendValue(context, newest);
               else JsonResponses.sendNoOwner(context);
             },
             failure -> context.fail(500, failure));
--- a/control-plane/src/main/java/gladelug/control/operator/IfMatch.java
+++ b/control-plane/src/main/java/gladelug/control/operator/IfMatch.java
@@ -6,33 +6,33 @@
 import java.util.regex.Pattern;
 
 /**
- * The precondition of a change: the number it is based on, from the header If-Match.
+ * The precondition of a change, from the header If-Match: the number that the change is based on.
  *
- * @param kind what the header holds
- * @param number the number, for {@link Kind#NUMBER}; else {@link #ANY_NUMBER}
+ * @param kind the form of the header
+ * @param number the number for {@link Kind#NUMBER}; otherwise {@link #ANY_NUMBER}
  */
 record IfMatch(Kind kind, long number) {
-  /** What the header holds. */
+  /** The form of the header. */
   enum Kind {
-    /** A number, with quotes or without. */
+    /** A number, with or without quotes. */
     NUMBER,
-    /** `*`: whatever is there. */
+    /** {@code *}, which matches any number. */
     ANY,
-    /** There is no such header. */
+    /** The header is absent. */
     ABSENT,
-    /** Anything else. */
+    /** The header is neither a number nor {@code *}. */
     INVALID
   }
 
-  /** Stands for whatever number is there. */
+  /** Matches any number. */
   static final long ANY_NUMBER = -1;
 
-  /** What is said of an invalid header. */
+  /** The finding reported for an invalid header. */
   static final Finding INVALID_FINDING = new Finding("If-Match", "must be a number or *");
 
   private static final Pattern NUMBER = Pattern.compile("\"(\\d{1,18})\"|(\\d{1,18})");
 
-  static IfMatch of(RoutingContext context) {
+  static IfMatch parse(RoutingContext context) {
     String header = context.request().getHeader("If-Match");
     if (header == null) return new IfMatch(Kind.ABSENT, ANY_NUMBER);
     if (header.trim().equals("*")) return new IfMatch(Kind.ANY, ANY_NUMBER);
@@ -42,7 +42,7 @@
     return new IfMatch(Kind.NUMBER, Long.parseLong(digits));
   }
 
-  /** Whether a certain number is asked for. */
+  /** Returns whether the header requires a specific number. */
   boolean hasNumber() {
     return kind == Kind.NUMBER;
   }
--- a/control-plane/src/main/java/gladelug/control/operator/JsonResponses.java
+++ b/control-plane/src/main/java/gladelug/control/operator/JsonResponses.java
@@ -12,20 +12,20 @@
 import java.util.List;
 
 /**
- * The answers that several handlers give alike. Every answer says plainly whether a change was
- * applied, not applied, or of unknown outcome; unknown is never called failed. Fields, words and
- * statuses are read by operators' scripts.
+ * The responses shared by several handlers. Every response to a change states whether it was
+ * applied, not applied, or has an unknown outcome; an unknown outcome is never reported as a
+ * failure. Operators' scripts depend on the fields, their values and the status codes.
  */
 final class JsonResponses {
-  /** What a body may have at most, bytes. */
+  /** The most bytes of a request body. */
   static final long MAX_BODY_BYTES = 5 << 20;
 
   private static final String NO_OWNER =
-      "no majority owns this at the moment; if it was sent before, that may have been taken";
+      "no owner with a majority is reachable at the moment; if this change was sent before, the earlier one may have been applied";
 
   private JsonResponses() {}
 
-  /** Ends the call with this, unless it was ended or the client has gone. */
+  /** Sends a response, unless one was sent already or the client has disconnected. */
   static void send(RoutingContext context, int status, JsonObject body) {
     if (context.response().ended() || context.response().closed()) return;
     context
@@ -35,17 +35,19 @@
         .endAndForget(body + "\n");
   }
 
-  /** Nothing was changed, for this reason. */
+  /** Reports that nothing was changed, with the reason. */
   static void sendNotApplied(RoutingContext context, int status, String reason) {
-    send(context, status, notApplied().add("reason", reason));
+    send(context, status, notAppliedBody().add("reason", reason));
   }
 
-  /** Whether it was applied isn't known. */
+  /** Reports that it is unknown whether a change was applied. */
   static void sendUnknown(RoutingContext context, int status, String reason) {
     send(context, status, Json.object().add("outcome", "unknown").add("reason", reason));
   }
 
-  /** No owner with a majority behind it could be asked; worth another try in a second. */
+  /**
+   * Reports that no owner with a majority could be reached; the client may retry after a second.
+   */
   static void sendNoOwner(RoutingContext context) {
     sendRetryLater(context, NO_OWNER);
   }
@@ -55,23 +57,25 @@
     sendNotApplied(context, 503, reason);
   }
 
-  /** Everything that is wrong with what was sent. */
+  /** Reports everything that is wrong with the request. */
   static void sendFindings(RoutingContext context, List<Finding> findings) {
     JsonArray array = new JsonArray();
     for (Finding finding : findings)
       array.add(Json.object().add("place", finding.place()).add("what", finding.what()));
-    send(context, 400, notApplied().add("findings", array));
+    send(context, 400, notAppliedBody().add("findings", array));
   }
 
-  /** A key's newest value with its number; without a value where there never was one. */
+  /**
+   * Sends a key's newest value with its number, or only the number 0 if the key was never written.
+   */
   static void sendValue(RoutingContext context, ReadResult newest) {
     context.response().putHeader("ETag", entityTag(newest.number()));
     JsonObject body = Json.object().add("number", newest.number());
-    if (newest.number() > 0) body.add("value", Json.parse(text(newest)));
+    if (newest.number() > 0) body.add("value", Json.parse(bodyText(newest)));
     send(context, 200, body);
   }
 
-  /** What became of a change. */
+  /** Sends the result of a change. */
   static void sendChangeResult(RoutingContext context, ChangeResult result) {
     Log.event("change-answered", "path", context.request().path(), "answer", result);
     if (result instanceof ChangeResult.Acknowledged acknowledged)
@@ -80,8 +84,8 @@
       send(
           context,
           412,
-          notApplied()
-              .add("reason", "it was based on another number")
+          notAppliedBody()
+              .add("reason", "the change is based on a number that is not the newest")
               .add("current", conflict.current()));
     else if (result instanceof ChangeResult.Unknown unknown)
       send(
@@ -92,12 +96,13 @@
               .add("number", unknown.number())
               .add(
                   "reason",
-                  "it may have been taken; ask what became of the number, or send the same again"));
+                  "the change may have been applied; query the status of the number, or send the same change again"));
     else if (result instanceof ChangeResult.TooLarge tooLarge)
-      sendNotApplied(context, 413, tooLarge.bytes() + " bytes; at most " + tooLarge.most());
+      sendNotApplied(context, 413, tooLarge.bytes() + " bytes; the limit is " + tooLarge.most());
     else
       sendRetryLater(
-          context, result instanceof ChangeResult.QueueFull ? "too many changes wait" : NO_OWNER);
+          context,
+          result instanceof ChangeResult.QueueFull ? "too many changes are queued" : NO_OWNER);
   }
 
   private static void sendAcknowledged(
@@ -115,7 +120,7 @@
             .add("waitedMs", acknowledged.waited()));
   }
 
-  private static JsonObject notApplied() {
+  private static JsonObject notAppliedBody() {
     return Json.object().add("outcome", "not-taken");
   }
 
@@ -123,8 +128,8 @@
     return "\"" + number + "\"";
   }
 
-  /** The value that was read, as text. */
-  static String text(ReadResult newest) {
+  /** Returns the body of a value as text. */
+  static String bodyText(ReadResult newest) {
     return new String(newest.body(), StandardCharsets.UTF_8);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/operator/MemberReplacementHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/MemberReplacementHandler.java
@@ -8,7 +8,10 @@
 import gladelug.control.core.CoreService;
 import io.vertx.mutiny.ext.web.RoutingContext;
 
-/** Replaces a member of the core by a machine that asked to join; runs at the owner of members. */
+/**
+ * Replaces a member of the core by a machine that asked to join. Runs at the owner of the core's
+ * member set.
+ */
 final class MemberReplacementHandler {
   private final CoreService core;
 
@@ -16,28 +19,29 @@
     this.core = core;
   }
 
-  private record Replacement(String out, String in) {
-    static Result<Replacement> parse(String body) {
+  private record ReplacementRequest(String out, String in) {
+    static Result<ReplacementRequest> parse(String body) {
       return LocatedJson.parse(body == null ? "" : body)
           .then(
               json -> {
                 Findings findings = new Findings();
                 LocatedJson.Fields fields = json.fields(findings);
-                Replacement replacement = new Replacement(fields.text("out"), fields.text("in"));
+                ReplacementRequest replacement =
+                    new ReplacementRequest(fields.text("out"), fields.text("in"));
                 fields.done();
                 return Result.of(findings, () -> replacement);
               });
     }
   }
 
-  /** Begins the replacement; answers before it is through. */
+  /** Starts the replacement and answers before it has completed. */
   void replace(RoutingContext context) {
-    Result<Replacement> body = Replacement.parse(context.body().asString());
-    if (body instanceof Result.Bad<Replacement> bad) {
+    Result<ReplacementRequest> body = ReplacementRequest.parse(context.body().asString());
+    if (body instanceof Result.Bad<ReplacementRequest> bad) {
       JsonResponses.sendFindings(context, bad.findings());
       return;
     }
-    Replacement replacement = ((Result.Good<Replacement>) body).value();
+    ReplacementRequest replacement = ((Result.Good<ReplacementRequest>) body).value();
     core.ask(
             member ->
                 member.replaceMember(
--- a/control-plane/src/main/java/gladelug/control/operator/OperatorEndpoint.java
+++ b/control-plane/src/main/java/gladelug/control/operator/OperatorEndpoint.java
@@ -22,12 +22,12 @@
 import java.util.function.Consumer;
 
 /**
- * The listener for operators and the platform on a control machine, HTTP with JSON: opens the port
- * and routes each method and path to the handler of its concern. Handlers run on Vert.x's event
- * loop and ask the core on the core's thread.
+ * The HTTP endpoint for operators and the platform on a control-plane machine. Opens the port and
+ * routes each method and path to its handler; bodies are JSON. Handlers run on the Vert.x event
+ * loop and query the core on the core's thread.
  */
 public final class OperatorEndpoint implements ServiceRegistry.Service {
-  /** Where a configuration is sent and read; the second is the earlier path, for one release. */
+  /** The paths of the configuration; the second is the former path, accepted for one release. */
   private static final List<String> CONFIGURATION_PATHS =
       List.of("/v1/configuration", "/v1/policy");
 
@@ -38,14 +38,15 @@
   private final Vertx vertx;
   private final Address address;
   private HttpServer server;
-  private StatusHandler status;
+  private StatusHandler statusHandler;
 
   private record Route(HttpMethod method, String path, Consumer<RoutingContext> handler) {}
 
   /**
-   * Opens nothing yet.
+   * Creates the endpoint; {@link #start} opens the port.
    *
-   * @param address advertised address; the port is listened on at the number this process binds to
+   * @param address the advertised address; only its port is used, on the IP address that this
+   *     process binds to
    */
   public OperatorEndpoint(Vertx vertx, Address address) {
     this.vertx = vertx;
@@ -63,20 +64,20 @@
                 new WebClientOptions()
                     .setConnectTimeout(CONNECT_TIMEOUT_MS)
                     .setFollowRedirects(false)));
-    status = new StatusHandler(core);
+    statusHandler = new StatusHandler(core);
     Router router = Router.router(vertx);
     router.route().handler(BodyHandler.create(false).setBodyLimit(JsonResponses.MAX_BODY_BYTES));
     OwnerForwarding forwarding = new OwnerForwarding(core, client);
     ConfigurationHandler configuration = new ConfigurationHandler(core);
     ChangeHistoryHandler history = new ChangeHistoryHandler(core);
     for (String path : CONFIGURATION_PATHS)
-      add(router, configurationRoutes(path, configuration, history, forwarding));
-    add(router, routes(core, client, configuration, history, forwarding));
+      addRoutes(router, configurationRoutes(path, configuration, history, forwarding));
+    addRoutes(router, routes(core, client, configuration, history, forwarding));
     addErrorHandlers(router);
     listen(router, local);
   }
 
-  private static void add(Router router, List<Route> routes) {
+  private static void addRoutes(Router router, List<Route> routes) {
     for (Route route : routes) router.route(route.method, route.path).handler(route.handler);
   }
 
@@ -89,9 +90,9 @@
     WeightNamingHandler weights = new WeightNamingHandler(core, client);
     MemberReplacementHandler replacement = new MemberReplacementHandler(core);
     return List.of(
-        new Route(HttpMethod.GET, "/ready", status::showReadiness),
-        new Route(HttpMethod.GET, "/v1/status", status::showStatus),
-        new Route(HttpMethod.POST, "/v1/weights", weights::name),
+        new Route(HttpMethod.GET, "/ready", statusHandler::showReadiness),
+        new Route(HttpMethod.GET, "/v1/status", statusHandler::showStatus),
+        new Route(HttpMethod.POST, "/v1/weights", weights::nameWeights),
         new Route(
             HttpMethod.GET,
             "/v1/weights",
@@ -99,7 +100,7 @@
         new Route(
             HttpMethod.GET,
             "/v1/weights/numbers",
-            context -> showChanges(context, StateKeys.WEIGHTS, history, forwarding)),
+            context -> showChangesAtOwner(context, StateKeys.WEIGHTS, history, forwarding)),
         new Route(
             HttpMethod.GET,
             "/v1/replicas",
@@ -107,7 +108,7 @@
         new Route(
             HttpMethod.POST,
             "/v1/core/swap",
-            context -> forwarding.atOwner(context, StateKeys.CORE, replacement::replace)));
+            context -> forwarding.handleAtOwner(context, StateKeys.CORE, replacement::replace)));
   }
 
   private static List<Route> configurationRoutes(
@@ -122,19 +123,19 @@
         new Route(
             HttpMethod.GET,
             path + "/numbers",
-            context -> showChanges(context, key, history, forwarding)),
+            context -> showChangesAtOwner(context, key, history, forwarding)),
         new Route(
             HttpMethod.GET,
             path + "/numbers/:number",
             context -> history.showOutcome(context, key)));
   }
 
-  private static void showChanges(
+  private static void showChangesAtOwner(
       RoutingContext context,
       String key,
       ChangeHistoryHandler history,
       OwnerForwarding forwarding) {
-    forwarding.atConfirmedOwner(context, key, owned -> history.showChanges(owned, key));
+    forwarding.handleAtConfirmedOwner(context, key, owned -> history.showChanges(owned, key));
   }
 
   private static void addErrorHandlers(Router router) {
@@ -148,13 +149,14 @@
     router.errorHandler(
         404,
         context ->
-            JsonResponses.send(context, 404, Json.object().add("reason", "nothing is here")));
+            JsonResponses.send(
+                context, 404, Json.object().add("reason", "there is no resource at this path")));
     router.errorHandler(
         500,
         context -> {
           Log.thrown(
               "operator-endpoint-failure", context.failure(), "path", context.request().path());
-          JsonResponses.sendUnknown(context, 500, "an internal failure");
+          JsonResponses.sendUnknown(context, 500, "internal error");
         });
   }
 
@@ -166,7 +168,7 @@
     try {
       server.listen(address.port(), local.ip()).await().atMost(LISTEN_TIMEOUT);
     } catch (RuntimeException e) {
-      // whatever keeps the port from being opened is a fault of the machine or its settings
+      // any failure to open the port is a fault of the machine or its settings
       throw new ServiceRegistry.StartupException(
           "cannot listen for operators on " + address + ": " + ConnectionAcceptor.reason(e), e);
     }
@@ -174,7 +176,7 @@
 
   @Override
   public void stop() {
-    status.stopping();
+    statusHandler.markStopping();
     server.closeAndForget();
   }
 }
--- a/control-plane/src/main/java/gladelug/control/operator/OwnerForwarding.java
+++ b/control-plane/src/main/java/gladelug/control/operator/OwnerForwarding.java
@@ -13,15 +13,17 @@
 import java.util.function.Consumer;
 
 /**
- * Passes on what only a key's owner can tell to that owner's listener, whichever machine the
- * operator called; a call is passed on once at most.
+ * Forwards requests that only a key's owner can answer to the owner's operator endpoint. A request
+ * is forwarded at most once.
  */
 final class OwnerForwarding {
   private static final String FORWARDED_HEADER = "Gladelug-Forwarded";
   private static final long TIMEOUT_MS = 5000;
 
-  /** Where the owner is: this member; what no address can be: not known. */
-  private static final String HERE = "", NOT_KNOWN = "none";
+  /**
+   * Results of {@link #findOwner} beside addresses: this member owns the key; the owner is unknown.
+   */
+  private static final String THIS_MEMBER = "", UNKNOWN_OWNER = "none";
 
   private final CoreService core;
   private final WebClient client;
@@ -32,41 +34,43 @@
   }
 
   /**
-   * As {@link #atOwner}, once a majority has confirmed after the question that the owner still is
-   * one; an owner that is cut off has not yet learned of its successor.
+   * Like {@link #handleAtOwner}, but only after a majority has confirmed, since the request
+   * arrived, that the owner still owns the key; a partitioned owner does not know of its successor
+   * yet.
    */
-  void atConfirmedOwner(RoutingContext context, String key, Consumer<RoutingContext> handler) {
-    atOwner(
+  void handleAtConfirmedOwner(
+      RoutingContext context, String key, Consumer<RoutingContext> handler) {
+    handleAtOwner(
         context,
         key,
-        owned ->
+        ownerContext ->
             core.readNewest(key)
-                .flatMap(newest -> core.ask(member -> newest.owned() && member.owns(key)))
+                .flatMap(newest -> core.ask(member -> newest.hasOwner() && member.owns(key)))
                 .subscribe()
                 .with(
                     confirmed -> {
-                      if (confirmed) handler.accept(owned);
-                      else JsonResponses.sendNoOwner(owned);
+                      if (confirmed) handler.accept(ownerContext);
+                      else JsonResponses.sendNoOwner(ownerContext);
                     },
                     failure -> context.fail(500, failure)));
   }
 
-  /** Runs the handler where this member owns the key, else answers as the owner does. */
-  void atOwner(RoutingContext context, String key, Consumer<RoutingContext> handler) {
-    core.ask(member -> ownerOf(member, key))
+  /** Runs the handler if this member owns the key, otherwise forwards the request to the owner. */
+  void handleAtOwner(RoutingContext context, String key, Consumer<RoutingContext> handler) {
+    core.ask(member -> findOwner(member, key))
         .subscribe()
         .with(
             owner -> {
               boolean forwarded = context.request().getHeader(FORWARDED_HEADER) != null;
-              if (owner.equals(HERE)) handler.accept(context);
-              else if (owner.equals(NOT_KNOWN) || forwarded) JsonResponses.sendNoOwner(context);
+              if (owner.equals(THIS_MEMBER)) handler.accept(context);
+              else if (owner.equals(UNKNOWN_OWNER) || forwarded) JsonResponses.sendNoOwner(context);
               else forward(context, owner);
             },
             failure -> context.fail(500, failure));
   }
 
-  private static String ownerOf(CoreMember member, String key) {
-    if (member.owns(key)) return HERE;
+  private static String findOwner(CoreMember member, String key) {
+    if (member.owns(key)) return THIS_MEMBER;
     String name =
         member.keyStatuses().stream()
             .filter(status -> status.key().equals(key))
@@ -74,7 +78,7 @@
             .findFirst()
             .orElse("");
     MemberSet.Member owner = member.members().find(name);
-    return owner == null ? NOT_KNOWN : owner.operator().toString();
+    return owner == null ? UNKNOWN_OWNER : owner.operatorAddress().toString();
   }
 
   private void forward(RoutingContext context, String owner) {
@@ -89,13 +93,13 @@
     (body == null ? request.send() : request.sendBuffer(body))
         .subscribe()
         .with(
-            response -> passOn(context, response),
+            response -> copyResponse(context, response),
             failure ->
                 JsonResponses.sendUnknown(
                     context, 504, "the owner at " + owner + " did not answer"));
   }
 
-  private static void passOn(RoutingContext context, HttpResponse<Buffer> response) {
+  private static void copyResponse(RoutingContext context, HttpResponse<Buffer> response) {
     if (response.getHeader("ETag") != null)
       context.response().putHeader("ETag", response.getHeader("ETag"));
     context
--- a/control-plane/src/main/java/gladelug/control/operator/StatusHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/StatusHandler.java
@@ -12,29 +12,35 @@
 import io.vertx.mutiny.ext.web.RoutingContext;
 import java.util.Map;
 
-/** This member's view of members, keys and subscribers, and whether it is ready to serve. */
+/**
+ * Answers requests for this member's readiness and for its view of members, keys and subscribers.
+ */
 final class StatusHandler {
   private final CoreService core;
-  private volatile boolean stopping;
+  private volatile boolean isStopping;
 
   StatusHandler(CoreService core) {
     this.core = core;
   }
 
-  /** From now on this machine is not ready. */
-  void stopping() {
-    stopping = true;
+  /** Marks this machine as not ready because it is stopping. */
+  void markStopping() {
+    isStopping = true;
   }
 
-  /** 200 while this member knows the members and a majority of them is in reach, else 503. */
+  /**
+   * Sends 200 while this member knows the member set and reaches a majority of it, otherwise 503.
+   */
   void showReadiness(RoutingContext context) {
     core.ask(StatusHandler::reachesMajority)
         .subscribe()
         .with(
-            majority -> {
-              boolean ready = majority && !stopping;
+            reachesMajority -> {
+              boolean ready = reachesMajority && !isStopping;
               String reason =
-                  stopping ? "stopping" : majority ? "" : "no majority of the core is in reach";
+                  isStopping
+                      ? "stopping"
+                      : reachesMajority ? "" : "no majority of the core is reachable";
               JsonResponses.send(
                   context,
                   ready ? 200 : 503,
@@ -49,9 +55,9 @@
             > member.members().all().size() / 2;
   }
 
-  /** All this member knows, in one answer; 503 where it takes no part in the core. */
+  /** Sends everything that this member knows; with status 503 if it takes no part in the core. */
   void showStatus(RoutingContext context) {
-    core.ask(this::status)
+    core.ask(this::statusJson)
         .subscribe()
         .with(
             status ->
@@ -59,32 +65,32 @@
             failure -> context.fail(500, failure));
   }
 
-  private JsonObject status(CoreMember member) {
+  private JsonObject statusJson(CoreMember member) {
     return Json.object()
         .add("generation", member.members().generation())
-        .add("members", members(member))
-        .add("keys", keys(member))
-        .add("wouldJoin", joiners(member))
+        .add("members", membersJson(member))
+        .add("keys", keysJson(member))
+        .add("wouldJoin", joinCandidatesJson(member))
         .add("sealed", member.sealed())
         .add("retired", member.retired())
         .add("active", member.active())
-        .add("nodes", subscribers(member));
+        .add("nodes", subscribersJson(member));
   }
 
-  private static JsonArray members(CoreMember member) {
+  private static JsonArray membersJson(CoreMember member) {
     Map<String, Boolean> alive = member.membersAlive();
     JsonArray array = new JsonArray();
-    for (MemberSet.Member other : member.members().all())
+    for (MemberSet.Member listedMember : member.members().all())
       array.add(
           Json.object()
-              .add("name", other.name())
-              .add("records", other.records().toString())
-              .add("operator", other.operator().toString())
-              .add("alive", alive.getOrDefault(other.name(), false)));
+              .add("name", listedMember.name())
+              .add("records", listedMember.recordsAddress().toString())
+              .add("operator", listedMember.operatorAddress().toString())
+              .add("alive", alive.getOrDefault(listedMember.name(), false)));
     return array;
   }
 
-  private static JsonArray keys(CoreMember member) {
+  private static JsonArray keysJson(CoreMember member) {
     JsonArray array = new JsonArray();
     for (KeyStatus key : member.keyStatuses())
       array.add(
@@ -99,15 +105,17 @@
     return array;
   }
 
-  private static JsonArray joiners(CoreMember member) {
+  private static JsonArray joinCandidatesJson(CoreMember member) {
     JsonArray array = new JsonArray();
-    for (MemberSet.Member joiner : member.joinCandidates())
+    for (MemberSet.Member candidate : member.joinCandidates())
       array.add(
-          Json.object().add("name", joiner.name()).add("records", joiner.records().toString()));
+          Json.object()
+              .add("name", candidate.name())
+              .add("records", candidate.recordsAddress().toString()));
     return array;
   }
 
-  private JsonArray subscribers(CoreMember member) {
+  private JsonArray subscribersJson(CoreMember member) {
     JsonArray array = new JsonArray();
     for (SubscriberStatus subscriber : member.subscribers()) {
       JsonObject versions = Json.object();
--- a/control-plane/src/main/java/gladelug/control/operator/package-info.java
+++ b/control-plane/src/main/java/gladelug/control/operator/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The HTTP listener for operators and the platform on a control machine. {@link
- * gladelug.control.operator.OperatorEndpoint} holds the table of routes; a handler for each concern
- * answers.
+ * The HTTP endpoint for operators and the platform on a control-plane machine. {@link
+ * gladelug.control.operator.OperatorEndpoint} defines the routes; each concern has its own handler.
  */
 package gladelug.control.operator;
--- a/control-plane/src/main/java/gladelug/control/package-info.java
+++ b/control-plane/src/main/java/gladelug/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program control-plane: its settings, its data folder, and the wiring of its services; begin
- * with {@link gladelug.control.ControlPlane}.
+ * The control-plane program: its settings, its data folder, and the wiring of its services. The
+ * entry point is {@link gladelug.control.ControlPlane}.
  */
 package gladelug.control;
--- a/control-plane/src/main/java/gladelug/control/rollout/HttpReplicaCommands.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/HttpReplicaCommands.java
@@ -16,34 +16,34 @@
 import java.util.OptionalLong;
 import java.util.function.Supplier;
 
-/** Asks and orders replicas by the product's own HTTP protocol. */
+/** Queries and commands replicas over the product's own HTTP protocol. */
 public final class HttpReplicaCommands implements ReplicaCommands {
   private static final int HTTP_OK = 200;
   private static final int CONNECT_TIMEOUT_MS = 700;
   private static final long STATE_TIMEOUT_MS = 1000;
   private static final int CONNECTIONS_PER_REPLICA = 2;
 
-  /** What a replica says of itself is a few fields. */
-  private static final int STATE_BYTES = 1 << 16;
+  /** The most bytes of a replica's identity, which consists of a few fields. */
+  private static final int MAX_STATE_BYTES = 1 << 16;
 
   private final BoundedHttpCalls calls;
-  private final ReplicaCommandCall commandCall;
+  private final ReplicaCommandCall orderCall;
 
   /**
-   * Opens no connection yet.
+   * Creates the client; connections are opened on demand.
    *
-   * @param local the address that connections are opened from
+   * @param bindAddress the local address that connections are opened from
    */
-  public HttpReplicaCommands(Vertx vertx, BindAddress local) {
+  public HttpReplicaCommands(Vertx vertx, BindAddress bindAddress) {
     calls =
         new BoundedHttpCalls(
             vertx.getDelegate(),
-            local.withLocalAddress(
+            bindAddress.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(CONNECT_TIMEOUT_MS)
                     .setMaxPoolSize(CONNECTIONS_PER_REPLICA)),
             MemoryBudget.ofAnswers());
-    commandCall = new ReplicaCommandCall(vertx, local);
+    orderCall = new ReplicaCommandCall(vertx, bindAddress);
   }
 
   @Override
@@ -59,22 +59,22 @@
             .setPort(replica.address().port())
             .setURI("/identity");
     return calls
-        .send(target, STATE_BYTES, STATE_TIMEOUT_MS)
-        .map(answer -> reportedState(replica, answer));
+        .send(target, MAX_STATE_BYTES, STATE_TIMEOUT_MS)
+        .map(response -> parseState(replica, response));
   }
 
-  private static ReportedState reportedState(Replica replica, HttpAnswer answer) {
-    try (answer) {
-      return reportedState(
-          replica, answer.status() == HTTP_OK ? new JsonObject(answer.body()) : null);
+  private static ReportedState parseState(Replica replica, HttpAnswer response) {
+    try (response) {
+      return parseState(
+          replica, response.status() == HTTP_OK ? new JsonObject(response.body()) : null);
     }
   }
 
-  private static ReportedState reportedState(Replica replica, JsonObject identity) {
+  private static ReportedState parseState(Replica replica, JsonObject identity) {
     if (identity == null
         || !replica.instance().equals(identity.getString("instance"))
         || !replica.service().equals(identity.getString("service")))
-      throw new IllegalStateException("not " + replica.instance());
+      throw new IllegalStateException("the identity is not that of " + replica.instance());
     return new ReportedState(
         identity.getBoolean("loading", false),
         Map.of(replica.service(), identity.getString("weights", "")));
@@ -92,7 +92,7 @@
             .setHost(replica.address().host())
             .setPort(replica.address().port())
             .setURI("/steer");
-    return commandCall
+    return orderCall
         .post(
             target,
             permit,
@@ -102,10 +102,10 @@
                     .put("epoch", fence)
                     .put("instance", replica.instance())
                     .put("weights", weights))
-        .map(status -> outcome(replica, status));
+        .map(status -> toOutcome(replica, status));
   }
 
-  private static Outcome outcome(Replica replica, OptionalInt status) {
+  private static Outcome toOutcome(Replica replica, OptionalInt status) {
     if (status.isEmpty()) return Outcome.NOT_SENT;
     if (status.getAsInt() != HTTP_OK)
       Log.warn("steer-refused", "replica", replica.instance(), "status", status.getAsInt());
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommandCall.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommandCall.java
@@ -16,32 +16,37 @@
 import java.util.function.Supplier;
 
 /**
- * One order to a replica over HTTP: first the connection, then the command lease, then the bytes.
- * What was decided before the connection was up may no longer hold when it is: the process may have
- * been frozen, or the connection slow. An order is given up after a time that the lease must still
- * cover when it leaves, and its socket is then closed so that the kernel sends nothing more of it:
- * no order arrives after its sender's lease has ended (rule ONE).
+ * Sends one order to a replica over HTTP: opens the connection, checks the command lease, then
+ * sends the request. A lease checked before the connection was established may have expired since,
+ * because the process was paused or the connection was slow. An order is abandoned after a timeout
+ * that the lease must still cover at the time of sending. Its socket is then closed so that the
+ * kernel sends no more of it. Thus no order arrives after its sender's lease has ended (rule ONE:
+ * at most one process commands a replica at any time).
  */
 public final class ReplicaCommandCall {
-  /** How long an answer is waited for; the command lease must last as long when it leaves. */
+  /**
+   * How long to wait for the answer, in ms; the command lease must last at least as long when the
+   * order is sent.
+   */
   public static final int ANSWER_TIMEOUT_MS = 400;
 
   private static final int CONNECT_TIMEOUT_MS = 600;
 
-  /** A closed socket sends nothing more of what it holds. */
+  /** With 0, closing a socket discards the data not sent yet. */
   private static final int CLOSE_LINGER_S = 0;
 
   private final HttpClient http;
 
   /**
-   * Each order has a connection of its own, on which no answer to an earlier one can be waiting.
+   * Creates the client. Each order uses its own connection, so that it never waits behind the
+   * answer to an earlier order.
    *
-   * @param local the address that connections are opened from
+   * @param bindAddress the local address that connections are opened from
    */
-  public ReplicaCommandCall(Vertx vertx, BindAddress local) {
+  public ReplicaCommandCall(Vertx vertx, BindAddress bindAddress) {
     http =
         vertx.createHttpClient(
-            local.withLocalAddress(
+            bindAddress.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(CONNECT_TIMEOUT_MS)
                     .setKeepAlive(false)
@@ -49,11 +54,12 @@
   }
 
   /**
-   * Posts the order; its HTTP status comes, or nothing where it did not leave.
+   * Posts the order and returns its HTTP status, or empty if the order was not sent.
    *
-   * @param permit asked once the connection is up: the fence to command under, empty where nothing
-   *     may leave; completes on the calling context, immediately before the bytes leave
-   * @param body what is posted under that fence
+   * @param permit queried once the connection is established, immediately before sending: the fence
+   *     (epoch) to command under, or empty if the order must not be sent; completes on the calling
+   *     context
+   * @param body builds the request body for that fence
    */
   public Uni<OptionalInt> post(
       RequestOptions target, Supplier<Uni<OptionalLong>> permit, LongFunction<JsonObject> body) {
@@ -83,10 +89,10 @@
     return request
         .send(Buffer.buffer(body.encode()))
         .map(
-            answer -> {
-              // the status says all; whatever else comes of the answer is nobody's
+            response -> {
+              // only the status matters; the rest of the response is not read
               request.connection().closeAndForget();
-              return OptionalInt.of(answer.statusCode());
+              return OptionalInt.of(response.statusCode());
             });
   }
 }
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommandSender.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommandSender.java
@@ -12,9 +12,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Sends a replica the orders that {@link WeightRollout} asks for: one at a time, and only under a
- * command lease that is checked again immediately before the order leaves (rule ONE). Not
- * thread-safe: lives on its controller's context.
+ * Sends replicas the orders that {@link WeightRollout} requests: one at a time per replica, and
+ * only under a command lease that is checked again immediately before the order is sent (rule ONE:
+ * at most one process commands a replica at any time). Not thread-safe: confined to its
+ * controller's context.
  */
 final class ReplicaCommandSender {
   private final String holder;
@@ -24,18 +25,18 @@
   private final Function<Replica, Uni<CommandLease>> commandLease;
 
   /**
-   * Replicas with an order in flight. Of two at once the earlier could arrive last and take a
-   * replica back to older weights.
+   * Instance ids of the replicas with an order in flight. If two were in flight at once, the
+   * earlier could arrive last and revert a replica to older weights.
    */
   private final Set<String> replicasWithOrderInFlight = new HashSet<>();
 
   /**
-   * The sender of one controller.
+   * Creates the sender of one controller.
    *
-   * @param holder this process's name, as replicas are told it
-   * @param clockMs the monotonic clock that leases count by, in ms
-   * @param commandLease the lease to command a replica at present, completed on the controller's
-   *     context
+   * @param holder this process's name, as sent to replicas
+   * @param clockMs the monotonic clock that leases are measured by, in ms
+   * @param commandLease returns the current lease to command a replica; completes on the
+   *     controller's context
    */
   ReplicaCommandSender(
       String holder,
@@ -50,7 +51,10 @@
     this.commandLease = commandLease;
   }
 
-  /** Orders a replica to load what it is to load now, if anything and if no order is in flight. */
+  /**
+   * Orders a replica to load the weights assigned to it, if there are any and no order is in
+   * flight.
+   */
   void send(Replica replica) {
     if (replicasWithOrderInFlight.contains(replica.instance())) return;
     WeightAssignment assignment = rollout.nextAssignment(replica, clockMs.getAsLong());
@@ -64,7 +68,7 @@
         .subscribe()
         .with(
             outcome -> onOutcome(replica, assignment, outcome),
-            // of any kind: the next poll sends the order again
+            // whatever the failure, the next poll sends the order again
             failure ->
                 Log.warn(
                     "steer-problem", "replica", replica.instance(), "what", failure.toString()));
@@ -77,29 +81,35 @@
         replica, assignment.model(), assignment.weights(), false, clockMs.getAsLong());
   }
 
-  /** Most members hold no lease at all: those open no connection. */
+  /**
+   * Sends the order if the lease covers it. Most members hold no lease and therefore open no
+   * connection.
+   */
   private Uni<ReplicaCommands.Outcome> sendUnderLease(
       Replica replica, WeightAssignment assignment, CommandLease lease) {
-    if (!coversOrder(lease)) return Uni.createFrom().item(ReplicaCommands.Outcome.NOT_SENT);
+    if (!coversSending(lease)) return Uni.createFrom().item(ReplicaCommands.Outcome.NOT_SENT);
     return commands.sendOrder(
         replica,
         holder,
-        () -> commandLease.apply(replica).map(latest -> permitToSend(replica, assignment, latest)),
+        () ->
+            commandLease
+                .apply(replica)
+                .map(latest -> authorizeSending(replica, assignment, latest)),
         assignment.model(),
         assignment.weights());
   }
 
-  private boolean coversOrder(CommandLease lease) {
+  private boolean coversSending(CommandLease lease) {
     return lease.covers(clockMs.getAsLong(), ReplicaCommandCall.ANSWER_TIMEOUT_MS);
   }
 
   /**
-   * The last check before an order leaves: its fence, or empty where the lease may end before it
-   * arrives.
+   * The last check before an order is sent: returns its fence, or empty if the lease may end before
+   * the order arrives.
    */
-  private OptionalLong permitToSend(
+  private OptionalLong authorizeSending(
       Replica replica, WeightAssignment assignment, CommandLease lease) {
-    if (!coversOrder(lease)) return OptionalLong.empty();
+    if (!coversSending(lease)) return OptionalLong.empty();
     rollout.onOrderSent(replica, assignment, clockMs.getAsLong());
     Log.event(
         "rollout-order-sent",
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommands.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommands.java
@@ -7,45 +7,48 @@
 import java.util.function.Supplier;
 
 /**
- * What a controller asks and orders of the replicas that are to run other weights, by whatever
- * protocol they speak. An order may have been carried out even where no answer came. Called on the
- * controller's context; results may come on any thread.
+ * The queries and orders of a controller to replicas, independent of their protocol. An order may
+ * have been executed even if no answer arrived. Called on the controller's context; results may
+ * arrive on any thread.
  */
 public interface ReplicaCommands {
   /**
-   * What a replica reports of itself.
+   * The state that a replica reports.
    *
-   * @param loading it is just loading other weights
-   * @param weights by model, the weights it runs
+   * @param loading whether it is loading other weights
+   * @param weights the weights that it runs, by model
    */
   record ReportedState(boolean loading, Map<String, String> weights) {}
 
   /**
-   * Whether asking costs nothing to speak of, so that every replica is asked at every poll; else
-   * the list is believed and only those with an unconfirmed order are asked.
+   * Returns whether querying is cheap enough to query every replica at every poll. Otherwise the
+   * listed weights are trusted and only replicas with an unconfirmed order are queried.
    */
   boolean pollsEveryReplica();
 
-  /** Asks a replica for its state; fails where it doesn't answer or is another one. */
+  /**
+   * Queries a replica's state; fails if it does not answer or another replica answers at its
+   * address.
+   */
   Uni<ReportedState> fetchState(Replica replica);
 
-  /** What became of an order. */
+  /** The outcome of an order. */
   enum Outcome {
-    /** Nothing left: the command lease had ended. */
+    /** The order was not sent because the command lease had ended. */
     NOT_SENT,
-    /** The replica has it, or refused it. */
+    /** The replica accepted or refused the order. */
     ANSWERED,
-    /** The replica says that it runs these weights already. */
+    /** The replica reports that it already runs these weights. */
     ALREADY_APPLIED
   }
 
   /**
-   * Orders a replica to load weights. Fails where no answer came; the order may have been carried
-   * out then. Once there is an outcome or a failure, nothing of the order can arrive any more.
+   * Orders a replica to load weights. Fails if no answer arrived, in which case the order may have
+   * been executed. After an outcome or a failure, no part of the order can arrive any more.
    *
-   * @param holder the name of the commanding process, for the replica
-   * @param permit the fence (epoch) to command under, empty where nothing may leave; asked
-   *     immediately before the order leaves
+   * @param holder the name of the commanding process, as sent to the replica
+   * @param permit returns the fence (epoch) to command under, or empty if the order must not be
+   *     sent; queried immediately before sending
    */
   Uni<Outcome> sendOrder(
       Replica replica,
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
@@ -16,11 +16,12 @@
 import java.util.function.Function;
 
 /**
- * The task of whoever owns commander/&lt;replica&gt;: see that the replica runs the weights that
- * are named. Only while it owns the key, and after every earlier owner's lease is over, does it
- * command, and under the key's epoch, which the replica refuses to go below (rule ONE). What a
- * replica runs is read from itself. Weights named half way through a rollout simply become the new
- * target. All state is touched on one Vert.x context.
+ * Brings each replica to the weights that operators named for it. A process commands a replica only
+ * while it owns the key commander/&lt;replica&gt; and after every earlier owner's lease has
+ * expired. It commands under the key's epoch, and the replica refuses lower epochs (rule ONE: at
+ * most one process commands a replica at any time). The weights that a replica runs are read from
+ * the replica itself. Weights named during a rollout become its new target. All state is confined
+ * to one Vert.x context.
  */
 public final class ReplicaController implements ServiceRegistry.Service {
   private static final long POLL_INTERVAL_MS = 250;
@@ -31,15 +32,16 @@
   private ReplicaCommands commands;
   private CoreService core;
   private long timerId;
-  private boolean pollInProgress;
+  private boolean isPolling;
   private Context context;
   private ReplicaCommandSender commandSender;
 
   /**
-   * A controller that begins with {@link #start}.
+   * Creates a controller that runs once {@link #start} is called.
    *
-   * @param processName this process's name, as replicas are told it
-   * @param commandsFactory makes the replicas' protocol for the address this process calls from
+   * @param processName this process's name, as sent to replicas
+   * @param commandsFactory creates the protocol client for the local address that this process
+   *     connects from
    */
   public ReplicaController(
       Vertx vertx,
@@ -71,8 +73,8 @@
   }
 
   private void poll() {
-    if (pollInProgress) return;
-    pollInProgress = true;
+    if (isPolling) return;
+    isPolling = true;
     core.ask(ReplicaController::readInputs)
         .emitOn(this::runOnContext)
         .map(
@@ -83,11 +85,11 @@
         .call(targets -> core.ask(this::introduceControllerKeys))
         .emitOn(this::runOnContext)
         .subscribe()
-        // a core that doesn't answer is asked again at the next poll
-        .with(this::onPolled, failure -> pollInProgress = false);
+        // the core is queried again at the next poll
+        .with(this::onPolled, failure -> isPolling = false);
   }
 
-  /** On the core's thread: the stored values. */
+  /** Reads the stored values; runs on the core's thread. */
   private static WeightRollout.RolloutInputs readInputs(CoreMember member) {
     return new WeightRollout.RolloutInputs(
         member.storedValue(StateKeys.REPLICAS).getValue(),
@@ -97,8 +99,8 @@
   }
 
   /**
-   * On the core's thread: a replica's key is known as soon as the replica is listed, so that the
-   * key's owner may command when weights are named.
+   * Creates the key of each listed replica, so that the key has an owner that may command by the
+   * time weights are named; runs on the core's thread.
    */
   private boolean introduceControllerKeys(CoreMember member) {
     for (Replica replica : rollout.listedModelReplicas()) member.ensureKey(controllerKey(replica));
@@ -106,7 +108,7 @@
   }
 
   private void onPolled(List<Replica> targets) {
-    pollInProgress = false;
+    isPolling = false;
     if (!commands.pollsEveryReplica()) rollout.onListed(core.now());
     targets.forEach(this::updateReplica);
   }
@@ -126,7 +128,7 @@
               if (mayCommand) fetchStateAndSend(replica);
             },
             failure -> {
-              // a core that doesn't answer is asked again at the next poll
+              // the core is queried again at the next poll
             });
   }
 
@@ -138,8 +140,8 @@
         .with(
             state -> onReported(replica, state),
             failure -> {
-              // a replica that doesn't answer is asked again at the next poll; until then its last
-              // observation ages, and the rollout counts it as unresponsive
+              // a replica that does not answer is queried again at the next poll; once its last
+              // observation is too old, the rollout counts it as unresponsive
             });
   }
 
--- a/control-plane/src/main/java/gladelug/control/rollout/RolloutBatches.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/RolloutBatches.java
@@ -6,31 +6,34 @@
 import java.util.SortedMap;
 
 /**
- * When a replica may begin to load newly named weights, so that some capacity always serves: the
- * replicas of a service, in order of instance, go in batches. A batch may start once everyone in
- * the batches before it runs the new weights or doesn't answer, or when its own time has come,
- * because a replica that never loads must not hold the rest until the cutoff. Pure, and the same at
- * every controller, so that those of different replicas need not talk. Any thread.
+ * Decides when a replica may start to load newly named weights. The replicas of a service load in
+ * batches, in order of instance id, so that some of them always serve. A batch may start once every
+ * replica of the earlier batches runs the new weights or does not answer, or at its scheduled time,
+ * because a replica that never loads must not block the others until the cutoff. Stateless and
+ * deterministic, so that the controllers of different replicas reach the same decision without
+ * communicating. Thread-safe.
  */
 final class RolloutBatches {
-  /** How far a replica is with the new weights, as a controller knows it. */
+  /** A replica's progress towards the new weights, as known to a controller. */
   enum ReplicaProgress {
-    /** It runs the new weights. */
+    /** The replica runs the new weights. */
     UPDATED,
-    /** It answers, and runs other weights or is still loading. */
+    /** The replica answers, and runs other weights or is still loading. */
     OUTDATED,
-    /** It doesn't answer. */
+    /** The replica does not answer. */
     UNRESPONSIVE
   }
 
   private RolloutBatches() {}
 
   /**
-   * By the product's own plan of thirds, not strictly timed.
+   * Returns whether a replica may start under the default plan of three batches, not strictly
+   * timed.
    *
-   * @param progressByInstance all replicas of the service that take the weights
-   * @param weightsAgeMs ms since the weights were named
-   * @param cutoffMs ms that all thirds have
+   * @param progressByInstance the progress of all replicas of the service that are to load the
+   *     weights, by instance id
+   * @param weightsAgeMs time since the weights were named, in ms
+   * @param cutoffMs time in which all batches must have started, in ms
    */
   static boolean mayStart(
       String instance,
@@ -42,11 +45,13 @@
   }
 
   /**
-   * Whether a replica may start to load the new weights.
+   * Returns whether a replica may start to load the new weights.
    *
-   * @param progressByInstance all replicas of the service that take the weights
-   * @param weightsAgeMs ms since the weights were named
-   * @param strictlyTimed at its batch's time and no sooner, so that others can reckon with it
+   * @param progressByInstance the progress of all replicas of the service that are to load the
+   *     weights, by instance id
+   * @param weightsAgeMs time since the weights were named, in ms
+   * @param strictlyTimed whether a batch starts at its scheduled time and no sooner, so that other
+   *     processes can predict it
    */
   static boolean mayStart(
       String instance,
@@ -59,8 +64,9 @@
     int batch = plan.part(instance, instances);
     if (weightsAgeMs >= plan.due(batch)) return true;
     if (strictlyTimed) return false;
-    int replicasBefore = batch * plan.size(instances.size());
-    return instances.subList(0, replicasBefore).stream()
-        .noneMatch(earlier -> progressByInstance.get(earlier) == ReplicaProgress.OUTDATED);
+    int earlierReplicaCount = batch * plan.size(instances.size());
+    return instances.subList(0, earlierReplicaCount).stream()
+        .noneMatch(
+            earlierInstance -> progressByInstance.get(earlierInstance) == ReplicaProgress.OUTDATED);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
@@ -19,45 +19,52 @@
 import java.util.stream.Collectors;
 
 /**
- * Which replica is to load which weights, now: from what is listed and named, and from what each
- * replica last reported of itself. Weights named half way through a rollout simply become the new
- * target. Pure; who may command is decided by {@link ReplicaCommandSender}. Serves the rule
- * VERSION: replicas move to the named weights before the cutoff. Not thread-safe: lives on its
- * controller's context. Times are ms of the process's monotonic clock.
+ * Decides which replica is to load which weights now, from the listed replicas, the named weights,
+ * and what each replica last reported. Weights named during a rollout become its new target. Sends
+ * nothing itself; {@link ReplicaCommandSender} decides whether this process may command. Implements
+ * the rule VERSION: replicas change to the named weights before the cutoff. Not thread-safe:
+ * confined to its controller's context. Times are in ms of the process's monotonic clock.
  */
 public final class WeightRollout {
-  /** The same order goes to a replica no oftener than this. */
+  /** The minimum time before the same order is sent to a replica again. */
   private static final long RETRY_INTERVAL_MS = 1000;
 
-  /** A replica that was not observed for so long counts as unresponsive. */
+  /** A replica that has not been observed for this long counts as unresponsive. */
   private static final long OBSERVATION_VALIDITY_MS = 1500;
 
-  /** So long after an order the list may still show the weights of before. */
+  /** How long after an order the list may still show the previous weights. */
   private static final long LIST_LAG_MS = 4 * RETRY_INTERVAL_MS;
 
-  /** So long after an order to a replica no other model's order is sent to it. */
+  /** The minimum time between orders for different models to the same replica. */
   private static final long ORDER_SPACING_MS = RETRY_INTERVAL_MS / 2;
 
-  /** Before any time of the clock, and far enough from the least long to be subtracted. */
+  /**
+   * Earlier than any time of the clock; half of Long.MIN_VALUE, so that differences with it do not
+   * overflow.
+   */
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   /**
-   * The stored values of the three keys that a rollout depends on.
+   * The stored values of the three keys that a rollout depends on, and the age of the named
+   * weights.
    *
    * @param replicas the list of replicas, JSON as stored
    * @param weights the named weights, JSON as stored
    * @param configuration the configuration as operators sent it
-   * @param weightsAgeMs ms since the weights were named, as far as this process knows
+   * @param weightsAgeMs time since the weights were named, as far as this process knows, in ms
    */
   public record RolloutInputs(
       byte[] replicas, byte[] weights, byte[] configuration, long weightsAgeMs) {}
 
-  /** The weights of a model that a replica is to load. */
+  /** An assignment of weights: the model and the weights that a replica is to load for it. */
   public record WeightAssignment(String model, String weights) {}
 
   private record ObservationKey(String instance, String model) {}
 
-  /** What is known of one model at one replica: what it runs, and the last order sent to it. */
+  /**
+   * What is known of one model at one replica: the weights that it runs and the last order sent to
+   * it.
+   */
   private static final class ReplicaObservation {
     String reportedWeights = "";
     boolean loading;
@@ -69,7 +76,7 @@
       return reportedWeights.equals(weights) && !loading;
     }
 
-    /** An order was sent whose weights the replica was not yet seen to run. */
+    /** Returns whether an order was sent whose weights the replica has not been seen to run yet. */
     boolean hasUnconfirmedOrder() {
       return !orderedWeights.isEmpty() && !reportedWeights.equals(orderedWeights);
     }
@@ -85,19 +92,19 @@
   private Configuration configuration = Configuration.EMPTY;
 
   /**
-   * A rollout in thirds, by the product's own configuration.
+   * Creates a rollout in three batches that parses the product's own configuration format.
    *
-   * @param rolloutMs ms that all thirds have
+   * @param rolloutMs time in which all batches must have started, in ms
    */
   public WeightRollout(int rolloutMs) {
     this(RolloutPlan.thirds(rolloutMs), false, Configuration::parse);
   }
 
   /**
-   * A rollout by any plan.
+   * Creates a rollout by any plan.
    *
-   * @param strictlyTimed no replica goes before its batch's time
-   * @param configurationParser reads the configuration as operators sent it
+   * @param strictlyTimed whether no replica may start before its batch's scheduled time
+   * @param configurationParser parses the configuration as operators sent it
    */
   public WeightRollout(
       RolloutPlan plan,
@@ -108,15 +115,15 @@
     this.configurationParser = configurationParser;
   }
 
-  /** Takes the stored values; parses only those that are not the same array as last time. */
+  /** Updates the stored values; parses only those that are not the same array as last time. */
   public void updateInputs(RolloutInputs latest) {
     if (latest.replicas != inputs.replicas)
-      replicas = valueOr(Replicas.parse(text(latest.replicas)), Replicas.NONE);
+      replicas = valueOr(Replicas.parse(decode(latest.replicas)), Replicas.NONE);
     if (latest.weights != inputs.weights)
-      weights = valueOr(Weights.parse(text(latest.weights)), Weights.NONE);
+      weights = valueOr(Weights.parse(decode(latest.weights)), Weights.NONE);
     if (latest.configuration != inputs.configuration)
       configuration =
-          valueOr(configurationParser.apply(text(latest.configuration)), Configuration.EMPTY);
+          valueOr(configurationParser.apply(decode(latest.configuration)), Configuration.EMPTY);
     inputs = latest;
     forgetAbsentReplicas();
   }
@@ -127,7 +134,7 @@
     observations.keySet().removeIf(key -> !instances.contains(key.instance));
   }
 
-  private static String text(byte[] utf8) {
+  private static String decode(byte[] utf8) {
     return new String(utf8, StandardCharsets.UTF_8);
   }
 
@@ -135,12 +142,15 @@
     return result instanceof Result.Good<T> good ? good.value() : fallback;
   }
 
-  /** All replicas of model services that the configuration allows, whatever weights are named. */
+  /**
+   * Returns all replicas of model services that the configuration allows, whether or not weights
+   * are named for them.
+   */
   public List<Replica> listedModelReplicas() {
     return replicas.all.stream().filter(this::isModelReplica).toList();
   }
 
-  /** The replicas of model services for which weights are named. */
+  /** Returns the replicas of model services for which weights are named. */
   public List<Replica> rolloutTargets() {
     List<Replica> targets = new ArrayList<>();
     for (Replica replica : replicas.all)
@@ -156,8 +166,8 @@
   }
 
   /**
-   * The models a replica serves whose weights are named, in order of name; a replica that is listed
-   * without models serves the one named as its service.
+   * Returns the models served by a replica for which weights are named, in order of name. A replica
+   * listed without models serves the model with the name of its service.
    */
   private List<String> rolloutModels(Replica replica) {
     if (!isModelReplica(replica)) return List.of();
@@ -166,7 +176,7 @@
     return models.stream().filter(model -> weights.of(model) != null).sorted().toList();
   }
 
-  /** What is known of a model at a replica, or null. */
+  /** Returns what is known of a model at a replica, or null if it was never observed. */
   private ReplicaObservation findObservation(Replica replica, String model) {
     return observations.get(new ObservationKey(replica.instance(), model));
   }
@@ -177,10 +187,10 @@
   }
 
   /**
-   * A replica reported what it runs.
+   * Records the weights that a replica reported.
    *
-   * @param reportedWeights the model's weights that it runs
-   * @param loading it is just loading others
+   * @param reportedWeights the weights of the model that it runs
+   * @param loading whether it is loading other weights
    */
   public void onReported(
       Replica replica, String model, String reportedWeights, boolean loading, long nowMs) {
@@ -192,8 +202,8 @@
   }
 
   /**
-   * Takes what the list shows of its replicas. The list lags: after an order it counts only once it
-   * shows the ordered weights, or when it has had the time to show them.
+   * Records the weights that the list shows. The list lags: after an order it is trusted only once
+   * it shows the ordered weights, or after {@link #LIST_LAG_MS}.
    */
   public void onListed(long nowMs) {
     for (Replica replica : rolloutTargets())
@@ -203,36 +213,39 @@
   private void onListed(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = observationOf(replica, model);
     String listedWeights = replica.weights().getOrDefault(model, "");
-    boolean listCounts =
+    boolean isListCurrent =
         observation.orderedWeights.isEmpty()
             || listedWeights.equals(observation.orderedWeights)
             || nowMs - observation.orderSentAtMs > LIST_LAG_MS;
-    if (listCounts) {
+    if (isListCurrent) {
       observation.reportedWeights = listedWeights;
       observation.loading = false;
     }
     observation.observedAtMs = nowMs;
   }
 
-  /** Whether a replica was ordered to load weights that it has not yet been seen to run. */
+  /** Returns whether a replica was ordered to load weights that it has not been seen to run yet. */
   public boolean awaitsObservation(Replica replica) {
     for (String model : rolloutModels(replica))
       if (observationOf(replica, model).hasUnconfirmedOrder()) return true;
     return false;
   }
 
-  /** What the replica is to load now, or null where it is to load nothing. */
+  /** Returns what the replica is to load now, or null if nothing. */
   public WeightAssignment nextAssignment(Replica replica, long nowMs) {
     for (String model : rolloutModels(replica)) {
       if (!needsOrder(replica, model, nowMs)) continue;
       if (isChangingAnotherModel(replica, model, nowMs)) continue;
-      if (!isItsTurn(replica, model, nowMs)) continue;
+      if (!isBatchDue(replica, model, nowMs)) continue;
       return new WeightAssignment(model, weights.of(model).now());
     }
     return null;
   }
 
-  /** The replica runs other weights than are named, and no order for these is under way. */
+  /**
+   * Returns whether the replica runs other weights than the named ones and no order for the named
+   * ones is in progress.
+   */
   private boolean needsOrder(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = findObservation(replica, model);
     if (observation == null || observation.observedAtMs == NEVER_MS) return false;
@@ -243,8 +256,8 @@
   }
 
   /**
-   * Whether a replica may be loading weights of another model, as it was ordered to: it takes one
-   * order at a time.
+   * Returns whether a replica may still be loading weights of another model on an earlier order; a
+   * replica executes one order at a time.
    */
   private boolean isChangingAnotherModel(Replica replica, String model, long nowMs) {
     for (String other : rolloutModels(replica)) {
@@ -256,22 +269,25 @@
     return false;
   }
 
-  private boolean isItsTurn(Replica replica, String model, long nowMs) {
-    SortedMap<String, ReplicaProgress> progress = progress(replica.service(), model, nowMs);
+  private boolean isBatchDue(Replica replica, String model, long nowMs) {
+    SortedMap<String, ReplicaProgress> progress = progressOf(replica.service(), model, nowMs);
     return RolloutBatches.mayStart(
         replica.instance(), progress, inputs.weightsAgeMs, plan, strictlyTimed);
   }
 
-  /** How far all replicas of a service are with a model's named weights, by instance. */
-  private SortedMap<String, ReplicaProgress> progress(String service, String model, long nowMs) {
+  /**
+   * Returns the progress of all replicas of a service towards a model's named weights, by instance
+   * id.
+   */
+  private SortedMap<String, ReplicaProgress> progressOf(String service, String model, long nowMs) {
     SortedMap<String, ReplicaProgress> progressByInstance = new TreeMap<>();
     for (Replica replica : rolloutTargets())
       if (replica.service().equals(service) && rolloutModels(replica).contains(model))
-        progressByInstance.put(replica.instance(), progress(replica, model, nowMs));
+        progressByInstance.put(replica.instance(), progressOf(replica, model, nowMs));
     return progressByInstance;
   }
 
-  private ReplicaProgress progress(Replica replica, String model, long nowMs) {
+  private ReplicaProgress progressOf(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = findObservation(replica, model);
     if (observation == null || nowMs - observation.observedAtMs >= OBSERVATION_VALIDITY_MS)
       return ReplicaProgress.UNRESPONSIVE;
@@ -279,7 +295,7 @@
     return updated ? ReplicaProgress.UPDATED : ReplicaProgress.OUTDATED;
   }
 
-  /** An order to load these weights has been sent to the replica. */
+  /** Records that an order to load these weights was sent to the replica. */
   public void onOrderSent(Replica replica, WeightAssignment assignment, long nowMs) {
     ReplicaObservation observation = observationOf(replica, assignment.model);
     observation.orderSentAtMs = nowMs;
--- a/control-plane/src/test/java/gladelug/control/ControlPlaneTest.java
+++ b/control-plane/src/test/java/gladelug/control/ControlPlaneTest.java
@@ -9,18 +9,18 @@
 final class ControlPlaneTest {
   @Test
   void allFindingsOfTheSettingsAreReportedTogether() {
-    Map<String, String> f = new HashMap<>();
-    f.put("name", "Bad Name");
-    f.put("records", "host:1");
-    f.put("cutoffMs", "99999");
-    String s = ControlPlaneSettings.parse(null, f, notice -> {}).toString();
-    for (String w :
+    Map<String, String> flags = new HashMap<>();
+    flags.put("name", "Bad Name");
+    flags.put("records", "host:1");
+    flags.put("cutoffMs", "99999");
+    String result = ControlPlaneSettings.parse(null, flags, notice -> {}).toString();
+    for (String expected :
         new String[] {
           "--name: must be small letters",
           "--records: must be an IP number",
           "--operator: is needed",
           "--data: is needed",
           "--cutoff-ms: must be a whole number from 1000 to 20000"
-        }) Assertions.assertTrue(s.contains(w), w + " in " + s);
+        }) Assertions.assertTrue(result.contains(expected), expected + " in " + result);
   }
 }
--- a/control-plane/src/test/java/gladelug/control/CoreDiskTest.java
+++ b/control-plane/src/test/java/gladelug/control/CoreDataFolderTest.java
@@ -21,31 +21,31 @@
  * Data folders as a member may find them: fresh, half made, damaged, somebody else's, of a newer or
  * an earlier release. Whatever can't be used is a finding with its place, and is left as it is.
  */
-final class CoreDiskTest {
-  private static final int RING_FILE_MB = 1, STEP = 512, HEAD = 21;
+final class CoreDataFolderTest {
+  private static final int RING_FILE_MB = 1, FRAME_ALIGNMENT_BYTES = 512, FRAME_HEADER_BYTES = 21;
   private static final String NAME = "a", IDENTITY = "identity.json";
 
   @TempDir Path parent;
   private Path data;
 
   @BeforeEach
-  void name() {
+  void setDataFolder() {
     data = parent.resolve("data");
   }
 
   /** Opens the folder, does something and ends, as a process does. */
-  private CoreDataFolder opened(String name) {
+  private CoreDataFolder open(String name) {
     return CoreDataFolder.open(name, data.toString(), RING_FILE_MB, List.<MemberSet.Member>of());
   }
 
-  private String used() throws IOException {
-    try (CoreDataFolder disk = opened(NAME)) {
+  private String writeAndClose() throws IOException {
+    try (CoreDataFolder disk = open(NAME)) {
       disk.ring().write(List.of(new RecordRing.Entry("some/key", new byte[] {1, 2, 3})));
-      return disk.id();
+      return disk.diskId();
     }
   }
 
-  private Map<String, byte[]> files() throws IOException {
+  private Map<String, byte[]> readFiles() throws IOException {
     Map<String, byte[]> files = new TreeMap<>();
     try (Stream<Path> list = Files.list(data)) {
       for (Path file : list.toList())
@@ -55,27 +55,27 @@
   }
 
   /** The start fails, says these words, and leaves each file as it was. */
-  private void refuses(String name, String... words) throws IOException {
-    Map<String, byte[]> before = files();
+  private void assertRefuses(String name, String... words) throws IOException {
+    Map<String, byte[]> before = readFiles();
     ServiceRegistry.StartupException found =
-        Assertions.assertThrows(ServiceRegistry.StartupException.class, () -> opened(name).close());
+        Assertions.assertThrows(ServiceRegistry.StartupException.class, () -> open(name).close());
     for (String word : words)
       Assertions.assertTrue(found.getMessage().contains(word), word + " in " + found.getMessage());
-    Map<String, byte[]> after = files();
+    Map<String, byte[]> after = readFiles();
     Assertions.assertEquals(before.keySet(), after.keySet());
     before.forEach((file, bytes) -> Assertions.assertArrayEquals(bytes, after.get(file), file));
   }
 
-  private void identity(String text) throws IOException {
+  private void writeIdentity(String text) throws IOException {
     Files.writeString(data.resolve(IDENTITY), text);
   }
 
   @Test
   void aFolderKeepsItsIdAndStateAndTheSizeItWasMadeWith() throws IOException {
-    String id = used();
+    String id = writeAndClose();
     try (CoreDataFolder again =
         CoreDataFolder.open(NAME, data.toString(), 2 * RING_FILE_MB, List.of())) {
-      Assertions.assertEquals(id, again.id());
+      Assertions.assertEquals(id, again.diskId());
       Assertions.assertArrayEquals(new byte[] {1, 2, 3}, again.ring().live().get("some/key"));
     }
   }
@@ -85,96 +85,96 @@
     Files.createDirectories(data);
     Files.write(data.resolve("ring-0"), new byte[RING_FILE_MB << 20]);
     Files.write(data.resolve("ring-1"), new byte[1000]);
-    used();
+    writeAndClose();
     Assertions.assertEquals(RING_FILE_MB << 20, Files.size(data.resolve("ring-1")));
     Files.delete(data.resolve(IDENTITY));
     Files.write(data.resolve("ring-0"), new byte[RING_FILE_MB << 20]);
-    used();
+    writeAndClose();
   }
 
   @Test
   void anIdentityThatIsDamagedForeignOrNewerIsAFinding() throws IOException {
-    String id = used();
-    refuses("b", "belongs to a");
+    String id = writeAndClose();
+    assertRefuses("b", "belongs to a");
     String good = Files.readString(data.resolve(IDENTITY));
     for (String bad :
         new String[] {
           "", "{", "[]", "{\"name\":\"a\"}", good.replace(id, ""), good.replace("\"a\"", "7")
         }) {
-      identity(bad);
-      refuses(NAME, IDENTITY);
+      writeIdentity(bad);
+      assertRefuses(NAME, IDENTITY);
     }
-    identity(good.replace("\"format\":1", "\"format\":2"));
-    refuses(NAME, IDENTITY, "format", "newer release");
-    identity(good);
-    Assertions.assertEquals(id, used());
+    writeIdentity(good.replace("\"format\":1", "\"format\":2"));
+    assertRefuses(NAME, IDENTITY, "format", "newer release");
+    writeIdentity(good);
+    Assertions.assertEquals(id, writeAndClose());
   }
 
   @Test
   void aFolderOfAReleaseBeforeFormatsIsOpened() throws IOException {
-    String id = used();
-    identity(Files.readString(data.resolve(IDENTITY)).replace("\"format\":1,", ""));
-    Assertions.assertEquals(id, used());
+    String id = writeAndClose();
+    writeIdentity(Files.readString(data.resolve(IDENTITY)).replace("\"format\":1,", ""));
+    Assertions.assertEquals(id, writeAndClose());
   }
 
   @Test
   void aRingFileThatIsMissingShortOrEmptiedIsAFinding() throws IOException {
-    used();
+    writeAndClose();
     Path first = data.resolve("ring-0");
     byte[] good = Files.readAllBytes(first);
     Files.delete(first);
-    refuses(NAME, "ring-0", "missing");
+    assertRefuses(NAME, "ring-0", "missing");
     Files.write(first, Arrays.copyOf(good, good.length - 1));
-    refuses(NAME, "ring-0", "bytes");
+    assertRefuses(NAME, "ring-0", "bytes");
     Files.write(first, new byte[good.length]);
-    refuses(NAME, "damaged", "no file of the ring holds a frame");
+    assertRefuses(NAME, "damaged", "no file of the ring holds a frame");
     Files.write(first, good);
-    used();
+    writeAndClose();
   }
 
   @Test
   void aRottenFrameIsAFinding() throws IOException {
-    used();
-    used();
+    writeAndClose();
+    writeAndClose();
     Path first = data.resolve("ring-0");
     byte[] good = Files.readAllBytes(first);
     for (int frame = 0; frame < 2; frame++) {
       byte[] bad = good.clone();
-      bad[frame * STEP + HEAD] ^= 1;
+      bad[frame * FRAME_ALIGNMENT_BYTES + FRAME_HEADER_BYTES] ^= 1;
       Files.write(first, bad);
-      refuses(NAME, "damaged");
+      assertRefuses(NAME, "damaged");
     }
   }
 
   @Test
   void stateWithoutAnIdentityIsNobodysAndIsKept() throws IOException {
-    used();
+    writeAndClose();
     Files.delete(data.resolve(IDENTITY));
-    refuses(NAME, IDENTITY);
+    assertRefuses(NAME, IDENTITY);
     byte[] ring = Files.readAllBytes(data.resolve("ring-0"));
     Files.write(data.resolve("ring-0"), Arrays.copyOf(ring, ring.length / 2));
-    refuses(NAME, "ring-0", IDENTITY);
+    assertRefuses(NAME, "ring-0", IDENTITY);
   }
 
   @Test
   void stateThatCantBeReadIsAFindingWithItsName() throws IOException {
-    used();
-    try (CoreDataFolder disk = opened(NAME)) {
+    writeAndClose();
+    try (CoreDataFolder disk = open(NAME)) {
       disk.ring().write(List.of(new RecordRing.Entry("cell/policy", new byte[] {1, 2, 3})));
       disk.ring().write(List.of(new RecordRing.Entry("members", new byte[] {9})));
     }
-    refuses(NAME, "damaged", "cell/policy", "members");
+    assertRefuses(NAME, "damaged", "cell/policy", "members");
   }
 
   @Test
   void aFolderInUseIsAFindingAndAFailedStartLetsItGo() throws IOException {
-    used();
-    try (CoreDataFolder disk = opened(NAME)) {
-      Assertions.assertThrows(ServiceRegistry.StartupException.class, () -> opened(NAME));
-      Assertions.assertFalse(disk.id().isEmpty());
+    writeAndClose();
+    try (CoreDataFolder disk = open(NAME)) {
+      Assertions.assertThrows(ServiceRegistry.StartupException.class, () -> open(NAME));
+      Assertions.assertFalse(disk.diskId().isEmpty());
     }
-    refuses("b", "belongs to a");
-    used();
+    assertRefuses("b", "belongs to a");
+    writeAndClose();
   }
 
   @Test
--- a/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
+++ b/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
@@ -42,7 +42,7 @@
         value =
             value
                 .next(summary, body)
-                .with(tasks.prefixSharing(StateKeys.CONFIGURATION, value, body));
+                .withSharing(tasks.prefixSharing(StateKeys.CONFIGURATION, value, body));
       }
       listener.join();
       System.exit(value.number() == CHANGES ? 0 : 1);
--- a/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
@@ -54,7 +54,7 @@
   static Map<String, CoreMessage> examples() {
     Map<String, CoreMessage> examples = new LinkedHashMap<>();
     List<RegisterRecord> kept =
-        List.of(new RegisterRecord("policy", new Register(1, 0, VersionedValue.NONE).bytes()));
+        List.of(new RegisterRecord("policy", new Register(1, 0, VersionedValue.NONE).toBytes()));
     List<RegisterVersion> versions = List.of(new RegisterVersion("policy", 1, 2));
     StateUpdate.SubscriptionRequest ask =
         new StateUpdate.SubscriptionRequest(
@@ -251,7 +251,7 @@
     Set<String> found = new TreeSet<>();
     for (String name :
         List.of("cell/policy", "epochs/policy", "members", "sealed", "pinned", "policy", "other"))
-      DurableState.findings(Map.of(name, unreadable), "core-a", "disk")
+      DurableState.validate(Map.of(name, unreadable), "core-a", "disk")
           .forEach(finding -> found.add(finding.place()));
     Assertions.assertEquals(
         Set.of("cell/policy", "epochs/policy", "members", "sealed", "pinned"), found);
--- a/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
@@ -21,11 +21,11 @@
   /**
    * A medium in memory that refuses so many writes, and calls something in the middle of each sync.
    */
-  private static final class Paper implements Storage {
+  private static final class MemoryStorage implements Storage {
     final byte[][] files = new byte[2][1 << 16];
-    final AtomicInteger refuses = new AtomicInteger();
-    final AtomicInteger refused = new AtomicInteger();
-    Runnable syncing = () -> {};
+    final AtomicInteger writesToRefuse = new AtomicInteger();
+    final AtomicInteger refusedWrites = new AtomicInteger();
+    Runnable onSync = () -> {};
 
     @Override
     public int files() {
@@ -43,52 +43,52 @@
     }
 
     @Override
-    public void write(int file, int at, byte[] b) throws IOException {
-      if (refuses.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
-        refused.incrementAndGet();
-        System.arraycopy(b, 0, files[file], at, b.length / 2);
+    public void write(int file, int at, byte[] bytes) throws IOException {
+      if (writesToRefuse.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
+        refusedWrites.incrementAndGet();
+        System.arraycopy(bytes, 0, files[file], at, bytes.length / 2);
         throw new IOException("No space left on device");
       }
-      System.arraycopy(b, 0, files[file], at, b.length);
+      System.arraycopy(bytes, 0, files[file], at, bytes.length);
     }
 
     @Override
     public void sync(int file) {
-      syncing.run();
+      onSync.run();
     }
   }
 
   @Test
   void whatAFullDiskRefusedIsWrittenOnceItTakesBytesAgain() throws Exception {
-    Paper p = new Paper();
-    p.refuses.set(3);
+    MemoryStorage storage = new MemoryStorage();
+    storage.writesToRefuse.set(3);
     List<String> failed = new ArrayList<>();
     CompletableFuture<Void> first = new CompletableFuture<>(), second = new CompletableFuture<>();
-    try (DiskWriter d =
-        new DiskWriter(RecordRing.open(p), Clock.monotonic(), Runnable::run, failed::add)) {
-      d.want("a", new byte[] {1}, () -> first.complete(null));
-      d.want("b", new byte[] {2}, () -> second.complete(null));
+    try (DiskWriter writer =
+        new DiskWriter(RecordRing.open(storage), Clock.monotonic(), Runnable::run, failed::add)) {
+      writer.enqueue("a", new byte[] {1}, () -> first.complete(null));
+      writer.enqueue("b", new byte[] {2}, () -> second.complete(null));
       first.get(10, TimeUnit.SECONDS);
       second.get(10, TimeUnit.SECONDS);
-      Assertions.assertEquals(0, d.stalled());
+      Assertions.assertEquals(0, writer.stalledMs());
     }
-    Assertions.assertEquals(3, p.refused.get());
+    Assertions.assertEquals(3, storage.refusedWrites.get());
     Assertions.assertEquals(List.of(), failed, "a full disk is no reason to end");
-    RecordRing again = RecordRing.open(p);
+    RecordRing again = RecordRing.open(storage);
     Assertions.assertArrayEquals(new byte[] {1}, again.live().get("a"));
     Assertions.assertArrayEquals(new byte[] {2}, again.live().get("b"));
   }
 
   @Test
   void closingDoesNotInterruptWhatIsBeingWritten() throws Exception {
-    Paper p = new Paper();
-    CountDownLatch within = new CountDownLatch(1), go = new CountDownLatch(1);
+    MemoryStorage storage = new MemoryStorage();
+    CountDownLatch syncStarted = new CountDownLatch(1), mayFinish = new CountDownLatch(1);
     List<Boolean> interrupted = new ArrayList<>();
-    p.syncing =
+    storage.onSync =
         () -> {
-          within.countDown();
+          syncStarted.countDown();
           try {
-            go.await(10, TimeUnit.SECONDS);
+            mayFinish.await(10, TimeUnit.SECONDS);
             interrupted.add(false);
           } catch (InterruptedException e) {
             interrupted.add(true);
@@ -96,12 +96,12 @@
         };
     CompletableFuture<Void> done = new CompletableFuture<>();
     List<String> failed = new ArrayList<>();
-    DiskWriter d =
-        new DiskWriter(RecordRing.open(p), Clock.monotonic(), Runnable::run, failed::add);
-    d.want("a", new byte[] {1}, () -> done.complete(null));
-    Assertions.assertTrue(within.await(10, TimeUnit.SECONDS));
-    d.close();
-    go.countDown();
+    DiskWriter writer =
+        new DiskWriter(RecordRing.open(storage), Clock.monotonic(), Runnable::run, failed::add);
+    writer.enqueue("a", new byte[] {1}, () -> done.complete(null));
+    Assertions.assertTrue(syncStarted.await(10, TimeUnit.SECONDS));
+    writer.close();
+    mayFinish.countDown();
     done.get(10, TimeUnit.SECONDS);
     Assertions.assertEquals(List.of(false), interrupted);
     Assertions.assertEquals(List.of(), failed);
--- a/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
+++ b/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
@@ -27,7 +27,7 @@
   private static final int CUTOFF_MS = 15_000, RING_FILE_MB = 8;
 
   /** Where operators are answered. */
-  final Address operator = new Address(IP, freePort());
+  final Address operatorAddress = new Address(IP, freePort());
 
   final CoreService core;
   private final Vertx vertx = Vertx.vertx();
@@ -39,33 +39,34 @@
    * @param bootstrapMembers how many are to bootstrap the core; those beside this one never come
    */
   OneMemberCore(Path data, int bootstrapMembers) {
-    Address records = new Address(IP, freePort());
+    Address recordsAddress = new Address(IP, freePort());
     List<MemberSet.Member> all = new ArrayList<>();
-    all.add(new MemberSet.Member(NAME, "", records, operator));
+    all.add(new MemberSet.Member(NAME, "", recordsAddress, operatorAddress));
     for (int i = 1; i < bootstrapMembers; i++) {
-      Address nobody = new Address(IP, freePort());
-      all.add(new MemberSet.Member("absent" + i, "", nobody, nobody));
+      Address unusedAddress = new Address(IP, freePort());
+      all.add(new MemberSet.Member("absent" + i, "", unusedAddress, unusedAddress));
     }
     CoreDataFolder disk = CoreDataFolder.open(NAME, data.toString(), RING_FILE_MB, all);
     Shuffle.Descriptor self =
-        new Shuffle.Descriptor(NAME, "control", records.toString(), operator.toString(), "z", 0, 0);
+        new Shuffle.Descriptor(
+            NAME, "control", recordsAddress.toString(), operatorAddress.toString(), "z", 0, 0);
     core =
         new CoreService(
             vertx,
             disk.ring(),
             QuorumConfig.DEFAULT,
-            new MemberSet.Member(NAME, disk.id(), records, operator),
+            new MemberSet.Member(NAME, disk.diskId(), recordsAddress, operatorAddress),
             List.of(),
             CUTOFF_MS,
-            new BootstrapMembers(disk.founders()),
+            new BootstrapMembers(disk.bootstrapMembers()),
             new ControlOwnerTasks(Configuration::parse),
             what -> {});
     services =
         new ServiceRegistry()
-            .add("doors", new ConnectionAcceptor(vertx, records, new BindAddress(IP), NAME))
+            .add("doors", new ConnectionAcceptor(vertx, recordsAddress, new BindAddress(IP), NAME))
             .add("views", new PartialViewService(vertx, self, List.of()))
             .add("core", core)
-            .add("operator-endpoint", new OperatorEndpoint(vertx, operator));
+            .add("operator-endpoint", new OperatorEndpoint(vertx, operatorAddress));
     services.start();
   }
 
--- a/emulator/src/main/java/gladelug/emulator/check/CheckedMachine.java
+++ b/emulator/src/main/java/gladelug/emulator/check/CheckedMachine.java
@@ -166,7 +166,7 @@
     if (m.message() instanceof CoreMessage.PrepareRequest promise)
       world.rules.asks(this, member, promise);
     MemberSet.Member to = connected.find(member);
-    if (to != null) sendTo(to.records(), m);
+    if (to != null) sendTo(to.recordsAddress(), m);
   }
 
   @Override
--- a/emulator/src/main/java/gladelug/emulator/check/CheckedNetwork.java
+++ b/emulator/src/main/java/gladelug/emulator/check/CheckedNetwork.java
@@ -111,7 +111,7 @@
     if (forged == null) return;
     for (MemberSet.Member other : m.node.members().all())
       if (!other.name().equals(m.name))
-        m.tellItself(new Envelope(e.generation(), other.name(), other.disk(), forged));
+        m.tellItself(new Envelope(e.generation(), other.name(), other.diskId(), forged));
   }
 
   private CoreMessage forged(CoreMessage said) {
--- a/emulator/src/main/java/gladelug/emulator/check/FaultBudget.java
+++ b/emulator/src/main/java/gladelug/emulator/check/FaultBudget.java
@@ -96,7 +96,7 @@
     long established = established();
     return sets.stream()
         .filter(members -> members.generation() >= established)
-        .anyMatch(members -> members.all().stream().anyMatch(x -> x.disk().equals(m.disk.id)));
+        .anyMatch(members -> members.all().stream().anyMatch(x -> x.diskId().equals(m.disk.id)));
   }
 
   private Map<String, Long> clocks() {
@@ -132,7 +132,7 @@
     int took = 0;
     for (MemberSet.Member x : members.all()) {
       CheckedMachine m = world.machine(x.name());
-      if (!m.disk.id.equals(x.disk())) continue;
+      if (!m.disk.id.equals(x.diskId())) continue;
       MemberSet onDisk = StateDecoder.members(m.disk.entry(StateDecoder.MEMBERS));
       if (onDisk.generation() >= members.generation()) took++;
     }
@@ -144,7 +144,7 @@
     if (!isMember(loses)) lost++;
     for (MemberSet.Member x : members.all()) {
       CheckedMachine m = world.machine(x.name());
-      if (m == loses || !m.disk.id.equals(x.disk())) lost++;
+      if (m == loses || !m.disk.id.equals(x.diskId())) lost++;
     }
     return lost <= (members.all().size() - 1) / 2;
   }
--- a/emulator/src/main/java/gladelug/emulator/check/Rules.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Rules.java
@@ -178,7 +178,7 @@
     if (members == null) return;
     List<NumberedValue> had = new ArrayList<>();
     for (MemberSet.Member x : members.all())
-      if (under.get(x.disk()) != null) had.add(under.get(x.disk()));
+      if (under.get(x.diskId()) != null) had.add(under.get(x.diskId()));
     int majority = members.all().size() / 2 + 1;
     if (had.size() < majority) return;
     had.sort(Comparator.comparingLong(NumberedValue::number).reversed());
@@ -294,7 +294,7 @@
   }
 
   void read(String door, String key, long least, ReadResult answer) {
-    if (!answer.owned()) return;
+    if (!answer.hasOwner()) return;
     if (answer.number() < least)
       breaks(
           Rule.READ_IS_NEWEST,
@@ -347,7 +347,7 @@
     MemberSet former = generations.get(members.generation() - 1);
     if (same != null || former == null) return;
     Set<String> sealed = sealedFor.getOrDefault(members.generation(), Set.of());
-    long of = former.all().stream().filter(x -> sealed.contains(x.disk())).count();
+    long of = former.all().stream().filter(x -> sealed.contains(x.diskId())).count();
     if (of <= former.all().size() / 2)
       breaks(
           Rule.SEALED_BEFORE_NEXT,
--- a/emulator/src/main/java/gladelug/emulator/sim/Sim.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/Sim.java
@@ -446,7 +446,7 @@
                     .readNewest(
                         key,
                         x -> {
-                          if (!x.owned()) return;
+                          if (!x.hasOwner()) return;
                           reads++;
                           if (x.number() < least)
                             violation(
@@ -561,7 +561,7 @@
     int took = 0;
     for (MemberSet.Member x : m.all()) {
       SimControl control = controls.get(x.name());
-      if (control.disk.equals(x.disk()) && control.node.members().generation() == m.generation())
+      if (control.disk.equals(x.diskId()) && control.node.members().generation() == m.generation())
         took++;
     }
     MemberSet before = generations.get(m.generation() - 1);
@@ -589,7 +589,7 @@
     for (MemberSet.Member x : members.all())
       if (x.name().equals(who)
           || left.contains(x.name())
-          || !controls.get(x.name()).disk.equals(x.disk())) lost++;
+          || !controls.get(x.name()).disk.equals(x.diskId())) lost++;
     // one that stands by may have been chosen for a next set a moment before
     for (Map.Entry<String, Long> e : stoodBy.entrySet()) if (time - e.getValue() < 6000) lost++;
     return lost <= (members.all().size() - 1) / 2;
@@ -666,7 +666,7 @@
       SimControl control = controls.get(x.name());
       if (!control.up
           || control.paused
-          || !control.disk.equals(x.disk())
+          || !control.disk.equals(x.diskId())
           || control.node.members().generation() != g
           || control.node.sealed()) return false;
     }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimControl.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimControl.java
@@ -200,8 +200,8 @@
   void propose(String key, long match, byte[] body, Consumer<ChangeResult> answer) {
     ChangeRequest request =
         sim.broken == BrokenRule.TAKEN_CHANGES_REMEMBERED
-            ? ChangeRequest.forgettable(key, match, body)
-            : ChangeRequest.onNumber(key, match, body);
+            ? ChangeRequest.withoutBase(key, match, body)
+            : ChangeRequest.basedOnNumber(key, match, body);
     run(() -> node.change(request, answer));
   }
 
@@ -242,7 +242,7 @@
   }
 
   private static CoreMessage.Envelope asSaidBy(MemberSet.Member other, CoreMessage.Envelope m) {
-    return new CoreMessage.Envelope(m.generation(), other.name(), other.disk(), m.message());
+    return new CoreMessage.Envelope(m.generation(), other.name(), other.diskId(), m.message());
   }
 
   @Override
--- a/emulator/src/test/java/gladelug/emulator/RequestRehearsalTest.java
+++ b/emulator/src/test/java/gladelug/emulator/RequestRehearsalTest.java
@@ -635,7 +635,7 @@
             "--name",
             "control-9"),
         3,
-        "a new fleet is founded by one to 9 of different names, of which this is one");
+        "a new fleet needs 1 to 9 bootstrap members with distinct names, including this one");
   }
 
   @Test
--- a/emulator/src/test/java/gladelug/emulator/check/CoreMutationsTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/CoreMutationsTest.java
@@ -57,64 +57,65 @@
 
     COMMIT_ONE_SHORT(
         OWNER,
-        "currentChange.acceptedCount() >= context.members().majority()",
-        "currentChange.acceptedCount() >= context.members().majority() - 1",
+        "currentChange.acceptedCount() >= context.members().majoritySize()",
+        "currentChange.acceptedCount() >= context.members().majoritySize() - 1",
         RandomWalkScenario.class),
 
     REWRITE_ONE_SHORT(
         OWNER,
-        "if (election.acceptedCount() >= context.members().majority())",
-        "if (election.acceptedCount() >= context.members().majority() - 1)",
+        "if (election.acceptedCount() >= context.members().majoritySize())",
+        "if (election.acceptedCount() >= context.members().majoritySize() - 1)",
         RandomWalkScenario.class),
 
     PROMISES_ONE_SHORT(
         OWNER,
-        "if (election.promiseCount() < context.members().majority()) return;",
-        "if (election.promiseCount() < context.members().majority() - 1) return;",
+        "if (election.promiseCount() < context.members().majoritySize()) return;",
+        "if (election.promiseCount() < context.members().majoritySize() - 1) return;",
         RandomWalkScenario.class),
 
     CONFIRMATION_ONE_SHORT(
         ROUNDS,
-        "if (confirmedBy.size() >= members.get().majority()) owner.onRoundConfirmed",
-        "if (confirmedBy.size() >= members.get().majority() - 1) owner.onRoundConfirmed",
+        "if (confirmedBy.size() >= members.get().majoritySize()) owner.onRoundConfirmed",
+        "if (confirmedBy.size() >= members.get().majoritySize() - 1) owner.onRoundConfirmed",
         LateConfirmationScenario.class),
 
     SEALED_ONE_SHORT(
         RECONFIGURATION,
-        "if (sealResponses.size() < membership.members().majority()) {",
-        "if (sealResponses.size() < membership.members().majority() - 1) {",
+        "if (sealResponses.size() < membership.members().majoritySize()) {",
+        "if (sealResponses.size() < membership.members().majoritySize() - 1) {",
         RandomWalkScenario.class),
 
     ACCEPTED_BELOW_THE_PROMISE(
         ACCEPTOR,
-        "if (accept.epoch() < register.promised()) {",
-        "if (accept.epoch() < register.epoch()) {",
+        "if (accept.epoch() < register.promisedEpoch()) {",
+        "if (accept.epoch() < register.acceptedEpoch()) {",
         RandomWalkScenario.class),
 
     /** Whatever epoch the values of sealed members were accepted under; of equals the own. */
     SEALED_MERGED_BY_NUMBER_OWN(
         REGISTER,
-        "own.isReplacedBy(other.epoch, other.value.number()) ? other : own",
+        "own.isReplacedBy(other.acceptedEpoch, other.value.number()) ? other : own",
         "other.value.number() > own.value.number() ? other : own",
         MergeScenario.class),
 
     /** The same; of equals the other's. */
     SEALED_MERGED_BY_NUMBER_OTHER(
         REGISTER,
-        "own.isReplacedBy(other.epoch, other.value.number()) ? other : own",
+        "own.isReplacedBy(other.acceptedEpoch, other.value.number()) ? other : own",
         "other.value.number() >= own.value.number() ? other : own",
         RandomWalkScenario.class),
 
     /** A sealed member leaves out values of numbers that the asking one has. */
     SEALED_LEFT_OUT_BY_NUMBER(
         REGISTERS,
-        "known != null && cell.isReplacedBy(known.epoch(), known.number())",
-        "known != null && cell.value().number() <= known.number()",
+        "known != null && register.isReplacedBy(known.epoch(), known.number())",
+        "known != null && register.value().number() <= known.number()",
         MergeScenario.class),
 
     REPLACED_BY_NUMBER(
         REGISTER,
-        "return otherEpoch > epoch || otherEpoch == epoch && otherNumber >= value.number();",
+        "return otherEpoch > acceptedEpoch"
+            + " || otherEpoch == acceptedEpoch && otherNumber >= value.number();",
         "return otherNumber >= value.number();",
         MergeScenario.class),
 
@@ -146,29 +147,29 @@
     /** After a takeover by another: epochs heard of don't count. */
     EPOCH_WITHOUT_THE_HIGHEST_HEARD(
         OWNER,
-        "Math.max(highestEpochSeen, context.register(key).promised())",
-        "context.register(key).promised()",
+        "Math.max(highestEpochSeen, context.register(key).promisedEpoch())",
+        "context.register(key).promisedEpoch()",
         RandomWalkScenario.class),
 
     EPOCH_WITHOUT_OWN_PROMISE(
         OWNER,
-        "Math.max(highestEpochSeen, context.register(key).promised())",
+        "Math.max(highestEpochSeen, context.register(key).promisedEpoch())",
         "highestEpochSeen",
         RandomWalkScenario.class),
 
     EPOCH_NOT_RAISED(
         MEMBERS,
-        "(above - first >> 8) + 1 : 1",
-        "(above - first >> 8) : 1",
+        "(lowerBound - base >> 8) + 1 : 1",
+        "(lowerBound - base >> 8) : 1",
         RandomWalkScenario.class),
 
     EPOCH_OF_TWO_MEMBERS(
-        MEMBERS, "counter << 8 | slot(name)", "counter << 8", RandomWalkScenario.class),
+        MEMBERS, "counter << 8 | slotOf(name)", "counter << 8", RandomWalkScenario.class),
 
     /** A founder that came back empty is waited for though it stores no set. */
     FOUNDER_THAT_JOINS_IS_WAITED_FOR(
         BOOTSTRAP,
-        "if (joiningByDisk.containsKey(member.disk()) || !hasSameDisk(storedSet, member.name()))",
+        "if (joiningByDisk.containsKey(member.diskId()) || !hasSameDisk(storedSet, member.name()))",
         "if (!hasSameDisk(storedSet, member.name()))",
         FoundingScenario.class),
 
@@ -182,8 +183,8 @@
     /** A set is in force though a founder that still has its disk stored none or another. */
     FOUNDED_BY_ONE_OF_THREE(
         BOOTSTRAP,
-        "stored + lost == storedSet.all().size() && stored >= storedSet.majority()",
-        "stored >= storedSet.majority() - 1",
+        "stored + lost == storedSet.all().size() && stored >= storedSet.majoritySize()",
+        "stored >= storedSet.majoritySize() - 1",
         FoundingScenario.class);
 
     final String file;
--- a/emulator/src/test/java/gladelug/emulator/sim/MembersSimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/MembersSimTest.java
@@ -163,7 +163,7 @@
       SimControl control = world.controls.get(x.name());
       boolean well =
           control.up
-              && control.disk.equals(x.disk())
+              && control.disk.equals(x.diskId())
               && control.node.active()
               && control.node.members().generation() == members.generation();
       if (!well && up >= members.all().size())
