--- a/control-plane/src/main/java/gladelug/control/ControlPlane.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlane.java
@@ -123,13 +123,13 @@
             "data folder "
                 + data
                 + " already belongs to "
-                + (DiskIdentity.read(identity) instanceof Result.Good<DiskIdentity> known
+                + (DiskIdentity.parse(identity) instanceof Result.Good<DiskIdentity> known
                     ? known.value().name()
                     : "an unknown member; its identity.json cannot be read"));
       CoreDataFolder.create(folder, settings.name(), settings.bootstrapMembers());
     } catch (IOException e) {
       throw new ServiceRegistry.StartupException(
-          "data folder " + data + " cannot be prepared:  " + e, e);
+          "data folder " + data + " cannot be prepared: " + e, e);
     }
     Log.event("bootstrapped", "name", settings.name(), "data", data);
   }
@@ -216,7 +216,7 @@
    * member has promised to keep may be missing.
    */
   private static void haltAfterDiskFailure(String problem) {
-    System.err.println(PROGRAM + ": the disk failed, so this member halts:  " + problem);
+    System.err.println(PROGRAM + ": the disk failed, so this member halts: " + problem);
     Runtime.getRuntime().halt(Program.CANNOT);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
@@ -21,7 +21,7 @@
  * @param bindAddress the local IP address that this process listens on and connects from
  * @param platformAddress the address of the platform's replica list
  * @param seedAddresses records addresses of other processes, contacted first
- * @param parseBootstrapMembers first members of a new fleet; needed by `bootstrap` only
+ * @param bootstrapMembers first members of a new fleet; needed by `bootstrap` only
  * @param dataFolder the data folder
  * @param logLevel fine, info or warning
  * @param cutoffMs after new weights, how long requests may still start on the old ones, in ms
@@ -131,7 +131,7 @@
       String[] parts = text.split("[=/]");
       if (parts.length != 3)
         settings.findings.add(
-            setting, "must be NAME=RECORDS/OPERATOR with two addresses, but is  " + text);
+            setting, "must be NAME=RECORDS/OPERATOR with two addresses, but is " + text);
       else
         members.add(
             new MemberSet.Member(
--- a/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
+++ b/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
@@ -41,13 +41,16 @@
    *     folder only
    */
   public static CoreDataFolder open(
-      String name, String dataFolder, int ringFileMb, List<MemberSet.Member> bootstrapMembers) {
+      String memberName,
+      String dataFolder,
+      int ringFileMb,
+      List<MemberSet.Member> bootstrapMembers) {
     DataFolder folder = new DataFolder(Path.of(dataFolder), ringFileMb << 20);
     try {
       String identity = folder.identity();
       return identity == null
-          ? create(folder, name, bootstrapMembers)
-          : reopen(folder, name, identity);
+          ? create(folder, memberName, bootstrapMembers)
+          : reopen(folder, memberName, identity);
     } catch (RuntimeException e) {
       folder.close();
       throw e;
@@ -62,7 +65,8 @@
    * identity, so that a folder with an identity always has a readable ring.
    */
   static CoreDataFolder create(
-      DataFolder folder, String name, List<MemberSet.Member> bootstrapMembers) throws IOException {
+      DataFolder folder, String memberName, List<MemberSet.Member> bootstrapMembers)
+      throws IOException {
     boolean isEmpty = folder.create();
     RecordRing ring = isEmpty ? RecordRing.blank(folder) : RecordRing.open(folder);
     if (!ring.live().isEmpty())
@@ -72,32 +76,37 @@
               + " holds state but no identity.json, so its owner is unknown; restore that file, or "
               + RECOVERY_HINT);
     ring.write(List.of(new RecordRing.Entry("", new byte[0])));
-    DiskIdentity identity = DiskIdentity.create(name, folder.size(), bootstrapMembers);
+    DiskIdentity identity = DiskIdentity.create(memberName, folder.size(), bootstrapMembers);
     folder.identity(identity.toJson());
     Log.event(
         bootstrapMembers.isEmpty() ? "empty-disk-joins" : "empty-disk-bootstraps",
         "name",
-        name,
+        memberName,
         "data",
         folder.dir());
     return new CoreDataFolder(identity.diskId(), ring, identity.bootstrapMembers(), folder);
   }
 
-  private static CoreDataFolder reopen(DataFolder folder, String name, String text)
+  private static CoreDataFolder reopen(DataFolder folder, String memberName, String identityJson)
       throws IOException {
-    Result<DiskIdentity> read = DiskIdentity.read(text);
-    if (read instanceof Result.Bad<DiskIdentity> bad)
+    Result<DiskIdentity> parsed = DiskIdentity.parse(identityJson);
+    if (parsed instanceof Result.Bad<DiskIdentity> bad)
       throw new ServiceRegistry.StartupException(
           "identity.json in " + folder.dir() + " cannot be used: " + describe(bad.findings()));
-    DiskIdentity identity = ((Result.Good<DiskIdentity>) read).value();
-    if (!identity.name().equals(name))
+    DiskIdentity identity = ((Result.Good<DiskIdentity>) parsed).value();
+    if (!identity.name().equals(memberName))
       throw new ServiceRegistry.StartupException(
-          "data folder " + folder.dir() + " belongs to " + identity.name() + ", not to " + name);
+          "data folder "
+              + folder.dir()
+              + " belongs to "
+              + identity.name()
+              + ", not to "
+              + memberName);
     folder.open(identity.ringFileBytes());
     RecordRing ring = RecordRing.open(folder);
     if (ring.unwritten() && identity.format() > 0)
       throw damagedFolder(folder.dir().toString(), "no file of the ring holds a frame");
-    List<Finding> findings = DurableState.validate(ring.live(), name, identity.diskId());
+    List<Finding> findings = DurableState.validate(ring.live(), memberName, identity.diskId());
     if (!findings.isEmpty()) throw damagedFolder(folder.dir().toString(), describe(findings));
     return new CoreDataFolder(identity.diskId(), ring, identity.bootstrapMembers(), folder);
   }
--- a/control-plane/src/main/java/gladelug/control/DiskIdentity.java
+++ b/control-plane/src/main/java/gladelug/control/DiskIdentity.java
@@ -48,11 +48,11 @@
    * Parses an identity. A folder of a newer release is reported as such, without checking the other
    * fields.
    */
-  static Result<DiskIdentity> read(String text) {
-    return LocatedJson.parse(text).then(DiskIdentity::read);
+  static Result<DiskIdentity> parse(String text) {
+    return LocatedJson.parse(text).then(DiskIdentity::parse);
   }
 
-  private static Result<DiskIdentity> read(LocatedJson document) {
+  private static Result<DiskIdentity> parse(LocatedJson document) {
     Findings findings = new Findings();
     LocatedJson.Fields fields = document.fields(findings);
     int format = (int) fields.integer("format", 0, 0, Integer.MAX_VALUE);
@@ -61,7 +61,7 @@
           "format",
           "is "
               + format
-              + ", written by a newer release; this release reads formats up to  "
+              + ", written by a newer release; this release reads formats up to "
               + FORMAT);
     String name = fields.text("name");
     String diskId = fields.text("disk");
--- a/control-plane/src/main/java/gladelug/control/capacity/CapacityAllocation.java
+++ b/control-plane/src/main/java/gladelug/control/capacity/CapacityAllocation.java
@@ -66,38 +66,38 @@
   /**
    * The allocation of one service's slots to the leaves of the quota tree.
    *
-   * @param bounded whether the demand exceeds the slots or a limit; otherwise no relay is limited
+   * @param isLimited whether the demand exceeds the slots or a limit; otherwise no relay is limited
    */
   private record ServiceAllocation(
       String service,
-      boolean bounded,
+      boolean isLimited,
       Map<String, Double> demandByLeaf,
       Map<String, Double> slotsByLeaf) {
     static ServiceAllocation of(
         String service, int slots, List<SubscriberStatus> relays, Configuration configuration) {
-      Map<String, Double> demandByLeaf = CapacityAllocation.demandByLeaf(service, relays);
+      Map<String, Double> demandByLeaf = CapacityAllocation.sumDemandByLeaf(service, relays);
       double totalDemand = demandByLeaf.values().stream().mapToDouble(demand -> demand).sum();
-      QuotaNode root = quotaTree(configuration, demandByLeaf);
+      QuotaNode root = buildQuotaTree(configuration, demandByLeaf);
       Map<String, Double> slotsByLeaf = new HashMap<>();
-      boolean bounded = totalDemand > slots || exceedsLimit(root);
-      if (bounded) {
+      boolean isLimited = totalDemand > slots || exceedsLimit(root);
+      if (isLimited) {
         distribute(root, Math.min(slots, totalDemand));
         collectLeafSlots(root, slotsByLeaf);
       }
-      return new ServiceAllocation(service, bounded, demandByLeaf, slotsByLeaf);
+      return new ServiceAllocation(service, isLimited, demandByLeaf, slotsByLeaf);
     }
 
-    CapacityGrant grantFor(SubscriberStatus relay, long epoch) {
+    CapacityGrant createGrant(SubscriberStatus relay, long epoch) {
       List<QuotaAllotment> allotments = new ArrayList<>();
-      if (bounded)
+      if (isLimited)
         for (QuotaDemand demand : relay.demands())
           if (demand.service().equals(service))
-            allotments.add(new QuotaAllotment(demand.leaf(), milliSlots(demand)));
-      return new CapacityGrant(epoch, service, bounded, allotments);
+            allotments.add(new QuotaAllotment(demand.leaf(), relayMilliSlots(demand)));
+      return new CapacityGrant(epoch, service, isLimited, allotments);
     }
 
     /** Returns one relay's part of a leaf's slots, in thousandths of a slot. */
-    private int milliSlots(QuotaDemand demand) {
+    private int relayMilliSlots(QuotaDemand demand) {
       double leafDemand = demandByLeaf.get(demand.leaf());
       double relayDemand = demand.waiting() + demand.using();
       double relayPart = leafDemand == 0 ? 0 : relayDemand / leafDemand;
@@ -118,7 +118,7 @@
   public static Map<String, List<CapacityGrant>> allocate(
       long epoch, List<SubscriberStatus> relays, Configuration configuration) {
     Map<String, List<CapacityGrant>> grantsByRelay = new HashMap<>();
-    slotsByService(relays)
+    maxSlotsByService(relays)
         .forEach(
             (service, slots) -> {
               ServiceAllocation allocation =
@@ -126,13 +126,13 @@
               for (SubscriberStatus relay : relays)
                 grantsByRelay
                     .computeIfAbsent(relay.name(), name -> new ArrayList<>())
-                    .add(allocation.grantFor(relay, epoch));
+                    .add(allocation.createGrant(relay, epoch));
             });
     return grantsByRelay;
   }
 
   /** Returns, by service, the highest number of slots that any relay reports. */
-  private static Map<String, Integer> slotsByService(List<SubscriberStatus> relays) {
+  private static Map<String, Integer> maxSlotsByService(List<SubscriberStatus> relays) {
     Map<String, Integer> slotsByService = new TreeMap<>();
     for (SubscriberStatus relay : relays)
       for (ServiceCapacity capacity : relay.capacities())
@@ -141,7 +141,8 @@
   }
 
   /** Returns the slots demanded by all relays, by path of the quota leaf. */
-  private static Map<String, Double> demandByLeaf(String service, List<SubscriberStatus> relays) {
+  private static Map<String, Double> sumDemandByLeaf(
+      String service, List<SubscriberStatus> relays) {
     Map<String, Double> demandByLeaf = new HashMap<>();
     for (SubscriberStatus relay : relays)
       for (QuotaDemand demand : relay.demands())
@@ -151,12 +152,12 @@
     return demandByLeaf;
   }
 
-  private static QuotaNode quotaTree(
+  private static QuotaNode buildQuotaTree(
       Configuration configuration, Map<String, Double> demandByLeaf) {
     QuotaNode root = new QuotaNode("", 1, 0, 0);
     Map<String, Double> unassigned = new HashMap<>(demandByLeaf);
     for (Configuration.Tenant tenant : configuration.tenants)
-      root.children.add(quotaNode(tenant.share(), unassigned));
+      root.children.add(buildQuotaNode(tenant.share(), unassigned));
     // leaves of an older configuration may still have requests at some relay
     for (String path : new TreeSet<>(unassigned.keySet()))
       root.children.add(QuotaNode.unconfiguredLeaf(path, unassigned.get(path)));
@@ -165,14 +166,14 @@
   }
 
   /** Builds the subtree of a share; the demand it covers is removed from the unassigned demand. */
-  private static QuotaNode quotaNode(QuotaShare share, Map<String, Double> unassigned) {
+  private static QuotaNode buildQuotaNode(QuotaShare share, Map<String, Double> unassigned) {
     QuotaNode node = new QuotaNode(share.path(), share.weight(), share.tier(), share.limit());
     Double ownDemand = unassigned.remove(share.path());
     if (share.shares().isEmpty()) {
       node.demand = ownDemand == null ? 0 : ownDemand;
       return node;
     }
-    for (QuotaShare child : share.shares()) node.children.add(quotaNode(child, unassigned));
+    for (QuotaShare child : share.shares()) node.children.add(buildQuotaNode(child, unassigned));
     // a share that was a leaf in an older configuration may still have requests of its own
     if (ownDemand != null) node.children.add(QuotaNode.unconfiguredLeaf(share.path(), ownDemand));
     return node;
--- a/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
+++ b/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
@@ -31,6 +31,7 @@
   public record Member(
       String name, String diskId, Address recordsAddress, Address operatorAddress) {}
 
+  /** The empty set of generation 0, before the members are known. */
   public static final MemberSet NONE = new MemberSet(0, List.of());
 
   /** Creates the members of a generation, sorted by name. */
@@ -80,7 +81,7 @@
   }
 
   /**
-   * Returns the lowest epoch of this generation for this member that is higher than the given one.
+   * Returns the next epoch of this generation for this member, higher than the given one.
    *
    * @param lowerBound an epoch of any generation
    * @param name the name of a member of this set
--- a/control-plane/src/main/java/gladelug/control/core/message/ChangeRequest.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/ChangeRequest.java
@@ -17,6 +17,7 @@
  */
 public record ChangeRequest(
     String key, long requiredNumber, long base, byte[] body, String sentDigest) {
+  /** The required number of a change that replaces whatever value is there. */
   public static final long ANY_NUMBER = -1;
 
   /**
--- a/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
@@ -86,6 +86,7 @@
    * interpret it.
    */
   record SendTime(long incarnation, long atMs) {
+    /** Stands for no message received yet. */
     public static final SendTime NONE = new SendTime(0, 0);
 
     private void write(DataOutputStream out) throws IOException {
--- a/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
@@ -35,23 +35,24 @@
    */
   public static final int MAX_ENTRIES = 512;
 
+  /** The empty list. */
   public static final AppliedChanges NONE = new AppliedChanges(TreePVector.empty(), NO_BASE);
 
   private static final int DIGEST_BYTES = 32;
 
   /**
-   * One applied change: the number assigned to it, the SHA-256 of its body in hex, and the base it
-   * was sent on.
+   * One applied change: the number assigned to it, the SHA-256 of what was sent in hex, and the
+   * base it was sent on.
    */
   public record AppliedChange(long number, String digest, long base) {}
 
   /** Returns the list with one more applied change; a change without a base is not added. */
   public AppliedChanges plus(long number, String digest, long base) {
     if (base == NO_BASE) return this;
-    PVector<AppliedChange> longer = entries.plus(new AppliedChange(number, digest, base));
-    if (longer.size() <= MAX_ENTRIES) return new AppliedChanges(longer, highestDroppedBase);
-    long oldestBase = longer.get(0).base();
-    return new AppliedChanges(longer.minus(0), Math.max(highestDroppedBase, oldestBase));
+    PVector<AppliedChange> extended = entries.plus(new AppliedChange(number, digest, base));
+    if (extended.size() <= MAX_ENTRIES) return new AppliedChanges(extended, highestDroppedBase);
+    long oldestBase = extended.get(0).base();
+    return new AppliedChanges(extended.minus(0), Math.max(highestDroppedBase, oldestBase));
   }
 
   /** Returns the number under which a change was applied, or 0 if it is not listed. */
--- a/control-plane/src/main/java/gladelug/control/core/register/DiskWriter.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/DiskWriter.java
@@ -30,7 +30,10 @@
   private final Consumer<String> onFailure;
   private final ArrayBlockingQueue<PendingWrite> pendingWrites = new ArrayBlockingQueue<>(4096);
   private final Thread thread;
+
+  /** When the current write began, by the clock; -1 while idle. */
   private volatile long busySinceMs = -1;
+
   private volatile boolean hasFailed;
   private volatile boolean isClosing;
   private boolean isRefusingWrites;
--- a/control-plane/src/main/java/gladelug/control/core/register/DurableState.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/DurableState.java
@@ -76,6 +76,6 @@
     MemberSet.Member self = members.find(memberName);
     return self == null || self.diskId().equals(diskId)
         ? ""
-        : "belongs to disk " + self.diskId() + ", not to this one,  " + diskId;
+        : "belongs to disk " + self.diskId() + ", not to this one, " + diskId;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/Register.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/Register.java
@@ -9,11 +9,12 @@
 
 /**
  * The state that a member stores for one key: the highest epoch it promised, and the value it last
- * accepted together with its epoch. The value's history tells what became of earlier numbers.
- * Numbers only rise; once a write has reached a majority, its number never stands for another
- * value.
+ * accepted with the epoch of that acceptance. The value's history tells what became of earlier
+ * numbers. Numbers only rise; once a write has reached a majority, its number never stands for
+ * another value.
  */
 public record Register(long promisedEpoch, long acceptedEpoch, VersionedValue value) {
+  /** The register of a key for which nothing was ever promised or accepted. */
   public static final Register EMPTY = new Register(0, 0, VersionedValue.NONE);
 
   /** Returns whether a write under this epoch and number is at least as new as the stored value. */
--- a/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
@@ -27,6 +27,7 @@
     byte[] body,
     AppliedChanges appliedChanges,
     PrefixSharing sharing) {
+  /** The value of a key that was never written. */
   public static final VersionedValue NONE =
       new VersionedValue(
           0, "", TreePVector.empty(), new byte[0], AppliedChanges.NONE, PrefixSharing.UNRECORDED);
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
@@ -22,7 +22,7 @@
   /**
    * A stored list.
    *
-   * @param baseNumber the number of the stored value; 0 if no list is stored
+   * @param number the number of the stored value; 0 if no list is stored
    * @param list the list as JSON, as stored
    */
   record StoredList(long number, byte[] list) {
@@ -80,16 +80,16 @@
    * @return the list as JSON, as it would be stored
    */
   static byte[] retainListed(byte[] stored, Replicas polled) {
-    List<Replica> remaining = new ArrayList<>();
-    for (Replica replica : parse(stored)) {
+    List<Replica> retained = new ArrayList<>();
+    for (Replica replica : parseStored(stored)) {
       Replica polledReplica = polled.find(replica.instance());
       if (polledReplica != null && isSameEndpoint(replica, polledReplica))
-        remaining.add(withReadiness(replica, replica.ready() && polledReplica.ready()));
+        retained.add(withReadiness(replica, replica.ready() && polledReplica.ready()));
     }
-    return new Replicas(remaining).json().getBytes(StandardCharsets.UTF_8);
+    return new Replicas(retained).json().getBytes(StandardCharsets.UTF_8);
   }
 
-  private static List<Replica> parse(byte[] stored) {
+  private static List<Replica> parseStored(byte[] stored) {
     Result<Replicas> parsed = Replicas.parse(new String(stored, StandardCharsets.UTF_8));
     return parsed instanceof Result.Good<Replicas> good ? good.value().all : List.of();
   }
--- a/control-plane/src/main/java/gladelug/control/operator/ChangeHistoryHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/ChangeHistoryHandler.java
@@ -65,7 +65,7 @@
           List.of(
               new Finding(
                   "number and digest",
-                  "must be a number of at least 1 and the parameter digest, the SHA-256 of what was sent")));
+                  "must be a number of at least 1 and the SHA-256 of what was sent")));
       return;
     }
     core.readNewest(key)
--- a/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
@@ -30,7 +30,8 @@
       JsonResponses.sendNotApplied(
           context,
           428,
-          "the header If-Match is required: the number that this configuration is based on, or * to replace any");
+          "the header If-Match is required: "
+              + "the number that this configuration is based on, or * to replace any");
       return;
     }
     byte[] body =
--- a/control-plane/src/main/java/gladelug/control/operator/JsonResponses.java
+++ b/control-plane/src/main/java/gladelug/control/operator/JsonResponses.java
@@ -21,7 +21,8 @@
   static final long MAX_BODY_BYTES = 5 << 20;
 
   private static final String NO_OWNER =
-      "no owner with a majority is reachable at the moment; if this change was sent before, the earlier one may have been applied";
+      "no owner with a majority is reachable at the moment; if this change was sent before, "
+          + "the earlier one may have been applied";
 
   private JsonResponses() {}
 
@@ -96,7 +97,8 @@
               .add("number", unknown.number())
               .add(
                   "reason",
-                  "the change may have been applied; query the status of the number, or send the same change again"));
+                  "the change may have been applied; "
+                      + "query the status of the number, or send the same change again"));
     else if (result instanceof ChangeResult.TooLarge tooLarge)
       sendNotApplied(context, 413, tooLarge.bytes() + " bytes; the limit is " + tooLarge.most());
     else
--- a/control-plane/src/main/java/gladelug/control/operator/WeightNamingHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/WeightNamingHandler.java
@@ -122,7 +122,7 @@
           .item(
               Optional.of(
                   new Finding(
-                      "service", "is no model service of the configuration:  " + naming.service)));
+                      "service", "is no model service of the configuration: " + naming.service)));
     return anyReplicaOffers(naming, service, replicas)
         .map(
             offered ->
--- a/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
@@ -181,7 +181,7 @@
     return observations.get(new ObservationKey(replica.instance(), model));
   }
 
-  private ReplicaObservation observationOf(Replica replica, String model) {
+  private ReplicaObservation getOrCreateObservation(Replica replica, String model) {
     return observations.computeIfAbsent(
         new ObservationKey(replica.instance(), model), key -> new ReplicaObservation());
   }
@@ -195,7 +195,7 @@
   public void onReported(
       Replica replica, String model, String reportedWeights, boolean loading, long nowMs) {
     if (!rolloutModels(replica).contains(model)) return;
-    ReplicaObservation observation = observationOf(replica, model);
+    ReplicaObservation observation = getOrCreateObservation(replica, model);
     observation.reportedWeights = reportedWeights;
     observation.loading = loading;
     observation.observedAtMs = nowMs;
@@ -211,7 +211,7 @@
   }
 
   private void onListed(Replica replica, String model, long nowMs) {
-    ReplicaObservation observation = observationOf(replica, model);
+    ReplicaObservation observation = getOrCreateObservation(replica, model);
     String listedWeights = replica.weights().getOrDefault(model, "");
     boolean isListCurrent =
         observation.orderedWeights.isEmpty()
@@ -227,7 +227,7 @@
   /** Returns whether a replica was ordered to load weights that it has not been seen to run yet. */
   public boolean awaitsObservation(Replica replica) {
     for (String model : rolloutModels(replica))
-      if (observationOf(replica, model).hasUnconfirmedOrder()) return true;
+      if (getOrCreateObservation(replica, model).hasUnconfirmedOrder()) return true;
     return false;
   }
 
@@ -297,7 +297,7 @@
 
   /** Records that an order to load these weights was sent to the replica. */
   public void onOrderSent(Replica replica, WeightAssignment assignment, long nowMs) {
-    ReplicaObservation observation = observationOf(replica, assignment.model);
+    ReplicaObservation observation = getOrCreateObservation(replica, assignment.model);
     observation.orderSentAtMs = nowMs;
     observation.orderedWeights = assignment.weights;
   }
--- a/control-plane/src/test/java/gladelug/control/ChangeSummaryTest.java
+++ b/control-plane/src/test/java/gladelug/control/ChangeSummaryTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of ChangeSummary. */
+/** Tests {@link ChangeSummary}. */
 final class ChangeSummaryTest {
   private static final String KEY = "'sha256:" + "a1".repeat(32) + "'";
 
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void namesWhatCameWentAndChangedAndNeverAKey() {
+  void addedRemovedAndChangedNamesAreListedWithoutApiKeys() {
     Configuration before =
         configuration(
             service("s"), route("x", "/x", "s") + "," + route("y", "/y", "s"), tenant(KEY));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aRouteThatGoesToAnotherServiceChangedAndOneWhosePlaceMovedDidNot() {
+  void aRouteCountsAsChangedIfItsServiceChangedButNotIfItsPositionDid() {
     Configuration before =
         configuration(
             service("s") + "," + service("u"),
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void weightsAreNamedWithWhatTheyWereBefore() {
+  void aWeightsSummaryListsThePreviousAndTheNewWeights() {
     Assertions.assertEquals(
         "m from w1 to w2",
         ChangeSummary.summarizeWeights(
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void aConfigurationThatCannotBeReadHasNoSummary() {
+  void anInvalidConfigurationHasNoSummary() {
     ControlOwnerTasks tasks = new ControlOwnerTasks(Configuration::parse);
     Assertions.assertEquals("", tasks.summarizeChange("policy", bytes("no JSON"), bytes("{}")));
   }
--- a/control-plane/src/test/java/gladelug/control/ControlOwnerTasksTest.java
+++ b/control-plane/src/test/java/gladelug/control/ControlOwnerTasksTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of ControlOwnerTasks: what the owner of the configuration records of shared prefixes. */
+/**
+ * Tests {@link ControlOwnerTasks}: which prefix sharing the owner of the configuration records, and
+ * how often it parses a configuration.
+ */
 final class ControlOwnerTasksTest {
   private final List<String> parsed = new ArrayList<>();
   private final ControlOwnerTasks tasks =
@@ -36,7 +39,7 @@
   }
 
   @Test
-  void aConfigurationThatIsolatesATenantThatSharedIsTheOneWithWhichSharingBeginsAnew() {
+  void isolatingATenantThatSharedPrefixesStartsANewSharingPeriod() {
     VersionedValue first = after(VersionedValue.NONE, configuration(false, 1));
     VersionedValue second = after(first, configuration(false, 2));
     VersionedValue third = after(second, configuration(true, 2));
@@ -47,7 +50,7 @@
   }
 
   @Test
-  void whereAConfigurationCannotBeReadSharingBeginsAnew() {
+  void anInvalidConfigurationStartsANewSharingPeriod() {
     VersionedValue first = after(VersionedValue.NONE, configuration(false, 1));
     VersionedValue unreadable = after(first, new byte[] {'?'});
     Assertions.assertEquals(2, unreadable.sharing().since());
@@ -55,14 +58,14 @@
   }
 
   @Test
-  void otherKeysRecordNothing() {
+  void noSharingIsRecordedForOtherKeys() {
     VersionedValue before = VersionedValue.NONE.next("d", new byte[1]);
     Assertions.assertEquals(
         PrefixSharing.UNRECORDED, tasks.prefixSharing(StateKeys.WEIGHTS, before, new byte[2]));
   }
 
   @Test
-  void eachConfigurationIsReadOnceThoughItIsDividedByToo() {
+  void aConfigurationIsParsedOnceForSharingAndCapacityAllocation() {
     byte[] one = configuration(false, 1), two = configuration(false, 2);
     VersionedValue first = after(VersionedValue.NONE, one);
     after(first, two);
--- a/control-plane/src/test/java/gladelug/control/ControlPlaneTest.java
+++ b/control-plane/src/test/java/gladelug/control/ControlPlaneTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of ControlPlane. */
+/** Tests the settings of {@link ControlPlane}. */
 final class ControlPlaneTest {
   @Test
-  void allFindingsOfTheSettingsAreReportedTogether() {
+  void allInvalidSettingsAreReportedTogether() {
     Map<String, String> flags = new HashMap<>();
     flags.put("name", "Bad Name");
     flags.put("records", "host:1");
--- a/control-plane/src/test/java/gladelug/control/CoreDataFolderTest.java
+++ b/control-plane/src/test/java/gladelug/control/CoreDataFolderTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Data folders as a member may find them: fresh, half made, damaged, somebody else's, of a newer or
- * an earlier release. Whatever can't be used is a finding with its place, and is left as it is.
+ * Tests {@link CoreDataFolder} with folders that are empty, partly created, damaged, of another
+ * member, or of a newer or earlier release. A folder that cannot be used must fail the start with a
+ * message that names the place, and must stay unchanged.
  */
 final class CoreDataFolderTest {
   private static final int RING_FILE_MB = 1, FRAME_ALIGNMENT_BYTES = 512, FRAME_HEADER_BYTES = 21;
@@ -33,7 +34,7 @@
     data = parent.resolve("data");
   }
 
-  /** Opens the folder, does something and ends, as a process does. */
+  /** Opens the folder as a starting process does. */
   private CoreDataFolder open(String name) {
     return CoreDataFolder.open(name, data.toString(), RING_FILE_MB, List.<MemberSet.Member>of());
   }
@@ -54,13 +55,17 @@
     return files;
   }
 
-  /** The start fails, says these words, and leaves each file as it was. */
-  private void assertRefuses(String name, String... words) throws IOException {
+  /**
+   * Asserts that the start fails with a message containing these texts and leaves each file
+   * unchanged.
+   */
+  private void assertRefuses(String name, String... expectedTexts) throws IOException {
     Map<String, byte[]> before = readFiles();
-    ServiceRegistry.StartupException found =
+    ServiceRegistry.StartupException failure =
         Assertions.assertThrows(ServiceRegistry.StartupException.class, () -> open(name).close());
-    for (String word : words)
-      Assertions.assertTrue(found.getMessage().contains(word), word + " in " + found.getMessage());
+    for (String text : expectedTexts)
+      Assertions.assertTrue(
+          failure.getMessage().contains(text), text + " in " + failure.getMessage());
     Map<String, byte[]> after = readFiles();
     Assertions.assertEquals(before.keySet(), after.keySet());
     before.forEach((file, bytes) -> Assertions.assertArrayEquals(bytes, after.get(file), file));
@@ -71,7 +76,7 @@
   }
 
   @Test
-  void aFolderKeepsItsIdAndStateAndTheSizeItWasMadeWith() throws IOException {
+  void aReopenedFolderKeepsItsIdItsStateAndItsOriginalSize() throws IOException {
     String id = writeAndClose();
     try (CoreDataFolder again =
         CoreDataFolder.open(NAME, data.toString(), 2 * RING_FILE_MB, List.of())) {
@@ -81,7 +86,7 @@
   }
 
   @Test
-  void aFolderHalfMadeIsMadeWhole() throws IOException {
+  void anIncompletelyCreatedFolderIsCompleted() throws IOException {
     Files.createDirectories(data);
     Files.write(data.resolve("ring-0"), new byte[RING_FILE_MB << 20]);
     Files.write(data.resolve("ring-1"), new byte[1000]);
@@ -93,7 +98,7 @@
   }
 
   @Test
-  void anIdentityThatIsDamagedForeignOrNewerIsAFinding() throws IOException {
+  void anIdentityThatIsDamagedForeignOrNewerIsRefused() throws IOException {
     String id = writeAndClose();
     assertRefuses("b", "belongs to a");
     String good = Files.readString(data.resolve(IDENTITY));
@@ -111,14 +116,14 @@
   }
 
   @Test
-  void aFolderOfAReleaseBeforeFormatsIsOpened() throws IOException {
+  void aFolderWithoutFormatVersionIsOpened() throws IOException {
     String id = writeAndClose();
     writeIdentity(Files.readString(data.resolve(IDENTITY)).replace("\"format\":1,", ""));
     Assertions.assertEquals(id, writeAndClose());
   }
 
   @Test
-  void aRingFileThatIsMissingShortOrEmptiedIsAFinding() throws IOException {
+  void aRingFileThatIsMissingTruncatedOrZeroedIsRefused() throws IOException {
     writeAndClose();
     Path first = data.resolve("ring-0");
     byte[] good = Files.readAllBytes(first);
@@ -133,7 +138,7 @@
   }
 
   @Test
-  void aRottenFrameIsAFinding() throws IOException {
+  void aCorruptFrameIsRefused() throws IOException {
     writeAndClose();
     writeAndClose();
     Path first = data.resolve("ring-0");
@@ -147,7 +152,7 @@
   }
 
   @Test
-  void stateWithoutAnIdentityIsNobodysAndIsKept() throws IOException {
+  void stateWithoutAnIdentityIsRefusedAndKept() throws IOException {
     writeAndClose();
     Files.delete(data.resolve(IDENTITY));
     assertRefuses(NAME, IDENTITY);
@@ -157,7 +162,7 @@
   }
 
   @Test
-  void stateThatCantBeReadIsAFindingWithItsName() throws IOException {
+  void malformedEntriesAreReportedByName() throws IOException {
     writeAndClose();
     try (CoreDataFolder disk = open(NAME)) {
       disk.ring().write(List.of(new RecordRing.Entry("cell/policy", new byte[] {1, 2, 3})));
@@ -167,7 +172,7 @@
   }
 
   @Test
-  void aFolderInUseIsAFindingAndAFailedStartLetsItGo() throws IOException {
+  void aFolderInUseIsRefusedAndAFailedStartReleasesIt() throws IOException {
     writeAndClose();
     try (CoreDataFolder disk = open(NAME)) {
       Assertions.assertThrows(ServiceRegistry.StartupException.class, () -> open(NAME));
@@ -178,7 +183,7 @@
   }
 
   @Test
-  void aFolderThatIsAFileIsAFinding() throws IOException {
+  void aFileInPlaceOfTheFolderIsRefused() throws IOException {
     Files.createDirectories(parent);
     Files.writeString(data, "x");
     Assertions.assertThrows(
--- a/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
+++ b/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
@@ -16,16 +16,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against a core whose heap overflows of a configuration that it had accepted: in a process
- * with a small heap, changes of the largest size are checked on one thread while the owner's thread
- * works out another.
+ * Guards against a heap overflow in a core member caused by a configuration that it accepts. In a
+ * process with a small heap, one thread parses configurations of the largest accepted size while
+ * the owner's thread summarizes changes of that size.
  */
 final class LargestConfigurationTest {
   private static final int WAIT_S = 120;
   private static final int HEAP_MB = 80;
   private static final int CHANGES = 6;
 
-  /** The program of the test: exits with 0 once all changes are through. */
+  /** The program run in the child process; exits with 0 once all changes are processed. */
   static final class Changes {
     private Changes() {}
 
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void changesOfTheLargestSizeFitIntoTheHeapThatTheyAreMeasuredBy(@TempDir Path folder)
+  void changesOfTheLargestSizeFitIntoTheHeapTheirLimitIsDerivedFrom(@TempDir Path folder)
       throws IOException, InterruptedException {
     Path log = folder.resolve("log");
     Process process =
@@ -83,7 +83,8 @@
             .redirectOutput(log.toFile())
             .start();
     try {
-      Assertions.assertTrue(process.waitFor(WAIT_S, TimeUnit.SECONDS), "it hangs");
+      Assertions.assertTrue(
+          process.waitFor(WAIT_S, TimeUnit.SECONDS), "the process did not end in time");
       Assertions.assertEquals(0, process.exitValue(), Files.readString(log));
     } finally {
       process.destroyForcibly();
--- a/control-plane/src/test/java/gladelug/control/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/PublishedNamesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The names of the program's settings, in its settings file and as flags, held against literals:
- * operators' files and scripts hold them.
+ * Checks the names of the program's settings, in the settings file and as flags, against literals:
+ * operators' files and scripts depend on them.
  */
 final class PublishedNamesTest {
   private static final String SETTINGS =
@@ -69,7 +69,7 @@
   @TempDir Path folder;
 
   @Test
-  void theSettingsFileHasTheseNames() throws IOException {
+  void theSettingsFileUsesThePublishedNames() throws IOException {
     Path file = Files.writeString(folder.resolve("settings.json"), SETTINGS);
     Assertions.assertEquals(
         Result.good(PARSED), ControlPlaneSettings.parse(file.toString(), Map.of(), notices::add));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void theFirstMembersHaveANewNameInTheSettingsFile() throws IOException {
+  void theBootstrapMembersMayBeGivenUnderTheNewNameInTheSettingsFile() throws IOException {
     Path file = Files.writeString(folder.resolve("settings.json"), withNewName(SETTINGS));
     Assertions.assertEquals(
         Result.good(PARSED), ControlPlaneSettings.parse(file.toString(), Map.of(), notices::add));
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void theSettingsMayBeGivenAsFlagsUnderTheSameNames() {
+  void flagsUseTheNamesOfTheSettingsFile() {
     Assertions.assertEquals(
         Result.good(PARSED), ControlPlaneSettings.parse(null, asFlags(SETTINGS), notices::add));
     Assertions.assertEquals(
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void theFirstMembersHaveANewNameAsAFlag() {
+  void theBootstrapMembersMayBeGivenUnderTheNewNameAsAFlag() {
     Assertions.assertEquals(
         Result.good(PARSED),
         ControlPlaneSettings.parse(null, asFlags(withNewName(SETTINGS)), notices::add));
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void aFlagOfEitherNameGoesBeforeTheFile() throws IOException {
+  void aFlagOfEitherNameTakesPrecedenceOverTheFile() throws IOException {
     for (String flag : List.of("founders", "bootstrapMembers"))
       for (String inFile : List.of(SETTINGS, withNewName(SETTINGS))) {
         Path file = Files.writeString(folder.resolve("settings.json"), inFile);
@@ -133,7 +133,7 @@
       }
   }
 
-  /** What the program prints, run as a process of its own. */
+  /** Runs the program in a process of its own and returns its output. */
   private static String runProgram(String... arguments) throws Exception {
     List<String> command =
         new ArrayList<>(
@@ -159,7 +159,7 @@
 
   @Test
   @Timeout(60)
-  void theCommandsTakeTheseFlags() throws Exception {
+  void allCommandsAcceptThePublishedFlags() throws Exception {
     for (String command : List.of("bootstrap", "found", "run"))
       Assertions.assertEquals(
           new TreeSet<>(
@@ -183,7 +183,7 @@
           command);
   }
 
-  /** Lines of the program's output that tell of a former name. */
+  /** Returns the lines of the output that report a former name. */
   private static List<String> noticesIn(String printed) {
     return printed.lines().filter(line -> line.contains(IS_NOW)).toList();
   }
@@ -209,7 +209,7 @@
 
   @Test
   @Timeout(60)
-  void theCommandThatPreparesAFirstMemberGoesByBothNamesAndTellsOfTheFormer() throws Exception {
+  void theBootstrapCommandWorksUnderBothNamesAndReportsTheFormer() throws Exception {
     Assertions.assertEquals(
         List.of(), noticesIn(runProgram(bootstrapArguments("bootstrap", "--bootstrap-members"))));
     Assertions.assertTrue(Files.exists(folder.resolve("bootstrap/identity.json")));
--- a/control-plane/src/test/java/gladelug/control/capacity/CapacityAllocationTest.java
+++ b/control-plane/src/test/java/gladelug/control/capacity/CapacityAllocationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of CapacityAllocation. */
+/** Tests {@link CapacityAllocation}. */
 final class CapacityAllocationTest {
   private static Configuration configuration(String tenants) {
     return ((Result.Good<Configuration>)
@@ -26,7 +26,7 @@
         .value();
   }
 
-  private static SubscriberStatus relay(String name, int places, Object... leafWaiting) {
+  private static SubscriberStatus relay(String name, int slots, Object... leafWaiting) {
     List<StateUpdate.QuotaDemand> demands = new ArrayList<>();
     for (int i = 0; i < leafWaiting.length; i += 2)
       demands.add(
@@ -43,11 +43,11 @@
         List.of(),
         Map.of(),
         demands,
-        List.of(new StateUpdate.ServiceCapacity("m", places)),
+        List.of(new StateUpdate.ServiceCapacity("m", slots)),
         "");
   }
 
-  private static String show(Map<String, List<StateUpdate.CapacityGrant>> grantsByRelay) {
+  private static String describe(Map<String, List<StateUpdate.CapacityGrant>> grantsByRelay) {
     StringBuilder text = new StringBuilder();
     for (String relay : new TreeSet<>(grantsByRelay.keySet())) {
       StateUpdate.CapacityGrant grant = grantsByRelay.get(relay).get(0);
@@ -60,21 +60,21 @@
   }
 
   @Test
-  void whatFitsIsNotBoundedAndWhatDoesNotIsDealtByWeightOverTheFleet() {
+  void demandWithinTheSlotsIsNotLimitedAndExcessDemandIsAllocatedByWeight() {
     Configuration configuration =
         configuration(
             "[{\"name\":\"t\",\"keys\":[],\"weight\":3},{\"name\":\"u\",\"keys\":[]},{\"name\":\"v\","
                 + "\"keys\":[]}]");
     Assertions.assertEquals(
         "r1: free\nr2: free\n",
-        show(
+        describe(
             allocate(
                 1, List.of(relay("r1", 40, "t", 20), relay("r2", 40, "u", 20)), configuration)));
-    // t comes by one relay, u by both, v asks for less than its due: the rest of that goes to the
-    // others
+    // t has demand at one relay, u at both; v demands less than its fair share, so the rest goes to
+    // the others
     Assertions.assertEquals(
         "r1: t=28500 u=4750 v=2000\nr2: u=4750\n",
-        show(
+        describe(
             allocate(
                 1,
                 List.of(relay("r1", 40, "t", 100, "u", 50, "v", 2), relay("r2", 40, "u", 50)),
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void tiersLimitsAndLevels() {
+  void tiersLimitsAndNestedSharesAreRespected() {
     Configuration configuration =
         configuration(
             "[{\"name\":\"t\",\"keys\":[],\"shares\":[{\"name\":\"x\",\"weight\":3,\"mappings\":[\"a\"]},"
@@ -90,17 +90,17 @@
                 + "{\"name\":\"u\",\"keys\":[],\"limit\":6},{\"name\":\"z\",\"keys\":[],\"tier\":1}]");
     Assertions.assertEquals(
         "r1: t/x=10500 t/y=3500 u=6000 z=0\n",
-        show(
+        describe(
             allocate(
                 1,
                 List.of(relay("r1", 20, "t/x", 90, "t/y", 90, "u", 90, "z", 90)),
                 configuration)));
     Assertions.assertEquals(
         "r1: t/y=4000 u=6000 z=10000\n",
-        show(allocate(1, List.of(relay("r1", 20, "t/y", 4, "u", 90, "z", 90)), configuration)));
+        describe(allocate(1, List.of(relay("r1", 20, "t/y", 4, "u", 90, "z", 90)), configuration)));
     Assertions.assertEquals(
         "r1: u=6000\n",
-        show(allocate(1, List.of(relay("r1", 20, "u", 9)), configuration)),
-        "a limit holds though there is room");
+        describe(allocate(1, List.of(relay("r1", 20, "u", 9)), configuration)),
+        "a limit holds even while slots are free");
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/config/MemberSetTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/config/MemberSetTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of MemberSet. */
+/** Tests {@link MemberSet}. */
 final class MemberSetTest {
   @Test
-  void epochsRiseAndNeverMeet() {
+  void epochsRiseAndDifferBetweenMembers() {
     Address address = Address.of("1.1.1.1:1");
     MemberSet members =
         new MemberSet(
--- a/control-plane/src/test/java/gladelug/control/core/register/AppliedChangesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/AppliedChangesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of TakenChanges and of how a key's value keeps it. */
+/** Tests {@link AppliedChanges} and how a key's value stores it. */
 final class AppliedChangesTest {
   private static String digest(long of) {
     return Digest.hex("change " + of);
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aChangeIsTheSameByDigestAndBaseTogether() {
+  void aChangeIsRecognizedByDigestAndBaseTogether() {
     AppliedChanges applied = applied(3);
     Assertions.assertEquals(ChangeStatus.APPLIED, applied.statusOf(digest(1), 10));
     Assertions.assertEquals(2, applied.numberOf(digest(1), 10));
@@ -40,14 +40,14 @@
   }
 
   @Test
-  void whatHadToMakeRoomIsForgottenAndNeverCalledNotTaken() {
+  void aDroppedChangeIsReportedAsExpiredAndNeverAsNotApplied() {
     AppliedChanges applied = applied(AppliedChanges.MAX_ENTRIES + 2);
     Assertions.assertEquals(AppliedChanges.MAX_ENTRIES, applied.entries().size());
     Assertions.assertEquals(ChangeStatus.EXPIRED, applied.statusOf(digest(0), 0));
     Assertions.assertEquals(ChangeStatus.EXPIRED, applied.statusOf(digest(1), 10));
     Assertions.assertEquals(ChangeStatus.APPLIED, applied.statusOf(digest(2), 20));
     Assertions.assertEquals(
-        ChangeStatus.EXPIRED, applied.statusOf(digest(99), 10), "one on that base can't be told");
+        ChangeStatus.EXPIRED, applied.statusOf(digest(99), 10), "another change on a dropped base");
     Assertions.assertEquals(ChangeStatus.NOT_APPLIED, applied.statusOf(digest(99), 20));
   }
 
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void itIsReadAsItWasWrittenAndInTheStatedSize() throws IOException {
+  void aFullListIsReadBackUnchangedAndStaysWithinItsSizeLimit() throws IOException {
     AppliedChanges applied = applied(AppliedChanges.MAX_ENTRIES + 1);
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     applied.write(new DataOutputStream(bytes));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void theNewerOfTwoMembersCellsBringsItsList() {
+  void mergingTwoRegistersKeepsTheChangesOfTheNewerValue() {
     VersionedValue first = VersionedValue.NONE.next(digest(1), new byte[1], 0, 0, "a", "");
     VersionedValue second = first.next(digest(2), new byte[1], 1, 0, "a", "");
     Register older = new Register(9, 5, first), newer = new Register(7, 5, second);
@@ -85,7 +85,10 @@
     }
   }
 
-  /** A cell as the two releases before wrote it: without remarks, or with them and no more. */
+  /**
+   * Returns a register as written by the two releases before applied changes: without history
+   * metadata, or with it.
+   */
   private static byte[] registerOfAnEarlierRelease(boolean hasMetadata) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(bytes);
@@ -106,7 +109,7 @@
   }
 
   @Test
-  void aCellOfAnEarlierReleaseIsReadAndItsNewestValueRecognised() throws IOException {
+  void aRegisterOfAnEarlierReleaseIsReadAndItsNewestValueRecognized() throws IOException {
     for (boolean hasMetadata : new boolean[] {false, true}) {
       VersionedValue value = Register.of(registerOfAnEarlierRelease(hasMetadata)).value();
       Assertions.assertEquals(1, value.number());
--- a/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
@@ -14,12 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of DiskDuty: a disk that takes nothing for a while, and one that is closed while it is
- * written.
+ * Tests {@link DiskWriter} with a disk that refuses writes for a while, and closing it during a
+ * write.
  */
 final class DiskWriterTest {
   /**
-   * A medium in memory that refuses so many writes, and calls something in the middle of each sync.
+   * In-memory storage that refuses a given number of writes, writing half of the bytes each time,
+   * and runs a callback during each sync.
    */
   private static final class MemoryStorage implements Storage {
     final byte[][] files = new byte[2][1 << 16];
@@ -59,7 +60,7 @@
   }
 
   @Test
-  void whatAFullDiskRefusedIsWrittenOnceItTakesBytesAgain() throws Exception {
+  void writesRefusedByAFullDiskAreRetriedUntilTheySucceed() throws Exception {
     MemoryStorage storage = new MemoryStorage();
     storage.writesToRefuse.set(3);
     List<String> failed = new ArrayList<>();
@@ -73,14 +74,14 @@
       Assertions.assertEquals(0, writer.stalledMs());
     }
     Assertions.assertEquals(3, storage.refusedWrites.get());
-    Assertions.assertEquals(List.of(), failed, "a full disk is no reason to end");
+    Assertions.assertEquals(List.of(), failed, "a full disk does not count as failed");
     RecordRing again = RecordRing.open(storage);
     Assertions.assertArrayEquals(new byte[] {1}, again.live().get("a"));
     Assertions.assertArrayEquals(new byte[] {2}, again.live().get("b"));
   }
 
   @Test
-  void closingDoesNotInterruptWhatIsBeingWritten() throws Exception {
+  void closingDoesNotInterruptAWriteInProgress() throws Exception {
     MemoryStorage storage = new MemoryStorage();
     CountDownLatch syncStarted = new CountDownLatch(1), mayFinish = new CountDownLatch(1);
     List<Boolean> interrupted = new ArrayList<>();
--- a/control-plane/src/test/java/gladelug/control/core/register/DurableStateTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/DurableStateTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of DurableState, and of cells and members read from bytes that are none. */
+/** Tests {@link DurableState}, and parsing registers and member sets from malformed bytes. */
 final class DurableStateTest {
   private static final Address ADDRESS = Address.of("1.1.1.1:1");
   private static final MemberSet MEMBERS =
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void whatThisReleaseWritesIsNoFinding() {
+  void stateWrittenByThisReleaseIsValid() {
     Map<String, byte[]> state =
         Map.of(
             "cell/policy",
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void whatIsCutShortOrTooLongIsAFindingUnderItsName() {
+  void aTruncatedOrOverlongEntryIsReportedUnderItsName() {
     Map<String, byte[]> state =
         Map.of(
             "cell/policy",
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void theStateOfAnotherDiskIsAFinding() {
+  void stateOfAnotherDiskIsReported() {
     List<Finding> findings =
         DurableState.validate(
             Map.of(DurableState.ACTIVE_MEMBERS, MEMBERS.toBytes()), "a", "disk-b");
@@ -96,9 +96,12 @@
     Assertions.assertTrue(findings.get(0).what().contains("disk-a"), findings::toString);
   }
 
-  /** Whatever the bytes: a cell, or an IOException; nothing else, and no memory to speak of. */
+  /**
+   * Guards against parsers that fail with anything but an IOException, or allocate by a corrupt
+   * length field.
+   */
   @Test
-  void bytesThatWereChangedAnywhereAreReadOrRefused() {
+  void corruptBytesAreParsedOrRefusedWithAnIoException() {
     Random random = new Random(1);
     byte[] register = registerBytes();
     byte[] members = MEMBERS.toBytes();
--- a/control-plane/src/test/java/gladelug/control/core/register/RegisterStoreTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/RegisterStoreTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of KeptCells: how much is written, and that what is read back is what was kept. */
+/** Tests {@link RegisterStore}: how much it writes, and that it reads back what was stored. */
 final class RegisterStoreTest {
   private static final String KEY = "policy";
 
   private record Write(String name, byte[] state, Runnable onDurable) {}
 
-  /** A disk that keeps what it is handed, in order, until the test has it last. */
+  /** A disk that records writes in order; the test decides when each becomes durable. */
   private static final class Disk implements CoreHost {
     final List<Write> writes = new ArrayList<>();
     int completedCount;
@@ -34,7 +34,7 @@
       while (completedCount < writes.size()) completeNext();
     }
 
-    /** What is read after a loss of power with so many writes done. */
+    /** Returns what is read after a power failure with this many writes durable. */
     Map<String, byte[]> durableAfter(int count) {
       Map<String, byte[]> durable = new HashMap<>();
       for (Write write : writes.subList(0, count)) durable.put(write.name, write.state);
@@ -92,13 +92,13 @@
     return before.next(Digest.hex(body), body);
   }
 
-  /** Serialised and read again, as what comes from another member is. */
+  /** Serializes and parses a register, as for one received from another member. */
   private static Register serializeAndParse(Register register) {
     return Register.of(register.toBytes());
   }
 
   @Test
-  void aChangeOfOwnersWritesEpochsAndNoCopyOfTheValue() {
+  void aChangeOfOwnersWritesTheEpochsWithoutTheValue() {
     Disk disk = new Disk();
     RegisterStore store = new RegisterStore(disk, Map.of());
     VersionedValue large = value(VersionedValue.NONE, 1_500_000, 1);
@@ -106,23 +106,26 @@
     Assertions.assertTrue(disk.lastWriteBytes() >= 1_500_000);
     disk.completeAll();
     store.put(KEY, new Register(6, 5, large), () -> {});
-    Assertions.assertTrue(disk.lastWriteBytes() < 200, "a promise: " + disk.lastWriteBytes());
+    Assertions.assertTrue(
+        disk.lastWriteBytes() < 200, "bytes written for a promise: " + disk.lastWriteBytes());
     store.put(KEY, serializeAndParse(new Register(6, 6, large)), () -> {});
-    Assertions.assertTrue(disk.lastWriteBytes() < 200, "the value again: " + disk.lastWriteBytes());
+    Assertions.assertTrue(
+        disk.lastWriteBytes() < 200, "bytes written for the same value: " + disk.lastWriteBytes());
     store.put(KEY, new Register(6, 6, value(large, 1_500_000, 2)), () -> {});
-    Assertions.assertTrue(disk.lastWriteBytes() >= 1_500_000, "a change");
+    Assertions.assertTrue(disk.lastWriteBytes() >= 1_500_000, "a change writes the complete value");
   }
 
   @Test
-  void nothingShortIsWrittenOnAValueThatMayNotLast() {
+  void aCompleteRegisterIsWrittenWhileTheValueMayNotBeDurable() {
     Disk disk = new Disk();
     RegisterStore store = new RegisterStore(disk, Map.of());
     VersionedValue seventh = value(VersionedValue.NONE, 4000, 1), eighth = value(seventh, 4000, 2);
     store.put(KEY, new Register(1, 1, seventh), () -> {});
     store.put(KEY, new Register(2, 1, seventh), () -> {});
-    Assertions.assertTrue(disk.lastWriteBytes() > 4000, "the value before it is still on its way");
+    Assertions.assertTrue(
+        disk.lastWriteBytes() > 4000, "the write of the value is still in flight");
     disk.completeAll();
-    // the owner's write that nobody else took, and the next owner's older value over it
+    // an owner's write that no other member accepted, replaced by the next owner's older value
     store.put(KEY, new Register(2, 2, eighth), () -> {});
     store.put(KEY, new Register(3, 3, seventh), () -> {});
     Assertions.assertTrue(disk.lastWriteBytes() > 4000, "the older value was overwritten");
@@ -133,7 +136,7 @@
   }
 
   @Test
-  void whereverThePowerGoesTheCellKeptLastBeforeIsReadBack() {
+  void afterAPowerFailureTheLastDurableRegisterIsReadBack() {
     for (long seed = 1; seed <= 200; seed++) {
       Random random = new Random(seed);
       Disk disk = new Disk();
--- a/control-plane/src/test/java/gladelug/control/core/register/VersionedValueTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/VersionedValueTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of VersionedValue: what of shared prefixes is kept with a value. */
+/** Tests {@link VersionedValue}: how the prefix sharing is stored with a value. */
 final class VersionedValueTest {
   private static final VersionedValue PLAIN = VersionedValue.NONE.next("d", new byte[] {1});
   private static final PrefixSharing SHARING = new PrefixSharing(7, Set.of(5L, -3L), true);
 
   @Test
-  void sharingIsReadAsItWasWrittenAndEndsTheValue() {
+  void sharingIsReadBackUnchangedAndMustEndTheValue() {
     Register register = new Register(3, 2, PLAIN.withSharing(SHARING));
     Assertions.assertEquals(SHARING, Register.of(register.toBytes()).value().sharing());
     byte[] longer = Arrays.copyOf(register.toBytes(), register.toBytes().length + 1);
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aValueWithoutItIsWrittenAsReleasesBeforeDid() {
+  void aValueWithoutSharingIsWrittenInTheEarlierFormat() {
     byte[] plain = new Register(3, 2, PLAIN).toBytes();
     byte[] with = new Register(3, 2, PLAIN.withSharing(SHARING)).toBytes();
     Assertions.assertArrayEquals(plain, Arrays.copyOf(with, plain.length));
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void theNextValueRecordsItsOwn() {
+  void theNextValueDoesNotInheritTheSharing() {
     Assertions.assertEquals(
         PrefixSharing.UNRECORDED, PLAIN.withSharing(SHARING).next("e", new byte[] {2}).sharing());
   }
--- a/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
+++ b/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
@@ -16,30 +16,31 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of InstanceListPoll. */
+/** Tests {@link InstanceListPoll}. */
 final class InstanceListPollTest {
-  private static Replicas list(String... states) {
+  /** Builds a list: one letter for the instance id, then + if it is ready or - if it is not. */
+  private static Replicas list(String... instances) {
     List<Replicas.Replica> replicas = new ArrayList<>();
-    for (String state : states)
+    for (String instance : instances)
       replicas.add(
           new Replicas.Replica(
               "m",
-              state.substring(0, 1),
-              Address.of("1.1.1.1:" + (int) state.charAt(0)),
+              instance.substring(0, 1),
+              Address.of("1.1.1.1:" + (int) instance.charAt(0)),
               "z",
-              state.endsWith("+")));
+              instance.endsWith("+")));
     return new Replicas(replicas);
   }
 
   @Test
-  void whatIsOfferedAgainOnlyTakesAway() {
-    byte[] kept = list("a+", "b+", "c-", "d+").json().getBytes(StandardCharsets.UTF_8);
+  void aRetainedListOnlyRemovesTargets() {
+    byte[] stored = list("a+", "b+", "c-", "d+").json().getBytes(StandardCharsets.UTF_8);
     Assertions.assertEquals(
         list("a+", "b-", "c-").json(),
-        new String(retainListed(kept, list("a+", "b-", "c+", "e+")), StandardCharsets.UTF_8));
+        new String(retainListed(stored, list("a+", "b-", "c+", "e+")), StandardCharsets.UTF_8));
   }
 
-  /** What is kept of lists, and the number it has. */
+  /** An in-memory store of one list and its number. */
   private static final class Store implements InstanceListPoll.Store {
     private long number;
     private String storedJson;
@@ -65,14 +66,14 @@
   }
 
   @Test
-  void aListThatComesLateIsNotPutOnTopOfANewerOne() {
+  void aLateListDoesNotReplaceANewerOne() {
     Store store = new Store(3, list("a+", "b+"));
     CompletableFuture<Result<Replicas>> late = new CompletableFuture<>();
     AtomicReference<Result<Optional<ChangeResult>>> outcome = new AtomicReference<>();
     InstanceListPoll.poll(store.storedList(), store, () -> Uni.createFrom().completionStage(late))
         .subscribe()
         .with(outcome::set);
-    // meanwhile another owner heard that b drains
+    // meanwhile another owner polls a list in which b is draining
     InstanceListPoll.poll(
             store.storedList(), store, () -> Uni.createFrom().item(Result.good(list("a+", "b-"))))
         .subscribe()
@@ -83,11 +84,11 @@
   }
 
   @Test
-  void aListAsKeptAndOneThatMakesNoSenseProposeNothing() {
+  void anUnchangedOrInvalidListIsNotProposed() {
     Store store = new Store(3, list("a+"));
     List<Result<Optional<ChangeResult>>> outcomes = new ArrayList<>();
-    Result<Replicas> senseless = Result.bad("Instances", "is not a list");
-    for (Result<Replicas> answer : List.of(Result.good(list("a+")), senseless))
+    Result<Replicas> invalid = Result.bad("Instances", "is not a list");
+    for (Result<Replicas> answer : List.of(Result.good(list("a+")), invalid))
       InstanceListPoll.poll(store.storedList(), store, () -> Uni.createFrom().item(answer))
           .subscribe()
           .with(outcomes::add);
--- a/control-plane/src/test/java/gladelug/control/instances/PendingObservationTest.java
+++ b/control-plane/src/test/java/gladelug/control/instances/PendingObservationTest.java
@@ -4,17 +4,17 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of PendingObservation. */
+/** Tests {@link PendingObservation}. */
 final class PendingObservationTest {
-  private static String proposed(PendingObservation pending, long now) {
+  private static String proposed(PendingObservation pending, long nowMs) {
     return pending
-        .findProposal(now)
+        .findProposal(nowMs)
         .map(offer -> offer.baseNumber() + ":" + offer.value()[0])
         .orElse("");
   }
 
   @Test
-  void whatWasLearnedIsOfferedUntilItIsTakenOvertakenOrOld() {
+  void anObservationIsProposedUntilItIsAcceptedSupersededOrTooOld() {
     PendingObservation pending = new PendingObservation();
     Assertions.assertEquals("", proposed(pending, 0));
     pending.observe(7, new byte[] {1}, 0);
--- a/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
+++ b/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
@@ -21,12 +21,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A real member of a core with its listener for operators, over loopback, for tests. */
+/** A core member with its operator endpoint on the loopback interface, for tests. */
 final class OneMemberCore implements AutoCloseable {
   private static final String IP = "127.0.0.1", NAME = "a";
   private static final int CUTOFF_MS = 15_000, RING_FILE_MB = 8;
 
-  /** Where operators are answered. */
+  /** The address of the operator endpoint. */
   final Address operatorAddress = new Address(IP, freePort());
 
   final CoreService core;
@@ -34,9 +34,10 @@
   private final ServiceRegistry services;
 
   /**
-   * Starts it on an empty folder.
+   * Starts the member on an empty data folder.
    *
-   * @param bootstrapMembers how many are to bootstrap the core; those beside this one never come
+   * @param bootstrapMembers the number of bootstrap members of the core; all but this one never
+   *     start
    */
   OneMemberCore(Path data, int bootstrapMembers) {
     Address recordsAddress = new Address(IP, freePort());
--- a/control-plane/src/test/java/gladelug/control/operator/OperatorEndpointTest.java
+++ b/control-plane/src/test/java/gladelug/control/operator/OperatorEndpointTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The product's own listener for operators over loopback: one member that is a core by itself. */
+/** Tests {@link OperatorEndpoint} over loopback, with a core of a single member. */
 @Timeout(120)
 final class OperatorEndpointTest {
   private static final String CONFIGURATION = "/v1/configuration";
@@ -63,11 +63,11 @@
 
   private void assertApplied(String ifMatch, byte[] body, long number, boolean repeated)
       throws Exception {
-    HttpResponse<String> answer = post(ifMatch, body);
-    JsonObject said = Json.parse(answer.body()).asObject();
-    Assertions.assertEquals(200, answer.statusCode(), answer.body());
-    Assertions.assertEquals(number, said.getLong("number", -1));
-    Assertions.assertEquals(repeated, said.getBoolean("repeated", !repeated));
+    HttpResponse<String> response = post(ifMatch, body);
+    JsonObject json = Json.parse(response.body()).asObject();
+    Assertions.assertEquals(200, response.statusCode(), response.body());
+    Assertions.assertEquals(number, json.getLong("number", -1));
+    Assertions.assertEquals(repeated, json.getBoolean("repeated", !repeated));
   }
 
   private String statusOf(long number, byte[] body) throws Exception {
@@ -75,42 +75,43 @@
     return Json.parse(get(path).body()).asObject().getString("fate", "");
   }
 
-  /** A valid configuration; the spaces at its end make it another text. */
+  /** Returns a valid configuration; the number of trailing spaces makes its text unique. */
   private static byte[] configuration(int spaces) {
     return (EMPTY + " ".repeat(spaces)).getBytes(StandardCharsets.UTF_8);
   }
 
   @Test
-  void whatWasTakenIsAcknowledgedAgainAndAnOlderTextOnTheNewestNumberIsNew() throws Exception {
+  void aRepeatedChangeIsAcknowledgedAgainAndAnOlderTextOnTheNewestNumberIsANewChange()
+      throws Exception {
     startAlone();
-    byte[] first = configuration(1), second = configuration(2), rival = configuration(9);
+    byte[] first = configuration(1), second = configuration(2), other = configuration(9);
     assertApplied("0", first, 1, false);
     assertApplied("\"1\"", second, 2, false);
     assertApplied("0", first, 1, true);
-    Assertions.assertEquals(412, post("0", rival).statusCode());
+    Assertions.assertEquals(412, post("0", other).statusCode());
     assertApplied("2", first, 3, false);
     assertApplied("1", second, 2, true);
     assertApplied("2", first, 3, true);
     assertApplied("*", second, 4, false);
     Assertions.assertEquals("taken", statusOf(1, first));
-    Assertions.assertEquals("other", statusOf(1, rival));
-    Assertions.assertEquals("not-yet", statusOf(5, rival));
+    Assertions.assertEquals("other", statusOf(1, other));
+    Assertions.assertEquals("not-yet", statusOf(5, other));
   }
 
   @Test
-  void whatIsNoNumberOrNoTextIsAFinding() throws Exception {
+  void anInvalidIfMatchOrInvalidUtf8IsRefused() throws Exception {
     startAlone();
     for (String bad : new String[] {"x", "-1", "\"0\"0\"", "0,1", "9999999999999999999"})
       Assertions.assertEquals(400, post(bad, configuration(0)).statusCode(), bad);
     byte[] notText = configuration(1);
     notText[notText.length - 1] = (byte) 0xe9;
-    HttpResponse<String> answer = post("0", notText);
-    Assertions.assertEquals(400, answer.statusCode());
-    Assertions.assertTrue(answer.body().contains("UTF-8"), answer.body());
+    HttpResponse<String> response = post("0", notText);
+    Assertions.assertEquals(400, response.statusCode());
+    Assertions.assertTrue(response.body().contains("UTF-8"), response.body());
   }
 
   @Test
-  void withoutAMajorityNothingIsShownAndNoNumberIsToldOf() throws Exception {
+  void withoutAMajorityNoValueIsSentAndNoStatusIsReported() throws Exception {
     start(3);
     Assertions.assertEquals(503, get(CONFIGURATION).statusCode());
     Assertions.assertEquals(503, get("/v1/weights").statusCode());
--- a/control-plane/src/test/java/gladelug/control/operator/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/operator/PublishedNamesTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The paths of the listener for operators and the fields of its answers, held against literals:
- * operators' scripts hold them. One member that is a core by itself, over loopback.
+ * Checks the paths of the operator endpoint and the fields of its responses against literals,
+ * because operators' scripts depend on them. Runs over loopback, with a core of a single member.
  */
 @Timeout(120)
 final class PublishedNamesTest {
@@ -48,11 +48,11 @@
     start(1);
     int status = 0;
     for (int i = 0; i < TRIES && status != 200; i++)
-      status = answer("GET", CONFIGURATION, null, "").statusCode();
+      status = send("GET", CONFIGURATION, null, "").statusCode();
     Assertions.assertEquals(200, status);
   }
 
-  private HttpResponse<String> answer(String method, String path, String ifMatch, String body)
+  private HttpResponse<String> send(String method, String path, String ifMatch, String body)
       throws Exception {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + member.operatorAddress + path))
@@ -61,7 +61,7 @@
     return http.send(request.build(), BodyHandlers.ofString());
   }
 
-  /** The names of all fields; of a list those of its first entry. */
+  /** Returns the names of all fields; for a list, those of its first entry. */
   private static String fieldNames(JsonValue value) {
     if (value.isArray())
       return "[" + (value.asArray().isEmpty() ? "" : fieldNames(value.asArray().get(0))) + "]";
@@ -74,20 +74,20 @@
     return "{" + String.join(",", names) + "}";
   }
 
-  /** The status, the fields and the outcome of an answer to a call. */
-  private String describeAnswer(String method, String path, String ifMatch, String body)
+  /** Returns the status code, the field names and the outcome of the response to a request. */
+  private String describeResponse(String method, String path, String ifMatch, String body)
       throws Exception {
-    HttpResponse<String> answer = answer(method, path, ifMatch, body);
-    JsonValue said = Json.parse(answer.body());
-    String outcome = said.asObject().getString("outcome", said.asObject().getString("fate", ""));
-    String tag = answer.headers().firstValue("ETag").map(t -> " ETag " + t).orElse("");
-    return (answer.statusCode() + " " + fieldNames(said) + " " + outcome + tag).trim();
+    HttpResponse<String> response = send(method, path, ifMatch, body);
+    JsonValue json = Json.parse(response.body());
+    String outcome = json.asObject().getString("outcome", json.asObject().getString("fate", ""));
+    String tag = response.headers().firstValue("ETag").map(t -> " ETag " + t).orElse("");
+    return (response.statusCode() + " " + fieldNames(json) + " " + outcome + tag).trim();
   }
 
-  private void assertAnswer(
+  private void assertResponse(
       String expected, String method, String path, String ifMatch, String body) throws Exception {
     Assertions.assertEquals(
-        expected, describeAnswer(method, path, ifMatch, body), method + " " + path);
+        expected, describeResponse(method, path, ifMatch, body), method + " " + path);
   }
 
   private String digestQuery(String body) {
@@ -95,58 +95,58 @@
   }
 
   @Test
-  void theConfigurationsPathsAndFieldsHaveTheseNames() throws Exception {
+  void theConfigurationPathsAndFieldsHaveThePublishedNames() throws Exception {
     startAlone();
     String taken = "{outcome,number,repeated,acknowledgedBy,licencesRunOut,waitedMs} taken";
     String value = "{number,value:{services:[],mappings:[],tenants:[]}}";
-    assertAnswer("200 {number}  ETag \"0\"", "GET", "/v1/configuration", null, "");
-    assertAnswer("200 " + taken + " ETag \"1\"", "POST", "/v1/configuration", "0", EMPTY);
-    assertAnswer("200 " + value + "  ETag \"1\"", "GET", "/v1/configuration", null, "");
-    assertAnswer("200 " + taken + " ETag \"2\"", "POST", "/v1/policy", "1", EMPTY + " ");
-    assertAnswer("200 " + value + "  ETag \"2\"", "GET", "/v1/policy", null, "");
-    assertAnswer("428 {outcome,reason} not-taken", "POST", "/v1/configuration", null, EMPTY);
-    assertAnswer(
+    assertResponse("200 {number}  ETag \"0\"", "GET", "/v1/configuration", null, "");
+    assertResponse("200 " + taken + " ETag \"1\"", "POST", "/v1/configuration", "0", EMPTY);
+    assertResponse("200 " + value + "  ETag \"1\"", "GET", "/v1/configuration", null, "");
+    assertResponse("200 " + taken + " ETag \"2\"", "POST", "/v1/policy", "1", EMPTY + " ");
+    assertResponse("200 " + value + "  ETag \"2\"", "GET", "/v1/policy", null, "");
+    assertResponse("428 {outcome,reason} not-taken", "POST", "/v1/configuration", null, EMPTY);
+    assertResponse(
         "412 {outcome,reason,current} not-taken", "POST", "/v1/configuration", "0", EMPTY + "  ");
-    assertAnswer(
+    assertResponse(
         "400 {outcome,findings:[{place,what}]} not-taken", "POST", "/v1/policy", "2", "{}");
     for (String path : List.of("/v1/configuration", "/v1/policy")) {
-      assertAnswer(
+      assertResponse(
           "200 {key,numbers:[{number,digest,taken,by,changed,acknowledged,firstSeenAt:{}}]}",
           "GET",
           path + "/numbers",
           null,
           "");
-      assertAnswer(
+      assertResponse(
           "200 {number,fate} taken", "GET", path + "/numbers/1" + digestQuery(EMPTY), null, "");
-      assertAnswer(
+      assertResponse(
           "200 {number,fate} other", "GET", path + "/numbers/1" + digestQuery("x"), null, "");
-      assertAnswer(
+      assertResponse(
           "200 {number,fate} not-yet", "GET", path + "/numbers/9" + digestQuery("x"), null, "");
-      assertAnswer(
+      assertResponse(
           "400 {outcome,findings:[{place,what}]} not-taken", "GET", path + "/numbers/1", null, "");
     }
   }
 
   @Test
-  void theOtherPathsAndFieldsHaveTheseNames() throws Exception {
+  void theOtherPathsAndFieldsHaveThePublishedNames() throws Exception {
     startAlone();
-    assertAnswer("200 {ready,reason}", "GET", "/ready", null, "");
-    assertAnswer("200 {number}  ETag \"0\"", "GET", "/v1/weights", null, "");
-    assertAnswer("200 {number}  ETag \"0\"", "GET", "/v1/replicas", null, "");
-    assertAnswer("200 {key,numbers:[]}", "GET", "/v1/weights/numbers", null, "");
-    assertAnswer("404 {reason}", "GET", "/v1/nothing", null, "");
+    assertResponse("200 {ready,reason}", "GET", "/ready", null, "");
+    assertResponse("200 {number}  ETag \"0\"", "GET", "/v1/weights", null, "");
+    assertResponse("200 {number}  ETag \"0\"", "GET", "/v1/replicas", null, "");
+    assertResponse("200 {key,numbers:[]}", "GET", "/v1/weights/numbers", null, "");
+    assertResponse("404 {reason}", "GET", "/v1/nothing", null, "");
     String naming = "{\"service\":\"s\",\"weights\":\"w\"}";
-    HttpResponse<String> named = answer("POST", "/v1/weights", null, naming);
+    HttpResponse<String> named = send("POST", "/v1/weights", null, naming);
     Assertions.assertEquals(400, named.statusCode(), named.body());
     Assertions.assertTrue(named.body().contains("is no model service"), named.body());
     String swap = "{\"out\":\"x\",\"in\":\"y\"}";
-    assertAnswer("409 {outcome,reason} not-taken", "POST", "/v1/core/swap", null, swap);
-    assertAnswer(
+    assertResponse("409 {outcome,reason} not-taken", "POST", "/v1/core/swap", null, swap);
+    assertResponse(
         "400 {outcome,findings:[{place,what}]} not-taken", "POST", "/v1/core/swap", null, "{}");
   }
 
   @Test
-  void theStatusHasTheseFields() throws Exception {
+  void theStatusHasThePublishedFields() throws Exception {
     startAlone();
     StateUpdate.SubscriptionRequest ask =
         new StateUpdate.SubscriptionRequest(
@@ -169,7 +169,7 @@
             })
         .await()
         .atMost(Duration.ofSeconds(10));
-    assertAnswer(
+    assertResponse(
         "200 {generation,members:[{name,records,operator,alive}],"
             + "keys:[{key,owner,epoch,number,digest,licensed,confirmedMsAgo}],"
             + "wouldJoin:[],sealed,retired,active,"
--- a/control-plane/src/test/java/gladelug/control/rollout/ReplicaCommandSenderTest.java
+++ b/control-plane/src/test/java/gladelug/control/rollout/ReplicaCommandSenderTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of ReplicaCommandSender: one order at a time, and none that could arrive after its sender's
- * right has ended.
+ * Tests {@link ReplicaCommandSender}: it sends one order at a time per replica, and none that could
+ * arrive after the sender's command lease has ended.
  */
 final class ReplicaCommandSenderTest {
   private static final long FAR_FUTURE_MS = 1_000_000;
@@ -27,7 +27,7 @@
   private static final Replica REPLICA =
       new Replica("m", "m1", Address.of("10.0.0.1:80"), "z", true);
 
-  /** An order whose connection is not up yet. */
+  /** An order whose connection is not established yet. */
   private record PendingOrder(
       String weights, Supplier<Uni<OptionalLong>> permit, UniEmitter<? super Outcome> outcome) {}
 
@@ -47,7 +47,7 @@
 
             @Override
             public Uni<ReportedState> fetchState(Replica replica) {
-              throw new AssertionError("nobody asks here");
+              throw new AssertionError("the sender must not query the state");
             }
 
             @Override
@@ -80,7 +80,9 @@
     rollout.onReported(REPLICA, "m", "w0", false, nowMs);
   }
 
-  /** The connection of the oldest order is up: it leaves if it still may. */
+  /**
+   * Establishes the connection of the oldest order, which is then sent if the lease still permits.
+   */
   private PendingOrder connectOldest() {
     PendingOrder order = pendingOrders.remove(0);
     OptionalLong fence = order.permit.get().await().indefinitely();
@@ -89,7 +91,7 @@
   }
 
   @Test
-  void anOrderLeavesUnderTheRightAsItIsWhenItsConnectionIsUp() {
+  void anOrderIsSentUnderTheLeaseHeldWhenItsConnectionIsEstablished() {
     nameWeights("w1", 1);
     sender.send(REPLICA);
     lease = new CommandLease(9, FAR_FUTURE_MS);
@@ -98,7 +100,7 @@
   }
 
   @Test
-  void anOrderWhoseSenderLostTheRightWhileItConnectedDoesNotLeave() {
+  void anOrderIsNotSentIfTheLeaseEndedWhileConnecting() {
     nameWeights("w1", 1);
     sender.send(REPLICA);
     lease = CommandLease.NONE;
@@ -107,31 +109,34 @@
     lease = new CommandLease(11, FAR_FUTURE_MS);
     sender.send(REPLICA);
     connectOldest();
-    Assertions.assertEquals(List.of("w1 under 11"), sentOrders, "what did not leave was not told");
+    Assertions.assertEquals(
+        List.of("w1 under 11"), sentOrders, "an order that was not sent is not counted as sent");
   }
 
   @Test
-  void anOrderThatMayArriveAfterTheRightsEndDoesNotLeave() {
+  void anOrderThatMayArriveAfterTheLeaseEndsIsNotSent() {
     nameWeights("w1", 1);
     lease = new CommandLease(7, nowMs + ReplicaCommandCall.ANSWER_TIMEOUT_MS - 1);
     sender.send(REPLICA);
-    Assertions.assertEquals(0, pendingOrders.size(), "no connection is opened for nothing");
+    Assertions.assertEquals(
+        0, pendingOrders.size(), "no connection is opened for an order that must not be sent");
     lease = new CommandLease(7, nowMs + ReplicaCommandCall.ANSWER_TIMEOUT_MS);
     sender.send(REPLICA);
-    // a process that was frozen meanwhile finds its right as it knew it, and its end in the past
+    // a process that was paused meanwhile still holds the lease that it knew, but too little time
+    // is left of it
     nowMs++;
     connectOldest();
     Assertions.assertEquals(List.of(), sentOrders);
   }
 
   @Test
-  void aReplicaHasOneOrderUnderWayWhateverIsNamedMeanwhile() {
+  void aReplicaHasOneOrderInFlightEvenIfOtherWeightsAreNamed() {
     nameWeights("w1", 1);
     sender.send(REPLICA);
     PendingOrder first = connectOldest();
     nameWeights("w2", 2);
     sender.send(REPLICA);
-    Assertions.assertEquals(0, pendingOrders.size(), "the first may still arrive");
+    Assertions.assertEquals(0, pendingOrders.size(), "the first order may still arrive");
     first.outcome.fail(new IllegalStateException("no answer"));
     sender.send(REPLICA);
     connectOldest();
--- a/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
+++ b/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of RolloutBatches. */
+/** Tests {@link RolloutBatches}. */
 final class RolloutBatchesTest {
+  /** Builds the progress of instances a, b, ...: m is updated, - is unresponsive, w is outdated. */
   private static SortedMap<String, ReplicaProgress> progress(String states) {
     SortedMap<String, ReplicaProgress> progress = new TreeMap<>();
     for (int i = 0; i < states.length(); i++)
@@ -23,7 +24,7 @@
   }
 
   @Test
-  void aThirdAtATimeAndNobodyHoldsTheRestForEver() {
+  void aThirdLoadsAtATimeAndNoReplicaBlocksTheOthersForever() {
     SortedMap<String, ReplicaProgress> none = progress("wwwwwww"),
         two = progress("mmwwwww"),
         three = progress("mmmwwww"),
@@ -32,7 +33,7 @@
     Assertions.assertFalse(mayStart("d", two, 4999, 15000));
     Assertions.assertTrue(mayStart("d", three, 100, 15000));
     Assertions.assertTrue(
-        mayStart("d", silent, 100, 15000), "one that doesn't answer holds nobody");
+        mayStart("d", silent, 100, 15000), "an unresponsive replica blocks no other");
     Assertions.assertFalse(mayStart("g", three, 100, 15000));
     Assertions.assertTrue(mayStart("d", two, 5000, 15000));
     Assertions.assertTrue(mayStart("g", none, 10000, 15000));
@@ -40,7 +41,7 @@
   }
 
   @Test
-  void aPunctualRollGoesByTimeAloneSoThatRelaysCanReckonWithIt() {
+  void aStrictlyTimedRolloutDependsOnTimeAloneSoThatRelaysCanPredictIt() {
     RolloutPlan plan = new RolloutPlan(400, 4800, 4);
     SortedMap<String, ReplicaProgress> none = progress("wwwwwww"), all = progress("mmmmmmw");
     Assertions.assertFalse(mayStart("a", none, 399, plan, true));
@@ -50,7 +51,7 @@
     Assertions.assertTrue(mayStart("c", none, 1600, plan, true));
     Assertions.assertFalse(
         mayStart("g", all, 3999, plan, true),
-        "all before it have moved, but its time has not come");
+        "all earlier replicas are updated, but the batch is not due yet");
     Assertions.assertTrue(mayStart("g", all, 4000, plan, true));
     for (String instance : none.keySet())
       Assertions.assertEquals(
