--- a/common/src/main/java/gladelug/common/LocatedJson.java
+++ b/common/src/main/java/gladelug/common/LocatedJson.java
@@ -80,7 +80,7 @@
   }
 
   /** Bytes as text; what isn't UTF-8 is a finding, as it could not be read back as it was sent. */
-  public static Result<String> text(byte[] bytes) {
+  public static Result<String> decodeUtf8(byte[] bytes) {
     try {
       ByteBuffer buffer = ByteBuffer.wrap(bytes);
       return Result.good(StandardCharsets.UTF_8.newDecoder().decode(buffer).toString());
@@ -99,7 +99,7 @@
           "line " + e.getLocation().line + ", column " + e.getLocation().column,
           "not JSON: " + e.getMessage().replaceFirst(" at \\d+:\\d+$", ""));
     }
-    return Result.of(findings, () -> r.last);
+    return Result.of(findings, () -> r.lastValue);
   }
 
   public Fields fields(Findings findings) {
@@ -112,154 +112,155 @@
    */
   private static final class Reader extends JsonHandler<Object, Object> {
     /** Longer texts are seldom equal. */
-    private static final int LONGEST_SHARED_TEXT = 24;
+    private static final int MAX_SHARED_TEXT_CHARS = 24;
 
     private static final int MAX_SHARED_TEXTS = 4096;
 
     private final Findings findings;
     private final Map<String, String> sharedTexts = new HashMap<>();
     private final ArrayDeque<Position> positions = new ArrayDeque<>();
-    private final ArrayDeque<LocatedJson> open = new ArrayDeque<>();
-    private final ArrayDeque<Location> starts = new ArrayDeque<>();
-    private LocatedJson last;
+    private final ArrayDeque<LocatedJson> openContainers = new ArrayDeque<>();
+    private final ArrayDeque<Location> startLocations = new ArrayDeque<>();
+    private LocatedJson lastValue;
 
     Reader(Findings findings) {
       this.findings = findings;
       positions.push(new Position(null, null, 0));
     }
 
-    private void leaf(Kind k, String text) {
-      last = new LocatedJson(k, positions.peek(), starts.pop(), shared(text));
+    private void finishScalar(Kind k, String text) {
+      lastValue = new LocatedJson(k, positions.peek(), startLocations.pop(), intern(text));
     }
 
-    private String shared(String text) {
-      if (text == null || text.length() > LONGEST_SHARED_TEXT) return text;
+    private String intern(String text) {
+      if (text == null || text.length() > MAX_SHARED_TEXT_CHARS) return text;
       String first = sharedTexts.get(text);
       if (first != null) return first;
       if (sharedTexts.size() < MAX_SHARED_TEXTS) sharedTexts.put(text, text);
       return text;
     }
 
-    private void begin() {
-      starts.push(getLocation());
+    private void markStart() {
+      startLocations.push(getLocation());
     }
 
     @Override
     public void startNull() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endNull() {
-      leaf(Kind.NULL, null);
+      finishScalar(Kind.NULL, null);
     }
 
     @Override
     public void startBoolean() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endBoolean(boolean v) {
-      leaf(Kind.BOOLEAN, String.valueOf(v));
+      finishScalar(Kind.BOOLEAN, String.valueOf(v));
     }
 
     @Override
     public void startString() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endString(String text) {
-      leaf(Kind.STRING, text);
+      finishScalar(Kind.STRING, text);
     }
 
     @Override
     public void startNumber() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endNumber(String text) {
-      leaf(Kind.NUMBER, text);
+      finishScalar(Kind.NUMBER, text);
     }
 
     @Override
     public Object startArray() {
-      open.push(new LocatedJson(Kind.ARRAY, positions.peek(), getLocation(), null));
+      openContainers.push(new LocatedJson(Kind.ARRAY, positions.peek(), getLocation(), null));
       return null;
     }
 
     @Override
     public void endArray(Object a) {
-      last = open.pop();
+      lastValue = openContainers.pop();
     }
 
     @Override
     public void startArrayValue(Object a) {
-      positions.push(new Position(open.peek(), null, open.peek().items.size()));
+      positions.push(new Position(openContainers.peek(), null, openContainers.peek().items.size()));
     }
 
     @Override
     public void endArrayValue(Object a) {
       positions.pop();
-      open.peek().items.add(last);
+      openContainers.peek().items.add(lastValue);
     }
 
     @Override
     public Object startObject() {
-      open.push(new LocatedJson(Kind.OBJECT, positions.peek(), getLocation(), null));
+      openContainers.push(new LocatedJson(Kind.OBJECT, positions.peek(), getLocation(), null));
       return null;
     }
 
     @Override
     public void endObject(Object o) {
-      last = open.pop();
+      lastValue = openContainers.pop();
     }
 
     @Override
     public void startObjectValue(Object o, String name) {
-      positions.push(new Position(open.peek(), shared(name), 0));
+      positions.push(new Position(openContainers.peek(), intern(name), 0));
     }
 
     @Override
     public void endObjectValue(Object o, String name) {
       positions.pop();
-      if (open.peek().members.putIfAbsent(shared(name), last) != null)
-        findings.add(last.place(), "given twice");
+      if (openContainers.peek().members.putIfAbsent(intern(name), lastValue) != null)
+        findings.add(lastValue.place(), "given twice");
     }
   }
 
   public static final class Fields {
-    private final LocatedJson doc;
+    private final LocatedJson node;
     private final Findings findings;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> requestedNames = new HashSet<>();
 
-    private Fields(LocatedJson doc, Findings findings) {
-      this.doc = doc;
+    private Fields(LocatedJson node, Findings findings) {
+      this.node = node;
       this.findings = findings;
-      if (doc.kind != Kind.OBJECT) findings.add(doc.place(), "must be an object");
+      if (node.kind != Kind.OBJECT) findings.add(node.place(), "must be an object");
     }
 
     public boolean has(String name) {
-      return doc.members.containsKey(name);
+      return node.members.containsKey(name);
     }
 
     public String place(String name) {
-      LocatedJson json = doc.members.get(name);
-      return json == null ? doc.place() : json.place();
+      LocatedJson value = node.members.get(name);
+      return value == null ? node.place() : value.place();
     }
 
-    private LocatedJson get(String name, Kind k, boolean must) {
-      asked.add(name);
-      LocatedJson json = doc.members.get(name);
-      if (json == null) {
-        if (must && doc.kind == Kind.OBJECT) findings.add(doc.place(), "misses the field " + name);
+    private LocatedJson get(String name, Kind k, boolean required) {
+      requestedNames.add(name);
+      LocatedJson value = node.members.get(name);
+      if (value == null) {
+        if (required && node.kind == Kind.OBJECT)
+          findings.add(node.place(), "misses the field " + name);
         return null;
       }
-      if (json.kind != k) {
+      if (value.kind != k) {
         findings.add(
-            json.place(),
+            value.place(),
             "must be "
                 + switch (k) {
                   case OBJECT -> "an object";
@@ -271,19 +272,19 @@
                 });
         return null;
       }
-      return json;
+      return value;
     }
 
     public String text(String name) {
-      LocatedJson json = get(name, Kind.STRING, true);
-      if (json == null) return "";
-      if (json.text.isBlank()) findings.add(json.place(), "must not be empty");
-      return json.text;
+      LocatedJson value = get(name, Kind.STRING, true);
+      if (value == null) return "";
+      if (value.text.isBlank()) findings.add(value.place(), "must not be empty");
+      return value.text;
     }
 
     public String text(String name, String defaultValue) {
-      LocatedJson json = get(name, Kind.STRING, false);
-      return json == null ? defaultValue : json.text;
+      LocatedJson value = get(name, Kind.STRING, false);
+      return value == null ? defaultValue : value.text;
     }
 
     public long integer(String name, long defaultValue, long min, long max) {
@@ -294,54 +295,55 @@
       return integer(name, true, min, min, max);
     }
 
-    private long integer(String name, boolean must, long defaultValue, long min, long max) {
-      LocatedJson json = get(name, Kind.NUMBER, must);
-      if (json == null) return defaultValue;
+    private long integer(String name, boolean required, long defaultValue, long min, long max) {
+      LocatedJson value = get(name, Kind.NUMBER, required);
+      if (value == null) return defaultValue;
       try {
-        long v = Long.parseLong(json.text);
+        long v = Long.parseLong(value.text);
         if (v >= min && v <= max) return v;
       } catch (NumberFormatException e) {
         // reported below with the range
       }
-      findings.add(json.place(), "must be a whole number from " + min + " to " + max);
+      findings.add(value.place(), "must be a whole number from " + min + " to " + max);
       return defaultValue;
     }
 
     public double fraction(String name, double defaultValue, double min, double max) {
-      LocatedJson json = get(name, Kind.NUMBER, false);
-      if (json == null) return defaultValue;
-      double v = Double.parseDouble(json.text);
+      LocatedJson value = get(name, Kind.NUMBER, false);
+      if (value == null) return defaultValue;
+      double v = Double.parseDouble(value.text);
       if (v >= min && v <= max) return v;
-      findings.add(json.place(), "must be a number from " + min + " to " + max);
+      findings.add(value.place(), "must be a number from " + min + " to " + max);
       return defaultValue;
     }
 
     public boolean flag(String name, boolean defaultValue) {
-      LocatedJson json = get(name, Kind.BOOLEAN, false);
-      return json == null ? defaultValue : json.text.equals("true");
+      LocatedJson value = get(name, Kind.BOOLEAN, false);
+      return value == null ? defaultValue : value.text.equals("true");
     }
 
-    public List<LocatedJson> list(String name, boolean must) {
-      LocatedJson json = get(name, Kind.ARRAY, must);
-      return json == null ? List.of() : json.items;
+    public List<LocatedJson> list(String name, boolean required) {
+      LocatedJson value = get(name, Kind.ARRAY, required);
+      return value == null ? List.of() : value.items;
     }
 
-    public List<String> texts(String name, boolean must) {
+    public List<String> texts(String name, boolean required) {
       List<String> out = new ArrayList<>();
-      for (LocatedJson json : list(name, must)) {
-        if (json.kind == Kind.STRING && !json.text.isBlank()) out.add(json.text);
-        else findings.add(json.place(), "must be a text that is not empty");
+      for (LocatedJson value : list(name, required)) {
+        if (value.kind == Kind.STRING && !value.text.isBlank()) out.add(value.text);
+        else findings.add(value.place(), "must be a text that is not empty");
       }
       return out;
     }
 
-    public LocatedJson object(String name, boolean must) {
-      return get(name, Kind.OBJECT, must);
+    public LocatedJson object(String name, boolean required) {
+      return get(name, Kind.OBJECT, required);
     }
 
-    public void done() {
-      for (Map.Entry<String, LocatedJson> e : doc.members.entrySet())
-        if (!asked.contains(e.getKey())) findings.add(e.getValue().place(), "is not a known field");
+    public void reportUnknownFields() {
+      for (Map.Entry<String, LocatedJson> e : node.members.entrySet())
+        if (!requestedNames.contains(e.getKey()))
+          findings.add(e.getValue().place(), "is not a known field");
     }
   }
 }
--- a/common/src/main/java/gladelug/common/SingleThreadWorker.java
+++ b/common/src/main/java/gladelug/common/SingleThreadWorker.java
@@ -30,13 +30,13 @@
   private final PriorityQueue<ScheduledTask> scheduled = new PriorityQueue<>();
   private final Thread thread;
   private final FatalFailure.Handler onFatal;
-  private final StallDetector.Watched watched;
+  private final StallDetector.WatchedThread watched;
   private volatile boolean open = true;
   private long nextSequence;
 
   /** A worker whose process ends where a task throws an error. */
-  public SingleThreadWorker(String name, int slots, Clock clock) {
-    this(name, slots, clock, FatalFailure::endProcess);
+  public SingleThreadWorker(String name, int queueCapacity, Clock clock) {
+    this(name, queueCapacity, clock, FatalFailure::endProcess);
   }
 
   /**
@@ -45,11 +45,11 @@
    * @param slots how many tasks may wait
    * @param onFatal is told, on the worker's thread, of an error that a task threw
    */
-  SingleThreadWorker(String name, int slots, Clock clock, FatalFailure.Handler onFatal) {
+  SingleThreadWorker(String name, int queueCapacity, Clock clock, FatalFailure.Handler onFatal) {
     this.onFatal = onFatal;
     this.name = name;
     this.clock = clock;
-    this.queue = new ArrayBlockingQueue<>(slots);
+    this.queue = new ArrayBlockingQueue<>(queueCapacity);
     this.thread = new Thread(this::runLoop, name);
     thread.setDaemon(true);
     thread.start();
--- a/common/src/main/java/gladelug/common/configuration/Configuration.java
+++ b/common/src/main/java/gladelug/common/configuration/Configuration.java
@@ -33,10 +33,10 @@
    */
   public record Engine(
       int slots,
-      long keptTokens,
-      int tokenBytes,
+      long cacheCapacityTokens,
+      int bytesPerToken,
       double linkMbps,
-      int followers,
+      int maxEventSubscribers,
       List<String> models) {
     public static final Engine UNKNOWN = new Engine(0, 0, 0, 0, 0, List.of());
   }
@@ -49,24 +49,25 @@
       int index,
       String name,
       Kind kind,
-      List<AllowedEndpoint> allow,
-      int connections,
+      List<AllowedEndpoint> allowedEndpoints,
+      int maxConnections,
       Engine engine,
-      Address store,
+      Address storeAddress,
       String zone) {
     public boolean allows(Address address) {
-      for (AllowedEndpoint endpoint : allow) if (endpoint.allows(address)) return true;
+      for (AllowedEndpoint endpoint : allowedEndpoints) if (endpoint.allows(address)) return true;
       return false;
     }
   }
 
   /** What a client may send at most and how long it may take: bytes and milliseconds. */
-  public record Limits(int headerBytes, int bodyBytes, int headerMs, int idleMs) {
-    public static final Limits USUAL = new Limits(16_384, 16_777_216, 10_000, 120_000);
+  public record Limits(
+      int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {
+    public static final Limits DEFAULT = new Limits(16_384, 16_777_216, 10_000, 120_000);
   }
 
   /** A part of a route's traffic: a service by its index and how much of it. */
-  public record Weighted(int service, int weight) {}
+  public record WeightedService(int serviceIndex, int weight) {}
 
   /**
    * Which requests go to which service. host is empty for any; prefix tells whether path begins the
@@ -78,24 +79,25 @@
       String name,
       String host,
       String path,
-      boolean prefix,
-      List<Weighted> split,
+      boolean matchesPrefix,
+      List<WeightedService> trafficSplit,
       int deadlineMs,
       boolean repeatable,
       int maxBodyBytes,
-      int aimMs,
-      int gapMs,
-      int attempts,
+      int firstEventTargetMs,
+      int eventGapTargetMs,
+      int maxAttempts,
       int tier,
-      boolean open,
-      boolean stream,
+      boolean allowsAnonymous,
+      boolean streaming,
       boolean resumable) {
-    public int service() {
-      return split.get(0).service();
+    public int primaryService() {
+      return trafficSplit.get(0).serviceIndex();
     }
 
-    public boolean allows(int service) {
-      for (Weighted w : split) if (w.service == service && w.weight > 0) return true;
+    public boolean allowsService(int service) {
+      for (WeightedService weighted : trafficSplit)
+        if (weighted.serviceIndex == service && weighted.weight > 0) return true;
       return false;
     }
 
@@ -103,35 +105,35 @@
      * The service for a request whose draw is from 0 to 1: by the weights, the same for the same
      * draw.
      */
-    public int service(double draw) {
-      int all = 0;
-      for (Weighted w : split) all += w.weight;
-      double at = draw * all;
-      for (Weighted w : split) {
-        at -= w.weight;
-        if (at < 0) return w.service;
+    public int chooseService(double draw) {
+      int totalWeight = 0;
+      for (WeightedService weighted : trafficSplit) totalWeight += weighted.weight;
+      double remainder = draw * totalWeight;
+      for (WeightedService weighted : trafficSplit) {
+        remainder -= weighted.weight;
+        if (remainder < 0) return weighted.serviceIndex;
       }
-      return split.get(split.size() - 1).service;
+      return trafficSplit.get(trafficSplit.size() - 1).serviceIndex;
     }
 
     /** The same route wherever it and its services stand in the lists of a configuration. */
-    public Route withoutPlaces() {
+    public Route withoutIndices() {
       return new Route(
           0,
           name,
           host,
           path,
-          prefix,
+          matchesPrefix,
           List.of(),
           deadlineMs,
           repeatable,
           maxBodyBytes,
-          aimMs,
-          gapMs,
-          attempts,
+          firstEventTargetMs,
+          eventGapTargetMs,
+          maxAttempts,
           tier,
-          open,
-          stream,
+          allowsAnonymous,
+          streaming,
           resumable);
     }
 
@@ -146,66 +148,67 @@
       private final String name;
       private String host = "";
       private String path = "/";
-      private boolean prefix;
-      private final List<Weighted> split = new ArrayList<>();
+      private boolean matchesPrefix;
+      private final List<WeightedService> trafficSplit = new ArrayList<>();
       private int deadlineMs = 10_000;
       private boolean repeatable;
       private int maxBodyBytes = 262_144;
-      private int aimMs;
-      private int gapMs;
-      private int attempts = 2;
+      private int firstEventTargetMs;
+      private int eventGapTargetMs;
+      private int maxAttempts = 2;
       private int tier;
-      private boolean open;
-      private boolean stream = true;
+      private boolean allowsAnonymous;
+      private boolean streaming = true;
       private boolean resumable;
 
       private Builder(String name) {
         this.name = name;
       }
 
-      public Builder at(String h, String p, boolean begins) {
-        host = h;
-        path = p;
-        prefix = begins;
+      public Builder matching(String requestHost, String requestPath, boolean asPrefix) {
+        host = requestHost;
+        path = requestPath;
+        matchesPrefix = asPrefix;
         return this;
       }
 
-      public Builder to(int service, int weight) {
-        split.add(new Weighted(service, weight));
+      public Builder addService(int service, int weight) {
+        trafficSplit.add(new WeightedService(service, weight));
         return this;
       }
 
-      public Builder times(int deadline, int aim, int gap) {
-        deadlineMs = deadline;
-        aimMs = aim;
-        gapMs = gap;
+      public Builder timings(
+          int newDeadlineMs, int newFirstEventTargetMs, int newEventGapTargetMs) {
+        deadlineMs = newDeadlineMs;
+        firstEventTargetMs = newFirstEventTargetMs;
+        eventGapTargetMs = newEventGapTargetMs;
         return this;
       }
 
-      public Builder tries(boolean again, int most) {
-        repeatable = again;
-        attempts = most;
+      public Builder attempts(boolean isRepeatable, int newMaxAttempts) {
+        repeatable = isRepeatable;
+        maxAttempts = newMaxAttempts;
         return this;
       }
 
-      public Builder body(int bytes) {
-        maxBodyBytes = bytes;
+      public Builder maxBodyBytes(int newMaxBodyBytes) {
+        maxBodyBytes = newMaxBodyBytes;
         return this;
       }
 
-      public Builder tier(int t) {
-        tier = t;
+      public Builder tier(int newTier) {
+        tier = newTier;
         return this;
       }
 
-      public Builder open(boolean yes) {
-        open = yes;
+      public Builder allowsAnonymous(boolean allowed) {
+        allowsAnonymous = allowed;
         return this;
       }
 
-      public Builder stream(boolean yes, boolean mayResume) {
-        stream = yes;
-        resumable = mayResume;
+      public Builder streaming(boolean isStreaming, boolean isResumable) {
+        streaming = isStreaming;
+        resumable = isResumable;
         return this;
       }
 
@@ -215,24 +218,24 @@
             name,
             host,
             path,
-            prefix,
-            List.copyOf(split),
+            matchesPrefix,
+            List.copyOf(trafficSplit),
             deadlineMs,
             repeatable,
             maxBodyBytes,
-            aimMs,
-            gapMs,
-            attempts,
+            firstEventTargetMs,
+            eventGapTargetMs,
+            maxAttempts,
             tier,
-            open,
-            stream,
+            allowsAnonymous,
+            streaming,
             resumable);
       }
     }
   }
 
   public record Tenant(
-      int index, String name, List<String> keys, boolean isolated, QuotaShare share) {}
+      int index, String name, List<String> keyHashes, boolean isolated, QuotaShare rootShare) {}
 
   public final List<Service> services;
   public final List<Route> routes;
@@ -242,10 +245,10 @@
   /** The operator's own number for it, 0 where there is none. */
   public final long revision;
 
-  private final Map<String, Route> byPath = new HashMap<>();
-  private final Map<String, Route> byPrefix = new HashMap<>();
-  private final Map<String, Tenant> byKey = new HashMap<>();
-  private final Map<String, Service> byName = new HashMap<>();
+  private final Map<String, Route> routesByPath = new HashMap<>();
+  private final Map<String, Route> routesByPrefix = new HashMap<>();
+  private final Map<String, Tenant> tenantsByKeyHash = new HashMap<>();
+  private final Map<String, Service> servicesByName = new HashMap<>();
 
   public Configuration(
       long revision,
@@ -258,13 +261,15 @@
     this.services = List.copyOf(services);
     this.routes = List.copyOf(routes);
     this.tenants = List.copyOf(tenants);
-    for (Service s : services) byName.put(s.name, s);
-    for (Route m : routes) (m.prefix ? byPrefix : byPath).put(m.host + m.path, m);
-    for (Tenant t : tenants) for (String k : t.keys) byKey.put(k, t);
+    for (Service service : services) servicesByName.put(service.name, service);
+    for (Route route : routes)
+      (route.matchesPrefix ? routesByPrefix : routesByPath).put(route.host + route.path, route);
+    for (Tenant tenant : tenants)
+      for (String keyHash : tenant.keyHashes) tenantsByKeyHash.put(keyHash, tenant);
   }
 
   /** Whoever calls a route that is open to all without a key. */
-  public static final Tenant ANYBODY =
+  public static final Tenant ANONYMOUS =
       new Tenant(
           -1,
           "anybody",
@@ -273,7 +278,7 @@
           new QuotaShare("anybody", "anybody", 1, 9, 0, List.of(), List.of()));
 
   public static final Configuration EMPTY =
-      new Configuration(0, List.of(), List.of(), List.of(), Limits.USUAL);
+      new Configuration(0, List.of(), List.of(), List.of(), Limits.DEFAULT);
 
   public Route route(String path) {
     return route("", path);
@@ -284,153 +289,170 @@
    * null.
    */
   public Route route(String host, String path) {
-    Route r = byPath.get(host + path);
-    for (int i = path.length() - 1; r == null && i >= 0; i--)
-      if (path.charAt(i) == '/') r = byPrefix.get(host + path.substring(0, i + 1));
-    return r != null || host.isEmpty() ? r : route("", path);
+    Route match = routesByPath.get(host + path);
+    for (int index = path.length() - 1; match == null && index >= 0; index--)
+      if (path.charAt(index) == '/')
+        match = routesByPrefix.get(host + path.substring(0, index + 1));
+    return match != null || host.isEmpty() ? match : route("", path);
   }
 
   public Service service(String name) {
-    return byName.get(name);
+    return servicesByName.get(name);
   }
 
-  public Tenant tenantOfHash(String hash) {
-    return byKey.get(hash);
+  public Tenant tenantByKeyHash(String hash) {
+    return tenantsByKeyHash.get(hash);
   }
 
-  public static String hashOf(String key) {
+  public static String hashKey(String key) {
     return Digest.hex(key);
   }
 
   /** Where in the tree a request of this tenant by this route stands: the leaf's path. */
-  public static String leaf(Tenant t, Route m) {
-    QuotaShare share = t.share.leaf(m.name);
-    return share == null ? t.share.path() : share.path();
+  public static String leafPath(Tenant tenant, Route route) {
+    QuotaShare share = tenant.rootShare.findLeaf(route.name);
+    return share == null ? tenant.rootShare.path() : share.path();
   }
 
   public static Result<Configuration> parse(String json) {
-    return LocatedJson.parse(json).then(Configuration::read);
+    return LocatedJson.parse(json).flatMap(Configuration::read);
   }
 
-  public static Result<Configuration> read(LocatedJson d) {
+  public static Result<Configuration> read(LocatedJson document) {
     Findings findings = new Findings();
-    LocatedJson.Fields f = d.fields(findings);
-    Map<String, Service> sn = new HashMap<>();
-    List<Service> ss = new ArrayList<>();
-    for (LocatedJson x : f.list("services", true)) ss.add(service(x, ss.size(), sn, findings));
-    List<Route> ms = new ArrayList<>();
-    Set<String> mn = new HashSet<>(), mp = new HashSet<>();
-    for (LocatedJson x : f.list("mappings", true))
-      ms.add(route(x, ms.size(), sn, mn, mp, findings));
-    List<Tenant> ts = new ArrayList<>();
-    Set<String> tn = new HashSet<>();
-    Map<String, String> keys = new HashMap<>();
-    for (LocatedJson x : f.list("tenants", true))
-      ts.add(tenant(x, ts.size(), tn, keys, mn, findings));
-    f.done();
-    return Result.of(findings, () -> new Configuration(0, ss, ms, ts, Limits.USUAL));
+    LocatedJson.Fields fields = document.fields(findings);
+    Map<String, Service> servicesByName = new HashMap<>();
+    List<Service> services = new ArrayList<>();
+    for (LocatedJson json : fields.list("services", true))
+      services.add(readService(json, services.size(), servicesByName, findings));
+    List<Route> routes = new ArrayList<>();
+    Set<String> routeNames = new HashSet<>(), routePaths = new HashSet<>();
+    for (LocatedJson json : fields.list("mappings", true))
+      routes.add(readRoute(json, routes.size(), servicesByName, routeNames, routePaths, findings));
+    List<Tenant> tenants = new ArrayList<>();
+    Set<String> tenantNames = new HashSet<>();
+    Map<String, String> tenantNamesByKeyHash = new HashMap<>();
+    for (LocatedJson json : fields.list("tenants", true))
+      tenants.add(
+          readTenant(
+              json, tenants.size(), tenantNames, tenantNamesByKeyHash, routeNames, findings));
+    fields.reportUnknownFields();
+    return Result.of(
+        findings, () -> new Configuration(0, services, routes, tenants, Limits.DEFAULT));
   }
 
-  private static Service service(
-      LocatedJson json, int i, Map<String, Service> names, Findings findings) {
-    LocatedJson.Fields f = json.fields(findings);
-    String name = f.text("name");
-    String k = f.text("kind", "model");
+  private static Service readService(
+      LocatedJson json, int index, Map<String, Service> servicesByName, Findings findings) {
+    LocatedJson.Fields fields = json.fields(findings);
+    String name = fields.text("name");
+    String kindName = fields.text("kind", "model");
     Kind kind = Kind.MODEL;
-    switch (k) {
+    switch (kindName) {
       case "model" -> kind = Kind.MODEL;
       case "application" -> kind = Kind.APPLICATION;
       case "store" -> kind = Kind.STORE;
-      default -> findings.add(f.place("kind"), "must be model, application or store, not " + k);
+      default ->
+          findings.add(
+              fields.place("kind"), "must be model, application or store, not " + kindName);
     }
-    List<AllowedEndpoint> as = new ArrayList<>();
-    for (String a : f.texts("allow", true)) {
-      Result<AllowedEndpoint> r = AllowedEndpoint.parse(a, f.place("allow"));
-      if (r instanceof Result.Good<AllowedEndpoint> g) as.add(g.value());
+    List<AllowedEndpoint> allowedEndpoints = new ArrayList<>();
+    for (String endpointText : fields.texts("allow", true)) {
+      Result<AllowedEndpoint> endpoint = AllowedEndpoint.parse(endpointText, fields.place("allow"));
+      if (endpoint instanceof Result.Good<AllowedEndpoint> good) allowedEndpoints.add(good.value());
       else
-        for (Finding y : ((Result.Bad<AllowedEndpoint>) r).findings())
-          findings.add(y.place(), y.what());
+        for (Finding finding : ((Result.Bad<AllowedEndpoint>) endpoint).findings())
+          findings.add(finding.place(), finding.what());
     }
-    f.done();
-    Service s = new Service(i, name, kind, List.copyOf(as), 256, Engine.UNKNOWN, null, "");
-    if (names.putIfAbsent(name, s) != null)
-      findings.add(f.place("name"), "two services are named " + name);
-    return s;
+    fields.reportUnknownFields();
+    Service service =
+        new Service(
+            index, name, kind, List.copyOf(allowedEndpoints), 256, Engine.UNKNOWN, null, "");
+    if (servicesByName.putIfAbsent(name, service) != null)
+      findings.add(fields.place("name"), "two services are named " + name);
+    return service;
   }
 
-  private static Route route(
+  private static Route readRoute(
       LocatedJson json,
-      int i,
-      Map<String, Service> sn,
-      Set<String> names,
-      Set<String> paths,
+      int index,
+      Map<String, Service> servicesByName,
+      Set<String> takenNames,
+      Set<String> takenPaths,
       Findings findings) {
-    LocatedJson.Fields f = json.fields(findings);
-    String name = f.text("name"), path = f.text("path"), sv = f.text("service");
-    Service s = sn.get(sv);
-    if (s == null && !sv.isEmpty())
-      findings.add(f.place("service"), "names no service of this policy: " + sv);
-    if (s != null && s.kind == Kind.STORE)
-      findings.add(f.place("service"), "a store takes no orders: " + sv);
+    LocatedJson.Fields fields = json.fields(findings);
+    String name = fields.text("name"),
+        path = fields.text("path"),
+        serviceName = fields.text("service");
+    Service service = servicesByName.get(serviceName);
+    if (service == null && !serviceName.isEmpty())
+      findings.add(fields.place("service"), "names no service of this policy: " + serviceName);
+    if (service != null && service.kind == Kind.STORE)
+      findings.add(fields.place("service"), "a store takes no orders: " + serviceName);
     if (!path.isEmpty() && !path.startsWith("/"))
-      findings.add(f.place("path"), "must begin with a slash");
+      findings.add(fields.place("path"), "must begin with a slash");
     if (path.startsWith("/operator/"))
-      findings.add(f.place("path"), "must not begin with /operator/");
-    if (!names.add(name)) findings.add(f.place("name"), "two mappings are named " + name);
-    if (!paths.add(path)) findings.add(f.place("path"), "two mappings have the path " + path);
-    Route m =
+      findings.add(fields.place("path"), "must not begin with /operator/");
+    if (!takenNames.add(name)) findings.add(fields.place("name"), "two mappings are named " + name);
+    if (!takenPaths.add(path))
+      findings.add(fields.place("path"), "two mappings have the path " + path);
+    Route route =
         Route.named(name)
-            .at("", path, false)
-            .to(s == null ? -1 : s.index, 1)
-            .times((int) f.integer("expiryMs", 10_000, 50, 600_000), 0, 0)
-            .tries(f.flag("repeatable", false), (int) f.integer("attempts", 6, 1, 16))
-            .body((int) f.integer("maxBodyBytes", 262_144, 64, 16_777_216))
-            .build(i);
-    f.done();
-    return m;
+            .matching("", path, false)
+            .addService(service == null ? -1 : service.index, 1)
+            .timings((int) fields.integer("expiryMs", 10_000, 50, 600_000), 0, 0)
+            .attempts(fields.flag("repeatable", false), (int) fields.integer("attempts", 6, 1, 16))
+            .maxBodyBytes((int) fields.integer("maxBodyBytes", 262_144, 64, 16_777_216))
+            .build(index);
+    fields.reportUnknownFields();
+    return route;
   }
 
-  private static Tenant tenant(
-      LocatedJson x,
-      int i,
-      Set<String> names,
-      Map<String, String> keys,
-      Set<String> routes,
+  private static Tenant readTenant(
+      LocatedJson json,
+      int index,
+      Set<String> takenNames,
+      Map<String, String> tenantNamesByKeyHash,
+      Set<String> routeNames,
       Findings findings) {
-    LocatedJson.Fields f = x.fields(findings);
-    String name = f.text("name");
-    List<String> ks = new ArrayList<>();
-    for (LocatedJson k : f.list("keys", true)) {
-      if (k.kind != LocatedJson.Kind.STRING || !k.text.matches("sha256:[0-9a-f]{64}"))
+    LocatedJson.Fields fields = json.fields(findings);
+    String name = fields.text("name");
+    List<String> keyHashes = new ArrayList<>();
+    for (LocatedJson key : fields.list("keys", true)) {
+      if (key.kind != LocatedJson.Kind.STRING || !key.text.matches("sha256:[0-9a-f]{64}"))
         findings.add(
-            k.place(),
+            key.place(),
             "must be sha256: and 64 small hex digits, the hash of a key, never the key itself");
       else {
-        String h = k.text.substring(7), old = keys.putIfAbsent(h, name);
-        if (old != null) findings.add(k.place(), "is already a key of tenant " + old);
-        ks.add(h);
+        String hash = key.text.substring(7),
+            otherTenant = tenantNamesByKeyHash.putIfAbsent(hash, name);
+        if (otherTenant != null)
+          findings.add(key.place(), "is already a key of tenant " + otherTenant);
+        keyHashes.add(hash);
       }
     }
-    Set<String> taken = new HashSet<>();
-    List<QuotaShare> below = QuotaShare.readAll(f.list("shares", false), name, 1, taken, findings);
-    for (String m : taken)
-      if (!routes.contains(m))
-        findings.add(f.place("shares"), "a share names no mapping of this policy: " + m);
+    Set<String> sharedRoutes = new HashSet<>();
+    List<QuotaShare> shares =
+        QuotaShare.readAll(fields.list("shares", false), name, 1, sharedRoutes, findings);
+    for (String routeName : sharedRoutes)
+      if (!routeNames.contains(routeName))
+        findings.add(
+            fields.place("shares"), "a share names no mapping of this policy: " + routeName);
     QuotaShare root =
         new QuotaShare(
             name,
             name,
-            (int) f.integer("weight", 1, 1, 1_000_000),
-            (int) f.integer("tier", 0, 0, 9),
-            (int) f.integer("limit", 0, 0, 1_000_000),
+            (int) fields.integer("weight", 1, 1, 1_000_000),
+            (int) fields.integer("tier", 0, 0, 9),
+            (int) fields.integer("limit", 0, 0, 1_000_000),
             List.of(),
-            below);
-    for (QuotaShare share : below)
-      QuotaShare.above(share, root.limit(), f.place("shares"), findings);
-    Tenant t = new Tenant(i, name, List.copyOf(ks), f.flag("isolated", false), root);
-    f.done();
-    if (name.contains("/")) findings.add(f.place("name"), "must not hold a slash");
-    if (!names.add(name)) findings.add(f.place("name"), "two tenants are named " + name);
-    return t;
+            shares);
+    for (QuotaShare share : shares)
+      QuotaShare.checkLimit(share, root.limit(), fields.place("shares"), findings);
+    Tenant tenant =
+        new Tenant(index, name, List.copyOf(keyHashes), fields.flag("isolated", false), root);
+    fields.reportUnknownFields();
+    if (name.contains("/")) findings.add(fields.place("name"), "must not hold a slash");
+    if (!takenNames.add(name)) findings.add(fields.place("name"), "two tenants are named " + name);
+    return tenant;
   }
 }
--- a/common/src/main/java/gladelug/common/configuration/CoreMemberList.java
+++ b/common/src/main/java/gladelug/common/configuration/CoreMemberList.java
@@ -13,40 +13,40 @@
  * The core's members as data-plane processes receive them: names and addresses, with the generation
  * as number.
  */
-public record CoreMemberList(List<Member> all) {
-  public record Member(String name, Address records, Address operator) {}
+public record CoreMemberList(List<Member> members) {
+  public record Member(String name, Address recordsAddress, Address operatorAddress) {}
 
   public static final CoreMemberList NONE = new CoreMemberList(List.of());
 
-  public String json() {
+  public String toJson() {
     JsonArray array = new JsonArray();
-    for (Member m : all)
+    for (Member member : members)
       array.add(
           Json.object()
-              .add("name", m.name)
-              .add("records", m.records.toString())
-              .add("operator", m.operator.toString()));
+              .add("name", member.name)
+              .add("records", member.recordsAddress.toString())
+              .add("operator", member.operatorAddress.toString()));
     return Json.object().add("members", array).toString();
   }
 
   public static Result<CoreMemberList> parse(String text) {
     return LocatedJson.parse(text)
-        .then(
-            d -> {
+        .flatMap(
+            document -> {
               Findings findings = new Findings();
-              LocatedJson.Fields f = d.fields(findings);
-              List<Member> l = new ArrayList<>();
-              for (LocatedJson x : f.list("members", true)) {
-                LocatedJson.Fields g = x.fields(findings);
-                l.add(
+              LocatedJson.Fields fields = document.fields(findings);
+              List<Member> members = new ArrayList<>();
+              for (LocatedJson entry : fields.list("members", true)) {
+                LocatedJson.Fields entryFields = entry.fields(findings);
+                members.add(
                     new Member(
-                        g.text("name"),
-                        Address.read(g, "records", findings),
-                        Address.read(g, "operator", findings)));
-                g.done();
+                        entryFields.text("name"),
+                        Address.read(entryFields, "records", findings),
+                        Address.read(entryFields, "operator", findings)));
+                entryFields.reportUnknownFields();
               }
-              f.done();
-              return Result.of(findings, () -> new CoreMemberList(List.copyOf(l)));
+              fields.reportUnknownFields();
+              return Result.of(findings, () -> new CoreMemberList(List.copyOf(members)));
             });
   }
 }
--- a/common/src/main/java/gladelug/common/configuration/QuotaShare.java
+++ b/common/src/main/java/gladelug/common/configuration/QuotaShare.java
@@ -20,54 +20,64 @@
     int limit,
     List<String> routes,
     List<QuotaShare> shares) {
-  static final int DEEPEST = 6;
+  static final int MAX_DEPTH = 6;
 
   static QuotaShare read(
-      LocatedJson json, String under, int depth, Set<String> taken, Findings findings) {
-    LocatedJson.Fields f = json.fields(findings);
-    String name = f.text("name");
-    String path = under + "/" + name;
-    QuotaShare s =
+      LocatedJson json,
+      String parentPath,
+      int depth,
+      Set<String> assignedRoutes,
+      Findings findings) {
+    LocatedJson.Fields fields = json.fields(findings);
+    String name = fields.text("name");
+    String path = parentPath + "/" + name;
+    QuotaShare share =
         new QuotaShare(
             name,
             path,
-            (int) f.integer("weight", 1, 1, 1_000_000),
-            (int) f.integer("tier", 0, 0, 9),
-            (int) f.integer("limit", 0, 0, 1_000_000),
-            List.copyOf(f.texts("mappings", false)),
-            readAll(f.list("shares", false), path, depth + 1, taken, findings));
-    f.done();
-    if (name.contains("/")) findings.add(f.place("name"), "must not hold a slash");
-    for (QuotaShare c : s.shares) above(c, s.limit, f.place("shares"), findings);
-    if (!s.shares.isEmpty() && !s.routes.isEmpty())
+            (int) fields.integer("weight", 1, 1, 1_000_000),
+            (int) fields.integer("tier", 0, 0, 9),
+            (int) fields.integer("limit", 0, 0, 1_000_000),
+            List.copyOf(fields.texts("mappings", false)),
+            readAll(fields.list("shares", false), path, depth + 1, assignedRoutes, findings));
+    fields.reportUnknownFields();
+    if (name.contains("/")) findings.add(fields.place("name"), "must not hold a slash");
+    for (QuotaShare child : share.shares)
+      checkLimit(child, share.limit, fields.place("shares"), findings);
+    if (!share.shares.isEmpty() && !share.routes.isEmpty())
       findings.add(
-          f.place("mappings"), "belong to shares at the leaves; this one has shares below it");
-    for (String m : s.routes)
-      if (!taken.add(m))
-        findings.add(f.place("mappings"), "mapping " + m + " is in two shares of this tenant");
-    return s;
+          fields.place("mappings"), "belong to shares at the leaves; this one has shares below it");
+    for (String route : share.routes)
+      if (!assignedRoutes.add(route))
+        findings.add(
+            fields.place("mappings"), "mapping " + route + " is in two shares of this tenant");
+    return share;
   }
 
   static List<QuotaShare> readAll(
-      List<LocatedJson> ds, String under, int depth, Set<String> taken, Findings findings) {
-    if (depth > DEEPEST && !ds.isEmpty()) {
-      findings.add(ds.get(0).place(), "shares are nested deeper than " + DEEPEST);
+      List<LocatedJson> nodes,
+      String parentPath,
+      int depth,
+      Set<String> assignedRoutes,
+      Findings findings) {
+    if (depth > MAX_DEPTH && !nodes.isEmpty()) {
+      findings.add(nodes.get(0).place(), "shares are nested deeper than " + MAX_DEPTH);
       return List.of();
     }
-    List<QuotaShare> out = new ArrayList<>();
+    List<QuotaShare> children = new ArrayList<>();
     Set<String> names = new HashSet<>();
-    for (LocatedJson json : ds) {
-      QuotaShare share = read(json, under, depth, taken, findings);
+    for (LocatedJson json : nodes) {
+      QuotaShare share = read(json, parentPath, depth, assignedRoutes, findings);
       if (!names.add(share.name))
         findings.add(json.place(), "two shares are named " + share.name + " here");
-      out.add(share);
+      children.add(share);
     }
-    return List.copyOf(out);
+    return List.copyOf(children);
   }
 
   /** A share can't have more than what it is a share of. */
-  static void above(QuotaShare share, int limit, String place, Findings findings) {
-    if (limit > 0 && share.limit > limit)
+  static void checkLimit(QuotaShare share, int parentLimit, String place, Findings findings) {
+    if (parentLimit > 0 && share.limit > parentLimit)
       findings.add(
           place,
           "the limit "
@@ -75,15 +85,15 @@
               + " of "
               + share.path
               + " is above that of the share it is in, "
-              + limit);
+              + parentLimit);
   }
 
   /** The leaf below here that takes the route, or null. */
-  QuotaShare leaf(String route) {
+  QuotaShare findLeaf(String route) {
     if (routes.contains(route)) return this;
-    for (QuotaShare s : shares) {
-      QuotaShare l = s.leaf(route);
-      if (l != null) return l;
+    for (QuotaShare child : shares) {
+      QuotaShare found = child.findLeaf(route);
+      if (found != null) return found;
     }
     return null;
   }
--- a/common/src/main/java/gladelug/common/configuration/Replicas.java
+++ b/common/src/main/java/gladelug/common/configuration/Replicas.java
@@ -28,9 +28,9 @@
       String zone,
       boolean ready,
       int slots,
-      Map<String, String> weights) {
+      Map<String, String> weightsByModel) {
     public Replica {
-      weights = Map.copyOf(weights);
+      weightsByModel = Map.copyOf(weightsByModel);
     }
 
     public Replica(String service, String instance, Address address, String zone, boolean ready) {
@@ -45,7 +45,7 @@
 
   public Replicas(List<Replica> all) {
     this.all = List.copyOf(all);
-    for (Replica r : all) byInstance.put(r.instance, r);
+    for (Replica replica : all) byInstance.put(replica.instance, replica);
   }
 
   public Replica find(String instance) {
@@ -54,54 +54,55 @@
 
   public static Result<Replicas> parse(String json) {
     return LocatedJson.parse(json)
-        .then(
-            d -> {
+        .flatMap(
+            document -> {
               Findings findings = new Findings();
-              LocatedJson.Fields f = d.fields(findings);
-              List<Replica> out = new ArrayList<>();
-              for (LocatedJson x : f.list("replicas", true)) {
-                LocatedJson.Fields g = x.fields(findings);
-                String st = g.text("state");
-                if (!st.equals("ready") && !st.equals("leaving"))
-                  findings.add(g.place("state"), "must be ready or leaving");
-                Map<String, String> ws = new HashMap<>();
-                LocatedJson w = g.object("weights", false);
-                if (w != null)
-                  for (String m : w.members.keySet()) ws.put(m, w.fields(findings).text(m));
-                out.add(
+              LocatedJson.Fields fields = document.fields(findings);
+              List<Replica> replicas = new ArrayList<>();
+              for (LocatedJson entry : fields.list("replicas", true)) {
+                LocatedJson.Fields entryFields = entry.fields(findings);
+                String state = entryFields.text("state");
+                if (!state.equals("ready") && !state.equals("leaving"))
+                  findings.add(entryFields.place("state"), "must be ready or leaving");
+                Map<String, String> weightsByModel = new HashMap<>();
+                LocatedJson weights = entryFields.object("weights", false);
+                if (weights != null)
+                  for (String model : weights.members.keySet())
+                    weightsByModel.put(model, weights.fields(findings).text(model));
+                replicas.add(
                     new Replica(
-                        g.text("service"),
-                        g.text("instance"),
-                        Address.read(g, "address", findings),
-                        g.text("domain", ""),
-                        st.equals("ready"),
-                        (int) g.integer("slots", 0, 0, 1 << 20),
-                        ws));
-                g.done();
+                        entryFields.text("service"),
+                        entryFields.text("instance"),
+                        Address.read(entryFields, "address", findings),
+                        entryFields.text("domain", ""),
+                        state.equals("ready"),
+                        (int) entryFields.integer("slots", 0, 0, 1 << 20),
+                        weightsByModel));
+                entryFields.reportUnknownFields();
               }
-              f.done();
-              return Result.of(findings, () -> new Replicas(out));
+              fields.reportUnknownFields();
+              return Result.of(findings, () -> new Replicas(replicas));
             });
   }
 
-  public String json() {
+  public String toJson() {
     StringBuilder builder = new StringBuilder("{\"replicas\":[");
-    for (Replica r : all) {
+    for (Replica replica : all) {
       if (builder.charAt(builder.length() - 1) == '}') builder.append(',');
-      JsonObject o =
+      JsonObject entry =
           Json.object()
-              .add("service", r.service)
-              .add("instance", r.instance)
-              .add("address", r.address.toString())
-              .add("domain", r.zone)
-              .add("state", r.ready ? "ready" : "leaving");
-      if (r.slots > 0) o.add("slots", r.slots);
-      if (!r.weights.isEmpty()) {
-        JsonObject w = Json.object();
-        new TreeMap<>(r.weights).forEach(w::add);
-        o.add("weights", w);
+              .add("service", replica.service)
+              .add("instance", replica.instance)
+              .add("address", replica.address.toString())
+              .add("domain", replica.zone)
+              .add("state", replica.ready ? "ready" : "leaving");
+      if (replica.slots > 0) entry.add("slots", replica.slots);
+      if (!replica.weightsByModel.isEmpty()) {
+        JsonObject weights = Json.object();
+        new TreeMap<>(replica.weightsByModel).forEach(weights::add);
+        entry.add("weights", weights);
       }
-      builder.append(o);
+      builder.append(entry);
     }
     return builder.append("]}").toString();
   }
--- a/common/src/main/java/gladelug/common/configuration/Weights.java
+++ b/common/src/main/java/gladelug/common/configuration/Weights.java
@@ -14,55 +14,60 @@
  * for it are refused.
  */
 public final class Weights {
-  public record Named(String now, String before, long sequence) {}
+  public record Assignment(String current, String previous, long sequence) {}
 
   public static final Weights NONE = new Weights(TreePMap.empty());
-  private final PSortedMap<String, Named> byService;
+  private final PSortedMap<String, Assignment> byService;
 
-  private Weights(PSortedMap<String, Named> m) {
-    byService = m;
+  private Weights(PSortedMap<String, Assignment> byService) {
+    this.byService = byService;
   }
 
-  public Named of(String service) {
+  public Assignment of(String service) {
     return byService.get(service);
   }
 
-  public Weights naming(String service, String weights, long nr) {
-    Named old = byService.get(service);
-    return new Weights(byService.plus(service, new Named(weights, old == null ? "" : old.now, nr)));
+  public Weights withAssignment(String service, String weights, long sequence) {
+    Assignment previous = byService.get(service);
+    return new Weights(
+        byService.plus(
+            service, new Assignment(weights, previous == null ? "" : previous.current, sequence)));
   }
 
   public static Result<Weights> parse(String json) {
     return LocatedJson.parse(json)
-        .then(
-            d -> {
+        .flatMap(
+            document -> {
               Findings findings = new Findings();
-              PSortedMap<String, Named> m = TreePMap.empty();
-              LocatedJson.Fields f = d.fields(findings);
-              for (String text : d.members.keySet()) {
-                LocatedJson o = f.object(text, true);
-                if (o == null) continue;
-                LocatedJson.Fields g = o.fields(findings);
-                m =
-                    m.plus(
-                        text,
-                        new Named(
-                            g.text("now"),
-                            g.text("before", ""),
-                            g.integer("nr", 0, Long.MAX_VALUE)));
+              PSortedMap<String, Assignment> assignments = TreePMap.empty();
+              LocatedJson.Fields fields = document.fields(findings);
+              for (String service : document.members.keySet()) {
+                LocatedJson entry = fields.object(service, true);
+                if (entry == null) continue;
+                LocatedJson.Fields entryFields = entry.fields(findings);
+                assignments =
+                    assignments.plus(
+                        service,
+                        new Assignment(
+                            entryFields.text("now"),
+                            entryFields.text("before", ""),
+                            entryFields.integer("nr", 0, Long.MAX_VALUE)));
               }
-              Weights w = new Weights(m);
-              return Result.of(findings, () -> w);
+              Weights weights = new Weights(assignments);
+              return Result.of(findings, () -> weights);
             });
   }
 
-  public String json() {
+  public String toJson() {
     JsonObject json = Json.object();
     byService.forEach(
-        (text, n) ->
+        (service, assignment) ->
             json.add(
-                text,
-                Json.object().add("now", n.now).add("before", n.before).add("nr", n.sequence)));
+                service,
+                Json.object()
+                    .add("now", assignment.current)
+                    .add("before", assignment.previous)
+                    .add("nr", assignment.sequence)));
     return json.toString();
   }
 }
--- a/common/src/main/java/gladelug/common/connection/BindAddress.java
+++ b/common/src/main/java/gladelug/common/connection/BindAddress.java
@@ -12,27 +12,27 @@
 public record BindAddress(String ip) {
   /** From the setting bind, else from the records address. */
   public static BindAddress of(Settings settings, Address records) {
-    String b = settings.text("bind", "");
+    String bind = settings.text("bind", "");
     Findings findings = settings.findings;
-    if (wild(records.host()))
+    if (isWildcard(records.host()))
       findings.add("--records", "is what others call, so it can't be " + records.host());
-    if (b.isEmpty()) return new BindAddress(records.host());
-    if (Address.number(b) < 0)
-      findings.add("--bind", "must be an IP number without a port, not " + b);
-    return new BindAddress(b);
+    if (bind.isEmpty()) return new BindAddress(records.host());
+    if (Address.ipv4ToLong(bind) < 0)
+      findings.add("--bind", "must be an IP number without a port, not " + bind);
+    return new BindAddress(bind);
   }
 
-  private static boolean wild(String host) {
+  private static boolean isWildcard(String host) {
     return host.equals("0.0.0.0");
   }
 
   /** Where to listen for what is advertised as this. */
-  public Address at(Address advertised) {
+  public Address listenAddress(Address advertised) {
     return new Address(ip, advertised.port());
   }
 
   public <T extends ClientOptionsBase> T withLocalAddress(T options) {
-    if (!wild(ip)) options.setLocalAddress(ip);
+    if (!isWildcard(ip)) options.setLocalAddress(ip);
     return options;
   }
 }
--- a/common/src/main/java/gladelug/common/connection/PersistentConnection.java
+++ b/common/src/main/java/gladelug/common/connection/PersistentConnection.java
@@ -18,10 +18,10 @@
   }
 
   private final Vertx vertx;
-  private final ConnectionAcceptor doors;
-  public final Address remote;
+  private final ConnectionAcceptor acceptor;
+  public final Address remoteAddress;
   private final String protocol;
-  private final RecordHandler handler;
+  private final RecordHandler recordHandler;
   private final Consumer<PersistentConnection> onConnected;
   private final Liveness liveness;
   private final ReadTimeoutDetector detector;
@@ -30,47 +30,47 @@
 
   public PersistentConnection(
       Vertx vertx,
-      ConnectionAcceptor doors,
-      Address address,
+      ConnectionAcceptor acceptor,
+      Address remoteAddress,
       String protocol,
-      RecordHandler records,
-      Consumer<PersistentConnection> opened) {
-    this(vertx, doors, address, protocol, Liveness.DATA, records, opened);
+      RecordHandler recordHandler,
+      Consumer<PersistentConnection> onConnected) {
+    this(vertx, acceptor, remoteAddress, protocol, Liveness.DATA_PLANE, recordHandler, onConnected);
   }
 
   /** opened is told of each new connection, once records may be sent. */
   public PersistentConnection(
       Vertx vertx,
-      ConnectionAcceptor doors,
-      Address address,
+      ConnectionAcceptor acceptor,
+      Address remoteAddress,
       String protocol,
       Liveness liveness,
-      RecordHandler records,
-      Consumer<PersistentConnection> opened) {
+      RecordHandler recordHandler,
+      Consumer<PersistentConnection> onConnected) {
     this.liveness = liveness;
     this.detector = new ReadTimeoutDetector(liveness, Clock.monotonic());
     this.vertx = vertx;
-    this.doors = doors;
-    this.remote = address;
+    this.acceptor = acceptor;
+    this.remoteAddress = remoteAddress;
     this.protocol = protocol;
-    this.handler = records;
-    this.onConnected = opened;
+    this.recordHandler = recordHandler;
+    this.onConnected = onConnected;
     connect();
   }
 
   private void connect() {
     if (closed) return;
-    doors
+    acceptor
         .connect(
-            remote,
+            remoteAddress,
             protocol,
-            liveness.connectTimeout(),
+            liveness.connectTimeoutMs(),
             detector,
             c ->
                 new Connection.Receiver() {
                   @Override
                   public void record(byte[] record) throws IOException {
-                    handler.record(PersistentConnection.this, record);
+                    recordHandler.record(PersistentConnection.this, record);
                   }
 
                   @Override
@@ -83,14 +83,14 @@
         .with(
             c -> {
               connection = c;
-              if (closed || !c.open()) c.close();
+              if (closed || !c.isOpen()) c.close();
               else onConnected.accept(this);
             },
             failure -> reconnectLater());
   }
 
   private void reconnectLater() {
-    if (!closed) vertx.setTimer(liveness.pause(), i -> connect());
+    if (!closed) vertx.setTimer(liveness.reconnectDelayMs(), i -> connect());
   }
 
   public boolean send(WireRecord message) {
@@ -107,9 +107,9 @@
     if (c != null) c.closeIfSilent();
   }
 
-  public boolean open() {
+  public boolean isOpen() {
     Connection c = connection;
-    return c != null && c.open();
+    return c != null && c.isOpen();
   }
 
   public void close() {
--- a/common/src/main/java/gladelug/common/disk/RecordRing.java
+++ b/common/src/main/java/gladelug/common/disk/RecordRing.java
@@ -38,17 +38,17 @@
     }
   }
 
-  private static final int MAGIC = 0x676c6164, HEAD = 21, STEP = 512;
-  private static final byte SNAPSHOT = 1, MORE = 2;
+  private static final int MAGIC = 0x676c6164, HEADER_BYTES = 21, ALIGNMENT_BYTES = 512;
+  private static final byte SNAPSHOT = 1, UPDATE = 2;
 
-  private final Storage medium;
+  private final Storage storage;
   private final Map<String, byte[]> live = new HashMap<>();
-  private int file;
-  private int at;
-  private long seq;
+  private int currentFile;
+  private int writeOffset;
+  private long sequence;
 
-  private RecordRing(Storage m) {
-    medium = m;
+  private RecordRing(Storage storage) {
+    this.storage = storage;
   }
 
   public Map<String, byte[]> live() {
@@ -56,125 +56,134 @@
   }
 
   /** How many bytes one file holds, and so the whole live state at the most. */
-  public int fileSize() {
-    return medium.size();
+  public int fileBytes() {
+    return storage.fileBytes();
   }
 
   /** Whether nothing was ever written. */
-  public boolean unwritten() {
-    return seq == 0;
+  public boolean isUnwritten() {
+    return sequence == 0;
   }
 
-  private record Frame(long seq, byte type, List<Entry> entries, int end) {}
+  private record Frame(long sequence, byte type, List<Entry> entries, int endOffset) {}
 
   /** A ring over files that are known to hold nothing, which are not read. */
-  public static RecordRing blank(Storage medium) {
-    RecordRing ring = new RecordRing(medium);
-    ring.file = medium.files() - 1;
-    ring.at = medium.size();
+  public static RecordRing createBlank(Storage storage) {
+    RecordRing ring = new RecordRing(storage);
+    ring.currentFile = storage.fileCount() - 1;
+    ring.writeOffset = storage.fileBytes();
     return ring;
   }
 
   /** The ring that the files hold, read whole. */
-  public static RecordRing open(Storage m) throws IOException {
-    int newest = -1;
-    long best = 0;
-    byte[][] all = new byte[m.files()][];
-    for (int i = 0; i < m.files(); i++) {
-      all[i] = m.read(i);
-      Frame f = frame(all[i], 0);
-      if (f != null && f.type == SNAPSHOT && f.seq > best) {
-        best = f.seq;
-        newest = i;
+  public static RecordRing open(Storage storage) throws IOException {
+    int newestFile = -1;
+    long newestSequence = 0;
+    byte[][] contents = new byte[storage.fileCount()][];
+    for (int i = 0; i < storage.fileCount(); i++) {
+      contents[i] = storage.read(i);
+      Frame frame = parseFrame(contents[i], 0);
+      if (frame != null && frame.type == SNAPSHOT && frame.sequence > newestSequence) {
+        newestSequence = frame.sequence;
+        newestFile = i;
       }
     }
-    if (newest < 0) {
-      for (int i = 0; i < m.files(); i++)
-        if (behind(all[i], 0, 0))
+    if (newestFile < 0) {
+      for (int i = 0; i < storage.fileCount(); i++)
+        if (hasLaterFrame(contents[i], 0, 0))
           throw new DamagedRingException("no snapshot in any file but frames behind one");
-      return blank(m);
+      return createBlank(storage);
     }
-    RecordRing r = new RecordRing(m);
-    r.file = newest;
-    byte[] b = all[newest];
-    Frame f;
-    while (r.at < b.length
-        && (f = frame(b, r.at)) != null
-        && f.seq > r.seq
-        && (r.seq == 0 || f.seq == r.seq + 1)) {
-      if (f.type != SNAPSHOT && f.type != MORE)
+    RecordRing ring = new RecordRing(storage);
+    ring.currentFile = newestFile;
+    byte[] bytes = contents[newestFile];
+    Frame frame;
+    while (ring.writeOffset < bytes.length
+        && (frame = parseFrame(bytes, ring.writeOffset)) != null
+        && frame.sequence > ring.sequence
+        && (ring.sequence == 0 || frame.sequence == ring.sequence + 1)) {
+      if (frame.type != SNAPSHOT && frame.type != UPDATE)
         throw new DamagedRingException(
-            "frame " + f.seq + " in file " + newest + " is of the unknown kind " + f.type);
-      for (Entry e : f.entries) if (!e.key.isEmpty()) r.live.put(e.key, e.state);
-      r.seq = f.seq;
-      r.at = f.end;
+            "frame "
+                + frame.sequence
+                + " in file "
+                + newestFile
+                + " is of the unknown kind "
+                + frame.type);
+      for (Entry entry : frame.entries)
+        if (!entry.key.isEmpty()) ring.live.put(entry.key, entry.state);
+      ring.sequence = frame.sequence;
+      ring.writeOffset = frame.endOffset;
     }
-    if (behind(b, r.at, r.seq))
+    if (hasLaterFrame(bytes, ring.writeOffset, ring.sequence))
       throw new DamagedRingException(
-          "bad frame " + (r.seq + 1) + " with later ones behind it in file " + newest);
-    int next = (newest + 1) % m.files();
-    if (behind(all[next], 0, r.seq))
+          "bad frame " + (ring.sequence + 1) + " with later ones behind it in file " + newestFile);
+    int nextFile = (newestFile + 1) % storage.fileCount();
+    if (hasLaterFrame(contents[nextFile], 0, ring.sequence))
       throw new DamagedRingException(
-          "bad snapshot in file " + next + " with later frames behind it");
-    return r;
+          "bad snapshot in file " + nextFile + " with later frames behind it");
+    return ring;
   }
 
-  private static boolean behind(byte[] b, int from, long seq) {
-    for (int i = from; i < b.length; i += STEP) {
-      Frame f = frame(b, i);
-      if (f != null && f.seq > seq) return true;
+  private static boolean hasLaterFrame(byte[] bytes, int from, long sequence) {
+    for (int i = from; i < bytes.length; i += ALIGNMENT_BYTES) {
+      Frame frame = parseFrame(bytes, i);
+      if (frame != null && frame.sequence > sequence) return true;
     }
     return false;
   }
 
-  private static Frame frame(byte[] b, int at) {
-    if (at + HEAD > b.length) return null;
-    ByteBuffer x = ByteBuffer.wrap(b, at, b.length - at);
-    if (x.getInt() != MAGIC) return null;
-    int crc = x.getInt(), len = x.getInt();
-    if (len < 0 || len > b.length - at - HEAD) return null;
-    CRC32C c = new CRC32C();
-    c.update(b, at + 8, HEAD - 8 + len);
-    if ((int) c.getValue() != crc) return null;
-    long seq = x.getLong();
-    byte type = x.get();
+  private static Frame parseFrame(byte[] bytes, int offset) {
+    if (offset + HEADER_BYTES > bytes.length) return null;
+    ByteBuffer buffer = ByteBuffer.wrap(bytes, offset, bytes.length - offset);
+    if (buffer.getInt() != MAGIC) return null;
+    int expectedChecksum = buffer.getInt(), length = buffer.getInt();
+    if (length < 0 || length > bytes.length - offset - HEADER_BYTES) return null;
+    CRC32C checksum = new CRC32C();
+    checksum.update(bytes, offset + 8, HEADER_BYTES - 8 + length);
+    if ((int) checksum.getValue() != expectedChecksum) return null;
+    long sequence = buffer.getLong();
+    byte type = buffer.get();
     try {
-      DataInputStream in = new DataInputStream(new ByteArrayInputStream(b, at + HEAD, len));
-      int n = in.readInt();
-      List<Entry> l = new ArrayList<>();
-      for (int i = 0; i < n; i++) l.add(new Entry(in.readUTF(), in.readNBytes(in.readInt())));
-      return new Frame(seq, type, l, at + padded(HEAD + len));
+      DataInputStream in =
+          new DataInputStream(new ByteArrayInputStream(bytes, offset + HEADER_BYTES, length));
+      int entryCount = in.readInt();
+      List<Entry> entries = new ArrayList<>();
+      for (int i = 0; i < entryCount; i++)
+        entries.add(new Entry(in.readUTF(), in.readNBytes(in.readInt())));
+      return new Frame(sequence, type, entries, offset + paddedLength(HEADER_BYTES + length));
     } catch (IOException | IllegalArgumentException e) {
       return null;
     }
   }
 
-  private static int padded(int n) {
-    return (n + STEP - 1) / STEP * STEP;
+  private static int paddedLength(int length) {
+    return (length + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES;
   }
 
-  private byte[] frameBytes(byte type, List<Entry> es) throws IOException {
-    ByteArrayOutputStream p = new ByteArrayOutputStream();
-    DataOutputStream o = new DataOutputStream(p);
-    o.writeInt(es.size());
-    for (Entry e : es) {
-      o.writeUTF(e.key);
-      o.writeInt(e.state.length);
-      o.write(e.state);
+  private byte[] encodeFrame(byte type, List<Entry> entries) throws IOException {
+    ByteArrayOutputStream payloadStream = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(payloadStream);
+    out.writeInt(entries.size());
+    for (Entry entry : entries) {
+      out.writeUTF(entry.key);
+      out.writeInt(entry.state.length);
+      out.write(entry.state);
     }
-    byte[] q = p.toByteArray(), b = new byte[padded(HEAD + q.length)];
-    ByteBuffer x =
-        ByteBuffer.wrap(b)
+    byte[] payload = payloadStream.toByteArray(),
+        frame = new byte[paddedLength(HEADER_BYTES + payload.length)];
+    ByteBuffer buffer =
+        ByteBuffer.wrap(frame)
             .putInt(MAGIC)
             .putInt(0)
-            .putInt(q.length)
-            .putLong(seq + 1)
+            .putInt(payload.length)
+            .putLong(sequence + 1)
             .put(type)
-            .put(q);
-    CRC32C c = new CRC32C();
-    c.update(b, 8, HEAD - 8 + q.length);
-    x.putInt(4, (int) c.getValue());
-    return b;
+            .put(payload);
+    CRC32C checksum = new CRC32C();
+    checksum.update(frame, 8, HEADER_BYTES - 8 + payload.length);
+    buffer.putInt(4, (int) checksum.getValue());
+    return frame;
   }
 
   /**
@@ -182,28 +191,28 @@
    * more, may be written again; after any other IOException the ring must not be used again, as a
    * failed sync says nothing of what lasts.
    */
-  public void write(List<Entry> es) throws IOException {
-    for (Entry e : es) if (!e.key.isEmpty()) live.put(e.key, e.state);
-    byte[] b = frameBytes(MORE, es);
-    int to = file, from = at;
-    if (from + b.length > medium.size()) {
-      List<Entry> all = new ArrayList<>();
-      live.forEach((k, v) -> all.add(new Entry(k, v)));
-      b = frameBytes(SNAPSHOT, all);
-      if (b.length > medium.size())
+  public void write(List<Entry> entries) throws IOException {
+    for (Entry entry : entries) if (!entry.key.isEmpty()) live.put(entry.key, entry.state);
+    byte[] frame = encodeFrame(UPDATE, entries);
+    int targetFile = currentFile, offset = writeOffset;
+    if (offset + frame.length > storage.fileBytes()) {
+      List<Entry> snapshot = new ArrayList<>();
+      live.forEach((key, state) -> snapshot.add(new Entry(key, state)));
+      frame = encodeFrame(SNAPSHOT, snapshot);
+      if (frame.length > storage.fileBytes())
         throw new IOException(
-            "the live state of " + b.length + " bytes is larger than a ring file");
-      to = (file + 1) % medium.files();
-      from = 0;
+            "the live state of " + frame.length + " bytes is larger than a ring file");
+      targetFile = (currentFile + 1) % storage.fileCount();
+      offset = 0;
     }
     try {
-      medium.write(to, from, b);
-    } catch (IOException e) {
-      throw new WriteRefusedException(e);
+      storage.write(targetFile, offset, frame);
+    } catch (IOException entry) {
+      throw new WriteRefusedException(entry);
     }
-    medium.sync(to);
-    file = to;
-    at = from + b.length;
-    seq++;
+    storage.sync(targetFile);
+    currentFile = targetFile;
+    writeOffset = offset + frame.length;
+    sequence++;
   }
 }
--- a/common/src/main/java/gladelug/common/disk/Storage.java
+++ b/common/src/main/java/gladelug/common/disk/Storage.java
@@ -7,13 +7,13 @@
  * file is synced. Tests put a medium here that tears, loses, stalls and fails.
  */
 public interface Storage {
-  int files();
+  int fileCount();
 
-  int size();
+  int fileBytes();
 
   byte[] read(int file) throws IOException;
 
-  void write(int file, int at, byte[] b) throws IOException;
+  void write(int file, int offset, byte[] bytes) throws IOException;
 
   void sync(int file) throws IOException;
 }
--- a/common/src/main/java/gladelug/common/message/BinaryDelta.java
+++ b/common/src/main/java/gladelug/common/message/BinaryDelta.java
@@ -13,24 +13,34 @@
   private BinaryDelta() {}
 
   /** Null where sending the value whole is hardly longer. */
-  public static byte[] between(byte[] old, byte[] now) {
-    int most = Math.min(old.length, now.length), head = 0, tail = 0;
-    while (head < most && old[head] == now[head]) head++;
-    while (tail < most - head && old[old.length - 1 - tail] == now[now.length - 1 - tail]) tail++;
-    int middle = now.length - head - tail;
-    if (middle + 64 > now.length / 2) return null;
-    return ByteBuffer.allocate(8 + middle).putInt(head).putInt(tail).put(now, head, middle).array();
+  public static byte[] between(byte[] old, byte[] updated) {
+    int shorter = Math.min(old.length, updated.length), prefixLength = 0, suffixLength = 0;
+    while (prefixLength < shorter && old[prefixLength] == updated[prefixLength]) prefixLength++;
+    while (suffixLength < shorter - prefixLength
+        && old[old.length - 1 - suffixLength] == updated[updated.length - 1 - suffixLength])
+      suffixLength++;
+    int middleLength = updated.length - prefixLength - suffixLength;
+    if (middleLength + 64 > updated.length / 2) return null;
+    return ByteBuffer.allocate(8 + middleLength)
+        .putInt(prefixLength)
+        .putInt(suffixLength)
+        .put(updated, prefixLength, middleLength)
+        .array();
   }
 
   /** Null where the delta can't be one of this value. */
   public static byte[] apply(byte[] old, byte[] delta) {
     if (delta.length < 8) return null;
-    ByteBuffer b = ByteBuffer.wrap(delta);
-    int head = b.getInt(), tail = b.getInt(), middle = delta.length - 8;
-    if (head < 0 || tail < 0 || (long) head + tail > old.length) return null;
-    byte[] out = Arrays.copyOf(old, head + middle + tail);
-    System.arraycopy(delta, 8, out, head, middle);
-    System.arraycopy(old, old.length - tail, out, head + middle, tail);
-    return out;
+    ByteBuffer buffer = ByteBuffer.wrap(delta);
+    int prefixLength = buffer.getInt(),
+        suffixLength = buffer.getInt(),
+        middleLength = delta.length - 8;
+    if (prefixLength < 0 || suffixLength < 0 || (long) prefixLength + suffixLength > old.length)
+      return null;
+    byte[] result = Arrays.copyOf(old, prefixLength + middleLength + suffixLength);
+    System.arraycopy(delta, 8, result, prefixLength, middleLength);
+    System.arraycopy(
+        old, old.length - suffixLength, result, prefixLength + middleLength, suffixLength);
+    return result;
   }
 }
--- a/common/src/main/java/gladelug/common/message/WireRecord.java
+++ b/common/src/main/java/gladelug/common/message/WireRecord.java
@@ -30,66 +30,69 @@
   }
 
   interface ItemWriter<T> {
-    void write(DataOutputStream out, T t) throws IOException;
+    void write(DataOutputStream out, T record) throws IOException;
   }
 
-  static byte[] bytes(WireRecord message) {
-    ByteArrayOutputStream b = new ByteArrayOutputStream(128);
-    try (DataOutputStream out = new DataOutputStream(b)) {
-      out.writeByte(message.type());
-      message.write(out);
+  static byte[] encode(WireRecord record) {
+    ByteArrayOutputStream buffer = new ByteArrayOutputStream(128);
+    try (DataOutputStream out = new DataOutputStream(buffer)) {
+      out.writeByte(record.type());
+      record.write(out);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    return b.toByteArray();
+    return buffer.toByteArray();
   }
 
-  static <T> T read(byte[] bytes, Reader<T> r) throws IOException {
+  static <T> T decode(byte[] bytes, Reader<T> reader) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-    T t;
+    T record;
     try {
-      t = r.read(in.readUnsignedByte(), in);
+      record = reader.read(in.readUnsignedByte(), in);
     } catch (IllegalArgumentException e) {
       throw new IOException("malformed record", e);
     }
     if (in.available() > 0) throw new IOException("bytes after the end of a record");
-    return t;
+    return record;
   }
 
-  static <T> void list(DataOutputStream out, List<T> l, ItemWriter<T> w) throws IOException {
-    out.writeInt(l.size());
-    for (T t : l) w.write(out, t);
+  static <T> void writeList(DataOutputStream out, List<T> items, ItemWriter<T> writer)
+      throws IOException {
+    out.writeInt(items.size());
+    for (T item : items) writer.write(out, item);
   }
 
-  static <T> List<T> list(DataInputStream in, ItemReader<T> r) throws IOException {
-    int n = in.readInt();
-    if (n < 0 || n > in.available()) throw new IOException("list of impossible length " + n);
-    List<T> l = new ArrayList<>(n);
-    for (int i = 0; i < n; i++) l.add(r.read(in));
-    return List.copyOf(l);
+  static <T> List<T> readList(DataInputStream in, ItemReader<T> reader) throws IOException {
+    int length = in.readInt();
+    if (length < 0 || length > in.available())
+      throw new IOException("list of impossible length " + length);
+    List<T> items = new ArrayList<>(length);
+    for (int i = 0; i < length; i++) items.add(reader.read(in));
+    return List.copyOf(items);
   }
 
-  static void blob(DataOutputStream out, byte[] bytes) throws IOException {
+  static void writeBlob(DataOutputStream out, byte[] bytes) throws IOException {
     out.writeInt(bytes.length);
     out.write(bytes);
   }
 
-  static byte[] blob(DataInputStream in) throws IOException {
-    int n = in.readInt();
-    if (n < 0 || n > in.available()) throw new IOException("blob of impossible length " + n);
-    return in.readNBytes(n);
+  static byte[] readBlob(DataInputStream in) throws IOException {
+    int length = in.readInt();
+    if (length < 0 || length > in.available())
+      throw new IOException("blob of impossible length " + length);
+    return in.readNBytes(length);
   }
 
   /** A text of any length; writeUTF stops at 65535 bytes. */
-  static void text(DataOutputStream out, String text) throws IOException {
-    blob(out, text.getBytes(StandardCharsets.UTF_8));
+  static void writeText(DataOutputStream out, String text) throws IOException {
+    writeBlob(out, text.getBytes(StandardCharsets.UTF_8));
   }
 
-  static String text(DataInputStream in) throws IOException {
-    return new String(blob(in), StandardCharsets.UTF_8);
+  static String readText(DataInputStream in) throws IOException {
+    return new String(readBlob(in), StandardCharsets.UTF_8);
   }
 
-  static IOException unknown(int type) {
+  static IOException unknownType(int type) {
     return new IOException("unknown record type " + type);
   }
 }
--- a/common/src/main/java/gladelug/common/view/PartialView.java
+++ b/common/src/main/java/gladelug/common/view/PartialView.java
@@ -20,13 +20,13 @@
  */
 public final class PartialView {
   /** Descriptors in the sample at most. */
-  private static final int SIZE = 16;
+  private static final int SAMPLE_SIZE = 16;
 
   /** Descriptors of the sample, our own among them, that an exchange brings. */
-  private static final int SHARED = 6;
+  private static final int MAX_SENT_FROM_SAMPLE = 6;
 
   /** After how many rounds without fresh word of it a process leaves the sample. */
-  private static final int FORGET = 120;
+  private static final int SAMPLE_MAX_AGE_ROUNDS = 120;
 
   /** Of which roles all processes are known, as everybody calls them and they are few. */
   private static final Set<String> DIRECTORY_ROLES = Set.of("index");
@@ -34,16 +34,16 @@
   private static final int DIRECTORY_SIZE = 64;
 
   /** How many of the directory an exchange brings at most. */
-  static final int DIRECTORY_SHARED = 16;
+  static final int MAX_SENT_FROM_DIRECTORY = 16;
 
   /** After how many rounds without fresh word of it a process leaves the directory. */
-  static final int DIRECTORY_FORGET = 20;
+  static final int DIRECTORY_MAX_AGE_ROUNDS = 20;
 
   private final Descriptor self;
   private final LongUnaryOperator random;
-  private final Map<String, Descriptor> view = new LinkedHashMap<>();
+  private final Map<String, Descriptor> sampled = new LinkedHashMap<>();
   private final Map<String, Descriptor> directory = new LinkedHashMap<>();
-  private List<String> given = List.of();
+  private List<String> sentNames = List.of();
   private long generation;
 
   public PartialView(Descriptor self, LongUnaryOperator random) {
@@ -51,52 +51,58 @@
     this.random = random;
   }
 
-  public void generation(long g) {
-    generation = Math.max(generation, g);
+  public void advanceGeneration(long newGeneration) {
+    generation = Math.max(generation, newGeneration);
   }
 
   /** The sample, and all of the directory. */
   public List<Descriptor> all() {
-    Map<String, Descriptor> all = new LinkedHashMap<>(view);
+    Map<String, Descriptor> all = new LinkedHashMap<>(sampled);
     all.putAll(directory);
     return new ArrayList<>(all.values());
   }
 
-  Descriptor me() {
+  Descriptor selfDescriptor() {
     return new Descriptor(
-        self.name(), self.role(), self.records(), self.operator(), self.zone(), generation, 0);
+        self.name(),
+        self.role(),
+        self.recordsAddress(),
+        self.operatorAddress(),
+        self.zone(),
+        generation,
+        0);
   }
 
   /** Whom to shuffle with now and what to say, or null where the view is empty. */
   public Map.Entry<Descriptor, Shuffle.Request> nextShuffle() {
-    view.replaceAll((n, d) -> d.older());
-    view.values().removeIf(PartialView::forgotten);
-    directory.replaceAll((n, d) -> d.older());
-    directory.values().removeIf(PartialView::forgotten);
-    Descriptor q =
-        view.values().stream().max(Comparator.comparingInt(Descriptor::age)).orElse(null);
-    if (q == null) return null;
-    view.remove(q.name());
-    return Map.entry(q, start());
+    sampled.replaceAll((name, descriptor) -> descriptor.aged());
+    sampled.values().removeIf(PartialView::isExpired);
+    directory.replaceAll((name, descriptor) -> descriptor.aged());
+    directory.values().removeIf(PartialView::isExpired);
+    Descriptor oldest =
+        sampled.values().stream().max(Comparator.comparingInt(Descriptor::ageRounds)).orElse(null);
+    if (oldest == null) return null;
+    sampled.remove(oldest.name());
+    return Map.entry(oldest, createRequest());
   }
 
   /** What to say to a seed, of which only the address is known. */
-  public Shuffle.Request start() {
-    List<Descriptor> l = sample(view, SHARED - 1);
-    given = l.stream().map(Descriptor::name).toList();
-    return new Shuffle.Request(withDirectory(l));
+  public Shuffle.Request createRequest() {
+    List<Descriptor> drawn = drawSample(sampled, MAX_SENT_FROM_SAMPLE - 1);
+    sentNames = drawn.stream().map(Descriptor::name).toList();
+    return new Shuffle.Request(composeExchange(drawn));
   }
 
-  public Shuffle.Answer onRequest(Shuffle.Request r) {
-    List<Descriptor> l = sample(view, SHARED - 1);
-    List<String> names = l.stream().map(Descriptor::name).toList();
-    Shuffle.Answer answer = new Shuffle.Answer(withDirectory(l));
-    merge(r.some(), names);
-    return answer;
+  public Shuffle.Response onRequest(Shuffle.Request request) {
+    List<Descriptor> drawn = drawSample(sampled, MAX_SENT_FROM_SAMPLE - 1);
+    List<String> names = drawn.stream().map(Descriptor::name).toList();
+    Shuffle.Response response = new Shuffle.Response(composeExchange(drawn));
+    merge(request.descriptors(), names);
+    return response;
   }
 
-  public void onAnswer(Shuffle.Answer a) {
-    merge(a.some(), given);
+  public void onResponse(Shuffle.Response response) {
+    merge(response.descriptors(), sentNames);
   }
 
   /**
@@ -104,50 +110,56 @@
    * directory age by being passed on as well, so that those of the dead don't stay young by going
    * from hand to hand.
    */
-  private List<Descriptor> withDirectory(List<Descriptor> sampled) {
-    Map<String, Descriptor> out = new LinkedHashMap<>();
-    for (Descriptor d : sample(directory, DIRECTORY_SHARED)) out.put(d.name(), d.older());
-    for (Descriptor d : sampled) out.putIfAbsent(d.name(), inDirectory(d) ? d.older() : d);
-    out.put(self.name(), me());
-    return List.copyOf(out.values());
+  private List<Descriptor> composeExchange(List<Descriptor> drawn) {
+    Map<String, Descriptor> descriptors = new LinkedHashMap<>();
+    for (Descriptor descriptor : drawSample(directory, MAX_SENT_FROM_DIRECTORY))
+      descriptors.put(descriptor.name(), descriptor.aged());
+    for (Descriptor descriptor : drawn)
+      descriptors.putIfAbsent(
+          descriptor.name(), belongsToDirectory(descriptor) ? descriptor.aged() : descriptor);
+    descriptors.put(self.name(), selfDescriptor());
+    return List.copyOf(descriptors.values());
   }
 
-  private static boolean inDirectory(Descriptor d) {
-    return DIRECTORY_ROLES.contains(d.role());
+  private static boolean belongsToDirectory(Descriptor descriptor) {
+    return DIRECTORY_ROLES.contains(descriptor.role());
   }
 
   private static Descriptor fresher(Descriptor a, Descriptor b) {
-    return b.age() <= a.age() ? b : a;
+    return b.ageRounds() <= a.ageRounds() ? b : a;
   }
 
-  private List<Descriptor> sample(Map<String, Descriptor> from, int n) {
-    List<Descriptor> l = new ArrayList<>(from.values());
-    List<Descriptor> out = new ArrayList<>();
-    while (!l.isEmpty() && out.size() < n) out.add(l.remove((int) random.applyAsLong(l.size())));
-    return out;
+  private List<Descriptor> drawSample(Map<String, Descriptor> candidatesByName, int count) {
+    List<Descriptor> candidates = new ArrayList<>(candidatesByName.values());
+    List<Descriptor> drawn = new ArrayList<>();
+    while (!candidates.isEmpty() && drawn.size() < count)
+      drawn.add(candidates.remove((int) random.applyAsLong(candidates.size())));
+    return drawn;
   }
 
-  private void merge(List<Descriptor> got, List<String> mayGo) {
-    List<String> go = new ArrayList<>(mayGo);
-    for (Descriptor d : got) {
-      if (d.name().equals(self.name()) || forgotten(d)) continue;
-      if (inDirectory(d)) note(d);
-      Descriptor old = view.get(d.name());
-      if (old != null) {
-        if (d.age() <= old.age()) view.put(d.name(), d);
+  private void merge(List<Descriptor> received, List<String> replaceableNames) {
+    List<String> replaceable = new ArrayList<>(replaceableNames);
+    for (Descriptor descriptor : received) {
+      if (descriptor.name().equals(self.name()) || isExpired(descriptor)) continue;
+      if (belongsToDirectory(descriptor)) updateDirectory(descriptor);
+      Descriptor known = sampled.get(descriptor.name());
+      if (known != null) {
+        if (descriptor.ageRounds() <= known.ageRounds()) sampled.put(descriptor.name(), descriptor);
         continue;
       }
-      while (view.size() >= SIZE && !go.isEmpty()) view.remove(go.remove(0));
-      if (view.size() < SIZE) view.put(d.name(), d);
+      while (sampled.size() >= SAMPLE_SIZE && !replaceable.isEmpty())
+        sampled.remove(replaceable.remove(0));
+      if (sampled.size() < SAMPLE_SIZE) sampled.put(descriptor.name(), descriptor);
     }
   }
 
-  private static boolean forgotten(Descriptor d) {
-    return d.age() > (inDirectory(d) ? DIRECTORY_FORGET : FORGET);
+  private static boolean isExpired(Descriptor descriptor) {
+    return descriptor.ageRounds()
+        > (belongsToDirectory(descriptor) ? DIRECTORY_MAX_AGE_ROUNDS : SAMPLE_MAX_AGE_ROUNDS);
   }
 
-  private void note(Descriptor d) {
-    if (directory.containsKey(d.name()) || directory.size() < DIRECTORY_SIZE)
-      directory.merge(d.name(), d, PartialView::fresher);
+  private void updateDirectory(Descriptor descriptor) {
+    if (directory.containsKey(descriptor.name()) || directory.size() < DIRECTORY_SIZE)
+      directory.merge(descriptor.name(), descriptor, PartialView::fresher);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/ChangeSummary.java
+++ b/control-plane/src/main/java/gladelug/control/ChangeSummary.java
@@ -67,10 +67,10 @@
           s.name(),
           List.of(
               s.kind(),
-              s.allow(),
-              s.connections(),
+              s.allowedEndpoints(),
+              s.maxConnections(),
               s.engine(),
-              String.valueOf(s.store()),
+              String.valueOf(s.storeAddress()),
               s.zone()));
     return services;
   }
@@ -80,7 +80,7 @@
     Map<String, Object> routes = new LinkedHashMap<>();
     for (Configuration.Route route : configuration.routes)
       routes.put(
-          route.name(), new NamedRoute(route.withoutPlaces(), targets(configuration, route)));
+          route.name(), new NamedRoute(route.withoutIndices(), targets(configuration, route)));
     return routes;
   }
 
@@ -89,9 +89,9 @@
 
   private static String targets(Configuration configuration, Configuration.Route route) {
     StringBuilder targets = new StringBuilder();
-    for (Configuration.Weighted part : route.split())
+    for (Configuration.WeightedService part : route.trafficSplit())
       targets
-          .append(configuration.services.get(part.service()).name())
+          .append(configuration.services.get(part.serviceIndex()).name())
           .append(' ')
           .append(part.weight())
           .append(' ');
@@ -101,7 +101,8 @@
   private static Map<String, Object> tenants(Configuration configuration) {
     Map<String, Object> tenants = new LinkedHashMap<>();
     for (Configuration.Tenant tenant : configuration.tenants)
-      tenants.put(tenant.name(), List.of(tenant.keys(), tenant.isolated(), tenant.share()));
+      tenants.put(
+          tenant.name(), List.of(tenant.keyHashes(), tenant.isolated(), tenant.rootShare()));
     return tenants;
   }
 
--- a/control-plane/src/main/java/gladelug/control/ControlOwnerTasks.java
+++ b/control-plane/src/main/java/gladelug/control/ControlOwnerTasks.java
@@ -63,7 +63,7 @@
     Configuration readBefore = read(before.body());
     Configuration readAfter = read(after);
     return readBefore == null || readAfter == null
-        ? PrefixSharing.beginningWith(before.number() + 1)
+        ? PrefixSharing.startingAt(before.number() + 1)
         : before.sharing().next(readBefore, before.number(), readAfter);
   }
 
--- a/control-plane/src/main/java/gladelug/control/ControlPlane.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlane.java
@@ -51,18 +51,18 @@
 
   /** Parses the command line, then bootstraps or serves; ends the process on what is wrong. */
   public static void main(String[] args) {
-    Namespace arguments = Program.parse(argumentParser(), args);
+    Namespace arguments = Program.parseArguments(argumentParser(), args);
     String command = arguments.getString("command");
     if (command.equals(FORMER_BOOTSTRAP))
       notice(ControlPlaneSettings.renamed("command " + FORMER_BOOTSTRAP, BOOTSTRAP));
-    ControlPlaneSettings settings = Program.orExit(PROGRAM, settings(arguments));
-    Log.setUp(settings.name(), Program.level(settings.log()), System.out);
+    ControlPlaneSettings settings = Program.valueOrExit(PROGRAM, settings(arguments));
+    Log.setUp(settings.name(), Program.parseLogLevel(settings.log()), System.out);
     try {
       if (command.equals(RUN)) run(settings);
       else bootstrap(settings);
     } catch (ServiceRegistry.StartupException e) {
       System.err.println(PROGRAM + ": " + e.getMessage());
-      System.exit(Program.CANNOT);
+      System.exit(Program.EXIT_CANNOT_START);
     }
   }
 
@@ -112,7 +112,7 @@
     checkBootstrapMembers(settings);
     String data = settings.data();
     try (DataFolder folder = new DataFolder(Path.of(data), settings.ringFileMb() << 20)) {
-      String identity = folder.identity();
+      String identity = folder.readIdentity();
       if (identity != null)
         throw new ServiceRegistry.StartupException(
             "data folder "
@@ -202,6 +202,6 @@
   /** A disk that failed may hold less than was promised on it: no more is done, not even a stop. */
   private static void halt(String what) {
     System.err.println(PROGRAM + ": the disk failed and this member stops: " + what);
-    Runtime.getRuntime().halt(Program.CANNOT);
+    Runtime.getRuntime().halt(Program.EXIT_CANNOT_START);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
@@ -74,7 +74,7 @@
   static Result<ControlPlaneSettings> parse(
       String file, Map<String, String> flags, Consumer<String> notices) {
     return Settings.open(file, withCurrentNames(flags, notices))
-        .then(settings -> parse(settings, notices));
+        .flatMap(settings -> parse(settings, notices));
   }
 
   /** The flags with the former name replaced, so that a flag of either name precedes the file. */
@@ -111,7 +111,7 @@
             settings.text("log", "info"),
             (int) settings.integer("cutoffMs", 15_000, 1000, 20_000),
             (int) settings.integer("ringFileMb", 16, 16, 1024));
-    return settings.done(() -> parsed);
+    return settings.build(() -> parsed);
   }
 
   private static List<MemberSet.Member> bootstrapMembers(
--- a/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
+++ b/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
@@ -36,7 +36,7 @@
       String name, String data, int ringFileMb, List<MemberSet.Member> founders) {
     DataFolder folder = new DataFolder(Path.of(data), ringFileMb << 20);
     try {
-      String identity = folder.identity();
+      String identity = folder.readIdentity();
       return identity == null ? create(folder, name, founders) : reopen(folder, name, identity);
     } catch (RuntimeException e) {
       folder.close();
@@ -50,23 +50,23 @@
   /** Makes a folder that holds nothing yet. Its ring gets a first frame before it gets an id. */
   static CoreDataFolder create(DataFolder folder, String name, List<MemberSet.Member> founders)
       throws IOException {
-    boolean blank = folder.create();
-    RecordRing ring = blank ? RecordRing.blank(folder) : RecordRing.open(folder);
+    boolean blank = folder.createRingFiles();
+    RecordRing ring = blank ? RecordRing.createBlank(folder) : RecordRing.open(folder);
     if (!ring.live().isEmpty())
       throw new ServiceRegistry.StartupException(
           "data folder "
-              + folder.dir()
+              + folder.directory()
               + " holds state but no identity.json, so it is not known whose; put that back, or "
               + EMPTY_IT);
     ring.write(List.of(new RecordRing.Entry("", new byte[0])));
-    DiskIdentity identity = DiskIdentity.create(name, folder.size(), founders);
-    folder.identity(identity.json());
+    DiskIdentity identity = DiskIdentity.create(name, folder.fileBytes(), founders);
+    folder.writeIdentity(identity.json());
     Log.event(
         founders.isEmpty() ? "empty-disk-joins" : "empty-disk-bootstraps",
         "name",
         name,
         "data",
-        folder.dir());
+        folder.directory());
     return new CoreDataFolder(identity.disk(), ring, identity.founders(), folder);
   }
 
@@ -75,17 +75,22 @@
     Result<DiskIdentity> read = DiskIdentity.read(text);
     if (read instanceof Result.Bad<DiskIdentity> bad)
       throw new ServiceRegistry.StartupException(
-          "identity.json in " + folder.dir() + " cannot be used: " + told(bad.findings()));
+          "identity.json in " + folder.directory() + " cannot be used: " + told(bad.findings()));
     DiskIdentity identity = ((Result.Good<DiskIdentity>) read).value();
     if (!identity.name().equals(name))
       throw new ServiceRegistry.StartupException(
-          "data folder " + folder.dir() + " belongs to " + identity.name() + ", not to " + name);
-    folder.open(identity.ringFile());
+          "data folder "
+              + folder.directory()
+              + " belongs to "
+              + identity.name()
+              + ", not to "
+              + name);
+    folder.openRingFiles(identity.ringFile());
     RecordRing ring = RecordRing.open(folder);
-    if (ring.unwritten() && identity.format() > 0)
-      throw damaged(folder.dir().toString(), "no file of the ring holds a frame");
+    if (ring.isUnwritten() && identity.format() > 0)
+      throw damaged(folder.directory().toString(), "no file of the ring holds a frame");
     List<Finding> findings = DurableState.findings(ring.live(), name, identity.disk());
-    if (!findings.isEmpty()) throw damaged(folder.dir().toString(), told(findings));
+    if (!findings.isEmpty()) throw damaged(folder.directory().toString(), told(findings));
     return new CoreDataFolder(identity.disk(), ring, identity.founders(), folder);
   }
 
--- a/control-plane/src/main/java/gladelug/control/DiskIdentity.java
+++ b/control-plane/src/main/java/gladelug/control/DiskIdentity.java
@@ -36,7 +36,7 @@
 
   /** A folder of a newer release is a finding of its own, whatever else may be in it. */
   static Result<DiskIdentity> read(String text) {
-    return LocatedJson.parse(text).then(DiskIdentity::read);
+    return LocatedJson.parse(text).flatMap(DiskIdentity::read);
   }
 
   private static Result<DiskIdentity> read(LocatedJson document) {
--- a/control-plane/src/main/java/gladelug/control/core/CoreMember.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreMember.java
@@ -50,7 +50,7 @@
  * everything it does goes through its host. Times are of the host's monotonic clock, in ms.
  */
 public final class CoreMember {
-  static final int MAX_VALUE_BYTES = MemoryBudget.largestValueBytes();
+  static final int MAX_VALUE_BYTES = MemoryBudget.maxValueBytes();
 
   /** Between two allocations of the replicas' slots among relays, ms. */
   private static final long ALLOCATION_INTERVAL_MS = 200;
@@ -613,7 +613,7 @@
     subscribers.onRequest(request, now);
     if (!membership.active()) return;
     Set<String> owners = new HashSet<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       String o =
           version.key().equals(StateKeys.CORE) || owns(version.key())
               ? null
--- a/control-plane/src/main/java/gladelug/control/core/CoreService.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreService.java
@@ -137,10 +137,11 @@
         Hello.CORE,
         (hello, connection) ->
             bytes -> {
-              Envelope message = WireRecord.read(bytes, Envelope::read);
+              Envelope message = WireRecord.decode(bytes, Envelope::read);
               worker.offer(() -> member.onMessage(message));
             });
-    acceptor.register(Hello.NEWS, (hello, connection) -> new SubscriberReceiver(connection));
+    acceptor.register(
+        Hello.STATE_UPDATES, (hello, connection) -> new SubscriberReceiver(connection));
     worker.scheduleEvery(config.heartbeatMs() / 4, this::tick);
     worker.scheduleEvery(DISK_PROBE_INTERVAL_MS, this::probe);
   }
@@ -168,7 +169,7 @@
 
     @Override
     public void record(byte[] bytes) throws IOException {
-      StateUpdate message = WireRecord.read(bytes, StateUpdate::read);
+      StateUpdate message = WireRecord.decode(bytes, StateUpdate::read);
       if (message instanceof StateUpdate.SubscriptionRequest request) {
         name = request.name();
         subscribers.put(name, connection);
@@ -344,7 +345,7 @@
         acceptor,
         remote,
         Hello.CORE,
-        Liveness.within(config.heartbeatMs(), config.peerTimeoutMs()),
+        Liveness.forMembers(config.heartbeatMs(), config.peerTimeoutMs()),
         (connection, bytes) -> {
           throw new IOException("core connections carry one way");
         },
@@ -360,8 +361,8 @@
   public List<Address> contacts() {
     Set<Address> contacts = new LinkedHashSet<>(seeds);
     for (Shuffle.Descriptor process : views.all()) {
-      if (process.role().equals("control")) contacts.add(Address.of(process.records()));
-      else contacts.remove(Address.of(process.records()));
+      if (process.role().equals("control")) contacts.add(Address.of(process.recordsAddress()));
+      else contacts.remove(Address.of(process.recordsAddress()));
     }
     return new ArrayList<>(contacts);
   }
@@ -374,7 +375,7 @@
   /** Some of a ring file is left for frames and the members' own records. */
   @Override
   public long mostState() {
-    return ring.fileSize() / 8 * 7L;
+    return ring.fileBytes() / 8 * 7L;
   }
 
   @Override
@@ -385,13 +386,14 @@
 
   @Override
   public void members(MemberSet members) {
-    views.generation(members.generation());
+    views.advanceGeneration(members.generation());
     peers
         .entrySet()
         .removeIf(
             peer -> {
               MemberSet.Member still = members.find(peer.getKey());
-              if (still != null && still.records().equals(peer.getValue().remote)) return false;
+              if (still != null && still.records().equals(peer.getValue().remoteAddress))
+                return false;
               peer.getValue().close();
               return true;
             });
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
@@ -146,7 +146,7 @@
     SubscriberStatus subscriber = status(request, old, relayedBy, now);
     subscribers.put(request.name(), subscriber);
     List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       if (version.key().equals(StateKeys.CORE)) {
         pushMembers(subscriber, version);
         continue;
@@ -168,7 +168,7 @@
   private SubscriberStatus status(
       StateUpdate.SubscriptionRequest request, SubscriberStatus old, String relayedBy, long now) {
     Map<String, Long> versionSince = new HashMap<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       boolean same =
           old != null
               && old.incarnation() == request.incarnation()
@@ -185,11 +185,11 @@
         request.name(),
         request.incarnation(),
         request.role(),
-        request.records(),
-        request.operator(),
+        request.recordsAddress(),
+        request.operatorAddress(),
         request.zone(),
         now,
-        request.known(),
+        request.knownVersions(),
         versionSince,
         request.demands(),
         request.capacities(),
--- a/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
+++ b/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
@@ -76,7 +76,7 @@
   /** Writes it as messages and entries on disk hold it. */
   public void write(DataOutputStream out) throws IOException {
     out.writeLong(generation);
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         all,
         (fields, member) -> {
@@ -91,7 +91,7 @@
   public static MemberSet read(DataInputStream in) throws IOException {
     return new MemberSet(
         in.readLong(),
-        WireRecord.list(
+        WireRecord.readList(
             in,
             fields ->
                 new Member(
@@ -120,7 +120,7 @@
                     member ->
                         new CoreMemberList.Member(member.name, member.records, member.operator))
                 .toList())
-        .json()
+        .toJson()
         .getBytes(StandardCharsets.UTF_8);
   }
 
--- a/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
@@ -113,7 +113,7 @@
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeBoolean(healthy);
       out.writeLong(uptimeMs);
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           claims,
           (target, w) -> {
@@ -223,7 +223,7 @@
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeLong(round);
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           epochs,
           (target, c) -> {
@@ -250,7 +250,7 @@
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeLong(round);
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           statuses,
           (target, s) -> {
@@ -276,7 +276,7 @@
       out.writeLong(requestId);
       out.writeUTF(request.key());
       out.writeLong(request.match());
-      WireRecord.blob(out, request.body());
+      WireRecord.writeBlob(out, request.body());
       out.writeLong(request.base());
       if (!request.sentDigest().isEmpty()) out.writeUTF(request.sentDigest());
     }
@@ -395,7 +395,7 @@
 
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
-      WireRecord.blob(out, WireRecord.bytes(request));
+      WireRecord.writeBlob(out, WireRecord.encode(request));
     }
   }
 
@@ -409,7 +409,7 @@
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeUTF(subscriber);
-      WireRecord.blob(out, WireRecord.bytes(update));
+      WireRecord.writeBlob(out, WireRecord.encode(update));
     }
   }
 
@@ -444,7 +444,7 @@
   private static ChangeRequest changeRequest(DataInputStream in) throws IOException {
     String key = in.readUTF();
     long match = in.readLong();
-    byte[] body = WireRecord.blob(in);
+    byte[] body = WireRecord.readBlob(in);
     long base = in.readLong();
     // written only where it isn't the body's own digest, so that earlier releases are understood
     String sentDigest = in.available() > 0 ? in.readUTF() : "";
@@ -466,7 +466,7 @@
   }
 
   private static RelayedSubscriptionRequest carry(DataInputStream in) throws IOException {
-    if (WireRecord.read(WireRecord.blob(in), StateUpdate::read)
+    if (WireRecord.decode(WireRecord.readBlob(in), StateUpdate::read)
         instanceof StateUpdate.SubscriptionRequest a) return new RelayedSubscriptionRequest(a);
     throw new IOException("only questions are handed on");
   }
@@ -478,7 +478,7 @@
           new Heartbeat(
               in.readBoolean(),
               in.readLong(),
-              WireRecord.list(
+              WireRecord.readList(
                   in,
                   item ->
                       new OwnershipClaim(
@@ -506,11 +506,11 @@
       case Tag.CONFIRM_REQUEST ->
           new ConfirmRequest(
               in.readLong(),
-              WireRecord.list(in, item -> new KeyEpoch(item.readUTF(), item.readLong())));
+              WireRecord.readList(in, item -> new KeyEpoch(item.readUTF(), item.readLong())));
       case Tag.CONFIRM_RESPONSE ->
           new ConfirmResponse(
               in.readLong(),
-              WireRecord.list(
+              WireRecord.readList(
                   in,
                   item ->
                       new EpochStatus(
@@ -533,7 +533,7 @@
       case Tag.RELAYED_SUBSCRIPTION_REQUEST -> carry(in);
       case Tag.RELAYED_STATE_UPDATE ->
           new RelayedStateUpdate(
-              in.readUTF(), WireRecord.read(WireRecord.blob(in), StateUpdate::read));
+              in.readUTF(), WireRecord.decode(WireRecord.readBlob(in), StateUpdate::read));
       case Tag.SEAL_RESPONSE ->
           new SealResponse(
               in.readLong(),
@@ -544,7 +544,7 @@
       case Tag.FORWARDED_READ_RESPONSE ->
           new ForwardedReadResponse(in.readLong(), ReadResult.read(in));
       case Tag.DRAIN_NOTICE -> new DrainNotice();
-      default -> throw WireRecord.unknown(tag);
+      default -> throw WireRecord.unknownType(tag);
     };
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
@@ -72,7 +72,7 @@
   /** Writes it as messages and entries on disk hold it. */
   public void write(DataOutputStream out) throws IOException {
     out.writeLong(forgottenBase);
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         entries,
         (o, taken) -> {
@@ -86,7 +86,7 @@
   public static AppliedChanges read(DataInputStream in) throws IOException {
     long forgottenBase = in.readLong();
     return new AppliedChanges(
-        TreePVector.from(WireRecord.list(in, AppliedChanges::readEntry)), forgottenBase);
+        TreePVector.from(WireRecord.readList(in, AppliedChanges::readEntry)), forgottenBase);
   }
 
   private static AppliedChange readEntry(DataInputStream in) throws IOException {
--- a/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
@@ -102,14 +102,14 @@
   public void write(DataOutputStream out) throws IOException {
     out.writeLong(number);
     out.writeUTF(digest);
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         history,
         (o, entry) -> {
           o.writeLong(entry.number());
           o.writeUTF(entry.digest());
         });
-    WireRecord.blob(out, body);
+    WireRecord.writeBlob(out, body);
     for (HistoryEntry entry : history) {
       out.writeLong(entry.takenAt());
       out.writeUTF(entry.takenBy());
@@ -126,8 +126,8 @@
   public static VersionedValue read(DataInputStream in) throws IOException {
     long number = in.readLong();
     String digest = in.readUTF();
-    List<HistoryEntry> entries = WireRecord.list(in, HistoryEntry::readIdentity);
-    byte[] body = WireRecord.blob(in);
+    List<HistoryEntry> entries = WireRecord.readList(in, HistoryEntry::readIdentity);
+    byte[] body = WireRecord.readBlob(in);
     boolean hasRemarks = in.available() > 0;
     PVector<HistoryEntry> history = TreePVector.empty();
     for (HistoryEntry entry : entries)
--- a/control-plane/src/main/java/gladelug/control/instances/HttpInstanceListSource.java
+++ b/control-plane/src/main/java/gladelug/control/instances/HttpInstanceListSource.java
@@ -5,8 +5,8 @@
 import gladelug.common.Result;
 import gladelug.common.configuration.Replicas;
 import gladelug.common.connection.BindAddress;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.RequestOptions;
@@ -22,7 +22,7 @@
   /** The list as a whole: some hundred bytes for each replica. */
   private static final int LIST_BYTES = 4 << 20;
 
-  private final BoundedHttpCalls calls;
+  private final BoundedHttpClient calls;
   private final Address platform;
 
   /**
@@ -33,10 +33,10 @@
   public HttpInstanceListSource(Vertx vertx, BindAddress local, Address platform) {
     this.platform = platform;
     calls =
-        new BoundedHttpCalls(
+        new BoundedHttpClient(
             vertx.getDelegate(),
             local.withLocalAddress(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS)),
-            MemoryBudget.ofAnswers());
+            MemoryBudget.forResponses());
   }
 
   @Override
@@ -46,7 +46,7 @@
     return calls.send(target, LIST_BYTES, LIST_TIMEOUT_MS).map(HttpInstanceListSource::parse);
   }
 
-  private static Result<Replicas> parse(HttpAnswer answer) {
+  private static Result<Replicas> parse(BufferedHttpResponse answer) {
     try (answer) {
       return answer.status() == HTTP_OK
           ? Replicas.parse(answer.body().toString())
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
@@ -64,7 +64,7 @@
 
   private static Uni<Optional<ChangeResult>> proposeIfChanged(
       Store store, StoredList base, Replicas list) {
-    byte[] json = list.json().getBytes(StandardCharsets.UTF_8);
+    byte[] json = list.toJson().getBytes(StandardCharsets.UTF_8);
     if (base.exists() && Arrays.equals(base.list, json))
       return Uni.createFrom().item(Optional.empty());
     if (base.exists()) store.onListChanged(base, list);
@@ -85,7 +85,7 @@
       if (latest != null && isSameEndpoint(replica, latest))
         remaining.add(withReadiness(replica, replica.ready() && latest.ready()));
     }
-    return new Replicas(remaining).json().getBytes(StandardCharsets.UTF_8);
+    return new Replicas(remaining).toJson().getBytes(StandardCharsets.UTF_8);
   }
 
   private static List<Replica> parse(byte[] stored) {
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
@@ -50,7 +50,7 @@
   @Override
   public void start(ServiceRegistry services) {
     core = services.find("core", CoreService.class);
-    source = sourceFactory.apply(services.find("doors", ConnectionAcceptor.class).local);
+    source = sourceFactory.apply(services.find("doors", ConnectionAcceptor.class).bindAddress);
     vertx
         .getOrCreateContext()
         .runOnContext(
--- a/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
@@ -35,7 +35,7 @@
     Result<Configuration> parsed =
         ifMatch.kind() == IfMatch.Kind.INVALID
             ? Result.bad(IfMatch.INVALID_FINDING.place(), IfMatch.INVALID_FINDING.what())
-            : LocatedJson.text(body).then(Configuration::parse);
+            : LocatedJson.decodeUtf8(body).flatMap(Configuration::parse);
     if (parsed instanceof Result.Bad<Configuration> bad) {
       JsonResponses.sendFindings(context, bad.findings());
       return;
--- a/control-plane/src/main/java/gladelug/control/operator/MemberReplacementHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/MemberReplacementHandler.java
@@ -19,12 +19,12 @@
   private record Replacement(String out, String in) {
     static Result<Replacement> parse(String body) {
       return LocatedJson.parse(body == null ? "" : body)
-          .then(
+          .flatMap(
               json -> {
                 Findings findings = new Findings();
                 LocatedJson.Fields fields = json.fields(findings);
                 Replacement replacement = new Replacement(fields.text("out"), fields.text("in"));
-                fields.done();
+                fields.reportUnknownFields();
                 return Result.of(findings, () -> replacement);
               });
     }
--- a/control-plane/src/main/java/gladelug/control/operator/OperatorEndpoint.java
+++ b/control-plane/src/main/java/gladelug/control/operator/OperatorEndpoint.java
@@ -55,7 +55,7 @@
   @Override
   public void start(ServiceRegistry registry) {
     CoreService core = registry.find("core", CoreService.class);
-    BindAddress local = registry.find("doors", ConnectionAcceptor.class).local;
+    BindAddress local = registry.find("doors", ConnectionAcceptor.class).bindAddress;
     WebClient client =
         WebClient.create(
             vertx,
@@ -168,7 +168,11 @@
     } catch (RuntimeException e) {
       // whatever keeps the port from being opened is a fault of the machine or its settings
       throw new ServiceRegistry.StartupException(
-          "cannot listen for operators on " + address + ": " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for operators on "
+              + address
+              + ": "
+              + ConnectionAcceptor.rootCauseMessage(e),
+          e);
     }
   }
 
--- a/control-plane/src/main/java/gladelug/control/operator/WeightNamingHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/WeightNamingHandler.java
@@ -38,12 +38,12 @@
   private record Naming(String service, String weights) {
     static Result<Naming> parse(String body) {
       return LocatedJson.parse(body == null ? "" : body)
-          .then(
+          .flatMap(
               json -> {
                 Findings findings = new Findings();
                 LocatedJson.Fields fields = json.fields(findings);
                 Naming naming = new Naming(fields.text("service"), fields.text("weights"));
-                fields.done();
+                fields.reportUnknownFields();
                 return Result.of(findings, () -> naming);
               });
     }
@@ -166,14 +166,14 @@
             newest -> {
               if (!newest.owned()) return Uni.createFrom().item(new ChangeResult.NoOwner());
               Weights current = weights(newest);
-              Weights.Named named = current.of(naming.service);
+              Weights.Assignment named = current.of(naming.service);
               long base = ifMatch.hasNumber() ? ifMatch.number() : newest.number();
               Weights next =
-                  named != null && named.now().equals(naming.weights)
+                  named != null && named.current().equals(naming.weights)
                       ? current
-                      : current.naming(naming.service, naming.weights, base + 1);
+                      : current.withAssignment(naming.service, naming.weights, base + 1);
               return core.change(
-                  StateKeys.WEIGHTS, base, next.json().getBytes(StandardCharsets.UTF_8));
+                  StateKeys.WEIGHTS, base, next.toJson().getBytes(StandardCharsets.UTF_8));
             })
         .flatMap(
             result ->
--- a/control-plane/src/main/java/gladelug/control/rollout/HttpReplicaCommands.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/HttpReplicaCommands.java
@@ -4,8 +4,8 @@
 import gladelug.common.MemoryBudget;
 import gladelug.common.configuration.Replicas.Replica;
 import gladelug.common.connection.BindAddress;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.RequestOptions;
@@ -26,7 +26,7 @@
   /** What a replica says of itself is a few fields. */
   private static final int STATE_BYTES = 1 << 16;
 
-  private final BoundedHttpCalls calls;
+  private final BoundedHttpClient calls;
   private final ReplicaCommandCall commandCall;
 
   /**
@@ -36,13 +36,13 @@
    */
   public HttpReplicaCommands(Vertx vertx, BindAddress local) {
     calls =
-        new BoundedHttpCalls(
+        new BoundedHttpClient(
             vertx.getDelegate(),
             local.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(CONNECT_TIMEOUT_MS)
                     .setMaxPoolSize(CONNECTIONS_PER_REPLICA)),
-            MemoryBudget.ofAnswers());
+            MemoryBudget.forResponses());
     commandCall = new ReplicaCommandCall(vertx, local);
   }
 
@@ -63,7 +63,7 @@
         .map(answer -> reportedState(replica, answer));
   }
 
-  private static ReportedState reportedState(Replica replica, HttpAnswer answer) {
+  private static ReportedState reportedState(Replica replica, BufferedHttpResponse answer) {
     try (answer) {
       return reportedState(
           replica, answer.status() == HTTP_OK ? new JsonObject(answer.body()) : null);
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
@@ -55,7 +55,7 @@
   @Override
   public void start(ServiceRegistry services) {
     core = services.find("core", CoreService.class);
-    commands = commandsFactory.apply(services.find("doors", ConnectionAcceptor.class).local);
+    commands = commandsFactory.apply(services.find("doors", ConnectionAcceptor.class).bindAddress);
     context = vertx.getOrCreateContext();
     commandSender =
         new ReplicaCommandSender(processName, commands, rollout, core::now, this::commandLease);
--- a/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
@@ -162,7 +162,9 @@
   private List<String> rolloutModels(Replica replica) {
     if (!isModelReplica(replica)) return List.of();
     Set<String> models =
-        replica.weights().isEmpty() ? Set.of(replica.service()) : replica.weights().keySet();
+        replica.weightsByModel().isEmpty()
+            ? Set.of(replica.service())
+            : replica.weightsByModel().keySet();
     return models.stream().filter(model -> weights.of(model) != null).sorted().toList();
   }
 
@@ -202,7 +204,7 @@
 
   private void onListed(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = observationOf(replica, model);
-    String listedWeights = replica.weights().getOrDefault(model, "");
+    String listedWeights = replica.weightsByModel().getOrDefault(model, "");
     boolean listCounts =
         observation.orderedWeights.isEmpty()
             || listedWeights.equals(observation.orderedWeights)
@@ -227,7 +229,7 @@
       if (!needsOrder(replica, model, nowMs)) continue;
       if (isChangingAnotherModel(replica, model, nowMs)) continue;
       if (!isItsTurn(replica, model, nowMs)) continue;
-      return new WeightAssignment(model, weights.of(model).now());
+      return new WeightAssignment(model, weights.of(model).current());
     }
     return null;
   }
@@ -236,7 +238,7 @@
   private boolean needsOrder(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = findObservation(replica, model);
     if (observation == null || observation.observedAtMs == NEVER_MS) return false;
-    String namedWeights = weights.of(model).now();
+    String namedWeights = weights.of(model).current();
     if (observation.runs(namedWeights)) return false;
     if (!observation.orderedWeights.equals(namedWeights)) return true;
     return !observation.loading && nowMs - observation.orderSentAtMs >= RETRY_INTERVAL_MS;
@@ -275,7 +277,7 @@
     ReplicaObservation observation = findObservation(replica, model);
     if (observation == null || nowMs - observation.observedAtMs >= OBSERVATION_VALIDITY_MS)
       return ReplicaProgress.UNRESPONSIVE;
-    boolean updated = observation.runs(weights.of(model).now());
+    boolean updated = observation.runs(weights.of(model).current());
     return updated ? ReplicaProgress.UPDATED : ReplicaProgress.OUTDATED;
   }
 
--- a/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
+++ b/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
@@ -31,7 +31,7 @@
 
     public static void main(String[] args) throws InterruptedException {
       FatalFailure.endProcessOnUncaughtErrors();
-      int bytes = MemoryBudget.largestValueBytes();
+      int bytes = MemoryBudget.maxValueBytes();
       Thread listener = new Thread(() -> check(bytes), "listener");
       listener.start();
       ControlOwnerTasks tasks = new ControlOwnerTasks(Configuration::parse);
--- a/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
@@ -742,7 +742,7 @@
         member,
         host,
         StateKeys.CONFIGURATION,
-        VersionedValue.NONE.next("d", new byte[1]).with(PrefixSharing.beginningWith(1)));
+        VersionedValue.NONE.next("d", new byte[1]).with(PrefixSharing.startingAt(1)));
     member.onSubscriptionRequest(asks("earlier", StateKeys.CONFIGURATION));
     member.onSubscriptionRequest(
         asks("present", StateKeys.CONFIGURATION, StateKeys.READS_PREFIX_SHARING));
--- a/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
@@ -213,7 +213,7 @@
           Map.entry("leaving", "1e00000000000000030006636f72652d6100046469736b"));
 
   static byte[] bytes(CoreMessage message) {
-    return WireRecord.bytes(new Envelope(3, "core-a", "disk", message));
+    return WireRecord.encode(new Envelope(3, "core-a", "disk", message));
   }
 
   @Test
@@ -226,8 +226,8 @@
   @Test
   void theBytesAreReadAsTheSameMessage() throws IOException {
     for (Map.Entry<String, String> entry : BYTES.entrySet()) {
-      Envelope read = WireRecord.read(HexFormat.of().parseHex(entry.getValue()), Envelope::read);
-      Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.bytes(read)));
+      Envelope read = WireRecord.decode(HexFormat.of().parseHex(entry.getValue()), Envelope::read);
+      Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.encode(read)));
     }
   }
 
--- a/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
@@ -255,8 +255,8 @@
   void theIdentityIsRead() throws IOException {
     try (CoreDataFolder disk = opened(unpacked())) {
       Assertions.assertEquals(DISK, disk.id());
-      Assertions.assertEquals(IDENTITY, disk.folder().identity());
-      Assertions.assertEquals(1_048_576, disk.ring().fileSize());
+      Assertions.assertEquals(IDENTITY, disk.folder().readIdentity());
+      Assertions.assertEquals(1_048_576, disk.ring().fileBytes());
       Assertions.assertEquals(
           "0 core-a==10.0.0.1:4001/10.0.0.1:4003 core-b==10.0.0.2:4001/10.0.0.2:4003"
               + " core-c==10.0.0.3:4001/10.0.0.3:4003",
@@ -411,7 +411,8 @@
       Assertions.assertEquals(before.keySet(), after.keySet());
       before.forEach((name, record) -> Assertions.assertArrayEquals(record, after.get(name), name));
       Assertions.assertEquals(
-          earlier.folder().identity(), now.folder().identity().replace(now.id(), earlier.id()));
+          earlier.folder().readIdentity(),
+          now.folder().readIdentity().replace(now.id(), earlier.id()));
     }
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/register/AppliedChangesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/AppliedChangesTest.java
@@ -92,7 +92,7 @@
     out.writeInt(1);
     out.writeLong(1);
     out.writeUTF(digest(1));
-    WireRecord.blob(out, new byte[] {42});
+    WireRecord.writeBlob(out, new byte[] {42});
     if (remarks) {
       out.writeLong(77);
       out.writeUTF("a");
--- a/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
@@ -28,12 +28,12 @@
     Runnable syncing = () -> {};
 
     @Override
-    public int files() {
+    public int fileCount() {
       return files.length;
     }
 
     @Override
-    public int size() {
+    public int fileBytes() {
       return files[0].length;
     }
 
--- a/control-plane/src/test/java/gladelug/control/core/register/DurableStateTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/DurableStateTest.java
@@ -29,7 +29,7 @@
 
   private static byte[] cellWithSharing() {
     VersionedValue value = Register.of(cell()).value();
-    return new Register(5, 4, value.with(PrefixSharing.beginningWith(2))).bytes();
+    return new Register(5, 4, value.with(PrefixSharing.startingAt(2))).bytes();
   }
 
   private static byte[] epochs() {
--- a/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
+++ b/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
@@ -33,9 +33,9 @@
 
   @Test
   void whatIsOfferedAgainOnlyTakesAway() {
-    byte[] kept = list("a+", "b+", "c-", "d+").json().getBytes(StandardCharsets.UTF_8);
+    byte[] kept = list("a+", "b+", "c-", "d+").toJson().getBytes(StandardCharsets.UTF_8);
     Assertions.assertEquals(
-        list("a+", "b-", "c-").json(),
+        list("a+", "b-", "c-").toJson(),
         new String(narrowed(kept, list("a+", "b-", "c+", "e+")), StandardCharsets.UTF_8));
   }
 
@@ -46,7 +46,7 @@
 
     Store(long number, Replicas list) {
       this.number = number;
-      this.kept = list.json();
+      this.kept = list.toJson();
     }
 
     InstanceListPoll.StoredList kept() {
@@ -79,7 +79,7 @@
         .with(ignored -> {});
     late.complete(Result.good(list("a+", "b+", "c+")));
     Assertions.assertEquals(Result.good(Optional.of(new ChangeResult.Conflict(4))), outcome.get());
-    Assertions.assertEquals(list("a+", "b-").json(), store.kept);
+    Assertions.assertEquals(list("a+", "b-").toJson(), store.kept);
   }
 
   @Test
--- a/control-plane/src/test/java/gladelug/control/rollout/ReplicaCommandSenderTest.java
+++ b/control-plane/src/test/java/gladelug/control/rollout/ReplicaCommandSenderTest.java
@@ -72,8 +72,8 @@
   private void named(String weights, long number) {
     rollout.updateInputs(
         new WeightRollout.RolloutInputs(
-            bytes(new Replicas(List.of(REPLICA)).json()),
-            bytes(Weights.NONE.naming("m", weights, number).json()),
+            bytes(new Replicas(List.of(REPLICA)).toJson()),
+            bytes(Weights.NONE.withAssignment("m", weights, number).toJson()),
             bytes(CONFIGURATION),
             LONG));
     rollout.onReported(REPLICA, "m", "w0", false, nowMs);
--- a/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
+++ b/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
@@ -55,6 +55,6 @@
     for (String instance : none.keySet())
       Assertions.assertEquals(
           mayStart(instance, none, 2800, plan, true),
-          2800 >= plan.due(plan.part(instance, none.keySet())));
+          2800 >= plan.dueMs(plan.partOf(instance, none.keySet())));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -75,7 +75,7 @@
 
   static Result<DataPlaneSettings> place(boolean relay, String file, Map<String, String> flags) {
     return Settings.open(file, flags)
-        .then(
+        .flatMap(
             settings -> {
               Address records = settings.address("records");
               DataPlaneSettings p =
@@ -126,7 +126,7 @@
                     "--choice", "must be one of " + MODES.keySet() + ", not " + p.choice);
               if (relay && !p.division.equals("fleet") && !p.division.equals("alone"))
                 settings.findings.add("--division", "must be fleet or alone, not " + p.division);
-              return settings.done(() -> p);
+              return settings.build(() -> p);
             });
   }
 
@@ -146,12 +146,14 @@
       for (String f : flags.get(c))
         p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
     }
-    Namespace arguments = Program.parse(parser, args);
+    Namespace arguments = Program.parseArguments(parser, args);
     boolean relay = arguments.getString("command").equals("relay");
     Map<String, String> given = new HashMap<>();
     for (String f : BOTH) given.put(f, arguments.getString(f));
     for (String f : relay ? RELAY : INDEX) given.put(f, arguments.getString(f));
-    run(relay, Program.orExit("data-plane", place(relay, arguments.getString("settings"), given)));
+    run(
+        relay,
+        Program.valueOrExit("data-plane", place(relay, arguments.getString("settings"), given)));
   }
 
   private static String help(String f) {
@@ -177,7 +179,7 @@
   }
 
   static void run(boolean relay, DataPlaneSettings p) {
-    Log.setUp(p.name, Program.level(p.log), System.out);
+    Log.setUp(p.name, Program.parseLogLevel(p.log), System.out);
     Vertx vertx = Vertx.vertx();
     vertx.getDelegate().exceptionHandler(FatalFailure::onUncaught);
     Clock clock = Clock.monotonic();
--- a/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
+++ b/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
@@ -73,12 +73,16 @@
     server = vertx.createHttpServer(new HttpServerOptions()).requestHandler(r::handle);
     try {
       server
-          .listen(address.port(), registry.find("doors", ConnectionAcceptor.class).local.ip())
+          .listen(address.port(), registry.find("doors", ConnectionAcceptor.class).bindAddress.ip())
           .await()
           .atMost(Duration.ofSeconds(10));
     } catch (RuntimeException e) {
       throw new ServiceRegistry.StartupException(
-          "cannot listen for operators on " + address + ": " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for operators on "
+              + address
+              + ": "
+              + ConnectionAcceptor.rootCauseMessage(e),
+          e);
     }
   }
 
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
@@ -34,18 +34,18 @@
     boolean good =
         b.relay().matches("[a-z0-9][a-z0-9-]{0,30}")
             && b.incarnation().matches("[0-9a-f]{4}")
-            && b.low() >= 0
-            && b.high() >= b.low()
-            && b.packed().length <= LARGEST
-            && plain(b.packed()) != null;
+            && b.firstNumber() >= 0
+            && b.lastNumber() >= b.firstNumber()
+            && b.deflated().length <= LARGEST
+            && plain(b.deflated()) != null;
     if (!good) {
       refused++;
       return false;
     }
     batches.addLast(b);
-    bytes += b.packed().length;
+    bytes += b.deflated().length;
     while (bytes > most) {
-      bytes -= batches.removeFirst().packed().length;
+      bytes -= batches.removeFirst().deflated().length;
       dropped++;
     }
     return true;
@@ -64,11 +64,13 @@
     String begins = "{\"order\":\"" + id + "\"";
     for (Iterator<Batch> i = batches.descendingIterator(); i.hasNext(); ) {
       Batch b = i.next();
-      if (!b.relay().equals(ps[0]) || !b.incarnation().equals(ps[1]) || n < b.low() || n > b.high())
-        continue;
-      for (String line : plain(b.packed()).split("\n"))
+      if (!b.relay().equals(ps[0])
+          || !b.incarnation().equals(ps[1])
+          || n < b.firstNumber()
+          || n > b.lastNumber()) continue;
+      for (String line : plain(b.deflated()).split("\n"))
         if (line.startsWith(begins))
-          return Json.parse(line).asObject().add("skippedAtRelay", b.skipped());
+          return Json.parse(line).asObject().add("skippedAtRelay", b.skippedCount());
     }
     return null;
   }
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
@@ -71,13 +71,13 @@
     doors = registry.find("doors", ConnectionAcceptor.class);
     views = registry.find("views", PartialViewService.class);
     doors.register(
-        Hello.REASONS,
+        Hello.DECISION_RECORDS,
         (hello, connection) ->
             new Connection.Receiver() {
               @Override
               public void record(byte[] record) throws IOException {
                 DecisionRecords.Batch b =
-                    (DecisionRecords.Batch) WireRecord.read(record, DecisionRecords::read);
+                    (DecisionRecords.Batch) WireRecord.decode(record, DecisionRecords::read);
                 if (!b.relay().equals(hello.name()))
                   throw new IOException("reasons of " + b.relay() + " from " + hello.name());
                 duty.offer(
@@ -131,12 +131,12 @@
     List<Address> l =
         views.all().stream()
             .filter(d -> d.role().equals("relay") || d.role().equals("index"))
-            .filter(d -> !Address.of(d.records()).host().equals(host))
+            .filter(d -> !Address.of(d.recordsAddress()).host().equals(host))
             .sorted(
                 Comparator.comparing(
                         (Shuffle.Descriptor d) -> !near.isEmpty() && !near.equals(d.zone()))
                     .thenComparingInt(d -> (name + ">" + d.name()).hashCode()))
-            .map(d -> Address.of(d.records()))
+            .map(d -> Address.of(d.recordsAddress()))
             .distinct()
             .toList();
     List<Address> use = new ArrayList<>();
@@ -152,12 +152,12 @@
                       vertx,
                       doors,
                       x,
-                      Hello.REASONS,
+                      Hello.DECISION_RECORDS,
                       (y, record) -> {
                         throw new IOException("an answer where none is due");
                       },
                       y -> {}));
-      if (h.open()) open++;
+      if (h.isOpen()) open++;
     }
     held.entrySet()
         .removeIf(
--- a/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
@@ -40,9 +40,9 @@
       long prefilled = Math.max(now, busyUntil) + Math.max(0, work.prefillMs());
       busyUntil = Math.min(now + MOST_BUSY_MS, prefilled);
       if (running.size() >= MOST_RUNNING) remove(running.poll());
-      long reply = Math.min(MOST_BUSY_MS, Math.max(0, work.replyMs()));
-      running.add(new Running(busyUntil + reply, Math.max(0, work.units())));
-      units += Math.max(0, work.units());
+      long reply = Math.min(MOST_BUSY_MS, Math.max(0, work.decodeMs()));
+      running.add(new Running(busyUntil + reply, Math.max(0, work.memoryUnits())));
+      units += Math.max(0, work.memoryUnits());
     }
 
     private void remove(Running ended) {
@@ -82,7 +82,7 @@
   }
 
   /** What an answer tells of it now. */
-  public Lookup.Fleet told(long now) {
+  public Lookup.FleetLoad told(long now) {
     given.values().removeIf(work -> work.expire(now));
     List<Lookup.Load> loads = new ArrayList<>(given.size());
     given.forEach((holder, work) -> loads.add(work.told(holder, now)));
@@ -90,7 +90,7 @@
       loads.sort(Comparator.comparingInt(Lookup.Load::busyMs).reversed());
       loads.subList(MOST_NAMED, loads.size()).clear();
     }
-    return new Lookup.Fleet(List.copyOf(loads), evictedShare());
+    return new Lookup.FleetLoad(List.copyOf(loads), evictedShare());
   }
 
   private double evictedShare() {
--- a/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
@@ -219,15 +219,15 @@
   }
 
   /** A relay sent a prompt there: until events tell, its blocks count as kept. */
-  public void placed(Lookup.Placed p, long at) {
+  public void placed(Lookup.Placement p, long at) {
     if (!holders.containsKey(p.holder())) return;
     placements.sent(p.blocks(), p.holder(), at);
     load.placed(p.holder(), p.work(), at);
   }
 
   /** The table's matches, and of holders that were sent more of this prompt a moment ago, that. */
-  public Lookup.Answer answer(Lookup.Question q, long at) {
-    Lookup.Answer a = answer(q);
+  public Lookup.Response answer(Lookup.Query q, long at) {
+    Lookup.Response a = answer(q);
     if (!a.warm() || q.blocks().length == 0) return a;
     List<Lookup.Match> more = new ArrayList<>(a.matches());
     more.removeIf(m -> silentStore(m.holder(), at));
@@ -238,7 +238,7 @@
           || more.stream().noneMatch(m -> m.holder().equals(h)))
         more.add(new Lookup.Match(h, n, 0));
     }
-    return new Lookup.Answer(a.sequence(), true, more, load.told(at));
+    return new Lookup.Response(a.sequence(), true, more, load.told(at));
   }
 
   /**
@@ -250,9 +250,9 @@
     return holder != null && Holders.isStore(holder.replica) && holder.silent(at);
   }
 
-  public Lookup.Answer answer(Lookup.Question q) {
+  public Lookup.Response answer(Lookup.Query q) {
     questions++;
-    if (!warm()) return new Lookup.Answer(q.sequence(), false, List.of());
+    if (!warm()) return new Lookup.Response(q.sequence(), false, List.of());
     List<Lookup.Match> out = new ArrayList<>();
     Arrays.fill(left, -1L);
     boolean any = true;
@@ -268,7 +268,7 @@
     }
     for (int w = 0; w < left.length; w++) out(out, left[w], w, n);
     if (!out.isEmpty()) hits++;
-    return new Lookup.Answer(q.sequence(), true, out);
+    return new Lookup.Response(q.sequence(), true, out);
   }
 
   private void out(List<Lookup.Match> out, long ids, int word, int blocks) {
--- a/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
@@ -5,8 +5,8 @@
 import gladelug.common.MemoryBudget;
 import gladelug.common.SingleThreadWorker;
 import gladelug.common.configuration.Replicas.Replica;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import io.vertx.core.http.HttpClientRequest;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.RequestOptions;
@@ -30,7 +30,7 @@
   private final Replica replica;
   private final CacheEventFeed feed;
   private final HttpClient http;
-  private final BoundedHttpCalls calls;
+  private final BoundedHttpClient calls;
   private final SingleThreadWorker duty;
   private final Clock clock;
   private final HolderFeeds.Sink sink;
@@ -39,7 +39,7 @@
 
   HolderConnection(
       HttpClient http,
-      BoundedHttpCalls calls,
+      BoundedHttpClient calls,
       SingleThreadWorker duty,
       Clock clock,
       Holder holder,
@@ -89,7 +89,7 @@
   }
 
   /** What a holder says of itself; empty where that makes no sense. */
-  private static JsonObject identity(HttpAnswer answer) {
+  private static JsonObject identity(BufferedHttpResponse answer) {
     try (answer) {
       return new JsonObject(answer.body());
     } catch (RuntimeException malformed) {
@@ -193,14 +193,12 @@
   public void list(long nr) {
     calls
         .send(
-            get("/cache/list?instance=" + replica.instance()),
-            MemoryBudget.largestPageBytes(),
-            LIST_MS)
+            get("/cache/list?instance=" + replica.instance()), MemoryBudget.maxPageBytes(), LIST_MS)
         .subscribe()
         .with(answer -> listed(nr, answer), failure -> sink.listFailed(nr));
   }
 
-  private void listed(long nr, HttpAnswer answer) {
+  private void listed(long nr, BufferedHttpResponse answer) {
     try (answer) {
       JsonObject json = new JsonObject(answer.body());
       JsonArray array = json.getJsonArray("blocks");
--- a/data-plane/src/main/java/gladelug/data/index/IndexService.java
+++ b/data-plane/src/main/java/gladelug/data/index/IndexService.java
@@ -81,15 +81,15 @@
                 new Connection.Receiver() {
                   @Override
                   public void record(byte[] record) throws IOException {
-                    Lookup lookup = WireRecord.read(record, Lookup::read);
-                    if (lookup instanceof Lookup.Placed p) {
+                    Lookup lookup = WireRecord.decode(record, Lookup::read);
+                    if (lookup instanceof Lookup.Placement p) {
                       duty.offer(() -> summary.placed(p, clock.now()));
                       return;
                     }
-                    if (!(lookup instanceof Lookup.Question q))
+                    if (!(lookup instanceof Lookup.Query q))
                       throw new IOException("an answer nobody asked for");
                     if (!duty.offer(() -> connection.send(summary.answer(q, clock.now()))))
-                      connection.send(new Lookup.Answer(q.sequence(), false, List.of()));
+                      connection.send(new Lookup.Response(q.sequence(), false, List.of()));
                   }
                 });
   }
--- a/data-plane/src/main/java/gladelug/data/relay/Backend.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Backend.java
@@ -139,7 +139,7 @@
 
   /** What the list and the configuration say of one that doesn't report. */
   void listed(Replica r, Configuration.Service s, long now) {
-    for (Map.Entry<String, String> e : r.weights().entrySet()) {
+    for (Map.Entry<String, String> e : r.weightsByModel().entrySet()) {
       // an answer since may have told of newer weights than the list, which lags
       if (newer(e.getValue(), weights(e.getKey()))) weights.put(e.getKey(), e.getValue());
     }
@@ -148,11 +148,11 @@
       unitMs = PrefillSpeed.USUAL_UNIT_MS;
     }
     known = true;
-    keptUnits = s.engine().keptTokens();
+    keptUnits = s.engine().cacheCapacityTokens();
     slots = Math.max(1, r.slots() > 0 ? r.slots() : s.engine().slots());
-    tokenBytes = s.engine().tokenBytes();
+    tokenBytes = s.engine().bytesPerToken();
     if (s.engine().linkMbps() > 0)
-      engineLinkMs = s.engine().tokenBytes() * 8.0 / (s.engine().linkMbps() * 1000);
+      engineLinkMs = s.engine().bytesPerToken() * 8.0 / (s.engine().linkMbps() * 1000);
   }
 
   /**
@@ -271,8 +271,8 @@
     double share = 1 - Math.exp(-(now - fleetToldAt) / USUAL_PREFILL_OVER_MS);
     usualPrefillShare += ((load.busyMs() > 0 ? 1 : 0) - usualPrefillShare) * share;
     fleetBusyUntil = now + load.busyMs();
-    fleetRunning = load.running();
-    fleetUnits = load.units();
+    fleetRunning = load.runningRequests();
+    fleetUnits = load.memoryUnits();
     fleetToldAt = now;
   }
 
--- a/data-plane/src/main/java/gladelug/data/relay/Backends.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Backends.java
@@ -8,8 +8,8 @@
 import gladelug.common.configuration.Configuration;
 import gladelug.common.configuration.Replicas.Replica;
 import gladelug.common.connection.BindAddress;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import gladelug.data.state.ControlStateSnapshot;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.RequestOptions;
@@ -51,15 +51,15 @@
   }
 
   static Backends overHttp(Vertx vertx, BindAddress local, Clock clock, Runnable changed) {
-    BoundedHttpCalls calls =
-        new BoundedHttpCalls(
+    BoundedHttpClient calls =
+        new BoundedHttpClient(
             vertx.getDelegate(),
             local.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(500)
                     .setMaxPoolSize(2)
                     .setKeepAlive(true)),
-            MemoryBudget.ofAnswers());
+            MemoryBudget.forResponses());
     Backends b =
         new Backends(
             clock,
@@ -81,7 +81,7 @@
   }
 
   /** What a replica says of its load; empty where that makes no sense. */
-  private static io.vertx.core.json.JsonObject load(HttpAnswer answer) {
+  private static io.vertx.core.json.JsonObject load(BufferedHttpResponse answer) {
     try (answer) {
       return answer.status() == 200
           ? new io.vertx.core.json.JsonObject(answer.body())
--- a/data-plane/src/main/java/gladelug/data/relay/CallerLimits.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerLimits.java
@@ -97,10 +97,10 @@
       One o = e.getValue();
       if (o.underWay > 0) {
         if (stoodStill) o.readAt = now;
-        if (o.bodyAwaited && now - o.readAt > l.idleMs()) e.getKey().close();
+        if (o.bodyAwaited && now - o.readAt > l.idleTimeoutMs()) e.getKey().close();
       } else if (o.headSince >= 0
-          ? now - o.headSince > l.headerMs()
-          : now - o.idleSince > l.idleMs()) e.getKey().close();
+          ? now - o.headSince > l.headerTimeoutMs()
+          : now - o.idleSince > l.idleTimeoutMs()) e.getKey().close();
     }
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
@@ -78,8 +78,8 @@
       refuse(context, 503, why, null, r.retryAdvice.untilReadyMs());
       return;
     }
-    String hash = Configuration.hashOf(key(context.request()));
-    if (r.tables().configuration().tenantOfHash(hash) == null) {
+    String hash = Configuration.hashKey(key(context.request()));
+    if (r.tables().configuration().tenantByKeyHash(hash) == null) {
       refuse(context, 401, "the key is not known", null, 0);
       return;
     }
@@ -107,7 +107,7 @@
 
   private static Result<Asked> read(String text) {
     return LocatedJson.parse(text)
-        .then(
+        .flatMap(
             json -> {
               Findings findings = new Findings();
               LocatedJson.Fields f = json.fields(findings);
@@ -116,7 +116,7 @@
                       f.text("prompt"),
                       (int) f.integer("maxPieces", 256, 1, MOST_PIECES),
                       f.has("repeatable") ? f.flag("repeatable", false) : null);
-              f.done();
+              f.reportUnknownFields();
               return Result.of(findings, () -> a);
             });
   }
--- a/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
@@ -67,7 +67,7 @@
     if (now >= request.deadline)
       return FilterResult.notRun(503, Relay.EXPIRED_UNSENT, r.retryAdvice.untilRoomMs(request));
     // the replica it was to go to once more may have become unreachable meanwhile
-    if (request.tries >= request.route.attempts() && backend != request.triedLast)
+    if (request.tries >= request.route.maxAttempts() && backend != request.triedLast)
       return FilterResult.notRun(
           503, "it went to as many replicas as it may", r.retryAdvice.untilRoomMs(request));
     return null;
@@ -76,7 +76,7 @@
   /** Whether the key is still its tenant's, and may use the cached prefixes it was to use. */
   private FilterResult otherTenantOrScope(
       Request request, Backend backend, ControlStateSnapshot snapshot, Configuration.Route route) {
-    boolean open = route != null && route.open();
+    boolean open = route != null && route.allowsAnonymous();
     Configuration.Tenant tenant = tenantNow(request, snapshot, open);
     if (tenant == null || !tenant.name().equals(request.tenant.name()))
       return open
@@ -94,15 +94,15 @@
   @SuppressWarnings("ReferenceEquality")
   private static Configuration.Tenant tenantNow(
       Request request, ControlStateSnapshot snapshot, boolean open) {
-    return open && request.tenant == Configuration.ANYBODY
-        ? Configuration.ANYBODY
-        : snapshot.configuration().tenantOfHash(request.keyHash);
+    return open && request.tenant == Configuration.ANONYMOUS
+        ? Configuration.ANONYMOUS
+        : snapshot.configuration().tenantByKeyHash(request.keyHash);
   }
 
   private FilterResult otherRouteOrReplica(
       Request request, Backend backend, ControlStateSnapshot snapshot, Configuration.Route route) {
     Configuration.Service service = snapshot.configuration().service(request.service.name());
-    if (route == null || service == null || !route.allows(service.index()))
+    if (route == null || service == null || !route.allowsService(service.index()))
       return FilterResult.notRun(503, "the mapping changed", FilterResult.RETRY_AT_ONCE_MS);
     Replicas.Replica replica = snapshot.replicas().find(backend.replica.instance());
     if (replica == null
@@ -199,7 +199,7 @@
      */
     private boolean again(boolean same) {
       if (r.clock.now() >= o.deadline
-          || !same && o.tries >= o.route.attempts()
+          || !same && o.tries >= o.route.maxAttempts()
           || !r.settings.has(Mechanism.RETRIES)
           || !r.budget.secondTry(o.service.name())) return false;
       return resumes()
@@ -218,7 +218,7 @@
     public void otherWeights(String why) {
       if (over) return;
       // the same one once more at most, whatever it says of itself
-      notRun(why, o.tries == o.route.attempts());
+      notRun(why, o.tries == o.route.maxAttempts());
     }
 
     private void notRun(String why, boolean same) {
--- a/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
@@ -43,8 +43,8 @@
 
   private static Configuration.Tenant tenant(
       Request request, Configuration.Route route, ControlStateSnapshot snapshot) {
-    Configuration.Tenant tenant = snapshot.configuration().tenantOfHash(request.keyHash);
-    boolean open = route != null && route.open();
-    return open && tenant == null ? Configuration.ANYBODY : tenant;
+    Configuration.Tenant tenant = snapshot.configuration().tenantByKeyHash(request.keyHash);
+    boolean open = route != null && route.allowsAnonymous();
+    return open && tenant == null ? Configuration.ANONYMOUS : tenant;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
@@ -58,10 +58,10 @@
   private final Map<Long, Consumer<Found>> asked = new HashMap<>();
 
   /** Who wants what late answers tell of the fleet; the eldest give way. */
-  private final Map<Long, Consumer<Lookup.Fleet>> overdue =
+  private final Map<Long, Consumer<Lookup.FleetLoad>> overdue =
       new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Consumer<Lookup.Fleet>> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<Long, Consumer<Lookup.FleetLoad>> eldest) {
           return size() > MOST_OVERDUE;
         }
       };
@@ -100,7 +100,7 @@
   /** The indexes that follow holders where one a zone does. */
   static Set<Address> followers(Collection<Shuffle.Descriptor> seen) {
     return ZoneFollower.byZone(seen).values().stream()
-        .map(index -> Address.of(index.records()))
+        .map(index -> Address.of(index.recordsAddress()))
         .collect(Collectors.toSet());
   }
 
@@ -128,7 +128,7 @@
         .sorted(
             Comparator.comparing((Shuffle.Descriptor process) -> !process.zone().equals(zone))
                 .thenComparing(Shuffle.Descriptor::name))
-        .map(process -> Address.of(process.records()))
+        .map(process -> Address.of(process.recordsAddress()))
         .filter(index -> !indexes.contains(index))
         .forEach(indexes::add);
     return indexes;
@@ -141,29 +141,29 @@
         index,
         Hello.LOOKUP,
         (connection, record) -> {
-          if (!(WireRecord.read(record, Lookup::read) instanceof Lookup.Answer answer))
+          if (!(WireRecord.decode(record, Lookup::read) instanceof Lookup.Response answer))
             throw new IOException("a question where an answer was due");
           context.runOnContext(() -> answered(index, answer));
         },
         connection -> {});
   }
 
-  private void answered(Address index, Lookup.Answer answer) {
+  private void answered(Address index, Lookup.Response answer) {
     // one that is warming or stands by is left alone for a while, as one that is late
     if (answer.warm()) lateness.remove(index);
     else lateness.put(index, LATENESS_OF_NO_HINTS);
     Consumer<Found> found = asked.remove(answer.sequence());
-    Consumer<Lookup.Fleet> late = overdue.remove(answer.sequence());
+    Consumer<Lookup.FleetLoad> late = overdue.remove(answer.sequence());
     if (found != null)
       found.accept(
-          new Found(answer.warm() ? ANSWERED : "warming", answer.matches(), answer.fleet()));
-    else if (late != null && answer.warm()) late.accept(answer.fleet());
+          new Found(answer.warm() ? ANSWERED : "warming", answer.matches(), answer.fleetLoad()));
+    else if (late != null && answer.warm()) late.accept(answer.fleetLoad());
   }
 
   @Override
   public void placed(String holder, long[] blocks, Lookup.Work work) {
     if (blocks.length == 0) return;
-    Lookup.Placed placed = new Lookup.Placed(holder, blocks, work);
+    Lookup.Placement placed = new Lookup.Placement(holder, blocks, work);
     for (Map.Entry<Address, PersistentConnection> index : held.entrySet())
       if (followers.contains(index.getKey())) index.getValue().send(placed);
   }
@@ -174,7 +174,7 @@
   }
 
   @Override
-  public Uni<Found> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
+  public Uni<Found> ask(long[] blocks, Consumer<Lookup.FleetLoad> late) {
     if (blocks.length == 0) return Uni.createFrom().item(new Found("no-block", List.of()));
     return Uni.createFrom()
         .emitter(
@@ -186,14 +186,14 @@
 
   /** Whether an index could be asked: the first in order that is connected and seldom late. */
   private boolean askFirstThatAnswers(
-      long[] blocks, Consumer<Found> found, Consumer<Lookup.Fleet> late) {
+      long[] blocks, Consumer<Found> found, Consumer<Lookup.FleetLoad> late) {
     long sequence = ++lastSequence;
     for (Address index : order) {
       PersistentConnection connection = held.get(index);
-      if (connection == null || !connection.open()) continue;
+      if (connection == null || !connection.isOpen()) continue;
       if (lateness.getOrDefault(index, 0) > MOST_LATENESS) continue;
       asked.put(sequence, found);
-      if (connection.send(new Lookup.Question(sequence, blocks))) {
+      if (connection.send(new Lookup.Query(sequence, blocks))) {
         vertx.setTimer(waitMs, timer -> giveUp(sequence, index, late));
         return true;
       }
@@ -203,7 +203,7 @@
   }
 
   /** The request goes on without a hint, unless the answer came. */
-  private void giveUp(long sequence, Address index, Consumer<Lookup.Fleet> late) {
+  private void giveUp(long sequence, Address index, Consumer<Lookup.FleetLoad> late) {
     Consumer<Found> found = asked.remove(sequence);
     if (found == null) return;
     lateness.merge(index, LATENESS_OF_AN_ANSWER, Integer::sum);
--- a/data-plane/src/main/java/gladelug/data/relay/Lookups.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Lookups.java
@@ -10,9 +10,9 @@
  */
 public interface Lookups {
   /** how: answered, warming, late, no-index or no-block. */
-  record Found(String how, List<Lookup.Match> matches, Lookup.Fleet fleet) {
+  record Found(String how, List<Lookup.Match> matches, Lookup.FleetLoad fleet) {
     public Found(String how, List<Lookup.Match> matches) {
-      this(how, matches, Lookup.Fleet.UNKNOWN);
+      this(how, matches, Lookup.FleetLoad.UNKNOWN);
     }
 
     /** Whether an index that follows its holders answered in time. */
@@ -30,7 +30,7 @@
    * Asks, and has what an answer tells of the fleet though it came too late for this request; best
    * effort.
    */
-  default Uni<Found> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
+  default Uni<Found> ask(long[] blocks, Consumer<Lookup.FleetLoad> late) {
     return ask(blocks);
   }
 
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
@@ -70,7 +70,7 @@
           Json.object()
               .add("holder", match.holder())
               .add("blocks", match.blocks())
-              .add("units", match.units()));
+              .add("units", match.partialUnits()));
     request.decision.add(
         "lookup",
         relay.clock.now(),
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixStores.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixStores.java
@@ -25,7 +25,7 @@
   void tables(ControlStateSnapshot snapshot, long now) {
     Map<String, PrefixStore> next = new HashMap<>();
     for (Configuration.Service service : snapshot.configuration().services) {
-      if (service.store() == null) continue;
+      if (service.storeAddress() == null) continue;
       PrefixStore old = stores.get(service.name());
       StoreLink link = old == null ? new StoreLink(relays, now) : old.link();
       next.put(service.name(), new PrefixStore(service, link));
--- a/data-plane/src/main/java/gladelug/data/relay/Relay.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Relay.java
@@ -147,13 +147,13 @@
    * tell of stand until somebody does.
    */
   public String[] weights(String model) {
-    Weights.Named n = tables().weights().of(model);
+    Weights.Assignment n = tables().weights().of(model);
     if (n == null) return settings.anyWeights() ? new String[] {backends.newest(model), ""} : null;
     String before =
-        n.before().isEmpty() && settings.anyWeights()
-            ? backends.newestBelow(model, n.now())
-            : n.before();
-    return new String[] {n.now(), clock.now() < news.leases.cutoffAt() ? before : ""};
+        n.previous().isEmpty() && settings.anyWeights()
+            ? backends.newestBelow(model, n.current())
+            : n.previous();
+    return new String[] {n.current(), clock.now() < news.leases.cutoffAt() ? before : ""};
   }
 
   /** Whether a request may begin on these weights now. */
@@ -184,10 +184,10 @@
    */
   public String weightsOf(Backend backend, String model) {
     String told = backend.weights(model);
-    Weights.Named n = backend.reports ? null : tables().weights().of(model);
-    if (n == null || told.isEmpty() || !Backend.newer(n.now(), told)) return told;
+    Weights.Assignment n = backend.reports ? null : tables().weights().of(model);
+    if (n == null || told.isEmpty() || !Backend.newer(n.current(), told)) return told;
     long now = clock.now();
-    return !backend.saidOld(now) && now >= turn(backend) + LOADS ? n.now() : told;
+    return !backend.saidOld(now) && now >= turn(backend) + LOADS ? n.current() : told;
   }
 
   /**
@@ -196,10 +196,10 @@
    * turns away what is new: better left alone.
    */
   public boolean loads(Backend backend, String model) {
-    Weights.Named n = backend.reports ? null : tables().weights().of(model);
+    Weights.Assignment n = backend.reports ? null : tables().weights().of(model);
     if (n == null
         || backend.weights(model).isEmpty()
-        || !Backend.newer(n.now(), backend.weights(model))) return false;
+        || !Backend.newer(n.current(), backend.weights(model))) return false;
     return clock.now() >= turn(backend) - BEFORE;
   }
 
@@ -212,7 +212,7 @@
     if (clock.now() >= news.leases.cutoffAt()) return clock.now() - LOADS;
     List<String> all =
         backends.of(b.replica.service()).stream().map(x -> x.replica.instance()).toList();
-    return named + settings.roll().due(settings.roll().part(b.replica.instance(), all));
+    return named + settings.roll().dueMs(settings.roll().partOf(b.replica.instance(), all));
   }
 
   /**
@@ -222,7 +222,7 @@
     Replica p = tables().replicas().find(name);
     if (p != null) return p;
     Configuration.Service s = tables().configuration().service(name);
-    return s == null || s.store() == null ? null : Holders.store(s);
+    return s == null || s.storeAddress() == null ? null : Holders.store(s);
   }
 
   /**
@@ -242,9 +242,9 @@
   }
 
   /** What an index told of the replicas of a service; one it doesn't name is free. */
-  void fleet(String service, Lookup.Fleet fleet) {
-    evictedShare = fleet.evictedShare();
-    if (!settings.has(Mechanism.FLEET_LOADS) || fleet.equals(Lookup.Fleet.UNKNOWN)) return;
+  void fleet(String service, Lookup.FleetLoad fleet) {
+    evictedShare = fleet.evictionRatio();
+    if (!settings.has(Mechanism.FLEET_LOADS) || fleet.equals(Lookup.FleetLoad.UNKNOWN)) return;
     Map<String, Lookup.Load> busy = new HashMap<>();
     for (Lookup.Load load : fleet.loads()) busy.put(load.holder(), load);
     long now = clock.now();
@@ -300,7 +300,7 @@
           Json.object()
               .add("ms", request.longestPauseMs())
               .add("endedMs", request.longestPauseEndedMs())
-              .add("allowedMs", request.route.gapMs()));
+              .add("allowedMs", request.route.eventGapTargetMs()));
     request.decision.end();
     reasons.accept(request.decision);
     pump();
@@ -532,8 +532,9 @@
       urgencyLevels = new UrgencyLevels(snapshot.configuration());
       for (WaitQueue b : queues.values()) b.shape(snapshot.configuration());
       for (Request request : live()) {
-        if (request.tenant == null || request.route != null && request.route.open()) continue;
-        Configuration.Tenant n = snapshot.configuration().tenantOfHash(request.keyHash);
+        if (request.tenant == null || request.route != null && request.route.allowsAnonymous())
+          continue;
+        Configuration.Tenant n = snapshot.configuration().tenantByKeyHash(request.keyHash);
         boolean runs =
             request.state.at() == State.At.HANDED || request.state.at() == State.At.STREAMING;
         if ((n == null || !n.name().equals(request.tenant.name()))
--- a/data-plane/src/main/java/gladelug/data/relay/RelayService.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayService.java
@@ -62,7 +62,7 @@
   private final Ends ends;
   private Context context;
   private volatile Relay relay;
-  private StallDetector.Watched watched;
+  private StallDetector.WatchedThread watched;
   private Decisions decisions;
   private RelayProtocol.Door door;
 
@@ -97,7 +97,7 @@
     decisions = new Decisions(REMEMBERED, name, news.run());
     context = vertx.getOrCreateContext();
     watched = ProcessStalls.detector().watch("requests", this::onRequestThread);
-    RelayProtocol.Under under = new RelayProtocol.Under(vertx, doors.local, clock);
+    RelayProtocol.Under under = new RelayProtocol.Under(vertx, doors.bindAddress, clock);
     CompletableFuture<Void> up = new CompletableFuture<>();
     context.runOnContext(
         () -> {
@@ -152,7 +152,7 @@
       up.get(10, TimeUnit.SECONDS);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
       throw new ServiceRegistry.StartupException(
-          "cannot listen for callers: " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for callers: " + ConnectionAcceptor.rootCauseMessage(e), e);
     }
     news.listen(snapshot -> context.runOnContext(() -> relay.tables(snapshot)));
     Log.event("caller-listener-started", "name", name);
@@ -175,7 +175,7 @@
   }
 
   public String unready() {
-    return ProcessStalls.orElse(
+    return ProcessStalls.unreadyReasonOr(
         relay == null ? "starting" : relay.leaving ? "stopping" : relay.unready());
   }
 
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaCosts.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaCosts.java
@@ -41,7 +41,7 @@
     int whole = Math.min(request.blocks.length, match.blocks());
     int units = request.promptUnits(whole);
     return whole < request.blocks.length
-        ? units + Math.min(match.units(), request.prompt.units(whole))
+        ? units + Math.min(match.partialUnits(), request.prompt.units(whole))
         : units;
   }
 
--- a/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RouteFilter.java
@@ -21,9 +21,9 @@
     Configuration configuration = relay.tables().configuration();
     request.route = configuration.route(request.host, request.path);
     if (request.route == null) return FilterResult.notRun(404, NO_ROUTE, 0);
-    request.service = configuration.services.get(request.route.service(request.draw));
+    request.service = configuration.services.get(request.route.chooseService(request.draw));
     if (request.model.isEmpty()) request.model = usualModel(request.service);
-    request.leaf = Configuration.leaf(request.tenant, request.route);
+    request.leaf = Configuration.leafPath(request.tenant, request.route);
     request.repeatable =
         request.askedRepeatable == null ? request.route.repeatable() : request.askedRepeatable;
     request.deadline = request.came + mayTakeMs(request);
--- a/data-plane/src/main/java/gladelug/data/relay/UrgencyLevels.java
+++ b/data-plane/src/main/java/gladelug/data/relay/UrgencyLevels.java
@@ -22,17 +22,17 @@
 
   UrgencyLevels(Configuration configuration) {
     for (Configuration.Tenant tenant : configuration.tenants)
-      tenantTiers.add(tenant.share().tier());
+      tenantTiers.add(tenant.rootShare().tier());
     for (Configuration.Route route : configuration.routes) {
       routeTiers.add(route.tier());
-      if (route.open()) tenantTiers.add(Configuration.ANYBODY.share().tier());
+      if (route.allowsAnonymous()) tenantTiers.add(Configuration.ANONYMOUS.rootShare().tier());
     }
     levelsOfATenant = Math.max(1, LEVELS / Math.max(1, tenantTiers.size()));
   }
 
   /** The level of a request that has its tenant and route. */
   int of(Request request) {
-    return of(request.tenant.share().tier(), request.route.tier());
+    return of(request.tenant.rootShare().tier(), request.route.tier());
   }
 
   int of(int tenantTier, int routeTier) {
--- a/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
@@ -68,7 +68,7 @@
     Node oldRoot = root;
     nodes = new HashMap<>();
     root = new Node("", null);
-    for (Configuration.Tenant t : configuration.tenants) shape(t.share(), root);
+    for (Configuration.Tenant t : configuration.tenants) shape(t.rootShare(), root);
     List<Request> waiting = new ArrayList<>();
     for (Node n : old.values()) {
       waiting.addAll(n.queue);
--- a/data-plane/src/main/java/gladelug/data/request/Request.java
+++ b/data-plane/src/main/java/gladelug/data/request/Request.java
@@ -201,7 +201,9 @@
 
   /** Whether a pause was longer than its route allows. */
   public boolean pausedTooLong() {
-    return route != null && route.gapMs() > 0 && longestPauseMs > route.gapMs();
+    return route != null
+        && route.eventGapTargetMs() > 0
+        && longestPauseMs > route.eventGapTargetMs();
   }
 
   /** The last moment at which it may begin and is still likely to end before its deadline. */
--- a/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
+++ b/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
@@ -65,8 +65,8 @@
         self.name(),
         run,
         self.role(),
-        self.records(),
-        self.operator(),
+        self.recordsAddress(),
+        self.operatorAddress(),
         self.zone(),
         l,
         demands,
@@ -85,9 +85,9 @@
         && p.number() > number(p.key())
         && p.epoch() >= leases.epoch(p.key())) {
       byte[] v = p.value();
-      if (p.base() >= 0) {
+      if (p.baseNumber() >= 0) {
         v =
-            p.base() == number(p.key())
+            p.baseNumber() == number(p.key())
                 ? BinaryDelta.apply(values.getOrDefault(p.key(), new byte[0]), p.value())
                 : null;
         if (v == null || !Digest.hex(v).equals(p.digest())) return Told.WANTS_WHOLE;
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
@@ -88,7 +88,7 @@
   }
 
   public ReplicatedStateView.Told told(StateUpdate update) {
-    if (update instanceof StateUpdate.LeaseGrants g) relays = g.relays();
+    if (update instanceof StateUpdate.LeaseGrants g) relays = g.relayCount();
     ReplicatedStateView.Told t = book.told(update);
     if (t == ReplicatedStateView.Told.TAKEN) {
       StateUpdate.ValuePush p = (StateUpdate.ValuePush) update;
@@ -103,20 +103,21 @@
           "bytes",
           p.value().length,
           "whole",
-          p.base() < 0);
+          p.baseNumber() < 0);
       swapped.accept(tables);
     } else if (t == ReplicatedStateView.Told.ALLOTTED) {
       StateUpdate.CapacityGrant a = (StateUpdate.CapacityGrant) update;
       Map<String, Integer> m = new HashMap<>();
       for (StateUpdate.QuotaAllotment x : a.allotments()) m.put(x.leaf(), x.milliSlots());
-      allotments.put(a.service(), new Allotment(clock.now(), a.full(), m));
+      allotments.put(a.service(), new Allotment(clock.now(), a.limited(), m));
     }
     return t;
   }
 
   private static ControlStateSnapshot withConfiguration(
       ControlStateSnapshot before, StateUpdate.ValuePush push, Configuration configuration) {
-    long sharingSince = PrefixSharing.since(push.sharingSince(), configuration, push.number());
+    long sharingSince =
+        PrefixSharing.effectiveSince(push.sharingSince(), configuration, push.number());
     return before.configuration(push.number(), push.digest(), configuration, sharingSince);
   }
 
@@ -128,16 +129,16 @@
           case StateKeys.CONFIGURATION ->
               reader
                   .apply(text)
-                  .then(
+                  .flatMap(
                       configuration -> Result.good(withConfiguration(snapshot, p, configuration)));
           case StateKeys.WEIGHTS ->
               Weights.parse(text)
-                  .then(weights -> Result.good(snapshot.weights(p.number(), weights)));
+                  .flatMap(weights -> Result.good(snapshot.weights(p.number(), weights)));
           case StateKeys.REPLICAS ->
               Replicas.parse(text)
-                  .then(replicas -> Result.good(snapshot.replicas(p.number(), replicas)));
+                  .flatMap(replicas -> Result.good(snapshot.replicas(p.number(), replicas)));
           case StateKeys.CORE ->
-              CoreMemberList.parse(text).then(x -> Result.good(snapshot.core(p.number(), x)));
+              CoreMemberList.parse(text).flatMap(x -> Result.good(snapshot.core(p.number(), x)));
           default -> Result.bad(p.key(), "is no key");
         };
     if (!(r instanceof Result.Good<ControlStateSnapshot> g)) {
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscriptionService.java
@@ -74,7 +74,7 @@
   private void swapped(ControlStateSnapshot snapshot) {
     if (snapshot.generation() != generation) {
       generation = snapshot.generation();
-      views.generation(generation);
+      views.advanceGeneration(generation);
       circle();
     }
     for (Consumer<ControlStateSnapshot> l : listeners) l.accept(snapshot);
@@ -106,12 +106,12 @@
 
   private void circle() {
     Set<Address> want = new HashSet<>();
-    for (CoreMemberList.Member m : held.tables().core().all()) want.add(m.records());
-    boolean reached = connections.values().stream().anyMatch(PersistentConnection::open);
+    for (CoreMemberList.Member m : held.tables().core().members()) want.add(m.recordsAddress());
+    boolean reached = connections.values().stream().anyMatch(PersistentConnection::isOpen);
     if (want.isEmpty() || !reached) {
       for (Shuffle.Descriptor d : views.all())
-        if (d.role().equals("control")) want.add(Address.of(d.records()));
-      if (held.tables().core().all().isEmpty()) want.addAll(seeds);
+        if (d.role().equals("control")) want.add(Address.of(d.recordsAddress()));
+      if (held.tables().core().members().isEmpty()) want.addAll(seeds);
     }
     connections
         .entrySet()
@@ -129,9 +129,9 @@
                   vertx,
                   doors,
                   x,
-                  Hello.NEWS,
+                  Hello.STATE_UPDATES,
                   (connection, record) -> {
-                    StateUpdate update = WireRecord.read(record, StateUpdate::read);
+                    StateUpdate update = WireRecord.decode(record, StateUpdate::read);
                     duty.offer(() -> told(connection, update));
                   },
                   connection -> duty.offer(() -> connection.send(held.ask()))));
@@ -140,7 +140,7 @@
   /** Whether a connection to the core member with this address for records is open now. */
   public boolean reaches(Address records) {
     PersistentConnection connection = connections.get(records);
-    return connection != null && connection.open();
+    return connection != null && connection.isOpen();
   }
 
   private void askAll() {
--- a/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
+++ b/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
@@ -44,10 +44,10 @@
   void tornBatchesAreRefusedAndTheBoundHolds() {
     DecisionLog k = new DecisionLog(200);
     Batch b = batch("00aa", 5, line(5, "complete"));
-    byte[] half = Arrays.copyOf(b.packed(), b.packed().length / 2);
+    byte[] half = Arrays.copyOf(b.deflated(), b.deflated().length / 2);
     Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 5, 0, half)));
-    Assertions.assertFalse(k.add(new Batch("no such name", "00aa", 1, 5, 5, 0, b.packed())));
-    Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, b.packed())));
+    Assertions.assertFalse(k.add(new Batch("no such name", "00aa", 1, 5, 5, 0, b.deflated())));
+    Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, b.deflated())));
     for (int i = 0; i < 50; i++) k.add(batch("00aa", i, line(i, "complete")));
     Assertions.assertTrue(k.json().getLong("bytes", 0) <= 200);
     Assertions.assertNull(k.find("relay-1.00aa.0"), "the oldest went first");
--- a/data-plane/src/test/java/gladelug/data/index/FleetLoadTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetLoadTest.java
@@ -45,27 +45,28 @@
       plenty.event(i % 50 != 0);
       scarce.event(i % 2 == 0);
     }
-    Assertions.assertTrue(plenty.told(0).evictedShare() < 0.05);
-    Assertions.assertEquals(1, scarce.told(0).evictedShare(), 0.01);
-    Assertions.assertEquals(0, new FleetLoad().told(0).evictedShare());
+    Assertions.assertTrue(plenty.told(0).evictionRatio() < 0.05);
+    Assertions.assertEquals(1, scarce.told(0).evictionRatio(), 0.01);
+    Assertions.assertEquals(0, new FleetLoad().told(0).evictionRatio());
   }
 
   @Test
   void anAnswerIsReadBackWithAndWithoutTheFleet() throws IOException {
     List<Lookup.Match> matches = List.of(new Lookup.Match("i", 2, 3));
-    Lookup.Fleet fleet = new Lookup.Fleet(List.of(new Lookup.Load("i", 70, 3, 9000)), 0.25);
+    Lookup.FleetLoad fleet = new Lookup.FleetLoad(List.of(new Lookup.Load("i", 70, 3, 9000)), 0.25);
     for (Lookup lookup :
         List.of(
-            new Lookup.Answer(1, true, matches),
-            new Lookup.Answer(1, true, matches, fleet),
-            new Lookup.Answer(2, false, List.of())))
-      Assertions.assertEquals(lookup, WireRecord.read(WireRecord.bytes(lookup), Lookup::read));
-    Lookup.Placed placed = new Lookup.Placed("i", new long[] {1}, new Lookup.Work(90, 5, 800));
-    Lookup read = WireRecord.read(WireRecord.bytes(placed), Lookup::read);
-    Assertions.assertEquals(new Lookup.Work(90, 5, 800), ((Lookup.Placed) read).work());
+            new Lookup.Response(1, true, matches),
+            new Lookup.Response(1, true, matches, fleet),
+            new Lookup.Response(2, false, List.of())))
+      Assertions.assertEquals(lookup, WireRecord.decode(WireRecord.encode(lookup), Lookup::read));
+    Lookup.Placement placed =
+        new Lookup.Placement("i", new long[] {1}, new Lookup.Work(90, 5, 800));
+    Lookup read = WireRecord.decode(WireRecord.encode(placed), Lookup::read);
+    Assertions.assertEquals(new Lookup.Work(90, 5, 800), ((Lookup.Placement) read).work());
   }
 
-  private static int busy(Lookup.Fleet fleet, String holder) {
+  private static int busy(Lookup.FleetLoad fleet, String holder) {
     return fleet.loads().stream()
         .filter(load -> load.holder().equals(holder))
         .mapToInt(Lookup.Load::busyMs)
--- a/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
+++ b/data-plane/src/test/java/gladelug/data/index/FleetSummaryTest.java
@@ -63,7 +63,7 @@
   }
 
   private static List<Lookup.Match> ask(FleetSummary s, long... blocks) {
-    Lookup.Answer a = s.answer(new Lookup.Question(1, blocks));
+    Lookup.Response a = s.answer(new Lookup.Query(1, blocks));
     Assertions.assertTrue(a.warm());
     return a.matches();
   }
@@ -84,7 +84,7 @@
             Address.of("10.0.0.9:80"),
             "z");
     Configuration configuration =
-        new Configuration(1, List.of(store), List.of(), List.of(), Configuration.Limits.USUAL);
+        new Configuration(1, List.of(store), List.of(), List.of(), Configuration.Limits.DEFAULT);
     return new ControlStateSnapshot(
         1, "", configuration, 0, 0, Weights.NONE, 1, Replicas.NONE, 0, CoreMemberList.NONE);
   }
@@ -99,7 +99,7 @@
     store.lists(nr -> store.feed.listed(nr, BlockList.whole("i", 0, new long[] {7})));
     store.feed.resync(0);
     store.heard = 1000;
-    Lookup.Question question = new Lookup.Question(1, new long[] {7});
+    Lookup.Query question = new Lookup.Query(1, new long[] {7});
     Assertions.assertEquals(
         List.of(new Lookup.Match("store", 1)), s.answer(question, 2000).matches());
     Assertions.assertEquals(List.of(), s.answer(question, 5000).matches(), "nothing heard");
@@ -195,7 +195,7 @@
         } else if (m != null && alone) {
           Assertions.assertTrue(units > 0, "found and not kept");
           Assertions.assertEquals(units == WHOLE ? 1 : 0, m.blocks());
-          Assertions.assertEquals(units == WHOLE ? 0 : units, m.units());
+          Assertions.assertEquals(units == WHOLE ? 0 : units, m.partialUnits());
         }
       }
     }
--- a/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/PrefixLookupFilterTest.java
@@ -14,7 +14,7 @@
 final class PrefixLookupFilterTest {
   /** An index whose answers come too late for the requests that asked. */
   private static final class LateIndex implements Lookups {
-    private final List<Consumer<Lookup.Fleet>> asked = new ArrayList<>();
+    private final List<Consumer<Lookup.FleetLoad>> asked = new ArrayList<>();
 
     @Override
     public Uni<Found> ask(long[] blocks) {
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public Uni<Found> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
+    public Uni<Found> ask(long[] blocks, Consumer<Lookup.FleetLoad> late) {
       asked.add(late);
       return ask(blocks);
     }
@@ -42,7 +42,7 @@
     Backend busy = world.relay.backends.of("m").get(0);
     Assertions.assertEquals(0, busy.running(world.now));
     Lookup.Load load = new Lookup.Load(busy.replica.instance(), 300, 7, 9000);
-    index.asked.get(0).accept(new Lookup.Fleet(List.of(load), 0.5));
+    index.asked.get(0).accept(new Lookup.FleetLoad(List.of(load), 0.5));
     Assertions.assertEquals(7, busy.running(world.now));
     Assertions.assertEquals(300, busy.prefillAheadMs(world.now));
     Assertions.assertEquals(0.5, world.relay.evictedShare());
--- a/data-plane/src/test/java/gladelug/data/relay/RelayTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/RelayTest.java
@@ -98,7 +98,7 @@
                 true,
                 SLOTS,
                 Map.of("m", "1")));
-      tell(StateKeys.REPLICAS, new Replicas(l).json());
+      tell(StateKeys.REPLICAS, new Replicas(l).toJson());
     }
 
     void tables(ControlStateSnapshot snapshot) {
@@ -128,7 +128,7 @@
                 + "\",\"isolated\":"
                 + isolated.contains(t)
                 + ",\"keys\":[\"sha256:"
-                + Configuration.hashOf("key-of-" + t)
+                + Configuration.hashKey("key-of-" + t)
                 + "\"]}");
       tell(
           StateKeys.CONFIGURATION,
@@ -149,7 +149,7 @@
           new Request(
               decisions.begin(now),
               now,
-              Configuration.hashOf("key-of-" + tenant),
+              Configuration.hashKey("key-of-" + tenant),
               "/x",
               new Request.Caller() {
                 @Override
@@ -483,7 +483,7 @@
       if (change.equals("lease")) r.now += EXPIRY - 1;
       if (change.equals("key")) r.configuration("u");
       if (change.equals("deadline")) r.now += EXPIRY;
-      if (change.equals("replica")) r.tell(StateKeys.REPLICAS, new Replicas(List.of()).json());
+      if (change.equals("replica")) r.tell(StateKeys.REPLICAS, new Replicas(List.of()).toJson());
       r.leave(r.connecting.get(0));
       Assertions.assertEquals(0, r.sent.size(), change);
       String status = change.equals("key") ? "401" : "503";
--- a/data-plane/src/test/java/gladelug/data/relay/ReplicaCostsTest.java
+++ b/data-plane/src/test/java/gladelug/data/relay/ReplicaCostsTest.java
@@ -77,7 +77,7 @@
                 12,
                 Map.of("m", "1")));
       tell(news, StateKeys.CONFIGURATION, "{}");
-      tell(news, StateKeys.REPLICAS, new Replicas(replicas).json());
+      tell(news, StateKeys.REPLICAS, new Replicas(replicas).toJson());
       for (Backend backend : relay.backends.of("m")) backend.unitMs = UNIT_MS;
     }
 
@@ -94,7 +94,7 @@
               service(1, "store", Configuration.Kind.STORE, storeMbps, Address.of("1.1.1.9:1"))),
           List.of(),
           List.of(),
-          Configuration.Limits.USUAL);
+          Configuration.Limits.DEFAULT);
     }
 
     private static Configuration.Service service(
@@ -146,7 +146,7 @@
   /** The holder is busy a little longer than computing its shared part takes; no stream runs. */
   private static void busyHolder(World world, double evictedShare) {
     Lookup.Load busy = new Lookup.Load("a", (int) (SHARED * UNIT_MS) + 15, 0, 1000);
-    world.relay.fleet("m", new Lookup.Fleet(List.of(busy), evictedShare));
+    world.relay.fleet("m", new Lookup.FleetLoad(List.of(busy), evictedShare));
     for (int i = 0; i < 1000; i++) world.relay.reuse.seen(10, 6);
   }
 
@@ -169,7 +169,7 @@
     for (Backend backend : world.relay.backends.of("m")) backend.unitMs = SLOW_UNIT_MS;
     world.relay.fleet(
         "m",
-        new Lookup.Fleet(
+        new Lookup.FleetLoad(
             List.of(
                 new Lookup.Load("a", 0, STREAMS, 1000), new Lookup.Load("b", prefillMs, 1, 1000)),
             0));
@@ -177,7 +177,7 @@
   }
 
   private static Request withLongestPause(Request request, int pauseMs) {
-    request.route = Configuration.Route.named("x").times(20_000, 800, pauseMs).build(0);
+    request.route = Configuration.Route.named("x").timings(20_000, 800, pauseMs).build(0);
     return request;
   }
 
@@ -206,7 +206,7 @@
     World world = streamsAtAAndPrefillAtB(300);
     world.relay.estimates.replySpeed("m").measured(2000, 100);
     // both are free just now, and b is known to read prompts much of the time
-    world.relay.fleet("m", new Lookup.Fleet(List.of(), 0.001));
+    world.relay.fleet("m", new Lookup.FleetLoad(List.of(), 0.001));
     for (Backend backend : world.relay.backends.of("m"))
       Assertions.assertEquals(0, backend.prefillAheadMs(world.now));
     Request stream = withLongestPause(world.request(), 400);
@@ -224,7 +224,7 @@
   @Test
   void aReplicaWhoseTurnToLoadHasComeIsDearUntilItTellsOfTheNewWeights() {
     World world = alone();
-    World.tell(world.state, StateKeys.WEIGHTS, Weights.NONE.naming("m", "2", 1).json());
+    World.tell(world.state, StateKeys.WEIGHTS, Weights.NONE.withAssignment("m", "2", 1).toJson());
     Request request = world.request();
     request.weights = "2";
     for (Backend backend : world.relay.backends.of("m"))
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
@@ -123,7 +123,8 @@
   /** One tenant, one service and one route of this target latency (0: none named). */
   static Configuration configuration(int targetLatencyMs) {
     return configuration(
-        List.of(tenant("t", 0)), List.of(route("/x").times(ROUTE_TIMEOUT_MS, targetLatencyMs, 0)));
+        List.of(tenant("t", 0)),
+        List.of(route("/x").timings(ROUTE_TIMEOUT_MS, targetLatencyMs, 0)));
   }
 
   static Configuration configuration(
@@ -141,21 +142,21 @@
             "z");
     List<Configuration.Route> built = new ArrayList<>();
     for (Configuration.Route.Builder route : routes) built.add(route.build(built.size()));
-    return new Configuration(1, List.of(service), built, tenants, Configuration.Limits.USUAL);
+    return new Configuration(1, List.of(service), built, tenants, Configuration.Limits.DEFAULT);
   }
 
   static Configuration.Route.Builder route(String path) {
     return Configuration.Route.named(path)
-        .at("", path, false)
-        .to(0, 1)
-        .times(ROUTE_TIMEOUT_MS, 0, 0);
+        .matching("", path, false)
+        .addService(0, 1)
+        .timings(ROUTE_TIMEOUT_MS, 0, 0);
   }
 
   static Configuration.Tenant tenant(String name, int tier) {
     return new Configuration.Tenant(
         0,
         name,
-        List.of(Configuration.hashOf("key-of-" + name)),
+        List.of(Configuration.hashKey("key-of-" + name)),
         false,
         new QuotaShare(name, name, 1, tier, 0, List.of(), List.of()));
   }
@@ -197,7 +198,7 @@
         new Request(
             decisions.begin(nowMs()),
             nowMs(),
-            Configuration.hashOf("key-of-" + call.tenant),
+            Configuration.hashKey("key-of-" + call.tenant),
             call.path,
             outcome);
     request.model = "m";
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedFleet.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedFleet.java
@@ -123,12 +123,12 @@
     for (Kind kind : kinds)
       routes.add(
           Configuration.Route.named(kind.name)
-              .at("", "/" + kind.name, false)
-              .to(0, 1)
-              .times((int) DEADLINE_MS, 0, kind.gapMs)
-              .open(true)
+              .matching("", "/" + kind.name, false)
+              .addService(0, 1)
+              .timings((int) DEADLINE_MS, 0, kind.gapMs)
+              .allowsAnonymous(true)
               .build(routes.size()));
-    return new Configuration(1, List.of(service), routes, List.of(), Configuration.Limits.USUAL);
+    return new Configuration(1, List.of(service), routes, List.of(), Configuration.Limits.DEFAULT);
   }
 
   private void nextOf(Kind kind) {
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedRelay.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedRelay.java
@@ -41,7 +41,7 @@
             () -> relayCount);
     tell(state, StateKeys.CONFIGURATION, "{}");
     tell(state, StateKeys.WEIGHTS, "{}");
-    tell(state, StateKeys.REPLICAS, new Replicas(replicas).json());
+    tell(state, StateKeys.REPLICAS, new Replicas(replicas).toJson());
     List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
     for (String key : StateKeys.LEASED)
       grants.add(new StateUpdate.LeaseGrant(key, 1, state.number(key), LEASE_MS, LEASE_MS));
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
@@ -206,7 +206,7 @@
               new Request(
                   decisions.begin(now()),
                   now(),
-                  Configuration.hashOf("key-of-" + tenant),
+                  Configuration.hashKey("key-of-" + tenant),
                   path,
                   new Side());
           request.prompt = new Prompt.Text(prompt + "#" + tag);
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
@@ -178,7 +178,7 @@
     if (control.node.owns(StateKeys.REPLICAS) && !platformSilent) {
       Map<String, String> told = new LinkedHashMap<>(listed);
       if (Replicas.parse(platform()) instanceof Result.Good<Replicas> g) {
-        byte[] now = g.value().json().getBytes(StandardCharsets.UTF_8);
+        byte[] now = g.value().toJson().getBytes(StandardCharsets.UTF_8);
         var kept = control.node.storedValue(StateKeys.REPLICAS);
         if (kept.getKey() == 0 || !Arrays.equals(kept.getValue(), now)) {
           long at = now();
@@ -298,7 +298,7 @@
 
   void lookup(RequestRelay by, long[] blocks, Consumer<Lookups.Found> found) {
     int l = by.life;
-    Lookup.Answer a = index.answer(blocks);
+    Lookup.Response a = index.answer(blocks);
     passes(
         Point.LOOKUP,
         by.name,
--- a/emulator/src/main/java/gladelug/emulator/sim/Sim.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/Sim.java
@@ -261,7 +261,7 @@
   }
 
   void core(String from, String to, CoreMessage.Envelope m) {
-    byte[] bytes = WireRecord.bytes(m);
+    byte[] bytes = WireRecord.encode(m);
     if (bytesPerMs == 0) deliver(from, to, m, bytes);
     else {
       if (ofMembers(m.message())) membershipBytes += bytes.length;
@@ -291,7 +291,7 @@
           try {
             // a connection ends with the process at its end
             if (control.life == life || connections)
-              control.deliver(WireRecord.read(bytes, CoreMessage.Envelope::read));
+              control.deliver(WireRecord.decode(bytes, CoreMessage.Envelope::read));
           } catch (IOException e) {
             violation("a record that can't be read back: " + m);
           }
@@ -340,7 +340,7 @@
     observer.sent(time, relay, control, a);
     SimControl c = controls.get(control);
     Runnable received = () -> c.run(() -> c.node.onSubscriptionRequest(a));
-    if (connections) network.ask(relay, control, WireRecord.bytes(a).length, received);
+    if (connections) network.ask(relay, control, WireRecord.encode(a).length, received);
     else carry(relay, control, received);
   }
 
--- a/emulator/src/main/java/gladelug/emulator/sim/SimIndex.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimIndex.java
@@ -37,8 +37,8 @@
   }
 
   /** Who keeps these blocks, as far as the index knows. */
-  Lookup.Answer answer(long[] blocks) {
-    return summary.answer(new Lookup.Question(1, blocks));
+  Lookup.Response answer(long[] blocks) {
+    return summary.answer(new Lookup.Query(1, blocks));
   }
 
   void told(StateUpdate update) {
@@ -122,7 +122,7 @@
       for (long b : replica.list()) {
         kept++;
         boolean found =
-            summary.answer(new Lookup.Question(1, new long[] {b})).matches().stream()
+            summary.answer(new Lookup.Query(1, new long[] {b})).matches().stream()
                 .anyMatch(m -> m.holder().equals(replica.instance));
         if (!found) sim.violation("the index doesn't know a block of " + replica.instance);
       }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimOperator.java
@@ -119,7 +119,7 @@
     for (String t : RequestSim.TENANTS) {
       if (removed.contains(t)) continue;
       JsonArray ks = new JsonArray();
-      if (!revoked.contains(t)) ks.add("sha256:" + Configuration.hashOf("key-of-" + t));
+      if (!revoked.contains(t)) ks.add("sha256:" + Configuration.hashKey("key-of-" + t));
       ts.add(
           Json.object()
               .add("name", t)
@@ -228,7 +228,7 @@
                 : Weights.NONE;
     weights++;
     for (String text : new String[] {"m", "n"})
-      w = w.naming(text, "w" + weights, kept.getKey() + 1);
-    send(StateKeys.WEIGHTS, kept.getKey(), w.json(), done);
+      w = w.withAssignment(text, "w" + weights, kept.getKey() + 1);
+    send(StateKeys.WEIGHTS, kept.getKey(), w.toJson(), done);
   }
 }
