--- a/common/src/main/java/gladelug/common/Address.java
+++ b/common/src/main/java/gladelug/common/Address.java
@@ -1,6 +1,6 @@
 package gladelug.common;
 
-/** An IP number and a port. Names are never looked up: a process knows others by number only. */
+/** An IPv4 address and a port. Host names are not supported, so no address needs a lookup. */
 public record Address(String host, int port) {
   public static Result<Address> parse(String text, String place) {
     int c = text.lastIndexOf(':');
@@ -10,7 +10,7 @@
     try {
       p = Integer.parseInt(text.substring(c + 1));
     } catch (NumberFormatException e) {
-      return Result.bad(place, "has no port number: " + text);
+      return Result.bad(place, "must end with a port number: " + text);
     }
     if (p < 0 || p > 65535) return Result.bad(place, "port must be from 0 to 65535: " + text);
     if (ipv4ToLong(h) < 0) return Result.bad(place, "must be an IP number, not a name: " + h);
@@ -34,7 +34,7 @@
     return new Address("0.0.0.0", 0);
   }
 
-  /** The IPv4 number, or -1 where it is none. */
+  /** Returns the IPv4 address as an unsigned 32-bit number, or -1 if the text is not one. */
   public static long ipv4ToLong(String h) {
     String[] ps = h.split("\\.", -1);
     if (ps.length != 4) return -1;
@@ -53,8 +53,8 @@
     return n;
   }
 
-  // Written out: a record's own link themselves by method handles when first used, tens of ms of a
-  // process's start.
+  // Explicit, because a record's generated methods are linked by method handles on first use, which
+  // adds tens of ms to a process's start.
   @Override
   public boolean equals(Object o) {
     return o instanceof Address address && port == address.port && host.equals(address.host);
--- a/common/src/main/java/gladelug/common/FatalFailure.java
+++ b/common/src/main/java/gladelug/common/FatalFailure.java
@@ -1,19 +1,19 @@
 package gladelug.common;
 
 /**
- * The end of a process that lost something it can't do without: a thread, or memory. A process that
- * goes on without it takes connections and serves nobody; one that ends is started again. State on
- * disk stays as it is: it is written for processes that may end at any instruction.
+ * Ends the process after the loss of an essential thread or of memory. A process that continued
+ * would accept connections without serving them, whereas one that exits is restarted. State on disk
+ * is safe, because it is written to survive an exit at any instruction.
  */
 public final class FatalFailure {
-  /** Who is told of an error that a thread can't go on after. */
+  /** Handles errors after which a thread can't continue. */
   @FunctionalInterface
   public interface Handler {
     /**
      * Called on the thread that failed.
      *
      * @param thread the thread's name
-     * @param task what it was doing
+     * @param task the task that failed, or what happened
      */
     void onFatal(String thread, String task, Throwable cause);
   }
@@ -26,21 +26,21 @@
       Log.thrown("process-failed", cause, "thread", thread, "task", task);
       System.err.println("failed in thread " + thread + ", task " + task + ": " + cause);
     } finally {
-      // shutdown hooks could wait for the very thread that is gone
+      // shutdown hooks could wait for the thread that failed
       Runtime.getRuntime().halt(Program.EXIT_FAILED);
     }
   }
 
   /**
-   * Sees to it that an error that nobody caught ends the process, on any thread. Other uncaught
-   * exceptions are logged.
+   * Makes an uncaught {@link Error} on any thread end the process; other uncaught exceptions are
+   * logged.
    */
   public static void endProcessOnUncaughtErrors() {
     Thread.setDefaultUncaughtExceptionHandler(
         (thread, cause) -> onUncaught(thread.getName(), cause));
   }
 
-  /** What an event loop's handler threw: an error ends the process, an exception is logged. */
+  /** Handles what an event loop's handler threw: an error ends the process, others are logged. */
   public static void onUncaught(Throwable cause) {
     onUncaught(Thread.currentThread().getName(), cause);
   }
--- a/common/src/main/java/gladelug/common/Finding.java
+++ b/common/src/main/java/gladelug/common/Finding.java
@@ -1,8 +1,10 @@
 package gladelug.common;
 
 /**
- * One thing found wrong with something a person wrote: where it is, and what is wrong in plain
- * words. The place is a line and column with the path of the field, or the name of a flag.
+ * A problem found in a document or setting.
+ *
+ * @param place the line, column and path of the field, or the name of the flag
+ * @param what what is wrong with it
  */
 public record Finding(String place, String what) {
   @Override
--- a/common/src/main/java/gladelug/common/Findings.java
+++ b/common/src/main/java/gladelug/common/Findings.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Collects findings so that a reader can go on after the first and report all of them together.
- * Whoever asked for the reading then looks at clean() once, and changes nothing unless it holds.
+ * Collects findings, so that a parser can continue after the first one and report all of them
+ * together. The caller checks {@link #isEmpty} after parsing and applies nothing if it is false.
  */
 public final class Findings {
   private final List<Finding> all = new ArrayList<>();
--- a/common/src/main/java/gladelug/common/LocatedJson.java
+++ b/common/src/main/java/gladelug/common/LocatedJson.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 
 /**
- * A JSON text read by minimal-json's parser into nodes that remember their line, column and path,
- * so that whoever reads an operator's file by hand can say where each finding is. Fields reads one
- * object: each field asked for is marked, and done() reports those nobody asked for.
+ * A node of a JSON document, parsed with minimal-json, that records its line, column and path, so
+ * that findings can name the position of each problem. {@link Fields} reads an object and reports
+ * fields that were never read.
  */
 public final class LocatedJson {
   public enum Kind {
@@ -36,19 +36,19 @@
   public final int column;
   public final String text;
 
-  /** Of an object its fields by name, in their order; of anything else none. */
+  /** The fields of an object by name, in document order; empty for other kinds. */
   public final Map<String, LocatedJson> members;
 
-  /** Of a list its items; of anything else none. */
+  /** The items of a list; empty for other kinds. */
   public final List<LocatedJson> items;
 
-  /** The object or list this stands in, or null at the top. */
+  /** The enclosing object or list, or null at the top level. */
   private final LocatedJson parent;
 
   /** The field's name in an object, null in a list. */
   private final String name;
 
-  /** The place in a list. */
+  /** The index in a list. */
   private final int index;
 
   private LocatedJson(Kind kind, Position position, Location at, String text) {
@@ -63,10 +63,10 @@
     this.items = kind == Kind.ARRAY ? new ArrayList<>() : List.of();
   }
 
-  /** Where a value stands: in what, and under which name or at which place of a list. */
+  /** The position of a value: its parent and its name or index there. */
   private record Position(LocatedJson parent, String name, int index) {}
 
-  /** The way to it from the top, such as {@code routes[3].name}; empty at the top. */
+  /** Returns the path from the top level, such as {@code routes[3].name}; empty at the top. */
   private String path() {
     if (parent == null) return "";
     String above = parent.path();
@@ -74,12 +74,13 @@
     return above.isEmpty() ? name : above + "." + name;
   }
 
+  /** Returns line, column and path, for findings. */
   public String place() {
     String path = path();
     return "line " + line + ", column " + column + " (" + (path.isEmpty() ? "top" : path) + ")";
   }
 
-  /** Bytes as text; what isn't UTF-8 is a finding, as it could not be read back as it was sent. */
+  /** Decodes UTF-8; invalid bytes are a finding, as they could not be read back unchanged. */
   public static Result<String> decodeUtf8(byte[] bytes) {
     try {
       ByteBuffer buffer = ByteBuffer.wrap(bytes);
@@ -107,11 +108,11 @@
   }
 
   /**
-   * Makes the nodes. A large text has hundreds of thousands of them, so what is equal in many is
-   * one object: names of fields, and short texts.
+   * Builds the nodes. A large document has hundreds of thousands of them, so equal field names and
+   * equal short texts share one object.
    */
   private static final class Reader extends JsonHandler<Object, Object> {
-    /** Longer texts are seldom equal. */
+    /** Longer texts are rarely equal. */
     private static final int MAX_SHARED_TEXT_CHARS = 24;
 
     private static final int MAX_SHARED_TEXTS = 4096;
@@ -230,6 +231,7 @@
     }
   }
 
+  /** Reads the fields of an object, collecting findings and the names that were read. */
   public static final class Fields {
     private final LocatedJson node;
     private final Findings findings;
@@ -340,6 +342,7 @@
       return get(name, Kind.OBJECT, required);
     }
 
+    /** Reports each field that was never read as a finding. */
     public void reportUnknownFields() {
       for (Map.Entry<String, LocatedJson> e : node.members.entrySet())
         if (!requestedNames.contains(e.getKey()))
--- a/common/src/main/java/gladelug/common/Log.java
+++ b/common/src/main/java/gladelug/common/Log.java
@@ -12,9 +12,9 @@
 import java.util.logging.Logger;
 
 /**
- * Logs: one line of key=value pairs for each event, on Flogger. A value with blanks or quotes is
- * quoted. Nothing here ever sees a caller's key or a prompt: callers of event() pass names, numbers
- * and reasons only. setUp() puts one plain handler under Flogger's system backend.
+ * Structured logging on Flogger: one line of key=value pairs per event. Values with blanks or
+ * quotes are quoted. API keys and prompts must never be logged: pass only names, numbers and
+ * reasons. {@link #setUp} installs a single handler under Flogger's system backend.
  */
 public final class Log {
   private static final FluentLogger FLOGGER = FluentLogger.forEnclosingClass();
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Lines carry no place in the source, so the stack isn't walked to find one. A line is complete
-   * when it is logged: a format of Flogger's would only cost time.
+   * Lines contain no source location, so the stack isn't walked to find one. Lines are complete
+   * when they are logged, so Flogger's formatting would only cost time.
    */
   @SuppressWarnings({"FloggerLogString", "FloggerSplitLogStatement"})
   private static void log(FluentLogger.Api at, String name, Object... pairs) {
--- a/common/src/main/java/gladelug/common/MemoryBudget.java
+++ b/common/src/main/java/gladelug/common/MemoryBudget.java
@@ -1,27 +1,27 @@
 package gladelug.common;
 
 /**
- * How many bytes a process may hold for one purpose of what others send it. Whoever takes in bytes
- * reserves them before, and gives them back once nothing holds them any more; where none are left,
- * the sender is refused at once. Thread-safe.
+ * Limits the bytes received from others that a process holds for one purpose. The receiver reserves
+ * bytes before it keeps them and releases them once they are unreferenced; if the budget is
+ * exhausted, the sender is refused at once. Thread-safe.
  */
 public final class MemoryBudget {
   /**
-   * What a change of the control state needs of the heap for each byte of the value, where it needs
-   * most: the text, its tree, the configurations before and after, what is written to disk, and an
-   * encoding for each member.
+   * Peak heap use of a change of the control state per byte of the value: the text, its parsed
+   * tree, the configurations before and after, the bytes written to disk, and an encoding for each
+   * member.
    */
   private static final int HEAP_BYTES_PER_VALUE_BYTE = 44;
 
-  /** Ten thousand routes have to fit, whatever the heap. */
+  /** Ten thousand routes must fit whatever the heap size. */
   private static final long MIN_VALUE_LIMIT_BYTES = 2 << 20;
 
   private static final long MAX_VALUE_LIMIT_BYTES = 6 << 20;
 
-  /** Of the heap, what callers' bodies may take. */
+  /** Request bodies may use this fraction of the heap: one fourth. */
   private static final int REQUEST_BODIES_HEAP_DIVISOR = 4;
 
-  /** Of the heap, what whole answers to this process's calls may take, and the largest of them. */
+  /** Buffered responses may use one eighth of the heap, and each of them one twentieth. */
   private static final int RESPONSES_HEAP_DIVISOR = 8, PAGE_HEAP_DIVISOR = 20;
 
   private static final MemoryBudget RESPONSES =
@@ -32,35 +32,35 @@
   private long peakBytes;
   private long refusedCount;
 
-  /** A budget of so many bytes. */
+  /** Creates a budget with the given capacity. */
   public MemoryBudget(long capacityBytes) {
     this.capacityBytes = capacityBytes;
   }
 
-  /** The budget of callers' bodies in this process. */
+  /** Returns a new budget for the request bodies of this process. */
   public static MemoryBudget forRequestBodies() {
     return new MemoryBudget(Runtime.getRuntime().maxMemory() / REQUEST_BODIES_HEAP_DIVISOR);
   }
 
   /**
-   * The one budget of whole answers to this process's calls, whoever makes them: pages of events,
-   * lists, reports.
+   * Returns the process-wide budget for buffered responses to outgoing calls: event pages, lists
+   * and reports.
    */
   public static MemoryBudget forResponses() {
     return RESPONSES;
   }
 
-  /** The largest page of events or list that is taken in, in bytes: 8 MB with 160 MB of heap. */
+  /** Returns the maximum size of an event page or list in bytes: 8 MB with a heap of 160 MB. */
   public static long maxPageBytes() {
     return Runtime.getRuntime().maxMemory() / PAGE_HEAP_DIVISOR;
   }
 
-  /** The largest value of a key of the control state that this process can work with, in bytes. */
+  /** Returns the maximum size in bytes of a control-state value that this process can handle. */
   public static int maxValueBytes() {
     return maxValueBytes(Runtime.getRuntime().maxMemory());
   }
 
-  /** The same with so large a heap, in bytes. */
+  /** Returns the maximum size of a control-state value for the given heap size, in bytes. */
   static int maxValueBytes(long heapBytes) {
     return (int)
         Math.max(
@@ -68,7 +68,7 @@
             Math.min(MAX_VALUE_LIMIT_BYTES, heapBytes / HEAP_BYTES_PER_VALUE_BYTE));
   }
 
-  /** Takes so many bytes; false, and nothing is taken, where they aren't left. */
+  /** Reserves bytes; returns false and reserves nothing if the budget has too few left. */
   public synchronized boolean reserve(long bytes) {
     if (reservedBytes + bytes > capacityBytes) {
       refusedCount++;
@@ -79,22 +79,22 @@
     return true;
   }
 
-  /** Gives back what was reserved. */
+  /** Releases bytes that were reserved. */
   public synchronized void release(long bytes) {
     reservedBytes = Math.max(0, reservedBytes - bytes);
   }
 
-  /** Bytes that are held now. */
+  /** Returns the number of bytes reserved now. */
   public synchronized long reservedBytes() {
     return reservedBytes;
   }
 
-  /** The most bytes that were ever held at once. */
+  /** Returns the maximum number of bytes that were ever reserved at once. */
   public synchronized long peakBytes() {
     return peakBytes;
   }
 
-  /** How often bytes were refused. */
+  /** Returns how many reservations were refused. */
   public synchronized long refusedCount() {
     return refusedCount;
   }
--- a/common/src/main/java/gladelug/common/ProcessStalls.java
+++ b/common/src/main/java/gladelug/common/ProcessStalls.java
@@ -1,11 +1,12 @@
 package gladelug.common;
 
 /**
- * The stalls of this process: a thread that has stood still for six seconds takes readiness away,
- * and after thirty the process ends with {@link Program#EXIT_FAILED}, so that it is started anew.
+ * Detects stalled threads of this process: a thread that runs no task for six seconds makes the
+ * process unready, and after thirty seconds the process exits with {@link Program#EXIT_FAILED}, so
+ * that it is restarted.
  */
 public final class ProcessStalls {
-  /** Between two checks, in ms. */
+
   private static final int CHECK_INTERVAL_MS = 2000;
 
   private static final int UNREADY_AFTER_MS = 6000, EXIT_AFTER_MS = 30_000;
@@ -20,12 +21,12 @@
 
   private ProcessStalls() {}
 
-  /** What watches this process's threads. */
+  /** Returns the detector that watches this process's threads. */
   public static StallDetector detector() {
     return DETECTOR;
   }
 
-  /** Begins to check; for programs, once. */
+  /** Starts the periodic checks; programs call it once. */
   public static void start() {
     Thread thread =
         new Thread(
@@ -46,9 +47,9 @@
     }
   }
 
-  /** Why the process isn't ready on account of a thread, else what the rest of it says. */
+  /** Returns that a thread is stalled, if one is, else the given reason. */
   public static String unreadyReasonOr(String unready) {
     String thread = DETECTOR.stalledThread();
-    return thread.isEmpty() ? unready : "thread " + thread + " stands still";
+    return thread.isEmpty() ? unready : "thread " + thread + " is stalled";
   }
 }
--- a/common/src/main/java/gladelug/common/Program.java
+++ b/common/src/main/java/gladelug/common/Program.java
@@ -7,15 +7,15 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * What every program's main has in common: findings go to the error stream and end the process with
- * 2, a machine that won't do (port in use, folder damaged) ends it with one line and 3; SIGTERM
- * stops the services of the {@link ServiceRegistry}. An error that ends a thread ends the process
- * with 4. Nothing here starts a process.
+ * Common parts of the programs' main methods. Findings in arguments or settings are printed to the
+ * error stream and exit the process with 2; a start-up failure of the machine (port in use, damaged
+ * folder) prints one line and exits with 3; an uncaught {@link Error} exits with 4. SIGTERM stops
+ * the services of the {@link ServiceRegistry}.
  */
 public final class Program {
   public static final int EXIT_BAD_USAGE = 2, EXIT_CANNOT_START = 3;
 
-  /** The process lost a thread that it can't do without; see {@link FatalFailure}. */
+  /** Exit code of a process in which an essential thread failed; see {@link FatalFailure}. */
   public static final int EXIT_FAILED = 4;
 
   private Program() {}
@@ -35,7 +35,7 @@
 
   public static <T> T valueOrExit(String program, Result<T> r) {
     if (r instanceof Result.Good<T> g) return g.value();
-    System.err.println(program + ": nothing was started; found:");
+    System.err.println(program + ": nothing was started because of these findings:");
     for (Finding f : ((Result.Bad<T>) r).findings()) System.err.println("  " + f);
     System.exit(EXIT_BAD_USAGE);
     throw new IllegalStateException();
@@ -50,8 +50,9 @@
   }
 
   /**
-   * Starts, then waits until asked to stop; the stop has this many ms before the process ends
-   * anyway.
+   * Starts the services and registers a shutdown hook that stops them.
+   *
+   * @param stopTimeoutMs time after which the process ends even if services are still stopping
    */
   public static void run(String program, ServiceRegistry registry, long stopTimeoutMs) {
     FatalFailure.endProcessOnUncaughtErrors();
--- a/common/src/main/java/gladelug/common/Result.java
+++ b/common/src/main/java/gladelug/common/Result.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * The outcome of something that may not work out: Good with a value, or Bad with the findings that
- * say why. Sealed, so that a caller has to look at both.
+ * The outcome of an operation that may fail: {@link Good} with a value, or {@link Bad} with the
+ * findings that explain the failure. Sealed, so that callers handle both cases.
  */
 public sealed interface Result<T> {
   record Good<T>(T value) implements Result<T> {}
--- a/common/src/main/java/gladelug/common/ServiceRegistry.java
+++ b/common/src/main/java/gladelug/common/ServiceRegistry.java
@@ -7,19 +7,25 @@
 import java.util.Map;
 
 /**
- * Services with names, started in the order they were added and stopped in reverse, that find each
- * other by name when they start. It knows nothing of what they do. A program is a list of services;
- * one that can't start ends the program with one clear line ({@link StartupException}).
+ * Named services that are started in the order in which they were added, stopped in reverse order,
+ * and can look each other up by name while they start. A service that fails to start ends the
+ * program with a one-line message ({@link StartupException}).
  */
 public final class ServiceRegistry {
+  /** A part of a program that is started and stopped with it. */
   public interface Service {
-    /** Throws CannotStart when the machine or the settings don't allow it. */
+    /**
+     * Starts the service.
+     *
+     * @throws StartupException if the machine or the settings don't allow it
+     */
     void start(ServiceRegistry registry);
 
-    /** Polite: what was begun may end; called once. */
+    /** Stops the service gracefully: work in progress may finish. Called once. */
     default void stop() {}
   }
 
+  /** Thrown when a service cannot start; the message is shown to the operator. */
   public static final class StartupException extends RuntimeException {
     public StartupException(String what) {
       super(what);
--- a/common/src/main/java/gladelug/common/Settings.java
+++ b/common/src/main/java/gladelug/common/Settings.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 
 /**
- * A process's place: read from a settings file in JSON, from flags, or both, where a flag goes
- * first. All findings, from either, are collected and reported together before anything starts.
+ * The settings of a process, read from a JSON settings file, from flags, or from both; a flag takes
+ * precedence. All findings from both sources are reported together before any service starts.
  */
 public final class Settings {
   private static final LocatedJson EMPTY_FILE =
@@ -41,7 +41,7 @@
         .flatMap(json -> Result.good(new Settings(json, fl, new Findings())));
   }
 
-  /** A setting's name as a flag. */
+  /** Returns the command-line flag of a setting: "ringFileMb" is --ring-file-mb. */
   public static String flag(String name) {
     return "--" + name.replaceAll("([A-Z])", "-$1").toLowerCase(Locale.ROOT);
   }
@@ -56,7 +56,7 @@
 
   public String text(String name) {
     if (!has(name)) {
-      findings.add(flag(name), "is needed, as a flag or as " + name + " in the settings file");
+      findings.add(flag(name), "is required, as a flag or as " + name + " in the settings file");
       return "";
     }
     String text = text(name, "");
@@ -69,10 +69,12 @@
     return flags.getOrDefault(name, inFile);
   }
 
+  /** Returns a name of at most 31 characters that is safe in files, log lines and paths. */
   public String name(String name) {
     String text = text(name);
     if (!text.isEmpty() && !text.matches("[a-z0-9][a-z0-9-]{0,30}"))
-      findings.add(place(name), "must be small letters, digits and hyphens, 31 at most: " + text);
+      findings.add(
+          place(name), "must be small letters, digits and hyphens, at most 31 characters: " + text);
     return text;
   }
 
@@ -113,7 +115,7 @@
     return out;
   }
 
-  /** The last call: fields nobody asked for are findings too. */
+  /** Reports fields that were never read as findings, then returns the value or all findings. */
   public <T> Result<T> build(Supplier<T> made) {
     file.reportUnknownFields();
     return Result.of(findings, made);
--- a/common/src/main/java/gladelug/common/SingleThreadWorker.java
+++ b/common/src/main/java/gladelug/common/SingleThreadWorker.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One thread with a bounded queue of tasks. Whoever offers a task to a full queue gets false and
- * must cope; nothing waits without bound. The state that the tasks touch is confined to this
- * thread. Tasks can be scheduled for later on the same thread, by monotonic time.
+ * A thread with a bounded task queue. {@link #offer} returns false if the queue is full, so no
+ * caller blocks. The state that the tasks use is confined to this thread. Tasks can be scheduled
+ * for later on the same thread, by monotonic time.
  *
- * <p>An exception ends the task that threw it and is logged; a periodic task comes again all the
- * same. An {@link Error}, such as want of memory, leaves the tasks' state in doubt: whoever is to
- * be told of it is told, and usually that ends the process.
+ * <p>An exception ends only the task that threw it and is logged; a periodic task still runs again.
+ * After an {@link Error}, such as an OutOfMemoryError, the tasks' state may be inconsistent: the
+ * handler for fatal failures is called, which by default ends the process.
  */
 public final class SingleThreadWorker implements AutoCloseable {
   private record ScheduledTask(long dueAtMs, long sequence, Runnable run)
@@ -34,7 +34,7 @@
   private volatile boolean open = true;
   private long nextSequence;
 
-  /** A worker whose process ends where a task throws an error. */
+  /** Starts a worker that ends the process if a task throws an error. */
   public SingleThreadWorker(String name, int queueCapacity, Clock clock) {
     this(name, queueCapacity, clock, FatalFailure::endProcess);
   }
@@ -42,8 +42,8 @@
   /**
    * Starts the thread.
    *
-   * @param slots how many tasks may wait
-   * @param onFatal is told, on the worker's thread, of an error that a task threw
+   * @param slots maximum number of queued tasks
+   * @param onFatal called on the worker's thread when a task throws an error
    */
   SingleThreadWorker(String name, int queueCapacity, Clock clock, FatalFailure.Handler onFatal) {
     this.onFatal = onFatal;
@@ -56,15 +56,17 @@
     this.watched = ProcessStalls.detector().watch(name, this::offer);
   }
 
+  /** Queues a task; returns false if the queue is full or the worker is closed. */
   public boolean offer(Runnable task) {
     return open && queue.offer(task);
   }
 
-  /** From the duty's own thread only. */
+  /** Runs a task after a delay. Must be called on the worker's own thread. */
   public void scheduleAfter(long delayMs, Runnable task) {
     scheduled.add(new ScheduledTask(clock.now() + delayMs, nextSequence++, task));
   }
 
+  /** Runs a task now and again delayMs after each run ends. */
   public void scheduleEvery(long delayMs, Runnable task) {
     offer(() -> runAndReschedule(delayMs, task));
   }
--- a/common/src/main/java/gladelug/common/StallDetector.java
+++ b/common/src/main/java/gladelug/common/StallDetector.java
@@ -6,19 +6,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Finds threads that stand still though their process runs. Each watched thread gets a task now and
- * then; until that has run, the thread counts as standing still, for as long as the checks
- * themselves went on: a process that was frozen as a whole blames none of its threads. Thread-safe.
+ * Detects threads that are stalled while their process runs. Each watched thread periodically gets
+ * a probe task and counts as stalled until it has run it. Only time during which the checks
+ * themselves ran is counted, so no thread is blamed after the whole process was frozen.
+ * Thread-safe.
  */
 public final class StallDetector {
-  /** Gives a thread a task; false where it takes none. */
+  /** Submits tasks to a watched thread. */
   @FunctionalInterface
   public interface TaskSubmitter {
-    /** Hands the task over without waiting for it. */
+    /** Submits a task without blocking; returns false if the thread accepts none. */
     boolean post(Runnable task);
   }
 
-  /** A watched thread; closed when the thread is to end. */
+  /** A watched thread; must be closed before the thread ends. */
   public final class WatchedThread implements AutoCloseable {
     private final String thread;
     private final TaskSubmitter submitter;
@@ -42,7 +43,7 @@
                 longestWaitMs = Math.max(longestWaitMs, clock.now() - submittedAtMs);
                 answered = true;
               });
-      // a thread that has too much to do takes no task, and goes on; it is asked at the next check
+      // an overloaded thread rejects the task but isn't stalled; it is probed at the next check
       if (!submitted) answered = true;
     }
 
@@ -61,11 +62,11 @@
   private long checkedAtMs;
 
   /**
-   * Watches nothing yet.
+   * Creates a detector that watches no thread yet.
    *
-   * @param checkIntervalMs between two checks
-   * @param stalledAfterMs standing still, after which {@link #stalledThread} names a thread
-   * @param exitAfterMs standing still, after which onFatal is told
+   * @param checkIntervalMs time between two checks
+   * @param stalledAfterMs time after which {@link #stalledThread} names a stalled thread
+   * @param exitAfterMs time after which onFatal is called for a stalled thread
    */
   StallDetector(
       Clock clock,
@@ -81,14 +82,14 @@
     this.checkedAtMs = clock.now();
   }
 
-  /** Watches a thread from now on. */
+  /** Starts to watch a thread. */
   public WatchedThread watch(String thread, TaskSubmitter submitter) {
     WatchedThread added = new WatchedThread(thread, submitter);
     watched.add(added);
     return added;
   }
 
-  /** To be called every everyMs; what passed beyond twice that was a pause of this process. */
+  /** Must be called every checkIntervalMs; a gap of more than two intervals counts as two. */
   void check() {
     long nowMs = clock.now();
     long elapsedMs = Math.min(nowMs - checkedAtMs, 2L * checkIntervalMs);
@@ -102,19 +103,19 @@
       if (watchedThread.stalledMs >= exitAfterMs)
         onFatal.onFatal(
             watchedThread.thread,
-            "stands still",
+            "is stalled",
             new IllegalStateException(watchedThread.stalledMs + " ms"));
     }
   }
 
-  /** The name of a thread that has stood still for long, or empty. */
+  /** Returns the name of a stalled thread, or an empty text if there is none. */
   public String stalledThread() {
     for (WatchedThread watchedThread : watched)
       if (watchedThread.stalledMs >= stalledAfterMs) return watchedThread.thread;
     return "";
   }
 
-  /** By thread, the longest that a task waited for the one before it, in ms. */
+  /** Returns the longest time in ms that a probe task waited, by thread. */
   public Map<String, Long> longestWaitsMs() {
     Map<String, Long> longest = new TreeMap<>();
     for (WatchedThread watchedThread : watched)
--- a/common/src/main/java/gladelug/common/configuration/AllowedEndpoint.java
+++ b/common/src/main/java/gladelug/common/configuration/AllowedEndpoint.java
@@ -4,8 +4,13 @@
 import gladelug.common.Result;
 
 /**
- * One place a service may be called at: an address block and the ports in it, written
- * "10.1.2.0/24:8000-8999", "10.1.2.3:8080" or "10.1.2.0/24" for any port.
+ * The addresses and ports at which a service may be called, written "10.1.2.0/24:8000-8999",
+ * "10.1.2.3:8080" or, for any port, "10.1.2.0/24".
+ *
+ * @param network the IPv4 network address as an unsigned 32-bit number
+ * @param prefixLength number of leading bits that addresses have in common with the network
+ * @param firstPort the lowest allowed port
+ * @param lastPort the highest allowed port
  */
 public record AllowedEndpoint(long network, int prefixLength, int firstPort, int lastPort) {
   public static Result<AllowedEndpoint> parse(String text, String place) {
@@ -30,7 +35,8 @@
     }
     long n = Address.ipv4ToLong(h);
     if (n < 0 || bits < 0 || bits > 32 || lo < 1 || hi > 65535 || lo > hi)
-      return Result.bad(place, "must be IP, IP/BITS, either with :PORT or :LOW-HIGH, not " + text);
+      return Result.bad(
+          place, "must be IP or IP/BITS, optionally followed by :PORT or :LOW-HIGH, not " + text);
     return Result.good(new AllowedEndpoint(n & mask(bits), bits, lo, hi));
   }
 
--- a/common/src/main/java/gladelug/common/configuration/Configuration.java
+++ b/common/src/main/java/gladelug/common/configuration/Configuration.java
@@ -14,12 +14,14 @@
 import java.util.Set;
 
 /**
- * What operators send, as one document: services with the endpoints they may be called at, routes
- * from paths to services, tenants with their keys as hashes and the quota shares below them. Parsed
- * from JSON; every finding has its place, and a configuration with any finding is not built.
- * Immutable; names become dense indices when it is parsed, and a snapshot is replaced as a whole.
+ * The configuration that operators send as one document: services and the endpoints at which they
+ * may be called, routes from paths to services, and tenants with hashed keys and quota shares. It
+ * is parsed from JSON; each finding names its position, and a document with a finding yields no
+ * configuration. Immutable: parsing maps names to dense indices, and a snapshot is replaced as a
+ * whole.
  */
 public final class Configuration {
+  /** What a service does. */
   public enum Kind {
     MODEL,
     APPLICATION,
@@ -27,9 +29,14 @@
   }
 
   /**
-   * What the replicas of a model service are able to do, where that is known: requests at once,
-   * prompt tokens kept at most (0 where not known), bytes a kept token, the speed of their links in
-   * Mbit/s, how many may follow one's cache events at once, and the models they serve.
+   * What the replicas of a model service are able to do, as far as it is known.
+   *
+   * @param slots maximum number of concurrent requests, 0 if unknown
+   * @param cacheCapacityTokens maximum number of cached prompt tokens, 0 if unknown
+   * @param bytesPerToken size of a cached token in bytes
+   * @param linkMbps link speed in Mbit/s
+   * @param maxEventSubscribers how many clients may subscribe to a replica's cache events at once
+   * @param models names of the models that the replicas serve
    */
   public record Engine(
       int slots,
@@ -42,8 +49,10 @@
   }
 
   /**
-   * A service; connections is the most a replica takes from all callers, store the address of a
-   * store, or null.
+   * A service that requests can be routed to.
+   *
+   * @param maxConnections maximum number of connections that a replica accepts from all callers
+   * @param storeAddress the address of a prefix store, or null
    */
   public record Service(
       int index,
@@ -60,19 +69,26 @@
     }
   }
 
-  /** What a client may send at most and how long it may take: bytes and milliseconds. */
+  /** Limits of a client's requests: sizes in bytes and time-outs in milliseconds. */
   public record Limits(
       int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {
     public static final Limits DEFAULT = new Limits(16_384, 16_777_216, 10_000, 120_000);
   }
 
-  /** A part of a route's traffic: a service by its index and how much of it. */
+  /** A part of a route's traffic: the index of a service and its weight. */
   public record WeightedService(int serviceIndex, int weight) {}
 
   /**
-   * Which requests go to which service. host is empty for any; prefix tells whether path begins the
-   * request's path or is all of it. aimMs and gapMs are when the first event and the next are still
-   * in time (0: not told).
+   * Maps requests to services.
+   *
+   * @param host the requests' host, empty for any
+   * @param matchesPrefix whether path is a prefix of the request's path instead of all of it
+   * @param deadlineMs time within which a request must be finished
+   * @param repeatable whether a request may be sent again after it may have been executed
+   * @param firstEventTargetMs target time to the first event, 0 if there is none
+   * @param eventGapTargetMs target time between two events, 0 if there is none
+   * @param allowsAnonymous whether callers need no key
+   * @param resumable whether a broken stream may be continued at another replica
    */
   public record Route(
       int index,
@@ -102,8 +118,9 @@
     }
 
     /**
-     * The service for a request whose draw is from 0 to 1: by the weights, the same for the same
-     * draw.
+     * Chooses a service according to the weights; the same draw always yields the same service.
+     *
+     * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      */
     public int chooseService(double draw) {
       int totalWeight = 0;
@@ -116,7 +133,7 @@
       return trafficSplit.get(trafficSplit.size() - 1).serviceIndex;
     }
 
-    /** The same route wherever it and its services stand in the lists of a configuration. */
+    /** Returns a copy that doesn't depend on the positions of the route and its services. */
     public Route withoutIndices() {
       return new Route(
           0,
@@ -141,9 +158,7 @@
       return new Builder(name);
     }
 
-    /**
-     * A route as it is put together; what isn't said is as the product's own configuration has it.
-     */
+    /** Builds a route; unset properties have the defaults of the configuration format. */
     public static final class Builder {
       private final String name;
       private String host = "";
@@ -242,7 +257,7 @@
   public final List<Tenant> tenants;
   public final Limits limits;
 
-  /** The operator's own number for it, 0 where there is none. */
+  /** The revision number assigned by the operator, 0 if there is none. */
   public final long revision;
 
   private final Map<String, Route> routesByPath = new HashMap<>();
@@ -268,7 +283,7 @@
       for (String keyHash : tenant.keyHashes) tenantsByKeyHash.put(keyHash, tenant);
   }
 
-  /** Whoever calls a route that is open to all without a key. */
+  /** The tenant of callers without a key, on routes that allow them. */
   public static final Tenant ANONYMOUS =
       new Tenant(
           -1,
@@ -285,8 +300,8 @@
   }
 
   /**
-   * Of the host's routes the one that is the path, else the one that begins it and is longest; or
-   * null.
+   * Returns the host's route that matches the whole path, else the one with the longest matching
+   * prefix, else the match among the routes of any host; null if there is none.
    */
   public Route route(String host, String path) {
     Route match = routesByPath.get(host + path);
@@ -308,7 +323,7 @@
     return Digest.hex(key);
   }
 
-  /** Where in the tree a request of this tenant by this route stands: the leaf's path. */
+  /** Returns the path of the quota leaf that the tenant's requests on this route belong to. */
   public static String leafPath(Tenant tenant, Route route) {
     QuotaShare share = tenant.rootShare.findLeaf(route.name);
     return share == null ? tenant.rootShare.path() : share.path();
@@ -387,7 +402,8 @@
     if (service == null && !serviceName.isEmpty())
       findings.add(fields.place("service"), "names no service of this policy: " + serviceName);
     if (service != null && service.kind == Kind.STORE)
-      findings.add(fields.place("service"), "a store takes no orders: " + serviceName);
+      findings.add(
+          fields.place("service"), "is a store, which accepts no requests: " + serviceName);
     if (!path.isEmpty() && !path.startsWith("/"))
       findings.add(fields.place("path"), "must begin with a slash");
     if (path.startsWith("/operator/"))
@@ -421,7 +437,7 @@
       if (key.kind != LocatedJson.Kind.STRING || !key.text.matches("sha256:[0-9a-f]{64}"))
         findings.add(
             key.place(),
-            "must be sha256: and 64 small hex digits, the hash of a key, never the key itself");
+            "must be sha256: and 64 lower-case hex digits, the hash of a key, never the key itself");
       else {
         String hash = key.text.substring(7),
             otherTenant = tenantNamesByKeyHash.putIfAbsent(hash, name);
@@ -451,7 +467,7 @@
     Tenant tenant =
         new Tenant(index, name, List.copyOf(keyHashes), fields.flag("isolated", false), root);
     fields.reportUnknownFields();
-    if (name.contains("/")) findings.add(fields.place("name"), "must not hold a slash");
+    if (name.contains("/")) findings.add(fields.place("name"), "must not contain a slash");
     if (!takenNames.add(name)) findings.add(fields.place("name"), "two tenants are named " + name);
     return tenant;
   }
--- a/common/src/main/java/gladelug/common/configuration/CoreMemberList.java
+++ b/common/src/main/java/gladelug/common/configuration/CoreMemberList.java
@@ -10,10 +10,16 @@
 import java.util.List;
 
 /**
- * The core's members as data-plane processes receive them: names and addresses, with the generation
- * as number.
+ * The core's members as data-plane processes receive them: names and addresses. The value's number
+ * is the generation of the member set.
  */
 public record CoreMemberList(List<Member> members) {
+  /**
+   * A member of the core.
+   *
+   * @param recordsAddress where the member accepts connections from peers
+   * @param operatorAddress where the member serves operators
+   */
   public record Member(String name, Address recordsAddress, Address operatorAddress) {}
 
   public static final CoreMemberList NONE = new CoreMemberList(List.of());
--- a/common/src/main/java/gladelug/common/configuration/PrefixSharing.java
+++ b/common/src/main/java/gladelug/common/configuration/PrefixSharing.java
@@ -12,43 +12,45 @@
 import java.util.TreeSet;
 
 /**
- * Which cached prefixes the tenants that are not isolated share: those that were cached since one
- * configuration was in force. Replicas and stores have no call that drops a prefix, so what a
- * tenant cached while it shared stays where the others find it. When such a tenant becomes
- * isolated, those who go on sharing therefore begin anew, and what was cached before is found by
- * nobody any more. Nothing else makes them begin anew.
+ * Determines which cached prefixes the non-isolated tenants share: those cached since a given
+ * configuration took effect. Replicas and stores have no call that drops a prefix, so entries that
+ * a tenant cached while it shared remain visible to the other tenants. When such a tenant becomes
+ * isolated, the remaining sharing tenants therefore start a new sharing scope, and no tenant finds
+ * the entries cached before it. Nothing else starts a new scope.
  *
- * <p>A configuration tells only who is isolated now, so this is what has to be remembered beside
- * it: since when they share, and who has shared since then and is not configured any more, as such
- * a tenant may come back isolated. It is written with the configuration, as one value, by whoever
- * owns that key; so it is the same wherever the configuration is.
+ * <p>A configuration lists only the tenants that are isolated now, so two more facts are kept
+ * beside it: the configuration at which the current scope started, and the tenants that shared
+ * since then and were removed, because such a tenant may return as isolated. The owner of the
+ * configuration's key writes this record and the configuration as one value, so both are always
+ * consistent.
  *
- * <p>Immutable. What holds, with `since` the configuration that they began with: a tenant that is
- * configured as isolated has not shared since then; one that is configured otherwise may have; of
- * all others {@link #mayHaveShared} tells.
+ * <p>Immutable. Invariant: a tenant configured as isolated has not shared since {@code since}; a
+ * tenant configured as not isolated may have; for tenants that are not configured, see {@link
+ * #mayHaveShared}.
  *
- * @param effectiveSince the number of the configuration with which sharing began anew; 0 where it
- *     never did, below 0 where a value of an earlier release has no record of it
- * @param formerTenants fingerprints of the names of tenants that shared since then and are not
- *     configured any more
- * @param complete whether formerTenants lacks none of them
+ * @param effectiveSince number of the configuration at which the current sharing scope started; 0
+ *     if no scope was ever replaced, negative if the value was written by a release without this
+ *     record
+ * @param formerTenants fingerprints of the names of tenants that shared since then and are no
+ *     longer configured
+ * @param complete whether formerTenants contains all such tenants
  */
 public record PrefixSharing(long since, Set<Long> formerTenants, boolean complete) {
-  /** Of a configuration that was written by a release that did not record it. */
+  /** The record of a configuration written by a release without prefix-sharing records. */
   public static final PrefixSharing UNRECORDED = new PrefixSharing(-1, Set.of(), false);
 
-  /** Of the first configuration of a fleet: nothing was shared before. */
+  /** The record of a fleet's first configuration, before which nothing was shared. */
   public static final PrefixSharing FIRST = new PrefixSharing(0, Set.of(), true);
 
   /**
-   * How many former tenants are remembered, 8 bytes each. With more, every tenant that is new and
-   * isolated is taken for one that shared.
+   * Maximum number of former tenants that are remembered, at 8 bytes each. Beyond it, every new
+   * isolated tenant is assumed to have shared before.
    */
   public static final int MAX_FORMER_TENANTS = 512;
 
   private static final int FORMAT_VERSION = 1;
 
-  /** Sharing begins with the configuration that has this number. */
+  /** Returns a record whose sharing scope starts at the configuration with the given number. */
   public static PrefixSharing startingAt(long number) {
     return new PrefixSharing(number, Set.of(), true);
   }
@@ -57,16 +59,16 @@
     formerTenants = Set.copyOf(formerTenants);
   }
 
-  /** Whether it is written beside the configuration. */
+  /** Returns whether this record is written beside the configuration. */
   public boolean isRecorded() {
     return since >= 0;
   }
 
   /**
-   * What holds for the configuration that follows.
+   * Returns the record that belongs to the next configuration.
    *
-   * @param before the configuration that this is of
-   * @param beforeNumber its number, 0 where there was none
+   * @param before the configuration that this record belongs to
+   * @param beforeNumber number of that configuration, 0 if there was none
    * @param after the configuration with the next number
    */
   public PrefixSharing next(Configuration before, long beforeNumber, Configuration after) {
@@ -77,7 +79,7 @@
         : addingFormerTenants(sharingNames(before), allNames(after));
   }
 
-  /** Stays unrecorded while nobody is isolated, so that the release before can read the value. */
+  /** Stays unrecorded while no tenant is isolated, so that the previous release can read it. */
   private static PrefixSharing nextFromUnrecorded(
       Configuration before, long beforeNumber, Configuration after) {
     boolean isolatedBefore = !isolatedNames(before).isEmpty();
@@ -88,17 +90,17 @@
   }
 
   /**
-   * Since when the tenants of a configuration share, as relays have to take it.
+   * Returns the number of the configuration at which the sharing scope that relays apply started.
    *
-   * @param recorded what came with the configuration, below 0 where nothing did: then some tenant
-   *     may have shared before it became isolated, unless none is
+   * @param recorded the value received with the configuration, negative if none was: a tenant may
+   *     then have shared before it became isolated, unless no tenant is isolated
    */
   public static long effectiveSince(long recorded, Configuration configuration, long number) {
     if (recorded >= 0) return recorded;
     return isolatedNames(configuration).isEmpty() ? 0 : number;
   }
 
-  /** Whether a tenant that the configuration doesn't have may have shared since then. */
+  /** Returns whether a tenant that is not configured may have shared since {@link #since}. */
   boolean mayHaveShared(String absentTenant) {
     return !complete || formerTenants.contains(fingerprint(absentTenant));
   }
@@ -122,7 +124,7 @@
     return new PrefixSharing(since, former, all);
   }
 
-  /** The names of isolated tenants; one that is configured twice is isolated if it is once. */
+  /** Returns the names of tenants that at least one of their entries declares isolated. */
   private static Set<String> isolatedNames(Configuration configuration) {
     Set<String> names = new HashSet<>();
     for (Configuration.Tenant tenant : configuration.tenants)
@@ -143,12 +145,12 @@
     return names;
   }
 
-  /** Two names with one fingerprint may cost a beginning anew, never hide one. */
+  /** Colliding fingerprints may start an unneeded scope, but never prevent a needed one. */
   private static long fingerprint(String name) {
     return ByteBuffer.wrap(Digest.sha256().digest(name.getBytes(StandardCharsets.UTF_8))).getLong();
   }
 
-  /** Writes it as it ends a value on the wire and on disk; nothing where it isn't recorded. */
+  /** Appends this record to a value on the wire or on disk; writes nothing if unrecorded. */
   public void write(DataOutputStream out) throws IOException {
     if (!isRecorded()) return;
     out.writeByte(FORMAT_VERSION);
@@ -158,16 +160,21 @@
         out, new TreeSet<>(formerTenants).stream().toList(), DataOutputStream::writeLong);
   }
 
-  /** Reads what {@link #write} wrote; an IOException where that is no such thing. */
+  /**
+   * Reads a record written by {@link #write}.
+   *
+   * @throws IOException if the bytes are not a valid record
+   */
   public static PrefixSharing read(DataInputStream in) throws IOException {
     int format = in.readUnsignedByte();
     if (format != FORMAT_VERSION)
-      throw new IOException("sharing in format " + format + ", as of a newer release");
+      throw new IOException(
+          "unsupported prefix-sharing format " + format + ", written by a newer release");
     long since = in.readLong();
     boolean complete = in.readBoolean();
     Set<Long> former = new HashSet<>(WireRecord.readList(in, DataInputStream::readLong));
     if (since < 0 || former.size() > MAX_FORMER_TENANTS)
-      throw new IOException("no record of shared prefixes: since " + since);
+      throw new IOException("malformed prefix-sharing record: since " + since);
     return new PrefixSharing(since, former, complete);
   }
 }
--- a/common/src/main/java/gladelug/common/configuration/QuotaShare.java
+++ b/common/src/main/java/gladelug/common/configuration/QuotaShare.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * A node of the share tree. The children of the root are the tenants; below a tenant stand its
- * shares. A weight counts against the siblings' weights, a lower tier waits for the higher ones, a
- * limit of 0 is none. Which leaf a request belongs to is decided by its route's name.
+ * A node of the quota tree. The root's children are the tenants, and each tenant's shares are below
+ * it. Capacity is divided among siblings in proportion to their weights, a lower tier waits for the
+ * higher ones, and a limit of 0 means no limit. A request belongs to the leaf that names its route.
  */
 public record QuotaShare(
     String name,
@@ -41,12 +41,12 @@
             List.copyOf(fields.texts("mappings", false)),
             readAll(fields.list("shares", false), path, depth + 1, assignedRoutes, findings));
     fields.reportUnknownFields();
-    if (name.contains("/")) findings.add(fields.place("name"), "must not hold a slash");
+    if (name.contains("/")) findings.add(fields.place("name"), "must not contain a slash");
     for (QuotaShare child : share.shares)
       checkLimit(child, share.limit, fields.place("shares"), findings);
     if (!share.shares.isEmpty() && !share.routes.isEmpty())
       findings.add(
-          fields.place("mappings"), "belong to shares at the leaves; this one has shares below it");
+          fields.place("mappings"), "belong to shares at the leaves; this share has children");
     for (String route : share.routes)
       if (!assignedRoutes.add(route))
         findings.add(
@@ -75,7 +75,7 @@
     return List.copyOf(children);
   }
 
-  /** A share can't have more than what it is a share of. */
+  /** Reports a finding if a share's limit exceeds the limit of its parent. */
   static void checkLimit(QuotaShare share, int parentLimit, String place, Findings findings) {
     if (parentLimit > 0 && share.limit > parentLimit)
       findings.add(
@@ -88,7 +88,7 @@
               + parentLimit);
   }
 
-  /** The leaf below here that takes the route, or null. */
+  /** Returns the leaf at or below this node that names the route, or null if there is none. */
   QuotaShare findLeaf(String route) {
     if (routes.contains(route)) return this;
     for (QuotaShare child : shares) {
--- a/common/src/main/java/gladelug/common/configuration/Replicas.java
+++ b/common/src/main/java/gladelug/common/configuration/Replicas.java
@@ -13,13 +13,17 @@
 import java.util.TreeMap;
 
 /**
- * The platform's instance list as the control plane last applied it: immutable, in the platform's
- * order. An entry that is draining gets no new requests; one that is absent is gone.
+ * The platform's instance list as last applied by the control plane, in the platform's order.
+ * Immutable. A replica that is not ready is draining and gets no new requests; a replica that is
+ * missing has been removed.
  */
 public final class Replicas {
   /**
-   * slots: requests at once, 0 where not told; weights: of each model it serves, empty where not
-   * told.
+   * A replica of a service.
+   *
+   * @param ready false while the replica is draining
+   * @param slots maximum number of concurrent requests, 0 if unknown
+   * @param weightsByModel the weights of each model that the replica serves, empty if unknown
    */
   public record Replica(
       String service,
@@ -48,6 +52,7 @@
     for (Replica replica : all) byInstance.put(replica.instance, replica);
   }
 
+  /** Returns the replica with the given instance ID, or null if there is none. */
   public Replica find(String instance) {
     return byInstance.get(instance);
   }
--- a/common/src/main/java/gladelug/common/configuration/RolloutPlan.java
+++ b/common/src/main/java/gladelug/common/configuration/RolloutPlan.java
@@ -3,23 +3,26 @@
 import java.util.Collection;
 
 /**
- * In which order a service's replicas take newly named weights, so that some capacity always
- * serves: by instance, in parts, each at its time after the naming. Pure and the same for
- * everybody: replica controllers follow it, and relays derive from it which replica is about to
- * load, without a message, and avoid it from a little before.
+ * The order in which a service's replicas load newly assigned weights, so that some capacity always
+ * remains in service: sorted by instance ID and divided into parts, each of which starts at a fixed
+ * time after the assignment. The plan is a pure function, so replica controllers that follow it and
+ * relays agree without messages: relays derive which replica is about to load and avoid it shortly
+ * before.
  *
- * <p>leadMs: from the naming to the first part's turn; rollMs: what all parts' turns take; parts:
- * how many there are.
+ * @param delayMs time from the assignment to the start of the first part
+ * @param durationMs total time that the parts take
+ * @param parts number of parts
  */
 public record RolloutPlan(long delayMs, long durationMs, int parts) {
-  /** The product's own: thirds, the first at once. */
+  /** Returns the default plan: three parts, of which the first starts at once. */
   public static RolloutPlan thirds(long durationMs) {
     return new RolloutPlan(0, durationMs, 3);
   }
 
   /**
-   * Of which part an instance is, from 0; all: the instances of the service that take the weights,
-   * it among them.
+   * Returns the part that an instance belongs to, from 0.
+   *
+   * @param instances all instances of the service that load the weights, including this one
    */
   public int partOf(String instance, Collection<String> instances) {
     int before = 0;
@@ -27,12 +30,12 @@
     return before / partSize(instances.size());
   }
 
-  /** How many replicas go in one part. */
+  /** Returns the number of replicas in each part. */
   public int partSize(int instanceCount) {
     return Math.max(1, (instanceCount + parts - 1) / parts);
   }
 
-  /** When a part goes at the latest, in ms after the naming. */
+  /** Returns when a part starts at the latest, in ms after the assignment. */
   public long dueMs(int part) {
     return delayMs + part * durationMs / parts;
   }
--- a/common/src/main/java/gladelug/common/configuration/Weights.java
+++ b/common/src/main/java/gladelug/common/configuration/Weights.java
@@ -9,11 +9,17 @@
 import org.pcollections.TreePMap;
 
 /**
- * Which weights each model service is meant to run, as operators named them, and which came before.
- * Immutable; naming makes a new one. Until weights are named for a service it has none and requests
- * for it are refused.
+ * The weights that operators assigned to each model service, and the previously assigned ones.
+ * Immutable. A service without assigned weights has none, and requests for it are refused.
  */
 public final class Weights {
+  /**
+   * The weights assigned to one service.
+   *
+   * @param current the assigned weights
+   * @param previous the weights assigned before, empty if there were none
+   * @param sequence number of the order that made the assignment
+   */
   public record Assignment(String current, String previous, long sequence) {}
 
   public static final Weights NONE = new Weights(TreePMap.empty());
@@ -23,10 +29,12 @@
     this.byService = byService;
   }
 
+  /** Returns the service's assignment, or null if no weights were assigned. */
   public Assignment of(String service) {
     return byService.get(service);
   }
 
+  /** Returns a copy in which the service has the given weights. */
   public Weights withAssignment(String service, String weights, long sequence) {
     Assignment previous = byService.get(service);
     return new Weights(
--- a/common/src/main/java/gladelug/common/configuration/package-info.java
+++ b/common/src/main/java/gladelug/common/configuration/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The values of the control state as all processes read them: the operators' configuration, the
- * weights named, the list of replicas, the members of the core. Immutable; parsed from JSON with
- * every finding at its place, and never built from a text that has one.
+ * assigned weights, the list of replicas and the members of the core. Values are immutable and are
+ * parsed from JSON; each finding names its position, and a text with a finding yields no value.
  */
 package gladelug.common.configuration;
--- a/common/src/main/java/gladelug/common/connection/BindAddress.java
+++ b/common/src/main/java/gladelug/common/connection/BindAddress.java
@@ -6,11 +6,12 @@
 import io.vertx.core.net.ClientOptionsBase;
 
 /**
- * The IP number a process listens on and calls from. It is that of its advertised addresses, or
- * another where a machine has several (the setting bind); others only ever hear the advertised one.
+ * The IP address that a process listens on and connects from. By default it is that of the
+ * advertised addresses; the setting "bind" selects another one on machines that have several. Peers
+ * only learn the advertised address.
  */
 public record BindAddress(String ip) {
-  /** From the setting bind, else from the records address. */
+  /** Returns the address in the setting "bind", else that of the records address. */
   public static BindAddress of(Settings settings, Address records) {
     String bind = settings.text("bind", "");
     Findings findings = settings.findings;
@@ -26,11 +27,12 @@
     return host.equals("0.0.0.0");
   }
 
-  /** Where to listen for what is advertised as this. */
+  /** Returns the address to listen on for an advertised address. */
   public Address listenAddress(Address advertised) {
     return new Address(ip, advertised.port());
   }
 
+  /** Makes outgoing connections use this address unless it is the wildcard address. */
   public <T extends ClientOptionsBase> T withLocalAddress(T options) {
     if (!isWildcard(ip)) options.setLocalAddress(ip);
     return options;
--- a/common/src/main/java/gladelug/common/connection/BoundedHttpClient.java
+++ b/common/src/main/java/gladelug/common/connection/BoundedHttpClient.java
@@ -15,9 +15,10 @@
 import io.vertx.core.http.RequestOptions;
 
 /**
- * Calls whose answers are taken in whole, however they come: an answer has a greatest size and a
- * time by which it has ended, and its bytes are reserved before they are kept. One that is larger,
- * late or finds no memory is given up, and its connection is closed. All on one event loop.
+ * HTTP client that buffers complete responses within bounds. Each response has a maximum size and a
+ * time-out for its end, and its bytes are reserved in a memory budget before they are kept. A call
+ * whose response is too large, late or out of budget fails, and its connection is closed. All calls
+ * run on one event loop.
  */
 public final class BoundedHttpClient implements AutoCloseable {
   private final Vertx vertx;
@@ -26,9 +27,9 @@
   private final MemoryBudget budget;
 
   /**
-   * Calls with connections of their own.
+   * Creates a client with its own connection pool.
    *
-   * @param budget of the bytes of all answers that are held
+   * @param budget budget for the bytes of all responses in memory
    */
   public BoundedHttpClient(Vertx vertx, HttpClientOptions options, MemoryBudget budget) {
     this.vertx = vertx;
@@ -40,9 +41,9 @@
   /**
    * Sends a request without a body.
    *
-   * @param maxBytes of the answer's body
-   * @param timeoutMs by when the answer has ended, from now
-   * @return the answer, which is to be closed; fails with a {@link HttpCallException}
+   * @param maxBytes maximum size of the response's body
+   * @param timeoutMs time within which the response must be complete
+   * @return the response, which the caller must close; fails with a {@link HttpCallException}
    */
   public Uni<BufferedHttpResponse> send(RequestOptions target, long maxBytes, long timeoutMs) {
     return Uni.createFrom()
@@ -62,7 +63,7 @@
     client.close();
   }
 
-  /** One call, from its request to the end of its answer. */
+  /** A call, from its request to the end of its response. */
   private final class Call {
     final Promise<BufferedHttpResponse> promise = Promise.promise();
     private final long maxBytes;
@@ -76,7 +77,9 @@
     }
 
     void start(RequestOptions target, long timeoutMs) {
-      timer = vertx.setTimer(timeoutMs, id -> fail(Reason.TIMED_OUT, "no whole answer in time"));
+      timer =
+          vertx.setTimer(
+              timeoutMs, id -> fail(Reason.TIMED_OUT, "the response was not complete in time"));
       client.request(target).onComplete(this::onConnection);
     }
 
@@ -105,9 +108,9 @@
     private void onChunk(Buffer bytes) {
       if (finished) return;
       if (body.length() + bytes.length() > maxBytes)
-        fail(Reason.TOO_LARGE, "an answer of more than " + maxBytes + " bytes");
+        fail(Reason.TOO_LARGE, "the response is larger than " + maxBytes + " bytes");
       else if (!budget.reserve(bytes.length()))
-        fail(Reason.NO_MEMORY, "other answers take the memory");
+        fail(Reason.NO_MEMORY, "the memory budget for responses is exhausted");
       else body.appendBuffer(bytes);
     }
 
--- a/common/src/main/java/gladelug/common/connection/BufferedHttpResponse.java
+++ b/common/src/main/java/gladelug/common/connection/BufferedHttpResponse.java
@@ -4,13 +4,14 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * A whole answer. Its body's bytes stay reserved until it is closed, by whoever has read them.
+ * A complete response in memory. The body's bytes stay reserved in the memory budget until the
+ * response is closed.
  *
  * @param body never null
  */
 public record BufferedHttpResponse(int status, MultiMap headers, Buffer body, Runnable release)
     implements AutoCloseable {
-  /** A header's value, or null. */
+  /** Returns a header's value, or null if it is absent. */
   public String header(String name) {
     return headers.get(name);
   }
--- a/common/src/main/java/gladelug/common/connection/Connection.java
+++ b/common/src/main/java/gladelug/common/connection/Connection.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One side of a TCP connection carrying length-prefixed records. send() returns whether the record
- * was accepted: a connection whose peer doesn't read fills up and accepts no more, and every
- * protocol above copes with loss by sending again. A record that can't be read closes this
- * connection only.
+ * One end of a TCP connection that carries length-prefixed records. {@link #send} returns whether
+ * the record was accepted: the queue of a connection whose peer doesn't read fills up and accepts
+ * no more, and every protocol recovers from loss by retransmission. An invalid record closes only
+ * this connection.
  *
- * <p>The highest bit of the length asks the other side for an answer, a record of length 0, which
- * no receiver sees. So either side detects that its peer is gone: see {@link Liveness}.
+ * <p>The highest bit of the length requests an answer: a record of length 0, which isn't passed to
+ * the receiver. Either end detects a dead peer by a missing answer; see {@link Liveness}.
  */
 public final class Connection {
-  /** Told of each record, in order, and once of the end, all on the connection's event loop. */
+  /** Receives each record in order, then the end; called on the connection's event loop. */
   public interface Receiver {
     void record(byte[] record) throws IOException;
 
@@ -35,14 +35,14 @@
   private static final int ANSWER_REQUESTED = 1 << 31;
   private static final int HEADER_BYTES = 4;
 
-  /** How long a close may wait for what is still to be sent, ms. */
+  /** How long a close may wait for queued records to be sent. */
   private static final long CLOSE_TIMEOUT_MS = 1000;
 
   private final NetSocket socket;
   public final String peer;
   private final Clock clock;
 
-  /** Null where silence is looked for by someone else. */
+  /** Null if the owner of the connection detects silent peers itself. */
   private final ReadTimeoutDetector detector;
 
   private final AtomicBoolean suspected = new AtomicBoolean();
@@ -72,6 +72,7 @@
     receiver = newReceiver;
   }
 
+  /** Sends a record; returns false if the connection is closed or its queue is full. */
   public boolean send(WireRecord message) {
     return send(WireRecord.encode(message));
   }
@@ -90,19 +91,19 @@
         .write(Buffer.buffer(record.length + HEADER_BYTES).appendInt(header).appendBytes(record));
   }
 
-  /** Asks the other side for a sign of life and sends nothing else. */
+  /** Requests an answer by an empty record. */
   void requestAnswer() {
     if (!closed && !socket.getDelegate().writeQueueFull()) write(new byte[0], true);
   }
 
-  /** When bytes were last received, by this process's clock. */
+  /** Returns when bytes were last received, by this process's clock. */
   long lastReceivedAtMs() {
     return lastReceivedAtMs;
   }
 
   /**
-   * Resets the connection where an answer is overdue, after a moment in which the event loop reads
-   * what may have arrived while this process itself was late.
+   * Resets the connection if an answer is overdue, after {@link Liveness#GRACE_MS}, in which the
+   * event loop reads bytes that arrived while this process itself was delayed.
    */
   void closeIfSilent() {
     if (closed || detector == null || !detector.isSilent() || !suspected.compareAndSet(false, true))
@@ -124,7 +125,7 @@
     return !closed;
   }
 
-  /** Closes once all is sent, or resets soon where the other side doesn't read. */
+  /** Closes after queued records are sent; resets after a second if the peer doesn't read. */
   public void close() {
     if (closed) return;
     pendingReset =
@@ -132,7 +133,7 @@
     socket.getDelegate().close();
   }
 
-  /** Ends the connection at once, waiting for nothing that is still to be sent. */
+  /** Ends the connection at once and discards queued records. */
   void reset() {
     if (closed) return;
     Channel channel = channel();
@@ -158,7 +159,7 @@
         int header = unread.getInt(offset);
         int length = header & ~ANSWER_REQUESTED;
         if (length > WireRecord.MAX_RECORD_BYTES)
-          throw new IOException("record of impossible length " + length);
+          throw new IOException("invalid record length " + length);
         if (unread.length() - offset - HEADER_BYTES < length) break;
         if ((header & ANSWER_REQUESTED) != 0) write(new byte[0], false);
         if (length > 0)
--- a/common/src/main/java/gladelug/common/connection/ConnectionAcceptor.java
+++ b/common/src/main/java/gladelug/common/connection/ConnectionAcceptor.java
@@ -22,17 +22,17 @@
 import java.util.function.Function;
 
 /**
- * The listener of a process for connections from its peers, on its one records address: reads the
- * Hello and passes the connection to the service that registered for that protocol. Connections of
- * unknown protocols are closed. Outgoing connections are opened here too. An accepted connection
- * whose peer sends nothing for long is closed, so that peers that vanished cost no descriptor;
- * whoever uses a connection notices much sooner.
+ * Accepts and opens connections between peers. It listens on the process's records address, reads
+ * each connection's {@link Hello} and passes the connection to the service that registered for the
+ * protocol; connections with an unknown protocol are closed. An accepted connection whose peer
+ * stays silent is closed, so that vanished peers hold no file descriptors; senders on a persistent
+ * connection detect a dead peer much sooner.
  */
 public final class ConnectionAcceptor implements ServiceRegistry.Service {
-  /** How often accepted connections are looked at, ms. */
+  /** Interval between two checks of the accepted connections. */
   private static final long SWEEP_INTERVAL_MS = 10_000;
 
-  /** Silence after which a peer is asked for a sign of life, which it has until the next look. */
+  /** Silence after which a peer is probed; it must answer before the next check. */
   private static final long IDLE_TIMEOUT_MS = 15_000;
 
   private final Clock clock = Clock.monotonic();
@@ -44,10 +44,9 @@
       new ConcurrentHashMap<>();
   private final Set<Connection> openConnections = ConcurrentHashMap.newKeySet();
 
-  /** By accepted connection: when its silent peer was asked for a sign of life, or 0. */
+  /** When the silent peer of each accepted connection was probed, 0 if it was not. */
   private final Map<Connection, Long> probedAtMs = new ConcurrentHashMap<>();
 
-  /** By how long an attempt to connect may take, ms. */
   private final Map<Integer, NetClient> clientsByConnectTimeoutMs = new ConcurrentHashMap<>();
 
   private NetServer server;
@@ -99,7 +98,7 @@
         (connection, lastProbeAtMs) -> probeIfIdle(connection, lastProbeAtMs, clock.now()));
   }
 
-  /** Returns when the peer was asked for a sign of life that hasn't come yet, or 0. */
+  /** Returns when the peer was sent a probe that it hasn't answered yet, or 0. */
   private static long probeIfIdle(Connection connection, long lastProbeAtMs, long nowMs) {
     if (lastProbeAtMs > 0 && connection.lastReceivedAtMs() < lastProbeAtMs) {
       connection.reset();
@@ -110,6 +109,7 @@
     return nowMs;
   }
 
+  /** Returns the message of the root cause, or its class name if it has no message. */
   public static String rootCauseMessage(Throwable failure) {
     Throwable cause = failure;
     while (cause.getCause() != null) cause = cause.getCause();
@@ -145,7 +145,7 @@
         });
   }
 
-  /** A new connection to another process, its Hello already sent. Fails where nobody answers. */
+  /** Opens a connection to another process and sends the Hello; fails if it can't connect. */
   public Uni<Connection> connect(
       Address address, String protocol, Function<Connection, Connection.Receiver> receiverFactory) {
     return connect(
--- a/common/src/main/java/gladelug/common/connection/HttpCallException.java
+++ b/common/src/main/java/gladelug/common/connection/HttpCallException.java
@@ -1,18 +1,18 @@
 package gladelug.common.connection;
 
-/** A call that got no whole answer. */
+/** Thrown when an HTTP call got no complete response. */
 public final class HttpCallException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  /** Why it got none. */
+  /** Why there is no complete response. */
   public enum Reason {
-    /** The connection could not be made, or ended before the answer did. */
+    /** The connection failed, or ended before the response was complete. */
     BROKEN,
-    /** The answer was not whole in time. */
+    /** The response was not complete in time. */
     TIMED_OUT,
-    /** The answer was larger than the caller takes. */
+    /** The response was larger than the caller accepts. */
     TOO_LARGE,
-    /** Other answers take the memory that there is for them. */
+    /** The memory budget for responses is exhausted. */
     NO_MEMORY
   }
 
@@ -23,7 +23,7 @@
     this.reason = reason;
   }
 
-  /** Why there is no answer. */
+  /** Returns why there is no complete response. */
   public Reason reason() {
     return reason;
   }
--- a/common/src/main/java/gladelug/common/connection/Liveness.java
+++ b/common/src/main/java/gladelug/common/connection/Liveness.java
@@ -1,62 +1,63 @@
 package gladelug.common.connection;
 
 /**
- * How a persistent connection detects that its peer is gone, and how it reconnects. A TCP
- * connection whose packets were dropped for a while stays silent for as long again, since TCP backs
- * its retransmission off; a new connection works at once. So a read time-out closes the connection.
+ * Time-outs with which a persistent connection detects a dead peer and reconnects. After packets
+ * were dropped for a while, a TCP connection stays silent for about as long again, because TCP
+ * backs off its retransmissions, whereas a new connection works at once. Hence a read time-out
+ * closes the connection.
  *
- * <p>A heartbeat costs no wake-up of its own: a record that is sent anyway asks for an answer where
- * nothing was received for askAfter ms, and the other side answers with an empty record. A
- * connection on which nothing is sent needs no heartbeat, since nothing of it can be held up.
+ * <p>Heartbeats need no timer: a record that is sent anyway requests an answer if nothing was
+ * received for probeAfterMs, and the peer answers with an empty record. A connection on which
+ * nothing is sent needs no heartbeat, because nothing can be delayed on it.
  *
- * <p>The bound. With a record sent at least every p ms, a dead connection is closed at most
- * askAfter + p + patience + p + GRACE ms after the last byte was received (each p at most, since
- * both the question and the check wait for the next use; a caller that checks more often puts that
- * period in place of the second p), plus 1 ms for each BYTES_PER_MS bytes the question waits
- * behind. The next attempt to connect begins pause ms later and is given up after connectTimeout
- * ms, so once packets pass again a connection stands within connectTimeout + pause ms and a round
- * trip.
+ * <p>Bound: if a record is sent at least every p ms, a dead connection is closed at most
+ * probeAfterMs + p + answerTimeoutMs + p + GRACE_MS after the last byte was received, plus 1 ms for
+ * each MIN_LINK_BYTES_PER_MS bytes queued before the probe. Both the probe and the check wait for
+ * the next use of the connection, hence p twice; for a caller that checks more often, its check
+ * interval replaces the second p. The next connection attempt starts reconnectDelayMs later and is
+ * abandoned after connectTimeoutMs, so once packets pass again a connection is established within
+ * connectTimeoutMs + reconnectDelayMs and a round trip.
  *
- * <p>Slow machines. Patience is at least twice the slowest answer lately seen, up to SLOWEST times
- * the usual, so a machine that is slow but answers keeps its connection; and it doubles with each
- * connection in turn that was accepted and never answered, so a frozen process isn't handed a new
- * connection each second, to be read when it wakes.
+ * <p>Slow peers: the answer time-out is at least twice the slowest recent answer, up to
+ * MAX_TIMEOUT_FACTOR times answerTimeoutMs, so a slow peer that answers keeps its connection. It
+ * doubles with each consecutive connection that was accepted and never answered, so that a frozen
+ * process doesn't accumulate a new connection each second, all of which it would read once it
+ * resumes.
  *
- * <p>Times in ms.
- *
- * @param probeAfterMs how long nothing was received before a record asks for an answer
- * @param answerTimeoutMs how long that answer may take
- * @param connectTimeoutMs how long an attempt to connect may take
- * @param reconnectDelayMs between the end of a connection, or of an attempt, and the next attempt
+ * @param probeAfterMs time without received bytes after which a record requests an answer
+ * @param answerTimeoutMs time within which that answer must arrive
+ * @param connectTimeoutMs time within which a connection must be established
+ * @param reconnectDelayMs time between the end of a connection or attempt and the next attempt
  */
 public record Liveness(
     long probeAfterMs, long answerTimeoutMs, int connectTimeoutMs, long reconnectDelayMs) {
-  /** Time for what has arrived meanwhile to be read, where this process itself was late. */
+  /** Time to read bytes that arrived while this process itself was delayed. */
   public static final long GRACE_MS = 50;
 
-  /** The slowest link that is allowed for. */
+  /** The slowest link speed that the time-outs allow for. */
   static final long MIN_LINK_BYTES_PER_MS = 1000;
 
-  /** How many times the usual patience a slow or silent peer may be given. */
+  /** The answer time-out of a slow or silent peer grows to at most this multiple. */
   static final long MAX_TIMEOUT_FACTOR = 4;
 
   /**
-   * For connections of the data plane. Relays ask every 800 ms at the most and have leases of
-   * seconds, so an unanswered question is found out when the next is asked, 1.65 s after the last
-   * byte; the connect timeout is above the round trip between far regions.
+   * For connections of the data plane. Relays send at least every 800 ms and hold leases of
+   * seconds, so an unanswered probe is detected with the next record, 1.65 s after the last byte.
+   * The connect time-out exceeds the round trip between distant regions.
    */
   public static final Liveness DATA_PLANE = new Liveness(700, 700, 500, 200);
 
   public Liveness {
     if (probeAfterMs <= 0 || answerTimeoutMs <= 0 || connectTimeoutMs <= 0 || reconnectDelayMs <= 0)
-      throw new IllegalArgumentException("every time must be above 0");
+      throw new IllegalArgumentException("all time-outs must be positive");
   }
 
   /**
-   * For connections between members that send a sign of life every alive ms and count as dead after
-   * dead ms of silence. The dead connection is closed alive + dead / 2 + GRACE ms and a check after
-   * its last byte and begun anew within dead / 2 + alive / 2 ms, so one machine's short cut is over
-   * before the member counts as dead, or soon after the cut ends.
+   * For connections between members that send a heartbeat every heartbeatMs and are considered dead
+   * after deadAfterMs of silence. A dead connection is closed heartbeatMs + deadAfterMs / 2 +
+   * GRACE_MS, plus one check interval, after its last byte and reopened within deadAfterMs / 2 +
+   * heartbeatMs / 2. So a member recovers from a short network failure before it is considered
+   * dead, or soon after the failure ends.
    */
   public static Liveness forMembers(int heartbeatMs, int deadAfterMs) {
     return new Liveness(
--- a/common/src/main/java/gladelug/common/connection/PersistentConnection.java
+++ b/common/src/main/java/gladelug/common/connection/PersistentConnection.java
@@ -8,11 +8,12 @@
 import java.util.function.Consumer;
 
 /**
- * A connection to one address that reconnects by itself until it is closed: opened at once, opened
- * again after it ends, reset after a read time-out, with one attempt to connect at a time. What is
- * sent while there is no connection is lost, as records on any connection may be.
+ * A connection to one address that reconnects automatically until it is closed. It is opened at
+ * once, reopened after it ends and reset after a read time-out, with one connection attempt at a
+ * time. Records sent while it is disconnected are lost, as records on any connection may be.
  */
 public final class PersistentConnection {
+  /** Receives records, on the connection's event loop. */
   public interface RecordHandler {
     void record(PersistentConnection connection, byte[] record) throws IOException;
   }
@@ -38,7 +39,11 @@
     this(vertx, acceptor, remoteAddress, protocol, Liveness.DATA_PLANE, recordHandler, onConnected);
   }
 
-  /** opened is told of each new connection, once records may be sent. */
+  /**
+   * Starts to connect.
+   *
+   * @param onConnected called for each new connection, once records may be sent
+   */
   public PersistentConnection(
       Vertx vertx,
       ConnectionAcceptor acceptor,
@@ -99,8 +104,8 @@
   }
 
   /**
-   * Begins the connection anew where an answer is overdue. Sending does so too; whoever needs the
-   * bound to be tighter than the time between two records calls this in between.
+   * Reconnects if an answer is overdue. {@link #send} checks this too; callers that need a tighter
+   * bound than the time between two records call this method in between.
    */
   public void closeIfSilent() {
     Connection c = connection;
--- a/common/src/main/java/gladelug/common/connection/ReadTimeoutDetector.java
+++ b/common/src/main/java/gladelug/common/connection/ReadTimeoutDetector.java
@@ -3,9 +3,9 @@
 import gladelug.common.Clock;
 
 /**
- * Decides for one persistent connection, and its successors, which records ask for an answer and
- * when a missing answer means that the connection is dead. No I/O; called by those who send and by
- * the event loop that receives.
+ * Decides, for a persistent connection and its successors, which records request an answer and when
+ * a missing answer means that the connection is dead. Does no I/O. Thread-safe: called by senders
+ * and by the receiving event loop.
  */
 public final class ReadTimeoutDetector {
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -19,7 +19,7 @@
   private long bytesSinceReceived;
   private long slowestAnswerMs;
 
-  /** Connections in turn that were accepted and then never answered. */
+  /** Number of consecutive connections that were accepted but never answered. */
   private int unansweredConnections;
 
   public ReadTimeoutDetector(Liveness bounds, Clock clock) {
@@ -27,7 +27,7 @@
     this.clock = clock;
   }
 
-  /** A new connection stands; nothing was received on it yet. */
+  /** Records that a new connection was established. */
   public synchronized void onConnected() {
     if (probedAtMs != NEVER && lastReceivedAtMs == NEVER)
       unansweredConnections = Math.min(unansweredConnections + 1, MAX_DOUBLINGS);
@@ -36,7 +36,7 @@
     bytesSinceReceived = 0;
   }
 
-  /** A record of this length is being sent: whether it should ask for an answer. */
+  /** Records that a record is sent; returns whether it must request an answer. */
   public synchronized boolean onSending(int bytes) {
     bytesSinceReceived += bytes;
     long nowMs = clock.now();
@@ -52,7 +52,7 @@
     return Math.max(bounds.answerTimeoutMs() << unansweredConnections, slowPeerMs);
   }
 
-  /** Bytes have arrived, whatever they are. */
+  /** Records that bytes were received; any bytes count as an answer. */
   public synchronized void onReceived() {
     lastReceivedAtMs = clock.now();
     bytesSinceReceived = 0;
@@ -63,7 +63,7 @@
     probedAtMs = NEVER;
   }
 
-  /** Whether an answer is overdue. */
+  /** Returns whether an answer is overdue. */
   public synchronized boolean isSilent() {
     return probedAtMs != NEVER && clock.now() - probedAtMs >= allowedMs;
   }
--- a/common/src/main/java/gladelug/common/disk/DataFolder.java
+++ b/common/src/main/java/gladelug/common/disk/DataFolder.java
@@ -16,8 +16,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The one data folder: a lock so that two processes never share it, the identity of the disk, and
- * the ring's files, preallocated so that a full disk shows at start-up and not later.
+ * A process's data folder. It contains a lock file, so that two processes never share it, the
+ * identity of the disk, and the ring files, which are preallocated so that a full disk is detected
+ * at start-up and not later.
  */
 public final class DataFolder implements Storage, AutoCloseable {
   private static final int FILE_COUNT = 4, CHUNK_BYTES = 1 << 20;
@@ -28,7 +29,11 @@
   private final FileLock lock;
   private final FileChannel[] files = new FileChannel[FILE_COUNT];
 
-  /** size: of each of the ring's files in bytes, where the folder is made now. */
+  /**
+   * Creates the folder if it doesn't exist and locks it.
+   *
+   * @param ringFileBytes size of each ring file that {@link #createRingFiles} makes
+   */
   public DataFolder(Path directory, int ringFileBytes) {
     this.directory = directory;
     this.ringFileBytes = ringFileBytes;
@@ -41,7 +46,7 @@
       try {
         acquired = lockFile.tryLock();
       } catch (OverlappingFileLockException e) {
-        // held by this very process: the same answer
+        // held by this process: treated as held by another one
       }
       lock = acquired;
     } catch (IOException e) {
@@ -57,7 +62,7 @@
     return directory;
   }
 
-  /** The text of identity.json, or null where there is none. */
+  /** Returns the text of identity.json, or null if the file doesn't exist. */
   public String readIdentity() {
     Path file = directory.resolve(IDENTITY_FILE);
     if (!Files.exists(file)) return null;
@@ -69,7 +74,7 @@
     }
   }
 
-  /** Replaced whole: written aside, synced, renamed, folder synced. */
+  /** Replaces identity.json atomically: writes and syncs a temporary file, then renames it. */
   public void writeIdentity(String text) {
     try {
       Path temporaryFile = directory.resolve(IDENTITY_FILE + ".new");
@@ -97,9 +102,10 @@
   }
 
   /**
-   * Makes the ring's files and opens them, in a folder without an identity. What an earlier attempt
-   * left unfinished is made whole; a file that holds anything is left as it is. True where none
-   * holds anything.
+   * Creates and opens the ring files in a folder without an identity. Files that an earlier attempt
+   * left incomplete are completed; files that contain data are left unchanged.
+   *
+   * @return whether all files contain only zeros
    */
   public boolean createRingFiles() {
     boolean blank = true;
@@ -148,8 +154,8 @@
   }
 
   /**
-   * Opens the ring's files in a folder that has an identity, of the size that it names. They were
-   * all there before it was written, so one that is missing or has another size is damage.
+   * Opens the ring files in a folder that has an identity, which states their size. The files are
+   * created before the identity is written, so a missing file or one of another size is damage.
    */
   public void openRingFiles(int ringFileSize) {
     ringFileBytes = ringFileSize;
@@ -192,7 +198,7 @@
   public byte[] read(int file) throws IOException {
     ByteBuffer buffer = ByteBuffer.allocate(ringFileBytes);
     while (buffer.hasRemaining() && files[file].read(buffer, buffer.position()) >= 0) {
-      // until all of it is read
+      // until the whole file is read
     }
     return buffer.array();
   }
--- a/common/src/main/java/gladelug/common/disk/RecordRing.java
+++ b/common/src/main/java/gladelug/common/disk/RecordRing.java
@@ -13,15 +13,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * A ring of preallocated files that keeps the newest state of each key. A write is one frame with
- * length, checksum and sequence, padded to 512 bytes, and is synced before the next begins; so at
- * most the last frame can be torn, and that tail is cut. A bad frame with a good one behind it is
- * damage: open() then says so and the member must not go on. Each file begins with a snapshot of
- * all live values, so when the ring comes round nothing alive is in the file that is reused.
+ * A ring of preallocated files that stores the newest state of each key. Each write is one frame
+ * with length, checksum and sequence number, padded to 512 bytes, and is synced before the next
+ * starts; so only the last frame can be torn, and {@link #open} drops it. An invalid frame that is
+ * followed by a valid one is damage: {@code open} then fails, and the member must not continue.
+ * Each file begins with a snapshot of all live entries, so a file that is reused contains no live
+ * entry that isn't also in a newer file.
  */
 public final class RecordRing {
+  /** A key and its encoded state. */
   public record Entry(String key, byte[] state) {}
 
+  /** Thrown when the files contain damage that is not a torn last frame. */
   public static final class DamagedRingException extends IOException {
     DamagedRingException(String what) {
       super(what);
@@ -29,8 +32,8 @@
   }
 
   /**
-   * The disk took no bytes, as a full one does; nothing was synced, and the same may be written
-   * again.
+   * Thrown when the disk rejects a write, for example because it is full. Nothing was synced, so
+   * the write may be retried.
    */
   public static final class WriteRefusedException extends IOException {
     WriteRefusedException(IOException cause) {
@@ -55,19 +58,19 @@
     return Map.copyOf(live);
   }
 
-  /** How many bytes one file holds, and so the whole live state at the most. */
+  /** Returns the size of one file in bytes, which also bounds the live state. */
   public int fileBytes() {
     return storage.fileBytes();
   }
 
-  /** Whether nothing was ever written. */
+  /** Returns whether nothing was ever written. */
   public boolean isUnwritten() {
     return sequence == 0;
   }
 
   private record Frame(long sequence, byte type, List<Entry> entries, int endOffset) {}
 
-  /** A ring over files that are known to hold nothing, which are not read. */
+  /** Creates a ring over files that are known to contain no frames, without reading them. */
   public static RecordRing createBlank(Storage storage) {
     RecordRing ring = new RecordRing(storage);
     ring.currentFile = storage.fileCount() - 1;
@@ -75,7 +78,7 @@
     return ring;
   }
 
-  /** The ring that the files hold, read whole. */
+  /** Reads all files and restores the ring that they contain. */
   public static RecordRing open(Storage storage) throws IOException {
     int newestFile = -1;
     long newestSequence = 0;
@@ -91,7 +94,8 @@
     if (newestFile < 0) {
       for (int i = 0; i < storage.fileCount(); i++)
         if (hasLaterFrame(contents[i], 0, 0))
-          throw new DamagedRingException("no snapshot in any file but frames behind one");
+          throw new DamagedRingException(
+              "no file begins with a valid snapshot, but valid frames follow");
       return createBlank(storage);
     }
     RecordRing ring = new RecordRing(storage);
@@ -108,7 +112,7 @@
                 + frame.sequence
                 + " in file "
                 + newestFile
-                + " is of the unknown kind "
+                + " has the unknown kind "
                 + frame.type);
       for (Entry entry : frame.entries)
         if (!entry.key.isEmpty()) ring.live.put(entry.key, entry.state);
@@ -117,11 +121,14 @@
     }
     if (hasLaterFrame(bytes, ring.writeOffset, ring.sequence))
       throw new DamagedRingException(
-          "bad frame " + (ring.sequence + 1) + " with later ones behind it in file " + newestFile);
+          "invalid frame "
+              + (ring.sequence + 1)
+              + " is followed by later frames in file "
+              + newestFile);
     int nextFile = (newestFile + 1) % storage.fileCount();
     if (hasLaterFrame(contents[nextFile], 0, ring.sequence))
       throw new DamagedRingException(
-          "bad snapshot in file " + nextFile + " with later frames behind it");
+          "invalid snapshot in file " + nextFile + " is followed by later frames");
     return ring;
   }
 
@@ -187,9 +194,10 @@
   }
 
   /**
-   * Writes and syncs; when this returns the entries last. After a Refused the same entries, or
-   * more, may be written again; after any other IOException the ring must not be used again, as a
-   * failed sync says nothing of what lasts.
+   * Writes and syncs the entries; when this method returns they are durable. After a {@link
+   * WriteRefusedException} the same entries, or more, may be written again. After any other
+   * IOException the ring must not be used any more, because after a failed sync it is unknown what
+   * is durable.
    */
   public void write(List<Entry> entries) throws IOException {
     for (Entry entry : entries) if (!entry.key.isEmpty()) live.put(entry.key, entry.state);
--- a/common/src/main/java/gladelug/common/disk/package-info.java
+++ b/common/src/main/java/gladelug/common/disk/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A ring of preallocated files in one data folder: records with length, checksum and sequence, many
- * writers to one sync. A torn tail is dropped; damage before the tail stops the member. Live
- * entries are carried forward before a file is used again. One thread writes.
+ * Durable storage: a ring of preallocated files in a data folder. Frames carry a length, a checksum
+ * and a sequence number, and one sync covers the entries of many callers. A torn last frame is
+ * dropped; damage before it stops the member. Live entries are copied forward before a file is
+ * reused. Only one thread writes.
  */
 package gladelug.common.disk;
--- a/common/src/main/java/gladelug/common/message/BinaryDelta.java
+++ b/common/src/main/java/gladelug/common/message/BinaryDelta.java
@@ -4,15 +4,14 @@
 import java.util.Arrays;
 
 /**
- * The difference between two values of a key, for a push: how many bytes of the old value's
- * beginning and end stay, and what stands between them now. A configuration that grows or changes
- * in one place is small that way, however large it is. Whoever applies it checks the digest of the
- * result.
+ * The difference between two versions of a value: the lengths of the common prefix and suffix, and
+ * the new bytes between them. The delta is small if the value changes in one place, however large
+ * the value is. The caller of {@link #apply} must check the digest of the result.
  */
 public final class BinaryDelta {
   private BinaryDelta() {}
 
-  /** Null where sending the value whole is hardly longer. */
+  /** Returns the delta, or null if it would save less than about half of the full value. */
   public static byte[] between(byte[] old, byte[] updated) {
     int shorter = Math.min(old.length, updated.length), prefixLength = 0, suffixLength = 0;
     while (prefixLength < shorter && old[prefixLength] == updated[prefixLength]) prefixLength++;
@@ -28,7 +27,7 @@
         .array();
   }
 
-  /** Null where the delta can't be one of this value. */
+  /** Returns the updated value, or null if the delta doesn't fit the old value. */
   public static byte[] apply(byte[] old, byte[] delta) {
     if (delta.length < 8) return null;
     ByteBuffer buffer = ByteBuffer.wrap(delta);
--- a/common/src/main/java/gladelug/common/message/DecisionRecords.java
+++ b/common/src/main/java/gladelug/common/message/DecisionRecords.java
@@ -5,14 +5,17 @@
 import java.io.IOException;
 
 /**
- * What a relay sends to peers on other machines so that its requests can be explained when it is
- * gone: a numbered batch of decision records, a JSON text a line, deflated. Best effort; never
- * answered.
+ * Decision records that a relay sends to peers on other machines, so that its requests can be
+ * explained after the relay is gone. Delivery is best effort and never acknowledged.
  */
 public sealed interface DecisionRecords extends WireRecord {
   /**
-   * low and high: the numbers of the requests in it; skipped: records left out so far for want of
-   * room.
+   * A numbered batch of decision records.
+   *
+   * @param firstNumber the lowest request number in the batch
+   * @param lastNumber the highest request number in the batch
+   * @param skippedCount number of records dropped so far for lack of space
+   * @param deflated the records as deflated JSON, one per line
    */
   record Batch(
       String relay,
--- a/common/src/main/java/gladelug/common/message/Hello.java
+++ b/common/src/main/java/gladelug/common/message/Hello.java
@@ -4,7 +4,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** The first record on every connection: which protocol follows and who is calling. */
+/** The first record on every connection: the protocol that follows and the name of the caller. */
 public record Hello(String protocol, String name) implements WireRecord {
   public static final String CORE = "core/1",
       STATE_UPDATES = "news/1",
--- a/common/src/main/java/gladelug/common/message/Lookup.java
+++ b/common/src/main/java/gladelug/common/message/Lookup.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * What a relay asks an index process and what that answers. The blocks are the prompt's prefix
- * chain, so the answer per holder is how many leading blocks its entries match, and how much of the
- * next one it keeps in part; a warming or silent index says so and the relay goes on without a
- * hint.
+ * Messages between relays and index processes. A query contains the prompt's chain of prefix
+ * blocks; the response states, for each holder, how many leading blocks it has cached and how much
+ * of the next block. While an index is warming up its response says so, and the relay continues
+ * without a hint, as it does if no response arrives.
  */
 public sealed interface Lookup extends WireRecord {
   /**
-   * What one holder keeps of a prompt's chain, a hint only.
+   * The part of a prompt's chain that a holder has cached; only a hint.
    *
-   * @param holder the holder's instance
-   * @param readBlocks leading blocks, counted whole
-   * @param partialUnits units (tokens) kept of the block after those where it is kept in part, else
+   * @param holder instance ID of the replica or store
+   * @param readBlocks number of leading blocks that are cached in full
+   * @param partialUnits cached units (tokens) of the following block if it is cached in part, else
    *     0
    */
   record Match(String holder, int blocks, int partialUnits) {
@@ -26,6 +26,7 @@
     }
   }
 
+  /** A relay's query for the holders of a prompt's blocks. */
   record Query(long sequence, long[] blocks) implements Lookup {
     @Override
     public int type() {
@@ -41,32 +42,32 @@
   }
 
   /**
-   * What a replica has to do of what all relays sent it, as the index was told.
+   * A replica's outstanding work from all relays, as reported to the index.
    *
-   * @param holder the replica's instance
-   * @param busyMs how long prompts that it was given keep it busy from now
-   * @param runningRequests requests that it should have now
-   * @param partialUnits what those take of its memory
+   * @param holder instance ID of the replica
+   * @param busyMs how long assigned prompts keep the replica busy, in ms from now
+   * @param runningRequests estimated number of requests that it is running
+   * @param partialUnits the part of its memory that those requests use, in units (tokens)
    */
   record Load(String holder, int busyMs, int runningRequests, int memoryUnits) {}
 
   /**
-   * What a request is expected to ask of its replica.
+   * The expected cost of a request for its replica.
    *
-   * @param prefillMs until its prompt is computed or pulled
-   * @param decodeMs from then to its last event
-   * @param partialUnits what it takes of the replica's memory
+   * @param prefillMs time in ms until its prompt is computed or fetched
+   * @param decodeMs time in ms from then to its last event
+   * @param partialUnits memory that it uses at the replica, in units (tokens)
    */
   record Work(int prefillMs, int decodeMs, int memoryUnits) {
     public static final Work UNKNOWN = new Work(0, 0, 0);
   }
 
   /**
-   * What the index knows of the fleet beside a prompt: who is busy, and how scarce memory is.
+   * The index's view of the whole fleet, independent of a prompt: loads and memory pressure.
    *
-   * @param loads replicas that are busy; one that isn't named is not, or was left out for length
-   * @param evictionRatio of the blocks stored lately at all holders, how many drove another out: 0
-   *     with plenty of memory, about 1 where every holder is full
+   * @param loads busy replicas; others are idle or were omitted to keep the message short
+   * @param evictionRatio fraction of the blocks recently stored at all holders that evicted another
+   *     block: 0 with plenty of memory, about 1 if every holder is full
    */
   record FleetLoad(List<Load> loads, double evictionRatio) {
     public static final FleetLoad UNKNOWN = new FleetLoad(List.of(), 0);
@@ -95,7 +96,8 @@
   }
 
   /**
-   * fleet follows the matches only where there is something to say, as earlier releases read it.
+   * The response to a {@link Query}. The fleet load is written only if it is known, because earlier
+   * releases end the record after the matches.
    */
   record Response(long sequence, boolean warm, List<Match> matches, FleetLoad fleetLoad)
       implements Lookup {
@@ -125,8 +127,8 @@
   }
 
   /**
-   * A relay sent a prompt of these blocks to a holder, which will keep them though no event told of
-   * it yet, and has so much work with it; earlier releases don't tell that.
+   * Reports that a relay sent a prompt to a holder, which will cache its blocks although no cache
+   * event has announced them yet. Earlier releases omit the expected work.
    */
   record Placement(String holder, long[] blocks, Work work) implements Lookup {
     public Placement(String holder, long[] blocks) {
@@ -152,7 +154,7 @@
 
   private static long[] readBlocks(DataInputStream in) throws IOException {
     int n = in.readInt();
-    if (n < 0 || n > in.available() / 8) throw new IOException("impossible number of blocks " + n);
+    if (n < 0 || n > in.available() / 8) throw new IOException("invalid block count " + n);
     long[] b = new long[n];
     for (int i = 0; i < n; i++) b[i] = in.readLong();
     return b;
--- a/common/src/main/java/gladelug/common/message/Shuffle.java
+++ b/common/src/main/java/gladelug/common/message/Shuffle.java
@@ -6,10 +6,16 @@
 import java.util.List;
 
 /**
- * What neighbours exchange so that each keeps a partial view of the fleet: descriptors with ages. A
- * descriptor says whom to call and in which role, never what is true.
+ * Messages with which neighbours maintain their partial views of the fleet. A descriptor states the
+ * address and role of a process; it is never a source of truth about the control state.
  */
 public sealed interface Shuffle extends WireRecord {
+  /**
+   * Describes a process of the fleet.
+   *
+   * @param generation generation of the core's member set that the process knows
+   * @param ageRounds shuffle rounds since the process described itself
+   */
   record Descriptor(
       String name,
       String role,
@@ -18,6 +24,7 @@
       String zone,
       long generation,
       int ageRounds) {
+    /** Returns a copy that is one round older. */
     public Descriptor aged() {
       return new Descriptor(
           name, role, recordsAddress, operatorAddress, zone, generation, ageRounds + 1);
--- a/common/src/main/java/gladelug/common/message/StateKeys.java
+++ b/common/src/main/java/gladelug/common/message/StateKeys.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * The names of the control state's keys, as they stand on disk and on the wire. Three of them need
- * a lease to be acted on; the core's members are pushed without one.
+ * The names of the control state's keys on disk and on the wire. Data-plane processes may act on
+ * the values of {@link #LEASED} keys only while they hold a lease; the core's members are pushed
+ * without one.
  */
 public final class StateKeys {
   public static final String CONFIGURATION = "policy",
@@ -17,8 +18,8 @@
   public static final List<String> PUSHED = List.of(CONFIGURATION, WEIGHTS, REPLICAS, CORE);
 
   /**
-   * Among the keys that a data-plane process asks for, this one says that it can read pushes with a
-   * record of shared prefixes. Releases before that don't know the key and pass it over.
+   * Marker among the keys that a data-plane process subscribes to: the process can decode pushes
+   * with information on shared prefixes. Earlier releases ignore this key.
    */
   public static final String READS_PREFIX_SHARING = "policy/prefix-sharing";
 
--- a/common/src/main/java/gladelug/common/message/StateUpdate.java
+++ b/common/src/main/java/gladelug/common/message/StateUpdate.java
@@ -6,34 +6,37 @@
 import java.util.List;
 
 /**
- * What control-plane and data-plane processes send each other on a persistent connection. A
- * data-plane process sends a {@link SubscriptionRequest} with the versions it has; the owner of a
- * key answers with a {@link LeaseGrant} where that is the newest number and pushes the newest value
- * otherwise. A subscription request after a push is its acknowledgement.
+ * Messages between control-plane and data-plane processes on a persistent connection. A data-plane
+ * process sends a {@link SubscriptionRequest} with the versions that it has; the owner of a key
+ * responds with a {@link LeaseGrant} if that version is the newest, else with the newest value. The
+ * next subscription request acknowledges a push.
  */
 public sealed interface StateUpdate extends WireRecord {
+  /** The version of a key's value that the sender has. */
   record KnownVersion(String key, long epoch, long number) {}
 
   /**
-   * left is what remains of the lease in ms; cutoffLeft, for weights, until nothing starts on old
-   * ones.
+   * A lease on a version.
+   *
+   * @param remainingMs remaining time of the lease
+   * @param cutoffRemainingMs for weights, time until no request may start on the old ones
    */
   record LeaseGrant(String key, long epoch, long number, int remainingMs, int cutoffRemainingMs) {}
 
-  /**
-   * What one relay has of a leaf of a service's share tree: requests waiting and requests using a
-   * place.
-   */
+  /** A relay's demand on a leaf of a service's quota tree: queued requests and occupied slots. */
   record QuotaDemand(String service, String leaf, int waiting, int inUse) {}
 
-  /** Places a relay sees at the replicas of a service. */
+  /** The number of slots that a relay sees at the replicas of a service. */
   record ServiceCapacity(String service, int slots) {}
 
-  /** What a relay may use of a leaf, in thousandths of a place. */
+  /** A relay's allotment of a leaf, in thousandths of a slot. */
   record QuotaAllotment(String leaf, int milliSlots) {}
 
   /**
-   * ask is the asker's own monotonic time; it comes back so that a lease counts from the asking.
+   * Subscribes to values and acknowledges the versions that the sender has.
+   *
+   * @param sentAtMs the sender's monotonic time; the response repeats it, so that a lease counts
+   *     from the time of the request
    */
   record SubscriptionRequest(
       long sentAtMs,
@@ -89,8 +92,10 @@
   }
 
   /**
-   * relays: how many relays the teller heard lately, among which what the fleet may do is shared
-   * out.
+   * The response to a {@link SubscriptionRequest} for versions that are the newest.
+   *
+   * @param relayCount number of relays that the sender heard from recently, among which fleet-wide
+   *     limits are divided
    */
   record LeaseGrants(long requestSentAtMs, List<LeaseGrant> grants, int relayCount)
       implements StateUpdate {
@@ -117,10 +122,12 @@
   }
 
   /**
-   * A value whole, or where base is not -1 the changes from the number base, see Delta.
+   * Pushes a full value or, if baseNumber is not -1, a {@link BinaryDelta} to the version with that
+   * number.
    *
-   * @param sharingSince with a configuration, the number of the one with which the tenants that
-   *     share cached prefixes began anew, 0 where they never did; below 0 where that isn't told
+   * @param sharingSince for a configuration, the number of the configuration at which the current
+   *     sharing scope started, 0 if no scope was ever replaced, negative if not sent; see {@link
+   *     gladelug.common.configuration.PrefixSharing}
    */
   record ValuePush(
       String key,
@@ -133,13 +140,13 @@
       implements StateUpdate {
     private static final long SHARING_NOT_SENT = -1;
 
-    /** A push that tells nothing of shared prefixes. */
+    /** Creates a push without information on shared prefixes. */
     public ValuePush(
         String key, long epoch, long number, long baseNumber, String digest, byte[] value) {
       this(key, epoch, number, baseNumber, digest, value, SHARING_NOT_SENT);
     }
 
-    /** The same as releases can read it that know nothing of shared prefixes. */
+    /** Returns a copy for releases that don't support information on shared prefixes. */
     public ValuePush withoutSharing() {
       return new ValuePush(key, epoch, number, baseNumber, digest, value);
     }
@@ -161,7 +168,7 @@
     }
   }
 
-  /** The receiver could not use a delta and wants the value whole. */
+  /** Requests the full value, after a delta that could not be applied. */
   record FullValueRequest(String key) implements StateUpdate {
     @Override
     public int type() {
@@ -175,8 +182,8 @@
   }
 
   /**
-   * The fleet-wide division of one service's places for one relay, under the epoch of who divides.
-   * Not full: no bounds.
+   * A relay's part of the fleet-wide division of a service's slots, in the epoch of the process
+   * that divides them. If limited is false the allotments don't apply.
    */
   record CapacityGrant(long epoch, String service, boolean limited, List<QuotaAllotment> allotments)
       implements StateUpdate {
--- a/common/src/main/java/gladelug/common/message/WireRecord.java
+++ b/common/src/main/java/gladelug/common/message/WireRecord.java
@@ -11,24 +11,30 @@
 import java.util.List;
 
 /**
- * A record between processes: a type number and fields written with DataOutputStream. Readers throw
- * IOException on anything that isn't exactly a record; the connection it came on is then closed.
+ * A record sent between processes: a type number, then fields in the format of DataOutputStream.
+ * Decoding throws IOException for any bytes that aren't exactly one record; the connection is then
+ * closed.
  */
 public interface WireRecord {
   int MAX_RECORD_BYTES = 32 << 20;
 
+  /** Returns the type number, which is unique within the record's protocol. */
   int type();
 
+  /** Writes the fields. */
   void write(DataOutputStream out) throws IOException;
 
+  /** Reads a protocol's records by type number. */
   interface Reader<T> {
     T read(int type, DataInputStream in) throws IOException;
   }
 
+  /** Reads an item of a list. */
   interface ItemReader<T> {
     T read(DataInputStream in) throws IOException;
   }
 
+  /** Writes an item of a list. */
   interface ItemWriter<T> {
     void write(DataOutputStream out, T record) throws IOException;
   }
@@ -52,7 +58,7 @@
     } catch (IllegalArgumentException e) {
       throw new IOException("malformed record", e);
     }
-    if (in.available() > 0) throw new IOException("bytes after the end of a record");
+    if (in.available() > 0) throw new IOException("unexpected bytes after the end of a record");
     return record;
   }
 
@@ -65,7 +71,7 @@
   static <T> List<T> readList(DataInputStream in, ItemReader<T> reader) throws IOException {
     int length = in.readInt();
     if (length < 0 || length > in.available())
-      throw new IOException("list of impossible length " + length);
+      throw new IOException("invalid list length " + length);
     List<T> items = new ArrayList<>(length);
     for (int i = 0; i < length; i++) items.add(reader.read(in));
     return List.copyOf(items);
@@ -79,11 +85,11 @@
   static byte[] readBlob(DataInputStream in) throws IOException {
     int length = in.readInt();
     if (length < 0 || length > in.available())
-      throw new IOException("blob of impossible length " + length);
+      throw new IOException("invalid blob length " + length);
     return in.readNBytes(length);
   }
 
-  /** A text of any length; writeUTF stops at 65535 bytes. */
+  /** Writes a text of any length; writeUTF is limited to 65535 bytes. */
   static void writeText(DataOutputStream out, String text) throws IOException {
     writeBlob(out, text.getBytes(StandardCharsets.UTF_8));
   }
--- a/common/src/main/java/gladelug/common/message/package-info.java
+++ b/common/src/main/java/gladelug/common/message/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Records that control plane and data plane exchange, with their codecs: state updates and leases,
- * lookups, the shuffling of partial views, decision records. Tags and the order of fields are the
- * wire format and stay; a record that can't be read closes its connection.
+ * lookups, shuffles of partial views, and decision records. Type numbers and the order of fields
+ * are the wire format and must not change; a record that can't be decoded closes its connection.
  */
 package gladelug.common.message;
--- a/common/src/main/java/gladelug/common/view/PartialView.java
+++ b/common/src/main/java/gladelug/common/view/PartialView.java
@@ -11,32 +11,32 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * A partial view of the fleet, shuffled between neighbours: each round the oldest neighbour is
- * asked, given a few descriptors with our own among them, and gives as many back. One that doesn't
- * answer has left the view by being asked. A random sample of a large fleet seldom holds the few
- * processes that everybody calls, so those are kept in a directory beside the sample and go along
- * with every exchange. Pure: chance and sending are handed in. A view says whom to call, never what
- * is true.
+ * A partial view of the fleet, maintained by shuffling. In each round the neighbour with the oldest
+ * descriptor is removed from the sample and sent a few descriptors, including the own one; it
+ * returns as many. A neighbour that doesn't respond stays removed. A random sample of a large fleet
+ * rarely contains the few processes that all others call, so those are kept in a directory beside
+ * the sample, and part of it is sent with every exchange. Does no I/O; randomness is injected. A
+ * view states whom to call and is never a source of truth about the control state.
  */
 public final class PartialView {
-  /** Descriptors in the sample at most. */
+  /** Maximum number of descriptors in the sample. */
   private static final int SAMPLE_SIZE = 16;
 
-  /** Descriptors of the sample, our own among them, that an exchange brings. */
+  /** Number of descriptors, including the own one, that an exchange sends from the sample. */
   private static final int MAX_SENT_FROM_SAMPLE = 6;
 
-  /** After how many rounds without fresh word of it a process leaves the sample. */
+  /** Descriptors that were not renewed for more rounds leave the sample. */
   private static final int SAMPLE_MAX_AGE_ROUNDS = 120;
 
-  /** Of which roles all processes are known, as everybody calls them and they are few. */
+  /** Roles whose processes are all kept, because they are few and called by all others. */
   private static final Set<String> DIRECTORY_ROLES = Set.of("index");
 
   private static final int DIRECTORY_SIZE = 64;
 
-  /** How many of the directory an exchange brings at most. */
+  /** Maximum number of directory entries that an exchange sends. */
   static final int MAX_SENT_FROM_DIRECTORY = 16;
 
-  /** After how many rounds without fresh word of it a process leaves the directory. */
+  /** Descriptors that were not renewed for more rounds leave the directory. */
   static final int DIRECTORY_MAX_AGE_ROUNDS = 20;
 
   private final Descriptor self;
@@ -55,7 +55,7 @@
     generation = Math.max(generation, newGeneration);
   }
 
-  /** The sample, and all of the directory. */
+  /** Returns the sample and the whole directory. */
   public List<Descriptor> all() {
     Map<String, Descriptor> all = new LinkedHashMap<>(sampled);
     all.putAll(directory);
@@ -73,7 +73,7 @@
         0);
   }
 
-  /** Whom to shuffle with now and what to say, or null where the view is empty. */
+  /** Starts a round; returns the neighbour and the request to send, or null if there is none. */
   public Map.Entry<Descriptor, Shuffle.Request> nextShuffle() {
     sampled.replaceAll((name, descriptor) -> descriptor.aged());
     sampled.values().removeIf(PartialView::isExpired);
@@ -86,7 +86,7 @@
     return Map.entry(oldest, createRequest());
   }
 
-  /** What to say to a seed, of which only the address is known. */
+  /** Returns a request for a seed, of which only the address is known. */
   public Shuffle.Request createRequest() {
     List<Descriptor> drawn = drawSample(sampled, MAX_SENT_FROM_SAMPLE - 1);
     sentNames = drawn.stream().map(Descriptor::name).toList();
@@ -106,9 +106,9 @@
   }
 
   /**
-   * These, our own descriptor, and some of the directory: what an exchange brings. Entries of the
-   * directory age by being passed on as well, so that those of the dead don't stay young by going
-   * from hand to hand.
+   * Returns the descriptors of an exchange: the drawn ones, the own one and some of the directory.
+   * Directory entries also age each time they are sent, so that those of dead processes don't stay
+   * young by being passed around.
    */
   private List<Descriptor> composeExchange(List<Descriptor> drawn) {
     Map<String, Descriptor> descriptors = new LinkedHashMap<>();
--- a/common/src/main/java/gladelug/common/view/PartialViewService.java
+++ b/common/src/main/java/gladelug/common/view/PartialViewService.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Runs the shuffling of views on one duty: a round a second over short connections, begun from the
- * seed addresses while the view is small.
+ * Runs the shuffles of a {@link PartialView} on one worker thread, over short-lived connections. It
+ * contacts the seed addresses while the view has fewer than 3 entries.
  */
 public final class PartialViewService implements ServiceRegistry.Service {
-  /** Rounds are quick while a process is new, then slower; ms. */
+  /** A new process runs its first {@link #FAST_ROUNDS} rounds at the shorter interval. */
   private static final long FAST_INTERVAL_MS = 1000,
       SLOW_INTERVAL_MS = 3000,
       RESPONSE_TIMEOUT_MS = 900;
@@ -44,6 +44,7 @@
     this.worker = new SingleThreadWorker("views", 1024, Clock.monotonic());
   }
 
+  /** Returns the descriptors after the last round; may be called on any thread. */
   public List<Shuffle.Descriptor> all() {
     return snapshot;
   }
@@ -60,7 +61,7 @@
         (hello, connection) ->
             record -> {
               if (!(WireRecord.decode(record, Shuffle::read) instanceof Shuffle.Request request))
-                throw new IOException("an answer nobody asked for");
+                throw new IOException("unexpected shuffle response");
               worker.offer(
                   () -> {
                     connection.send(view.onRequest(request));
@@ -98,7 +99,7 @@
                   public void record(byte[] record) throws IOException {
                     if (!(WireRecord.decode(record, Shuffle::read)
                         instanceof Shuffle.Response response))
-                      throw new IOException("a request where an answer was due");
+                      throw new IOException("unexpected shuffle request, a response was due");
                     worker.offer(
                         () -> {
                           view.onResponse(response);
--- a/common/src/test/java/gladelug/common/StallDetectorTest.java
+++ b/common/src/test/java/gladelug/common/StallDetectorTest.java
@@ -56,7 +56,7 @@
     pass(6);
     Assertions.assertEquals(List.of(), ended);
     pass(1);
-    Assertions.assertEquals(List.of("core stands still"), ended);
+    Assertions.assertEquals(List.of("core is stalled"), ended);
   }
 
   @Test
@@ -91,7 +91,7 @@
     Assertions.assertEquals("", detector.stalledThread());
     full[0] = false;
     pass(12);
-    Assertions.assertTrue(ended.contains("index stands still"), "once it took a task: " + ended);
+    Assertions.assertTrue(ended.contains("index is stalled"), "once it took a task: " + ended);
   }
 
   @Test
