--- a/common/src/main/java/gladelug/common/Address.java
+++ b/common/src/main/java/gladelug/common/Address.java
@@ -3,54 +3,55 @@
 /** An IPv4 address and a port. Host names are not supported, so no address needs a lookup. */
 public record Address(String host, int port) {
   public static Result<Address> parse(String text, String place) {
-    int c = text.lastIndexOf(':');
-    if (c <= 0) return Result.bad(place, "must be IP:PORT, not " + text);
-    String h = text.substring(0, c);
-    int p;
+    int colon = text.lastIndexOf(':');
+    if (colon <= 0) return Result.bad(place, "must be IP:PORT, not " + text);
+    String host = text.substring(0, colon);
+    int port;
     try {
-      p = Integer.parseInt(text.substring(c + 1));
+      port = Integer.parseInt(text.substring(colon + 1));
     } catch (NumberFormatException e) {
       return Result.bad(place, "must end with a port number: " + text);
     }
-    if (p < 0 || p > 65535) return Result.bad(place, "port must be from 0 to 65535: " + text);
-    if (ipv4ToLong(h) < 0) return Result.bad(place, "must be an IP number, not a name: " + h);
-    return Result.good(new Address(h, p));
+    if (port < 0 || port > 65535) return Result.bad(place, "port must be from 0 to 65535: " + text);
+    if (ipv4ToLong(host) < 0) return Result.bad(place, "must be an IP number, not a name: " + host);
+    return Result.good(new Address(host, port));
   }
 
   public static Address of(String text) {
-    if (parse(text, "address") instanceof Result.Good<Address> g) return g.value();
+    if (parse(text, "address") instanceof Result.Good<Address> good) return good.value();
     throw new IllegalArgumentException("not an address: " + text);
   }
 
-  public static Address read(LocatedJson.Fields f, String name, Findings findings) {
-    return read(f.text(name), f.place(name), findings);
+  public static Address read(LocatedJson.Fields fields, String name, Findings findings) {
+    return read(fields.text(name), fields.place(name), findings);
   }
 
   public static Address read(String text, String place, Findings findings) {
-    Result<Address> r = parse(text, place);
-    if (r instanceof Result.Good<Address> g) return g.value();
+    Result<Address> result = parse(text, place);
+    if (result instanceof Result.Good<Address> good) return good.value();
     if (!text.isEmpty())
-      for (Finding x : ((Result.Bad<Address>) r).findings()) findings.add(x.place(), x.what());
+      for (Finding finding : ((Result.Bad<Address>) result).findings())
+        findings.add(finding.place(), finding.what());
     return new Address("0.0.0.0", 0);
   }
 
   /** Returns the IPv4 address as an unsigned 32-bit number, or -1 if the text is not one. */
-  public static long ipv4ToLong(String h) {
-    String[] ps = h.split("\\.", -1);
-    if (ps.length != 4) return -1;
-    long n = 0;
-    for (String p : ps) {
-      if (p.isEmpty() || p.length() > 3) return -1;
-      int v = 0;
-      for (int i = 0; i < p.length(); i++) {
-        char c = p.charAt(i);
+  public static long ipv4ToLong(String host) {
+    String[] octets = host.split("\\.", -1);
+    if (octets.length != 4) return -1;
+    long address = 0;
+    for (String octet : octets) {
+      if (octet.isEmpty() || octet.length() > 3) return -1;
+      int value = 0;
+      for (int i = 0; i < octet.length(); i++) {
+        char c = octet.charAt(i);
         if (c < '0' || c > '9') return -1;
-        v = v * 10 + c - '0';
+        value = value * 10 + c - '0';
       }
-      if (v > 255) return -1;
-      n = n << 8 | v;
+      if (value > 255) return -1;
+      address = address << 8 | value;
     }
-    return n;
+    return address;
   }
 
   // Explicit, because a record's generated methods are linked by method handles on first use, which
--- a/common/src/main/java/gladelug/common/LocatedJson.java
+++ b/common/src/main/java/gladelug/common/LocatedJson.java
@@ -92,15 +92,15 @@
 
   public static Result<LocatedJson> parse(String json) {
     Findings findings = new Findings();
-    Reader r = new Reader(findings);
+    Reader reader = new Reader(findings);
     try {
-      new JsonParser(r).parse(json);
+      new JsonParser(reader).parse(json);
     } catch (ParseException e) {
       findings.add(
           "line " + e.getLocation().line + ", column " + e.getLocation().column,
           "not JSON: " + e.getMessage().replaceFirst(" at \\d+:\\d+$", ""));
     }
-    return Result.of(findings, () -> r.lastValue);
+    return Result.of(findings, () -> reader.lastValue);
   }
 
   public Fields fields(Findings findings) {
@@ -129,8 +129,8 @@
       positions.push(new Position(null, null, 0));
     }
 
-    private void finishScalar(Kind k, String text) {
-      lastValue = new LocatedJson(k, positions.peek(), startLocations.pop(), intern(text));
+    private void finishScalar(Kind kind, String text) {
+      lastValue = new LocatedJson(kind, positions.peek(), startLocations.pop(), intern(text));
     }
 
     private String intern(String text) {
@@ -252,7 +252,7 @@
       return value == null ? node.place() : value.place();
     }
 
-    private LocatedJson get(String name, Kind k, boolean required) {
+    private LocatedJson get(String name, Kind expected, boolean required) {
       requestedNames.add(name);
       LocatedJson value = node.members.get(name);
       if (value == null) {
@@ -260,11 +260,11 @@
           findings.add(node.place(), "misses the field " + name);
         return null;
       }
-      if (value.kind != k) {
+      if (value.kind != expected) {
         findings.add(
             value.place(),
             "must be "
-                + switch (k) {
+                + switch (expected) {
                   case OBJECT -> "an object";
                   case ARRAY -> "a list";
                   case STRING -> "a text";
@@ -301,8 +301,8 @@
       LocatedJson value = get(name, Kind.NUMBER, required);
       if (value == null) return defaultValue;
       try {
-        long v = Long.parseLong(value.text);
-        if (v >= min && v <= max) return v;
+        long number = Long.parseLong(value.text);
+        if (number >= min && number <= max) return number;
       } catch (NumberFormatException e) {
         // reported below with the range
       }
@@ -313,8 +313,8 @@
     public double fraction(String name, double defaultValue, double min, double max) {
       LocatedJson value = get(name, Kind.NUMBER, false);
       if (value == null) return defaultValue;
-      double v = Double.parseDouble(value.text);
-      if (v >= min && v <= max) return v;
+      double number = Double.parseDouble(value.text);
+      if (number >= min && number <= max) return number;
       findings.add(value.place(), "must be a number from " + min + " to " + max);
       return defaultValue;
     }
@@ -330,12 +330,12 @@
     }
 
     public List<String> texts(String name, boolean required) {
-      List<String> out = new ArrayList<>();
+      List<String> texts = new ArrayList<>();
       for (LocatedJson value : list(name, required)) {
-        if (value.kind == Kind.STRING && !value.text.isBlank()) out.add(value.text);
+        if (value.kind == Kind.STRING && !value.text.isBlank()) texts.add(value.text);
         else findings.add(value.place(), "must be a text that is not empty");
       }
-      return out;
+      return texts;
     }
 
     public LocatedJson object(String name, boolean required) {
--- a/common/src/main/java/gladelug/common/Program.java
+++ b/common/src/main/java/gladelug/common/Program.java
@@ -33,10 +33,10 @@
     throw new IllegalStateException();
   }
 
-  public static <T> T valueOrExit(String program, Result<T> r) {
-    if (r instanceof Result.Good<T> g) return g.value();
+  public static <T> T valueOrExit(String program, Result<T> result) {
+    if (result instanceof Result.Good<T> good) return good.value();
     System.err.println(program + ": nothing was started because of these findings:");
-    for (Finding f : ((Result.Bad<T>) r).findings()) System.err.println("  " + f);
+    for (Finding finding : ((Result.Bad<T>) result).findings()) System.err.println("  " + finding);
     System.exit(EXIT_BAD_USAGE);
     throw new IllegalStateException();
   }
@@ -69,15 +69,15 @@
             new Thread(
                 () -> {
                   Log.event("stopping");
-                  Thread t = new Thread(registry::stop, "stop");
-                  t.setDaemon(true);
-                  t.start();
+                  Thread stopThread = new Thread(registry::stop, "stop");
+                  stopThread.setDaemon(true);
+                  stopThread.start();
                   try {
-                    t.join(stopTimeoutMs);
+                    stopThread.join(stopTimeoutMs);
                   } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
-                  Log.event("stopped", "in-time", !t.isAlive());
+                  Log.event("stopped", "in-time", !stopThread.isAlive());
                 },
                 "shutdown"));
     Log.event("started", "program", program, "services", registry.names());
--- a/common/src/main/java/gladelug/common/Result.java
+++ b/common/src/main/java/gladelug/common/Result.java
@@ -20,20 +20,20 @@
     }
   }
 
-  static <T> Result<T> good(T v) {
-    return new Good<>(v);
+  static <T> Result<T> good(T value) {
+    return new Good<>(value);
   }
 
   static <T> Result<T> bad(String place, String what) {
     return new Bad<>(List.of(new Finding(place, what)));
   }
 
-  static <T> Result<T> of(Findings findings, Supplier<T> supplier) {
-    return findings.isEmpty() ? new Good<>(supplier.get()) : new Bad<>(findings.list());
+  static <T> Result<T> of(Findings findings, Supplier<T> valueSupplier) {
+    return findings.isEmpty() ? new Good<>(valueSupplier.get()) : new Bad<>(findings.list());
   }
 
-  default <U> Result<U> flatMap(Function<T, Result<U>> f) {
-    if (this instanceof Good<T> g) return f.apply(g.value());
+  default <U> Result<U> flatMap(Function<T, Result<U>> mapper) {
+    if (this instanceof Good<T> g) return mapper.apply(g.value());
     return new Bad<>(((Bad<T>) this).findings());
   }
 }
--- a/common/src/main/java/gladelug/common/ServiceRegistry.java
+++ b/common/src/main/java/gladelug/common/ServiceRegistry.java
@@ -39,16 +39,16 @@
   private final Map<String, Service> services = new LinkedHashMap<>();
   private final ArrayDeque<String> started = new ArrayDeque<>();
 
-  public ServiceRegistry add(String name, Service s) {
-    if (services.putIfAbsent(name, s) != null)
+  public ServiceRegistry add(String name, Service service) {
+    if (services.putIfAbsent(name, service) != null)
       throw new IllegalStateException("two services named " + name);
     return this;
   }
 
   public <T> T find(String name, Class<T> type) {
-    Service s = services.get(name);
-    if (s == null) throw new StartupException("no service named " + name);
-    return type.cast(s);
+    Service service = services.get(name);
+    if (service == null) throw new StartupException("no service named " + name);
+    return type.cast(service);
   }
 
   public List<String> names() {
@@ -56,24 +56,24 @@
   }
 
   public void start() {
-    for (Map.Entry<String, Service> e : services.entrySet()) {
+    for (Map.Entry<String, Service> entry : services.entrySet()) {
       try {
-        e.getValue().start(this);
+        entry.getValue().start(this);
       } catch (RuntimeException failure) {
         stop();
         throw failure;
       }
-      started.push(e.getKey());
+      started.push(entry.getKey());
     }
   }
 
   public synchronized void stop() {
     while (!started.isEmpty()) {
-      String n = started.pop();
+      String name = started.pop();
       try {
-        services.get(n).stop();
+        services.get(name).stop();
       } catch (RuntimeException e) {
-        Log.thrown("service-stop-problem", e, "service", n);
+        Log.thrown("service-stop-problem", e, "service", name);
       }
     }
   }
--- a/common/src/main/java/gladelug/common/Settings.java
+++ b/common/src/main/java/gladelug/common/Settings.java
@@ -28,9 +28,9 @@
   }
 
   public static Result<Settings> open(String path, Map<String, String> flags) {
-    Map<String, String> fl = new HashMap<>(flags);
-    fl.values().removeIf(v -> v == null);
-    if (path == null) return Result.good(new Settings(EMPTY_FILE, fl, new Findings()));
+    Map<String, String> givenFlags = new HashMap<>(flags);
+    givenFlags.values().removeIf(v -> v == null);
+    if (path == null) return Result.good(new Settings(EMPTY_FILE, givenFlags, new Findings()));
     String text;
     try {
       text = Files.readString(Path.of(path));
@@ -38,7 +38,7 @@
       return Result.bad("settings file " + path, "cannot be read: " + e.getClass().getSimpleName());
     }
     return LocatedJson.parse(text)
-        .flatMap(json -> Result.good(new Settings(json, fl, new Findings())));
+        .flatMap(json -> Result.good(new Settings(json, givenFlags, new Findings())));
   }
 
   /** Returns the command-line flag of a setting: "ringFileMb" is --ring-file-mb. */
@@ -91,8 +91,8 @@
     if (!flags.containsKey(name)) return file.integer(name, defaultValue, min, max);
     file.integer(name, defaultValue, Long.MIN_VALUE, Long.MAX_VALUE);
     try {
-      long v = Long.parseLong(flags.get(name));
-      if (v >= min && v <= max) return v;
+      long value = Long.parseLong(flags.get(name));
+      if (value >= min && value <= max) return value;
     } catch (NumberFormatException e) {
       // reported below with the range
     }
@@ -101,8 +101,8 @@
   }
 
   public List<String> texts(String name) {
-    List<String> f = file.texts(name, false);
-    if (!flags.containsKey(name)) return f;
+    List<String> inFile = file.texts(name, false);
+    if (!flags.containsKey(name)) return inFile;
     return List.of(flags.get(name).split(",")).stream()
         .map(String::trim)
         .filter(text -> !text.isEmpty())
@@ -110,14 +110,14 @@
   }
 
   public List<Address> addresses(String name) {
-    List<Address> out = new ArrayList<>();
-    for (String text : texts(name)) out.add(Address.read(text, place(name), findings));
-    return out;
+    List<Address> addresses = new ArrayList<>();
+    for (String text : texts(name)) addresses.add(Address.read(text, place(name), findings));
+    return addresses;
   }
 
   /** Reports fields that were never read as findings, then returns the value or all findings. */
-  public <T> Result<T> build(Supplier<T> made) {
+  public <T> Result<T> build(Supplier<T> valueSupplier) {
     file.reportUnknownFields();
-    return Result.of(findings, made);
+    return Result.of(findings, valueSupplier);
   }
 }
--- a/common/src/main/java/gladelug/common/SingleThreadWorker.java
+++ b/common/src/main/java/gladelug/common/SingleThreadWorker.java
@@ -82,11 +82,11 @@
   private void runLoop() {
     while (open) {
       try {
-        ScheduledTask l = scheduled.peek();
-        long wait = l == null ? 1000 : Math.max(0, l.dueAtMs - clock.now());
-        Runnable task = wait == 0 ? queue.poll() : queue.poll(wait, TimeUnit.MILLISECONDS);
+        ScheduledTask next = scheduled.peek();
+        long waitMs = next == null ? 1000 : Math.max(0, next.dueAtMs - clock.now());
+        Runnable task = waitMs == 0 ? queue.poll() : queue.poll(waitMs, TimeUnit.MILLISECONDS);
         if (task != null) runSafely(task);
-        while ((l = scheduled.peek()) != null && l.dueAtMs <= clock.now())
+        while ((next = scheduled.peek()) != null && next.dueAtMs <= clock.now())
           runSafely(scheduled.poll().run);
       } catch (InterruptedException e) {
         return;
--- a/common/src/main/java/gladelug/common/configuration/AllowedEndpoint.java
+++ b/common/src/main/java/gladelug/common/configuration/AllowedEndpoint.java
@@ -14,41 +14,47 @@
  */
 public record AllowedEndpoint(long network, int prefixLength, int firstPort, int lastPort) {
   public static Result<AllowedEndpoint> parse(String text, String place) {
-    String h = text;
-    int lo = 1, hi = 65535, bits = 32;
+    String host = text;
+    int firstPort = 1, lastPort = 65535, prefixLength = 32;
     try {
-      int c = h.indexOf(':');
-      if (c >= 0) {
-        String[] ps = h.substring(c + 1).split("-", -1);
-        lo = Integer.parseInt(ps[0]);
-        hi = ps.length > 1 ? Integer.parseInt(ps[1]) : lo;
-        h = h.substring(0, c);
-        if (ps.length > 2) lo = -1;
+      int colon = host.indexOf(':');
+      if (colon >= 0) {
+        String[] ports = host.substring(colon + 1).split("-", -1);
+        firstPort = Integer.parseInt(ports[0]);
+        lastPort = ports.length > 1 ? Integer.parseInt(ports[1]) : firstPort;
+        host = host.substring(0, colon);
+        if (ports.length > 2) firstPort = -1;
       }
-      int sl = h.indexOf('/');
-      if (sl >= 0) {
-        bits = Integer.parseInt(h.substring(sl + 1));
-        h = h.substring(0, sl);
+      int slash = host.indexOf('/');
+      if (slash >= 0) {
+        prefixLength = Integer.parseInt(host.substring(slash + 1));
+        host = host.substring(0, slash);
       }
     } catch (NumberFormatException e) {
-      lo = -1;
+      firstPort = -1;
     }
-    long n = Address.ipv4ToLong(h);
-    if (n < 0 || bits < 0 || bits > 32 || lo < 1 || hi > 65535 || lo > hi)
+    long network = Address.ipv4ToLong(host);
+    if (network < 0
+        || prefixLength < 0
+        || prefixLength > 32
+        || firstPort < 1
+        || lastPort > 65535
+        || firstPort > lastPort)
       return Result.bad(
           place, "must be IP or IP/BITS, optionally followed by :PORT or :LOW-HIGH, not " + text);
-    return Result.good(new AllowedEndpoint(n & mask(bits), bits, lo, hi));
+    return Result.good(
+        new AllowedEndpoint(network & mask(prefixLength), prefixLength, firstPort, lastPort));
   }
 
   public boolean allows(Address address) {
-    long n = Address.ipv4ToLong(address.host());
-    return n >= 0
-        && (n & mask(prefixLength)) == network
+    long ip = Address.ipv4ToLong(address.host());
+    return ip >= 0
+        && (ip & mask(prefixLength)) == network
         && address.port() >= firstPort
         && address.port() <= lastPort;
   }
 
-  private static long mask(int bits) {
-    return bits == 0 ? 0 : 0xffffffffL << (32 - bits) & 0xffffffffL;
+  private static long mask(int prefixLength) {
+    return prefixLength == 0 ? 0 : 0xffffffffL << (32 - prefixLength) & 0xffffffffL;
   }
 }
--- a/common/src/main/java/gladelug/common/connection/PersistentConnection.java
+++ b/common/src/main/java/gladelug/common/connection/PersistentConnection.java
@@ -71,7 +71,7 @@
             protocol,
             liveness.connectTimeoutMs(),
             detector,
-            c ->
+            established ->
                 new Connection.Receiver() {
                   @Override
                   public void record(byte[] record) throws IOException {
@@ -86,9 +86,9 @@
                 })
         .subscribe()
         .with(
-            c -> {
-              connection = c;
-              if (closed || !c.isOpen()) c.close();
+            established -> {
+              connection = established;
+              if (closed || !established.isOpen()) established.close();
               else onConnected.accept(this);
             },
             failure -> reconnectLater());
@@ -99,8 +99,8 @@
   }
 
   public boolean send(WireRecord message) {
-    Connection c = connection;
-    return c != null && c.send(message);
+    Connection current = connection;
+    return current != null && current.send(message);
   }
 
   /**
@@ -108,18 +108,18 @@
    * bound than the time between two records call this method in between.
    */
   public void closeIfSilent() {
-    Connection c = connection;
-    if (c != null) c.closeIfSilent();
+    Connection current = connection;
+    if (current != null) current.closeIfSilent();
   }
 
   public boolean isOpen() {
-    Connection c = connection;
-    return c != null && c.isOpen();
+    Connection current = connection;
+    return current != null && current.isOpen();
   }
 
   public void close() {
     closed = true;
-    Connection c = connection;
-    if (c != null) c.close();
+    Connection current = connection;
+    if (current != null) current.close();
   }
 }
--- a/common/src/main/java/gladelug/common/message/Lookup.java
+++ b/common/src/main/java/gladelug/common/message/Lookup.java
@@ -16,7 +16,7 @@
    * The part of a prompt's chain that a holder has cached; only a hint.
    *
    * @param holder instance ID of the replica or store
-   * @param readBlocks number of leading blocks that are cached in full
+   * @param blocks number of leading blocks that are cached in full
    * @param partialUnits cached units (tokens) of the following block if it is cached in part, else
    *     0
    */
@@ -47,7 +47,7 @@
    * @param holder instance ID of the replica
    * @param busyMs how long assigned prompts keep the replica busy, in ms from now
    * @param runningRequests estimated number of requests that it is running
-   * @param partialUnits the part of its memory that those requests use, in units (tokens)
+   * @param memoryUnits the part of its memory that those requests use, in units (tokens)
    */
   record Load(String holder, int busyMs, int runningRequests, int memoryUnits) {}
 
@@ -56,7 +56,7 @@
    *
    * @param prefillMs time in ms until its prompt is computed or fetched
    * @param decodeMs time in ms from then to its last event
-   * @param partialUnits memory that it uses at the replica, in units (tokens)
+   * @param memoryUnits memory that it uses at the replica, in units (tokens)
    */
   record Work(int prefillMs, int decodeMs, int memoryUnits) {
     public static final Work UNKNOWN = new Work(0, 0, 0);
@@ -78,11 +78,11 @@
       WireRecord.writeList(
           out,
           loads,
-          (o, load) -> {
-            o.writeUTF(load.holder);
-            o.writeInt(load.busyMs);
-            o.writeInt(load.runningRequests);
-            o.writeInt(load.memoryUnits);
+          (itemOut, load) -> {
+            itemOut.writeUTF(load.holder);
+            itemOut.writeInt(load.busyMs);
+            itemOut.writeInt(load.runningRequests);
+            itemOut.writeInt(load.memoryUnits);
           });
       out.writeShort((int) (evictionRatio * PER_MILLE));
     }
@@ -111,18 +111,18 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(sequence);
-      o.writeBoolean(warm);
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(sequence);
+      out.writeBoolean(warm);
       WireRecord.writeList(
-          o,
+          out,
           matches,
-          (p, m) -> {
-            p.writeUTF(m.holder);
-            p.writeInt(m.blocks);
-            p.writeInt(m.partialUnits);
+          (itemOut, match) -> {
+            itemOut.writeUTF(match.holder);
+            itemOut.writeInt(match.blocks);
+            itemOut.writeInt(match.partialUnits);
           });
-      if (!fleetLoad.equals(FleetLoad.UNKNOWN)) fleetLoad.write(o);
+      if (!fleetLoad.equals(FleetLoad.UNKNOWN)) fleetLoad.write(out);
     }
   }
 
@@ -153,11 +153,12 @@
   }
 
   private static long[] readBlocks(DataInputStream in) throws IOException {
-    int n = in.readInt();
-    if (n < 0 || n > in.available() / 8) throw new IOException("invalid block count " + n);
-    long[] b = new long[n];
-    for (int i = 0; i < n; i++) b[i] = in.readLong();
-    return b;
+    int count = in.readInt();
+    if (count < 0 || count > in.available() / 8)
+      throw new IOException("invalid block count " + count);
+    long[] blocks = new long[count];
+    for (int i = 0; i < count; i++) blocks[i] = in.readLong();
+    return blocks;
   }
 
   private static Work readWork(DataInputStream in) throws IOException {
--- a/common/src/main/java/gladelug/common/message/Shuffle.java
+++ b/common/src/main/java/gladelug/common/message/Shuffle.java
@@ -55,14 +55,15 @@
     }
   }
 
-  private static void writeDescriptor(DataOutputStream out, Descriptor d) throws IOException {
-    out.writeUTF(d.name);
-    out.writeUTF(d.role);
-    out.writeUTF(d.recordsAddress);
-    out.writeUTF(d.operatorAddress);
-    out.writeUTF(d.zone);
-    out.writeLong(d.generation);
-    out.writeInt(d.ageRounds);
+  private static void writeDescriptor(DataOutputStream out, Descriptor descriptor)
+      throws IOException {
+    out.writeUTF(descriptor.name);
+    out.writeUTF(descriptor.role);
+    out.writeUTF(descriptor.recordsAddress);
+    out.writeUTF(descriptor.operatorAddress);
+    out.writeUTF(descriptor.zone);
+    out.writeLong(descriptor.generation);
+    out.writeInt(descriptor.ageRounds);
   }
 
   private static Descriptor readDescriptor(DataInputStream in) throws IOException {
--- a/common/src/main/java/gladelug/common/message/StateUpdate.java
+++ b/common/src/main/java/gladelug/common/message/StateUpdate.java
@@ -56,37 +56,37 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(sentAtMs);
-      o.writeUTF(name);
-      o.writeLong(incarnation);
-      o.writeUTF(role);
-      o.writeUTF(recordsAddress);
-      o.writeUTF(operatorAddress);
-      o.writeUTF(zone);
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(sentAtMs);
+      out.writeUTF(name);
+      out.writeLong(incarnation);
+      out.writeUTF(role);
+      out.writeUTF(recordsAddress);
+      out.writeUTF(operatorAddress);
+      out.writeUTF(zone);
       WireRecord.writeList(
-          o,
+          out,
           knownVersions,
-          (p, h) -> {
-            p.writeUTF(h.key);
-            p.writeLong(h.epoch);
-            p.writeLong(h.number);
+          (itemOut, version) -> {
+            itemOut.writeUTF(version.key);
+            itemOut.writeLong(version.epoch);
+            itemOut.writeLong(version.number);
           });
       WireRecord.writeList(
-          o,
+          out,
           demands,
-          (p, d) -> {
-            p.writeUTF(d.service);
-            p.writeUTF(d.leaf);
-            p.writeInt(d.waiting);
-            p.writeInt(d.inUse);
+          (itemOut, demand) -> {
+            itemOut.writeUTF(demand.service);
+            itemOut.writeUTF(demand.leaf);
+            itemOut.writeInt(demand.waiting);
+            itemOut.writeInt(demand.inUse);
           });
       WireRecord.writeList(
-          o,
+          out,
           capacities,
-          (p, x) -> {
-            p.writeUTF(x.service);
-            p.writeInt(x.slots);
+          (itemOut, capacity) -> {
+            itemOut.writeUTF(capacity.service);
+            itemOut.writeInt(capacity.slots);
           });
     }
   }
@@ -105,19 +105,19 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(requestSentAtMs);
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(requestSentAtMs);
       WireRecord.writeList(
-          o,
+          out,
           grants,
-          (p, g) -> {
-            p.writeUTF(g.key);
-            p.writeLong(g.epoch);
-            p.writeLong(g.number);
-            p.writeInt(g.remainingMs);
-            p.writeInt(g.cutoffRemainingMs);
+          (itemOut, grant) -> {
+            itemOut.writeUTF(grant.key);
+            itemOut.writeLong(grant.epoch);
+            itemOut.writeLong(grant.number);
+            itemOut.writeInt(grant.remainingMs);
+            itemOut.writeInt(grant.cutoffRemainingMs);
           });
-      o.writeInt(relayCount);
+      out.writeInt(relayCount);
     }
   }
 
@@ -193,16 +193,16 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(epoch);
-      o.writeUTF(service);
-      o.writeBoolean(limited);
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(epoch);
+      out.writeUTF(service);
+      out.writeBoolean(limited);
       WireRecord.writeList(
-          o,
+          out,
           allotments,
-          (p, x) -> {
-            p.writeUTF(x.leaf);
-            p.writeInt(x.milliSlots);
+          (itemOut, allotment) -> {
+            itemOut.writeUTF(allotment.leaf);
+            itemOut.writeInt(allotment.milliSlots);
           });
     }
   }
--- a/common/src/main/java/gladelug/common/view/PartialView.java
+++ b/common/src/main/java/gladelug/common/view/PartialView.java
@@ -125,8 +125,8 @@
     return DIRECTORY_ROLES.contains(descriptor.role());
   }
 
-  private static Descriptor fresher(Descriptor a, Descriptor b) {
-    return b.ageRounds() <= a.ageRounds() ? b : a;
+  private static Descriptor fresher(Descriptor first, Descriptor second) {
+    return second.ageRounds() <= first.ageRounds() ? second : first;
   }
 
   private List<Descriptor> drawSample(Map<String, Descriptor> candidatesByName, int count) {
--- a/common/src/test/java/gladelug/common/LocatedJsonTest.java
+++ b/common/src/test/java/gladelug/common/LocatedJsonTest.java
@@ -9,16 +9,16 @@
 /** Tests of LocatedJson. */
 final class LocatedJsonTest {
   @Test
-  void everyFindingHasItsPlace() {
+  void everyFindingNamesItsPosition() {
     Findings findings = new Findings();
     LocatedJson json =
         ((Result.Good<LocatedJson>) parse("{\"a\": 1,\n \"b\": [\"x\", 3],\n \"zz\": true}"))
             .value();
-    Fields f = json.fields(findings);
-    f.text("a");
-    f.texts("b", true);
-    f.integer("c", 1, 5);
-    f.reportUnknownFields();
+    Fields fields = json.fields(findings);
+    fields.text("a");
+    fields.texts("b", true);
+    fields.integer("c", 1, 5);
+    fields.reportUnknownFields();
     Assertions.assertEquals(
         """
             line 1, column 7 (a): must be a text
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void brokenTextAndDoubledFieldsAreFindings() {
+  void malformedJsonAndDuplicateFieldsAreFindings() {
     Assertions.assertTrue(parse("{\"a\": }").toString().startsWith("line 1, column 7: not JSON"));
     Assertions.assertTrue(parse("{\"a\": 1, \"a\": 2}").toString().contains("given twice"));
   }
--- a/common/src/test/java/gladelug/common/LogTest.java
+++ b/common/src/test/java/gladelug/common/LogTest.java
@@ -8,7 +8,7 @@
 /** Tests of Log. */
 final class LogTest {
   @Test
-  void oneLineWhateverIsInAValue() {
+  void aLineBreakInAValueIsEscaped() {
     Assertions.assertEquals(
         "event=x a=1 b=\"two words\\u000aand \\\"more\\\"\" c=\"\"",
         line("x", "a", 1, "b", "two words\nand \"more\"", "c", ""));
--- a/common/src/test/java/gladelug/common/MemoryBudgetTest.java
+++ b/common/src/test/java/gladelug/common/MemoryBudgetTest.java
@@ -6,7 +6,7 @@
 /** Tests of MemoryBudget. */
 final class MemoryBudgetTest {
   @Test
-  void nothingIsTakenThatIsNotThereAndWhatIsGivenBackMayBeTakenAgain() {
+  void reservationsBeyondTheCapacityAreRefusedAndReleasedBytesAreReusable() {
     MemoryBudget budget = new MemoryBudget(100);
     Assertions.assertTrue(budget.reserve(60));
     Assertions.assertFalse(budget.reserve(41));
@@ -19,15 +19,15 @@
   }
 
   @Test
-  void theLargestValueFollowsFromTheHeapAndTenThousandRoutesAlwaysFit() {
+  void theMaximumValueSizeDependsOnTheHeapWithinBounds() {
     Assertions.assertEquals(2 << 20, MemoryBudget.maxValueBytes(16 << 20));
     Assertions.assertEquals((160 << 20) / 44, MemoryBudget.maxValueBytes(160 << 20));
     Assertions.assertEquals(6 << 20, MemoryBudget.maxValueBytes(4L << 30));
   }
 
-  /** Guards against a process whose clients each hold as much as all of them may. */
+  /** Guards against clients that each use a budget of the size meant for all of them together. */
   @Test
-  void allClientsOfAProcessTakeTheirAnswersFromOneBudget() {
+  void allClientsOfAProcessShareOneResponseBudget() {
     MemoryBudget lists = MemoryBudget.forResponses();
     MemoryBudget reports = MemoryBudget.forResponses();
     long all = Runtime.getRuntime().maxMemory() / 8;
--- a/common/src/test/java/gladelug/common/ServiceRegistryTest.java
+++ b/common/src/test/java/gladelug/common/ServiceRegistryTest.java
@@ -10,7 +10,7 @@
 /** Tests of ServiceRegistry. */
 final class ServiceRegistryTest {
   @Test
-  void stopsWhatStartedInReverseWhenOneCannotStart() {
+  void startedServicesAreStoppedInReverseOrderWhenOneFailsToStart() {
     List<String> seen = new ArrayList<>();
     class S implements Service {
       final String n;
--- a/common/src/test/java/gladelug/common/SingleThreadWorkerTest.java
+++ b/common/src/test/java/gladelug/common/SingleThreadWorkerTest.java
@@ -12,30 +12,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests of SingleThreadWorker: what becomes of tasks that throw. */
+/** Tests of SingleThreadWorker with tasks that throw. */
 final class SingleThreadWorkerTest {
-  private static final int WAIT_S = 20;
-  private static final int EVERY_MS = 5;
+  private static final int TIMEOUT_S = 20;
+  private static final int PERIOD_MS = 5;
 
-  /** Guards against a periodic duty, such as the core's tick, that one exception ends for good. */
+  /** Guards against a periodic task, such as the core's tick, that ends after one exception. */
   @Test
-  void aPeriodicTaskThatThrewComesAgain() throws InterruptedException {
+  void aPeriodicTaskRunsAgainAfterAnException() throws InterruptedException {
     CountDownLatch runs = new CountDownLatch(4);
     try (SingleThreadWorker worker = new SingleThreadWorker("w", 16, Clock.monotonic())) {
       worker.scheduleEvery(
-          EVERY_MS,
+          PERIOD_MS,
           () -> {
             runs.countDown();
             throw new IllegalStateException("each time");
           });
-      Assertions.assertTrue(runs.await(WAIT_S, TimeUnit.SECONDS));
+      Assertions.assertTrue(runs.await(TIMEOUT_S, TimeUnit.SECONDS));
     }
   }
 
-  /** Guards against a worker's thread that ends silently while its process goes on. */
+  /** Guards against a worker's thread that ends silently while its process continues. */
   @Test
-  void anErrorIsToldWithThreadAndCauseAndTheWorkerIsNotLost() throws InterruptedException {
-    BlockingQueue<String> told = new LinkedBlockingQueue<>();
+  void anErrorIsReportedWithThreadAndCauseAndTheWorkerContinues() throws InterruptedException {
+    BlockingQueue<String> reported = new LinkedBlockingQueue<>();
     AtomicInteger later = new AtomicInteger();
     CountDownLatch ran = new CountDownLatch(1);
     try (SingleThreadWorker worker =
@@ -43,7 +43,7 @@
             "w",
             16,
             Clock.monotonic(),
-            (thread, task, cause) -> told.add(thread + " " + cause.getMessage()))) {
+            (thread, task, cause) -> reported.add(thread + " " + cause.getMessage()))) {
       worker.offer(
           () -> {
             throw new OutOfMemoryError("planted");
@@ -53,13 +53,13 @@
             later.incrementAndGet();
             ran.countDown();
           });
-      Assertions.assertEquals("w planted", told.poll(WAIT_S, TimeUnit.SECONDS));
-      Assertions.assertTrue(ran.await(WAIT_S, TimeUnit.SECONDS));
+      Assertions.assertEquals("w planted", reported.poll(TIMEOUT_S, TimeUnit.SECONDS));
+      Assertions.assertTrue(ran.await(TIMEOUT_S, TimeUnit.SECONDS));
       Assertions.assertEquals(1, later.get());
     }
   }
 
-  /** The program of the test below. */
+  /** A program whose worker fails, run by the test below. */
   static final class Failing {
     private Failing() {}
 
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aProcessWhoseWorkerFailsEndsWithItsCodeAndOneLine(@TempDir Path folder)
+  void aProcessWhoseWorkerFailsExitsWithItsCodeAndAMessage(@TempDir Path folder)
       throws IOException, InterruptedException {
     Path log = folder.resolve("log");
     Process process =
@@ -87,7 +87,8 @@
             .redirectOutput(log.toFile())
             .start();
     try {
-      Assertions.assertTrue(process.waitFor(WAIT_S, TimeUnit.SECONDS), "it went on as a shell");
+      Assertions.assertTrue(
+          process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the process did not exit");
       String lines = Files.readString(log);
       Assertions.assertEquals(Program.EXIT_FAILED, process.exitValue(), lines);
       Assertions.assertTrue(lines.contains("failed in thread core"), lines);
--- a/common/src/test/java/gladelug/common/StallDetectorTest.java
+++ b/common/src/test/java/gladelug/common/StallDetectorTest.java
@@ -8,25 +8,27 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of StallDetector with a clock and a thread of the test's own. */
+/** Tests of StallDetector with a simulated clock and thread. */
 final class StallDetectorTest {
-  private static final int EVERY_MS = 1000, STALLED_MS = 3000, ENDS_MS = 10_000;
+  private static final int CHECK_INTERVAL_MS = 1000,
+      STALLED_AFTER_MS = 3000,
+      EXIT_AFTER_MS = 10_000;
 
   private long nowMs = 1_000_000;
-  private final List<String> ended = new ArrayList<>();
+  private final List<String> fatalFailures = new ArrayList<>();
   private final Deque<Runnable> tasks = new ArrayDeque<>();
   private final StallDetector detector =
       new StallDetector(
           () -> nowMs,
-          EVERY_MS,
-          STALLED_MS,
-          ENDS_MS,
-          (thread, task, cause) -> ended.add(thread + " " + task));
+          CHECK_INTERVAL_MS,
+          STALLED_AFTER_MS,
+          EXIT_AFTER_MS,
+          (thread, task, cause) -> fatalFailures.add(thread + " " + task));
   private final StallDetector.WatchedThread watched = detector.watch("core", tasks::add);
 
-  private void pass(int seconds) {
+  private void passSeconds(int seconds) {
     for (int i = 0; i < seconds; i++) {
-      nowMs += EVERY_MS;
+      nowMs += CHECK_INTERVAL_MS;
       detector.check();
     }
   }
@@ -36,70 +38,72 @@
   }
 
   @Test
-  void aThreadThatDoesItsTasksIsWell() {
+  void aThreadThatRunsItsTasksIsNotStalled() {
     for (int i = 0; i < 100; i++) {
-      pass(1);
+      passSeconds(1);
       nowMs += 20;
       runTasks();
     }
     Assertions.assertEquals("", detector.stalledThread());
-    Assertions.assertEquals(List.of(), ended);
+    Assertions.assertEquals(List.of(), fatalFailures);
     Assertions.assertEquals(Map.of("core", 20L), detector.longestWaitsMs());
   }
 
   @Test
-  void oneThatStandsStillIsNamedAndThenEndsTheProcess() {
-    pass(1 + 2);
+  void aStalledThreadIsNamedAndThenEndsTheProcess() {
+    passSeconds(1 + 2);
     Assertions.assertEquals("", detector.stalledThread());
-    pass(1);
+    passSeconds(1);
     Assertions.assertEquals("core", detector.stalledThread());
-    pass(6);
-    Assertions.assertEquals(List.of(), ended);
-    pass(1);
-    Assertions.assertEquals(List.of("core is stalled"), ended);
+    passSeconds(6);
+    Assertions.assertEquals(List.of(), fatalFailures);
+    passSeconds(1);
+    Assertions.assertEquals(List.of("core is stalled"), fatalFailures);
   }
 
   @Test
-  void oneThatGoesOnIsWellAgain() {
-    pass(6);
+  void aThreadThatResumesIsNotStalledAnyMore() {
+    passSeconds(6);
     Assertions.assertEquals("core", detector.stalledThread());
     runTasks();
-    pass(1);
+    passSeconds(1);
     Assertions.assertEquals("", detector.stalledThread());
     Assertions.assertEquals(Map.of("core", 5000L), detector.longestWaitsMs());
   }
 
-  /** A frozen process, or one whose machine slept, blames no thread for what it missed itself. */
+  /** Guards against blaming threads after the process was frozen or its machine was suspended. */
   @Test
-  void aPauseOfTheWholeProcessCountsForNoMoreThanTwoChecks() {
-    pass(1);
+  void aPauseOfTheWholeProcessCountsAsAtMostTwoCheckIntervals() {
+    passSeconds(1);
     nowMs += 3_600_000;
     detector.check();
     Assertions.assertEquals("", detector.stalledThread());
-    Assertions.assertEquals(List.of(), ended);
+    Assertions.assertEquals(List.of(), fatalFailures);
   }
 
-  /** Its queue is full at the moment of a check, perhaps of many, though it works through it. */
+  /** Guards against blaming a busy thread whose queue is full at every check. */
   @Test
-  void oneThatTakesNoTaskIsAskedAgainAndNotBlamed() {
+  void aThreadThatRejectsAProbeIsProbedAgainAndNotStalled() {
     boolean[] full = {true};
     detector.watch("index", task -> !full[0] && tasks.add(task));
     for (int i = 0; i < 60; i++) {
-      pass(1);
+      passSeconds(1);
       runTasks();
     }
     Assertions.assertEquals("", detector.stalledThread());
     full[0] = false;
-    pass(12);
-    Assertions.assertTrue(ended.contains("index is stalled"), "once it took a task: " + ended);
+    passSeconds(12);
+    Assertions.assertTrue(
+        fatalFailures.contains("index is stalled"),
+        "stalled after it accepted a probe: " + fatalFailures);
   }
 
   @Test
-  void oneThatIsToEndIsWatchedNoMore() {
-    pass(1);
+  void aClosedThreadIsNotWatchedAnyMore() {
+    passSeconds(1);
     watched.close();
-    pass(60);
-    Assertions.assertEquals(List.of(), ended);
+    passSeconds(60);
+    Assertions.assertEquals(List.of(), fatalFailures);
     Assertions.assertEquals("", detector.stalledThread());
   }
 }
--- a/common/src/test/java/gladelug/common/configuration/AllowedEndpointTest.java
+++ b/common/src/test/java/gladelug/common/configuration/AllowedEndpointTest.java
@@ -14,7 +14,7 @@
   }
 
   @Test
-  void onlyTheBlockAndThePortsWritten() {
+  void onlyTheGivenBlockAndPortsAreAllowed() {
     AllowedEndpoint endpoint = of("10.1.2.0/24:8000-8010");
     Assertions.assertTrue(endpoint.allows(Address.of("10.1.2.255:8010")));
     Assertions.assertFalse(endpoint.allows(Address.of("10.1.3.0:8010")));
--- a/common/src/test/java/gladelug/common/configuration/ConfigurationTest.java
+++ b/common/src/test/java/gladelug/common/configuration/ConfigurationTest.java
@@ -12,7 +12,7 @@
 /** Tests of Configuration. */
 final class ConfigurationTest {
   @Test
-  void aGoodConfigurationIsIndexed() {
+  void aValidConfigurationIsIndexed() {
     String h = hashKey("k1");
     Configuration configuration =
         ((Result.Good<Configuration>)
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void aShareTreeThatCannotBeMetIsTold() {
+  void anInconsistentShareTreeIsReported() {
     String text =
         parse(
                 """
--- a/common/src/test/java/gladelug/common/configuration/PrefixSharingTest.java
+++ b/common/src/test/java/gladelug/common/configuration/PrefixSharingTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of PrefixSharing: that no configuration lets tenants find what one cached that is isolated,
- * and that none of the others loses more than it must. A tenant is written as its name, in capitals
- * where it is isolated.
+ * Tests of PrefixSharing: an isolated tenant neither finds cached prefixes of others nor lets
+ * others find its own, and a new sharing scope starts only when needed. Tenants are written as
+ * names, in capitals if isolated.
  */
 final class PrefixSharingTest {
   private static final int SEEDS = 400;
   private static final int CHANGES = 60;
 
-  /** The configurations of a fleet, one after the other. */
+  /** A fleet that applies one configuration after the other. */
   private static final class Fleet {
     private Configuration newest = Configuration.EMPTY;
     private PrefixSharing sharing = PrefixSharing.UNRECORDED;
@@ -36,7 +36,7 @@
       configure(first);
     }
 
-    /** Takes a configuration; since when its tenants share. */
+    /** Applies a configuration and returns the number at which its sharing scope started. */
     long configure(String... tenants) {
       Configuration next = configuration(tenants);
       sharing = sharing.next(newest, number, next);
@@ -59,26 +59,26 @@
   }
 
   @Test
-  void sharingBeginsAnewWhenATenantThatSharedBecomesIsolated() {
+  void aNewScopeStartsWhenASharingTenantBecomesIsolated() {
     Fleet fleet = new Fleet("a", "b");
     Assertions.assertEquals(0, fleet.configure("a", "b"));
     Assertions.assertEquals(3, fleet.configure("A", "b"));
-    Assertions.assertEquals(3, fleet.configure("A", "b", "c"), "nobody else was isolated");
+    Assertions.assertEquals(3, fleet.configure("A", "b", "c"), "no sharing tenant was isolated");
   }
 
   @Test
-  void itGoesOnWhileNobodyIsIsolatedThatShared() {
+  void theScopeIsKeptWhileNoSharingTenantBecomesIsolated() {
     Fleet fleet = new Fleet("a", "B");
     Assertions.assertEquals(0, fleet.configure("a", "B", "C"), "new and isolated from the start");
-    Assertions.assertEquals(0, fleet.configure("a", "B"), "an isolated one removed");
+    Assertions.assertEquals(0, fleet.configure("a", "B"), "an isolated tenant removed");
     Assertions.assertEquals(0, fleet.configure("a", "B", "C"), "and back");
-    Assertions.assertEquals(0, fleet.configure("a", "b", "C"), "one isolated no longer");
-    Assertions.assertEquals(0, fleet.configure("b", "C"), "one that shared removed");
-    Assertions.assertEquals(0, fleet.configure("a", "b", "C"), "and back to share");
+    Assertions.assertEquals(0, fleet.configure("a", "b", "C"), "a tenant is no longer isolated");
+    Assertions.assertEquals(0, fleet.configure("b", "C"), "a sharing tenant removed");
+    Assertions.assertEquals(0, fleet.configure("a", "b", "C"), "and back, still sharing");
   }
 
   @Test
-  void aTenantThatSharedIsRememberedWhileItIsNotConfigured() {
+  void aSharingTenantIsRememberedAfterItsRemoval() {
     Fleet fleet = new Fleet("a", "b", "c");
     Assertions.assertEquals(0, fleet.configure("b", "c"));
     Assertions.assertEquals(0, fleet.configure("b"));
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void isolatedAndSharedInTurnBeginsAnewEachTime() {
+  void eachIsolationOfAReturningTenantStartsANewScope() {
     Fleet fleet = new Fleet("a", "b");
     Assertions.assertEquals(2, fleet.configure("A", "b"));
     Assertions.assertEquals(2, fleet.configure("a", "b"));
@@ -97,14 +97,14 @@
   }
 
   @Test
-  void twoThatChangePlacesInOneChangeBeginAnew() {
+  void swappingIsolationOfTwoTenantsInOneChangeStartsANewScope() {
     Fleet fleet = new Fleet("a", "B", "c");
     Assertions.assertEquals(2, fleet.configure("A", "b", "c"));
     Assertions.assertEquals(3, fleet.configure("a", "B", "c"));
   }
 
   @Test
-  void withMoreFormerTenantsThanAreRememberedAnyNewIsolatedOneMayHaveShared() {
+  void beyondTheFormerTenantLimitAnyNewIsolatedTenantMayHaveShared() {
     Fleet fleet = new Fleet("a");
     for (int i = 0; i <= PrefixSharing.MAX_FORMER_TENANTS; i++) {
       fleet.configure("a", "t" + i);
@@ -112,24 +112,24 @@
     }
     Assertions.assertFalse(fleet.sharing.complete());
     Assertions.assertTrue(fleet.configure("a", "NEW") > 0);
-    Assertions.assertTrue(fleet.sharing.complete(), "and then it is known again");
+    Assertions.assertTrue(fleet.sharing.complete(), "the record is complete again");
   }
 
   @Test
-  void ofAnEarlierReleasesValueWhoeverIsIsolatedMayHaveShared() {
+  void inAValueOfAnEarlierReleaseAnyIsolatedTenantMayHaveShared() {
     Configuration before = configuration("A", "b"), none = configuration("a", "b");
     PrefixSharing unrecorded = PrefixSharing.UNRECORDED;
     Assertions.assertEquals(7, PrefixSharing.effectiveSince(unrecorded.since(), before, 7));
     Assertions.assertEquals(0, PrefixSharing.effectiveSince(unrecorded.since(), none, 7));
-    Assertions.assertEquals(7, unrecorded.next(before, 7, before).since(), "not once more");
+    Assertions.assertEquals(7, unrecorded.next(before, 7, before).since(), "no second scope");
     Assertions.assertEquals(8, unrecorded.next(none, 7, before).since());
     Assertions.assertEquals(
-        unrecorded, unrecorded.next(none, 7, none), "so that releases before can read it");
+        unrecorded, unrecorded.next(none, 7, none), "earlier releases can still read it");
     Assertions.assertEquals(8, unrecorded.next(none, 7, configuration("a", "b", "C")).since());
   }
 
   @Test
-  void itIsReadAsItWasWritten() throws IOException {
+  void aRecordIsReadAsItWasWritten() throws IOException {
     Fleet fleet = new Fleet("a", "b", "c", "d");
     fleet.configure("A", "b", "c", "d");
     fleet.configure("A", "b");
@@ -147,21 +147,21 @@
   }
 
   /**
-   * Random changes, with requests of all tenants under any of the last configurations, as relays
-   * have them that are behind. What is cached is kept for ever. Whoever finds something must not
-   * find it across an isolation of the configuration it goes by, if what it found was made under
-   * that configuration or an earlier one; and sharing begins anew only where it has to.
+   * Applies random changes and sends requests of all tenants under any of the last three
+   * configurations, as relays that lag behind do. Cached prefixes are never evicted. A tenant must
+   * not find a prefix cached by another tenant under the same or an earlier configuration if its
+   * configuration isolates either of them, and a new scope must start only when needed.
    */
   @Test
-  void noSeriesOfChangesLetsAnIsolatedTenantShareNorLosesMoreThanItMust() {
-    for (long seed = 0; seed < SEEDS; seed++) series(new Random(seed), "seed " + seed);
+  void isolationHoldsAndScopesStartOnlyWhenNeededUnderRandomChanges() {
+    for (long seed = 0; seed < SEEDS; seed++) runRandomChanges(new Random(seed), "seed " + seed);
   }
 
-  private static void series(Random random, String seed) {
+  private static void runRandomChanges(Random random, String seed) {
     Fleet fleet = new Fleet("a", "b", "c", "d");
     List<Configuration> configurations = new ArrayList<>(List.of(fleet.newest));
     List<Long> since = new ArrayList<>(List.of(0L));
-    // by scope, who cached something there and under which configuration at the earliest
+    // by scope and tenant, the earliest configuration under which the tenant cached a prefix
     Map<String, Map<String, Integer>> cached = new HashMap<>();
     Set<String> sharedSinceBeginning = new HashSet<>(Set.of("a", "b", "c", "d"));
     for (int i = 1; i < CHANGES; i++) {
@@ -179,7 +179,7 @@
         if (!t.isolated()) sharedSinceBeginning.add(t.name());
       for (int request = 0; request < 6; request++) {
         int at = Math.max(0, i - random.nextInt(3));
-        use(configurations.get(at), since.get(at), at, random, cached, seed);
+        cachePrefix(configurations.get(at), since.get(at), at, random, cached, seed);
       }
     }
   }
@@ -195,7 +195,7 @@
     return tenants.toArray(String[]::new);
   }
 
-  private static void use(
+  private static void cachePrefix(
       Configuration configuration,
       long since,
       int at,
--- a/common/src/test/java/gladelug/common/configuration/PublishedNamesTest.java
+++ b/common/src/test/java/gladelug/common/configuration/PublishedNamesTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The fields of the values of keys, held against literals: they are on members' disks, go to relays
- * of other releases, and operators write the configuration.
+ * Compares the JSON fields of the control state's values with literals. The values are stored on
+ * members' disks and sent to relays of other releases, and operators write the configuration.
  */
 final class PublishedNamesTest {
   private static final String WEIGHTS_2 = "{\"s\":{\"now\":\"w2\",\"before\":\"w1\",\"nr\":2}}";
@@ -21,13 +21,13 @@
     return ((Result.Good<T>) result).value();
   }
 
-  /** How a document is read. */
+  /** Parses a document. */
   private interface Reading {
     Result<?> read(String document);
   }
 
-  /** Each field, wherever it stands, is read: under another name something else comes out. */
-  private static void eachFieldIsRead(String document, Reading reading) {
+  /** Asserts that renaming any field of the document changes the value or is a finding. */
+  private static void assertEachFieldIsRead(String document, Reading reading) {
     Object whole = good(reading.read(document));
     Matcher field = Pattern.compile("\"(\\w+)\":").matcher(document);
     while (field.find()) {
@@ -76,7 +76,7 @@
     Assertions.assertEquals(list, good(CoreMemberList.parse(text)));
   }
 
-  private static String told(Configuration configuration) {
+  private static String describe(Configuration configuration) {
     return String.join(
         "\n",
         configuration.services.toString(),
@@ -96,10 +96,11 @@
            {"name":"v","shares":[{"name":"w"}]}]}]}
         """
             .formatted("ab".repeat(32));
-    eachFieldIsRead(
+    assertEachFieldIsRead(
         document,
         text ->
-            Configuration.parse(text).flatMap(configuration -> Result.good(told(configuration))));
+            Configuration.parse(text)
+                .flatMap(configuration -> Result.good(describe(configuration))));
     for (String kind : List.of("model", "application"))
       good(Configuration.parse(document.replace("application", kind)));
   }
--- a/common/src/test/java/gladelug/common/connection/BindAddressTest.java
+++ b/common/src/test/java/gladelug/common/connection/BindAddressTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void whatCantFitIsAFinding() {
+  void invalidBindAndRecordsAddressesAreFindings() {
     Assertions.assertEquals("[]", findings("127.0.0.2", "127.0.0.1:7000"));
     Assertions.assertEquals("[]", findings("0.0.0.0", "127.0.0.1:7000"));
     Assertions.assertTrue(
--- a/common/src/test/java/gladelug/common/connection/BoundedHttpCallsTest.java
+++ b/common/src/test/java/gladelug/common/connection/BoundedHttpClientTest.java
@@ -19,17 +19,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tests of BoundedHttpClient against a server that answers as no server should. */
+/** Tests of BoundedHttpClient against a misbehaving server. */
 @Timeout(60)
-final class BoundedHttpCallsTest {
+final class BoundedHttpClientTest {
   private static final String HOST = "127.9.3.1";
-  private static final int MOST = 1000, IN_TIME_MS = 20_000;
+  private static final int MAX_BYTES = 1000, TIMEOUT_MS = 20_000;
 
   private final Vertx vertx = Vertx.vertx();
-  private final MemoryBudget budget = new MemoryBudget(3 * MOST);
-  private final BoundedHttpClient calls =
+  private final MemoryBudget budget = new MemoryBudget(3 * MAX_BYTES);
+  private final BoundedHttpClient client =
       new BoundedHttpClient(vertx, new HttpClientOptions().setMaxPoolSize(1), budget);
-  private Consumer<HttpServerRequest> answers = request -> request.response().end();
+  private Consumer<HttpServerRequest> responder = request -> request.response().end();
   private final CompletableFuture<Void> connectionEnded = new CompletableFuture<>();
   private HttpServer server;
 
@@ -41,39 +41,39 @@
             .requestHandler(
                 request -> {
                   request.connection().closeHandler(closed -> connectionEnded.complete(null));
-                  answers.accept(request);
+                  responder.accept(request);
                 });
     server.listen(0, HOST).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
   @AfterEach
   void end() {
-    calls.close();
+    client.close();
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
   private BufferedHttpResponse call(long withinMs) {
     RequestOptions target =
         new RequestOptions().setHost(HOST).setPort(server.actualPort()).setURI("/x");
-    return calls.send(target, MOST, withinMs).await().atMost(Duration.ofSeconds(30));
+    return client.send(target, MAX_BYTES, withinMs).await().atMost(Duration.ofSeconds(30));
   }
 
-  private void givenUp(Reason reason, long withinMs) {
+  private void assertCallFails(Reason reason, long withinMs) {
     HttpCallException failure =
         Assertions.assertThrows(HttpCallException.class, () -> call(withinMs));
     Assertions.assertEquals(reason, failure.reason(), failure.getMessage());
     Assertions.assertEquals(0, budget.reservedBytes());
   }
 
-  private static void endless(HttpServerResponse answer) {
+  private static void writeEndlessly(HttpServerResponse answer) {
     if (answer.closed()) return;
-    answer.write(Buffer.buffer(new byte[100])).onSuccess(written -> endless(answer));
+    answer.write(Buffer.buffer(new byte[100])).onSuccess(written -> writeEndlessly(answer));
   }
 
   @Test
-  void anAnswerIsTakenWholeAndItsBytesAreReservedUntilItIsClosed() {
-    answers = request -> request.response().setStatusCode(418).putHeader("A", "b").end("hello");
-    BufferedHttpResponse answer = call(IN_TIME_MS);
+  void aResponseIsBufferedAndItsBytesAreReservedUntilItIsClosed() {
+    responder = request -> request.response().setStatusCode(418).putHeader("A", "b").end("hello");
+    BufferedHttpResponse answer = call(TIMEOUT_MS);
     Assertions.assertEquals(418, answer.status());
     Assertions.assertEquals("b", answer.header("A"));
     Assertions.assertEquals("hello", answer.body().toString());
@@ -82,42 +82,42 @@
     Assertions.assertEquals(0, budget.reservedBytes());
   }
 
-  /** Guards against a page without an end that fills the heap (soak, seed 600). */
+  /** Guards against an endless page that fills the heap, as the soak run with seed 600 did. */
   @Test
-  void anAnswerWithoutAnEndIsGivenUpAndItsConnectionClosed() {
-    answers = request -> endless(request.response().setChunked(true));
-    givenUp(Reason.TOO_LARGE, IN_TIME_MS);
+  void anEndlessResponseIsAbortedAndItsConnectionClosed() {
+    responder = request -> writeEndlessly(request.response().setChunked(true));
+    assertCallFails(Reason.TOO_LARGE, TIMEOUT_MS);
     connectionEnded.join();
   }
 
   @Test
-  void anAnswerThatDripsIsGivenUpInTimeThoughSomethingComesAllTheTime() {
-    answers =
+  void aSlowlyDrippingResponseTimesOut() {
+    responder =
         request -> {
           request.response().setChunked(true);
           vertx.setPeriodic(10, id -> request.response().write("."));
         };
-    givenUp(Reason.TIMED_OUT, 300);
+    assertCallFails(Reason.TIMED_OUT, 300);
     connectionEnded.join();
   }
 
   @Test
-  void anAnswerForWhichThereIsNoMemoryIsGivenUp() {
-    Assertions.assertTrue(budget.reserve(3 * MOST - 4));
-    answers = request -> request.response().end("hello");
+  void aResponseBeyondTheMemoryBudgetIsAborted() {
+    Assertions.assertTrue(budget.reserve(3 * MAX_BYTES - 4));
+    responder = request -> request.response().end("hello");
     HttpCallException failure =
-        Assertions.assertThrows(HttpCallException.class, () -> call(IN_TIME_MS));
+        Assertions.assertThrows(HttpCallException.class, () -> call(TIMEOUT_MS));
     Assertions.assertEquals(Reason.NO_MEMORY, failure.reason());
-    Assertions.assertEquals(3 * MOST - 4, budget.reservedBytes());
+    Assertions.assertEquals(3 * MAX_BYTES - 4, budget.reservedBytes());
   }
 
   @Test
-  void anAnswerThatBreaksOffIsNone() {
-    answers =
+  void anIncompleteResponseFails() {
+    responder =
         request -> {
           request.response().putHeader("Content-Length", "9").write("half");
           vertx.setTimer(50, id -> request.connection().close());
         };
-    givenUp(Reason.BROKEN, IN_TIME_MS);
+    assertCallFails(Reason.BROKEN, TIMEOUT_MS);
   }
 }
--- a/common/src/test/java/gladelug/common/connection/PersistentConnectionTest.java
+++ b/common/src/test/java/gladelug/common/connection/PersistentConnectionTest.java
@@ -20,15 +20,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of PersistentConnection against real sockets on loopback: peers that accept and never
- * answer, stop reading or answer as they should.
+ * Tests of PersistentConnection against loopback sockets whose peers never answer, stop reading, or
+ * answer correctly.
  */
 final class PersistentConnectionTest {
   private static final String LOOPBACK = "127.0.0.1";
-  private static final Liveness QUICK = new Liveness(50, 200, 250, 50);
+  private static final Liveness SHORT_TIMEOUTS = new Liveness(50, 200, 250, 50);
 
-  /** How long anything may take on a machine with much else to do, ms; nothing waits for it. */
-  private static final int AT_LAST = 20_000;
+  /** Upper bound for every wait, even on a busy machine. */
+  private static final int TIMEOUT_MS = 20_000;
 
   private record Filler(byte[] bytes) implements WireRecord {
     @Override
@@ -45,23 +45,23 @@
   private static final Filler SMALL = new Filler(new byte[10]);
 
   private Vertx vertx;
-  private ConnectionAcceptor doors;
-  private PersistentConnection held;
+  private ConnectionAcceptor acceptor;
+  private PersistentConnection connection;
   private ServerSocket peer;
   private final AtomicInteger opened = new AtomicInteger();
 
   @BeforeEach
   void start() throws IOException {
     vertx = Vertx.vertx();
-    doors = doors(freePort());
+    acceptor = startAcceptor(freePort());
     peer = new ServerSocket(0, 50, InetAddress.getByName(LOOPBACK));
-    peer.setSoTimeout(AT_LAST);
+    peer.setSoTimeout(TIMEOUT_MS);
   }
 
   @AfterEach
   void stop() throws IOException {
-    if (held != null) held.close();
-    doors.stop();
+    if (connection != null) connection.close();
+    acceptor.stop();
     peer.close();
     vertx.closeAndAwait();
   }
@@ -72,7 +72,7 @@
     }
   }
 
-  private ConnectionAcceptor doors(int port) {
+  private ConnectionAcceptor startAcceptor(int port) {
     ConnectionAcceptor acceptor =
         new ConnectionAcceptor(
             vertx, new Address(LOOPBACK, port), new BindAddress(LOOPBACK), "test");
@@ -80,24 +80,24 @@
     return acceptor;
   }
 
-  private PersistentConnection hold(int port) {
+  private PersistentConnection connectTo(int port) {
     return new PersistentConnection(
         vertx,
-        doors,
+        acceptor,
         new Address(LOOPBACK, port),
         Hello.CORE,
-        QUICK,
-        (connection, record) -> {},
-        connection -> opened.incrementAndGet());
+        SHORT_TIMEOUTS,
+        (source, record) -> {},
+        established -> opened.incrementAndGet());
   }
 
-  private void sendEach(long ms, WireRecord record) {
-    vertx.setPeriodic(ms, i -> held.send(record));
+  private void sendPeriodically(long intervalMs, WireRecord record) {
+    vertx.setPeriodic(intervalMs, i -> connection.send(record));
   }
 
-  /** Reads until the other side ends the connection. */
+  /** Reads until the other end closes the connection. */
   private static void readToTheEnd(Socket s) throws IOException {
-    s.setSoTimeout(AT_LAST);
+    s.setSoTimeout(TIMEOUT_MS);
     byte[] bytes = new byte[1 << 16];
     try {
       while (s.getInputStream().read(bytes) >= 0) {}
@@ -107,9 +107,9 @@
   }
 
   @Test
-  void aPeerThatAcceptsAndNeverAnswersIsResetAndCalledAgain() throws IOException {
-    held = hold(peer.getLocalPort());
-    sendEach(20, SMALL);
+  void aConnectionToAPeerThatNeverAnswersIsResetAndReopened() throws IOException {
+    connection = connectTo(peer.getLocalPort());
+    sendPeriodically(20, SMALL);
     try (Socket first = peer.accept();
         Socket second = peer.accept()) {
       Assertions.assertNotEquals(first.getPort(), second.getPort());
@@ -117,17 +117,17 @@
     }
   }
 
-  /** What is queued for it must not keep the connection: only a reset ends it at once. */
+  /** Guards against queued records that keep a dead connection open: only a reset ends it. */
   @Test
-  void aPeerThatStopsReadingIsResetAndCalledAgain() throws IOException {
-    held = hold(peer.getLocalPort());
+  void aConnectionToAPeerThatStopsReadingIsResetAndReopened() throws IOException {
+    connection = connectTo(peer.getLocalPort());
     try (Socket first = peer.accept()) {
       DataInputStream in = new DataInputStream(first.getInputStream());
       DataOutputStream out = new DataOutputStream(first.getOutputStream());
       in.readNBytes(in.readInt() & Integer.MAX_VALUE);
       out.writeInt(0);
       out.flush();
-      sendEach(20, new Filler(new byte[100_000]));
+      sendPeriodically(20, new Filler(new byte[100_000]));
       try (Socket second = peer.accept()) {
         Assertions.assertNotEquals(first.getPort(), second.getPort());
       }
@@ -135,20 +135,20 @@
   }
 
   @Test
-  void aPeerThatAnswersKeepsItsConnectionThoughItSendsNothingOfItsOwn() throws Exception {
+  void aConnectionToAPeerThatOnlyAnswersIsKept() throws Exception {
     int otherPort = freePort();
-    ConnectionAcceptor other = doors(otherPort);
+    ConnectionAcceptor other = startAcceptor(otherPort);
     CountDownLatch received = new CountDownLatch(100);
     AtomicInteger connections = new AtomicInteger();
     other.register(
         Hello.CORE,
-        (hello, connection) -> {
+        (hello, accepted) -> {
           connections.incrementAndGet();
           return record -> received.countDown();
         });
-    held = hold(otherPort);
-    sendEach(20, SMALL);
-    Assertions.assertTrue(received.await(AT_LAST, TimeUnit.MILLISECONDS));
+    connection = connectTo(otherPort);
+    sendPeriodically(20, SMALL);
+    Assertions.assertTrue(received.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
     Assertions.assertEquals(1, connections.get());
     Assertions.assertEquals(1, opened.get());
     other.stop();
--- a/common/src/test/java/gladelug/common/disk/RecordRingTest.java
+++ b/common/src/test/java/gladelug/common/disk/RecordRingTest.java
@@ -13,8 +13,8 @@
 
 /** Tests of RecordRing. */
 final class RecordRingTest {
-  private static final class Paper implements Storage {
-    final byte[][] f = new byte[4][4096];
+  private static final class InMemoryStorage implements Storage {
+    final byte[][] files = new byte[4][4096];
 
     @Override
     public int fileCount() {
@@ -27,81 +27,85 @@
     }
 
     @Override
-    public byte[] read(int i) {
-      return f[i].clone();
+    public byte[] read(int file) {
+      return files[file].clone();
     }
 
     @Override
-    public void write(int i, int at, byte[] b) {
-      System.arraycopy(b, 0, f[i], at, b.length);
+    public void write(int file, int offset, byte[] bytes) {
+      System.arraycopy(bytes, 0, files[file], offset, bytes.length);
     }
 
     @Override
-    public void sync(int i) {}
+    public void sync(int file) {}
   }
 
-  private static Entry e(String k, int v) {
-    return new Entry(k, ("v" + v).getBytes(StandardCharsets.UTF_8));
+  private static Entry entry(String key, int value) {
+    return new Entry(key, ("v" + value).getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String get(RecordRing r, String k) {
-    return new String(r.live().get(k), StandardCharsets.UTF_8);
+  private static String liveValue(RecordRing ring, String key) {
+    return new String(ring.live().get(key), StandardCharsets.UTF_8);
   }
 
   @Test
-  void comesRoundManyTimesAndKeepsWhatIsAlive() throws IOException {
-    Paper p = new Paper();
-    RecordRing r = RecordRing.open(p);
-    r.write(List.of(e("old", 7)));
+  void wrapsAroundManyTimesAndKeepsLiveEntries() throws IOException {
+    InMemoryStorage storage = new InMemoryStorage();
+    RecordRing ring = RecordRing.open(storage);
+    ring.write(List.of(entry("old", 7)));
     for (int i = 0; i < 200; i++) {
-      r.write(List.of(e("k" + i % 3, i)));
-      RecordRing s = RecordRing.open(p);
-      Assertions.assertEquals("v" + i, get(s, "k" + i % 3));
-      Assertions.assertEquals("v7", get(s, "old"));
+      ring.write(List.of(entry("k" + i % 3, i)));
+      RecordRing reopened = RecordRing.open(storage);
+      Assertions.assertEquals("v" + i, liveValue(reopened, "k" + i % 3));
+      Assertions.assertEquals("v7", liveValue(reopened, "old"));
     }
   }
 
   @Test
-  void everyTornTailIsCutAndEveryEarlierFrameKept() throws IOException {
-    for (int n = 1; n < 40; n++) {
-      Paper p = new Paper();
-      RecordRing r = RecordRing.open(p);
-      for (int i = 0; i < n; i++) r.write(List.of(e("a", i)));
+  void aTornLastFrameIsDroppedAndEarlierFramesAreKept() throws IOException {
+    for (int writes = 1; writes < 40; writes++) {
+      InMemoryStorage storage = new InMemoryStorage();
+      RecordRing ring = RecordRing.open(storage);
+      for (int i = 0; i < writes; i++) ring.write(List.of(entry("a", i)));
       byte[][] before = new byte[4][];
-      for (int i = 0; i < 4; i++) before[i] = p.f[i].clone();
-      r.write(List.of(e("a", 1000)));
+      for (int i = 0; i < 4; i++) before[i] = storage.files[i].clone();
+      ring.write(List.of(entry("a", 1000)));
       for (int i = 0; i < 4; i++)
-        for (int j = 0; j < 4096; j += 512)
-          if (!Arrays.equals(before[i], j, j + 512, p.f[i], j, j + 512)) p.f[i][j + 25] ^= 0x55;
-      Assertions.assertEquals("v" + (n - 1), get(RecordRing.open(p), "a"), "after " + n);
+        for (int offset = 0; offset < 4096; offset += 512)
+          if (!Arrays.equals(
+              before[i], offset, offset + 512, storage.files[i], offset, offset + 512))
+            storage.files[i][offset + 25] ^= 0x55;
+      Assertions.assertEquals(
+          "v" + (writes - 1), liveValue(RecordRing.open(storage), "a"), "after " + writes);
     }
   }
 
   @Test
-  void damageBeforeTheTailIsNeverTakenForATornTail() throws IOException {
-    for (int bad = 0; bad < 5; bad++) {
-      Paper p = new Paper();
-      RecordRing r = RecordRing.open(p);
-      for (int i = 0; i < 6; i++) r.write(List.of(e("a", i)));
-      p.f[0][bad * 512 + 30] ^= 1;
-      Assertions.assertThrows(DamagedRingException.class, () -> RecordRing.open(p), "frame " + bad);
+  void damageBeforeTheLastFrameIsNotTakenForATornFrame() throws IOException {
+    for (int damagedFrame = 0; damagedFrame < 5; damagedFrame++) {
+      InMemoryStorage storage = new InMemoryStorage();
+      RecordRing ring = RecordRing.open(storage);
+      for (int i = 0; i < 6; i++) ring.write(List.of(entry("a", i)));
+      storage.files[0][damagedFrame * 512 + 30] ^= 1;
+      Assertions.assertThrows(
+          DamagedRingException.class, () -> RecordRing.open(storage), "frame " + damagedFrame);
     }
   }
 
   @Test
-  void aFrameOfAnUnknownKindIsDamageAndNotRead() throws IOException {
-    Paper p = new Paper();
-    RecordRing r = RecordRing.open(p);
-    r.write(List.of(e("a", 1)));
-    r.write(List.of(e("a", 2)));
-    ByteBuffer frame = ByteBuffer.wrap(p.f[0], 512, 512);
+  void aFrameOfAnUnknownKindIsReportedAsDamage() throws IOException {
+    InMemoryStorage storage = new InMemoryStorage();
+    RecordRing ring = RecordRing.open(storage);
+    ring.write(List.of(entry("a", 1)));
+    ring.write(List.of(entry("a", 2)));
+    ByteBuffer frame = ByteBuffer.wrap(storage.files[0], 512, 512);
     int length = frame.getInt(512 + 8);
     frame.put(512 + 20, (byte) 7);
     CRC32C sum = new CRC32C();
-    sum.update(p.f[0], 512 + 8, 13 + length);
+    sum.update(storage.files[0], 512 + 8, 13 + length);
     frame.putInt(512 + 4, (int) sum.getValue());
     DamagedRingException found =
-        Assertions.assertThrows(DamagedRingException.class, () -> RecordRing.open(p));
+        Assertions.assertThrows(DamagedRingException.class, () -> RecordRing.open(storage));
     Assertions.assertTrue(found.getMessage().contains("unknown kind 7"), found.getMessage());
   }
 }
--- a/common/src/test/java/gladelug/common/message/BinaryDeltaTest.java
+++ b/common/src/test/java/gladelug/common/message/BinaryDeltaTest.java
@@ -10,7 +10,7 @@
 /** Tests of BinaryDelta. */
 final class BinaryDeltaTest {
   @Test
-  void whatIsAppliedIsWhatWasMeant() {
+  void applyingADeltaYieldsTheUpdatedValue() {
     Random random = new Random(1);
     int small = 0;
     for (int i = 0; i < 2000; i++) {
--- a/common/src/test/java/gladelug/common/message/PublishedNamesTest.java
+++ b/common/src/test/java/gladelug/common/message/PublishedNamesTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What processes of different releases must agree on: the bytes of each record between them, the
- * protocols' names and the keys' names, held against literals. Classes and constants may be renamed
- * freely; a literal here changes only with a new release of the wire.
+ * Compares the encoding of each record, the protocol names and the key names with literals, because
+ * processes of different releases must agree on them. Classes and constants may be renamed freely;
+ * a literal here changes only with a new version of the wire format.
  */
 final class PublishedNamesTest {
   private static final byte[] BLOB = {1, 2, (byte) 0xff};
 
-  /** An example of each record; every list in it has an entry. */
+  /** Returns an example of each record type, with at least one entry in every list. */
   static Map<String, WireRecord> examples() {
     Map<String, WireRecord> examples = new LinkedHashMap<>();
     examples.put("hello", new Hello("core/1", "core-a"));
@@ -98,7 +98,7 @@
                   + "7a000000000000000500000006"));
 
   @Test
-  void eachRecordHasTheBytesItAlwaysHad() {
+  void eachRecordKeepsItsPublishedEncoding() {
     Map<String, String> now = new LinkedHashMap<>();
     examples()
         .forEach(
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void theBytesAreReadAsTheSameRecord() throws IOException {
+  void thePublishedEncodingIsReadAsTheSameRecord() throws IOException {
     for (Map.Entry<String, String> entry : BYTES.entrySet()) {
       WireRecord record = read(entry.getKey(), HexFormat.of().parseHex(entry.getValue()));
       Assertions.assertEquals(examples().get(entry.getKey()).getClass(), record.getClass());
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void noRecordIsLeftOut() {
+  void everyRecordTypeHasAnExample() {
     Set<Class<?>> known =
         examples().values().stream().map(WireRecord::getClass).collect(Collectors.toSet());
     for (Class<?> protocol :
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void theProtocolsAndTheKeysHaveTheirNames() {
+  void protocolsAndKeysKeepTheirPublishedNames() {
     Assertions.assertEquals(
         List.of("core/1", "news/1", "shuffle/1", "lookup/1", "reasons/1"),
         List.of(
--- a/common/src/test/java/gladelug/common/message/StateUpdateTest.java
+++ b/common/src/test/java/gladelug/common/message/StateUpdateTest.java
@@ -13,7 +13,7 @@
 /** Tests of StateUpdate. */
 final class StateUpdateTest {
   @Test
-  void whatIsWrittenIsReadAndAnythingElseIsRefused() throws IOException {
+  void aRecordIsReadAsWrittenAndTruncatedOrExtendedBytesAreRefused() throws IOException {
     SubscriptionRequest a =
         new SubscriptionRequest(
             5,
--- a/common/src/test/java/gladelug/common/message/WireRecordFuzzTest.java
+++ b/common/src/test/java/gladelug/common/message/WireRecordFuzzTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Every record between processes under damage: it is read as some record, or refused with an
- * IOException, and nothing else comes of it, however much a length in it claims.
+ * Decodes damaged records of every type. Decoding must yield a record or throw IOException,
+ * whatever lengths the bytes claim.
  */
 final class WireRecordFuzzTest {
   private static final String SEED = "20261205";
-  private static final int MOST_DAMAGES = 4;
-  private static final int MOST_BYTES = 64;
+  private static final int MAX_DAMAGES = 4;
+  private static final int MAX_RECORD_BYTES = 64;
 
-  /** So many bytes at a place are put in the place of others. */
+  /** Replaces some bytes at a relative position, from 0 to 1, by others. */
   record Damage(double place, int cut, byte[] put) {
     byte[] applyTo(byte[] bytes) {
       int from = (int) (place * bytes.length);
@@ -50,7 +50,7 @@
             Arbitraries.oneOf(lengths, any))
         .as(Damage::new)
         .list()
-        .ofMaxSize(MOST_DAMAGES);
+        .ofMaxSize(MAX_DAMAGES);
   }
 
   private static void readOrRefuse(String name, byte[] bytes) {
@@ -71,6 +71,6 @@
 
   @Property(tries = 2000, seed = SEED)
   void anyBytesAreReadOrRefused(@ForAll("names") String name, @ForAll byte[] bytes) {
-    readOrRefuse(name, Arrays.copyOf(bytes, Math.min(bytes.length, MOST_BYTES)));
+    readOrRefuse(name, Arrays.copyOf(bytes, Math.min(bytes.length, MAX_RECORD_BYTES)));
   }
 }
--- a/common/src/test/java/gladelug/common/view/PartialViewTest.java
+++ b/common/src/test/java/gladelug/common/view/PartialViewTest.java
@@ -13,11 +13,11 @@
 
 /** Tests of PartialView. */
 final class PartialViewTest {
-  /** Rounds after which nobody names an index that died: a minute and a half. */
-  private static final int FORGOTTEN_AFTER = 30;
+  /** Rounds after which no view names a dead index; 30 rounds of 3 s are a minute and a half. */
+  private static final int FORGOTTEN_AFTER_ROUNDS = 30;
 
   @Test
-  void fortyNodesFromOneSeedStayConnectedAndForgetTheDead() {
+  void fortyNodesFromOneSeedStayConnectedAndForgetDeadNodes() {
     Random rnd = new Random(5);
     Map<String, PartialView> all = new LinkedHashMap<>();
     for (int i = 0; i < 40; i++) {
@@ -46,7 +46,7 @@
         Assertions.assertFalse(dead.contains(d.name()), d.name());
   }
 
-  /** A fleet of relays with few indexes, each node under its name. */
+  /** Creates a fleet of relays with few indexes, by node name. */
   private static Map<String, PartialView> largeFleet(Random random, int nodes, int indexes) {
     Map<String, PartialView> all = new LinkedHashMap<>();
     for (int i = 0; i < nodes; i++) {
@@ -57,7 +57,7 @@
     return all;
   }
 
-  private static void round(Map<String, PartialView> all, Set<String> dead) {
+  private static void runRound(Map<String, PartialView> all, Set<String> dead) {
     for (Map.Entry<String, PartialView> each : all.entrySet()) {
       if (dead.contains(each.getKey())) continue;
       Map.Entry<Descriptor, Shuffle.Request> next = each.getValue().nextShuffle();
@@ -73,22 +73,22 @@
     return view.all().stream().filter(d -> d.role().equals("index")).count();
   }
 
-  /** Guards against relays of a large fleet that know no index and place requests without hints. */
+  /** Guards against relays of large fleets that know no index and route requests without hints. */
   @Test
-  void everyNodeOfALargeFleetSoonKnowsAllIndexesAndForgetsOneThatDied() {
+  void everyNodeOfALargeFleetKnowsTheIndexesAndForgetsADeadOne() {
     int indexes = 7;
     for (int nodes : new int[] {30, 105, 390}) {
       Map<String, PartialView> all = largeFleet(new Random(nodes), nodes, indexes);
       Set<String> dead = new HashSet<>();
-      for (int round = 0; round < 15; round++) round(all, dead);
+      for (int round = 0; round < 15; round++) runRound(all, dead);
       for (int round = 0; round < 100; round++) {
-        round(all, dead);
+        runRound(all, dead);
         for (Map.Entry<String, PartialView> each : all.entrySet())
           Assertions.assertTrue(
               indexesKnown(each.getValue()) >= indexes - 1, each.getKey() + " of " + nodes);
       }
       dead.add("n3");
-      for (int round = 0; round < FORGOTTEN_AFTER; round++) round(all, dead);
+      for (int round = 0; round < FORGOTTEN_AFTER_ROUNDS; round++) runRound(all, dead);
       all.keySet().removeAll(dead);
       for (PartialView view : all.values())
         Assertions.assertTrue(view.all().stream().noneMatch(d -> d.name().equals("n3")));
