--- a/common/src/main/java/gladelug/common/SingleThreadWorker.java
+++ b/common/src/main/java/gladelug/common/SingleThreadWorker.java
@@ -42,7 +42,7 @@
   /**
    * Starts the thread.
    *
-   * @param slots maximum number of queued tasks
+   * @param queueCapacity maximum number of queued tasks
    * @param onFatal called on the worker's thread when a task throws an error
    */
   SingleThreadWorker(String name, int queueCapacity, Clock clock, FatalFailure.Handler onFatal) {
--- a/common/src/main/java/gladelug/common/configuration/PrefixSharing.java
+++ b/common/src/main/java/gladelug/common/configuration/PrefixSharing.java
@@ -28,9 +28,8 @@
  * tenant configured as not isolated may have; for tenants that are not configured, see {@link
  * #mayHaveShared}.
  *
- * @param effectiveSince number of the configuration at which the current sharing scope started; 0
- *     if no scope was ever replaced, negative if the value was written by a release without this
- *     record
+ * @param since number of the configuration at which the current sharing scope started; 0 if no
+ *     scope was ever replaced, negative if the value was written by a release without this record
  * @param formerTenants fingerprints of the names of tenants that shared since then and are no
  *     longer configured
  * @param complete whether formerTenants contains all such tenants
