--- a/common/src/main/java/gladelug/common/LocatedJson.java
+++ b/common/src/main/java/gladelug/common/LocatedJson.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 
 /**
- * A JSON text read by minimal-json's parser into nodes that remember their line, column and path,
- * so that whoever reads an operator's file by hand can say where each finding is. Fields reads one
- * object: each field asked for is marked, and done() reports those nobody asked for.
+ * A node of a JSON document, parsed with minimal-json, that records its line, column and path, so
+ * that findings can name the position of each problem. {@link Fields} reads an object and reports
+ * fields that were never read.
  */
 public final class LocatedJson {
   public enum Kind {
@@ -36,19 +36,19 @@
   public final int column;
   public final String text;
 
-  /** Of an object its fields by name, in their order; of anything else none. */
+  /** The fields of an object by name, in document order; empty for other kinds. */
   public final Map<String, LocatedJson> members;
 
-  /** Of a list its items; of anything else none. */
+  /** The items of a list; empty for other kinds. */
   public final List<LocatedJson> items;
 
-  /** The object or list this stands in, or null at the top. */
+  /** The enclosing object or list, or null at the top level. */
   private final LocatedJson parent;
 
   /** The field's name in an object, null in a list. */
   private final String name;
 
-  /** The place in a list. */
+  /** The index in a list. */
   private final int index;
 
   private LocatedJson(Kind kind, Position position, Location at, String text) {
@@ -63,10 +63,10 @@
     this.items = kind == Kind.ARRAY ? new ArrayList<>() : List.of();
   }
 
-  /** Where a value stands: in what, and under which name or at which place of a list. */
+  /** The position of a value: its parent and its name or index there. */
   private record Position(LocatedJson parent, String name, int index) {}
 
-  /** The way to it from the top, such as {@code routes[3].name}; empty at the top. */
+  /** Returns the path from the top level, such as {@code routes[3].name}; empty at the top. */
   private String path() {
     if (parent == null) return "";
     String above = parent.path();
@@ -74,13 +74,14 @@
     return above.isEmpty() ? name : above + "." + name;
   }
 
+  /** Returns line, column and path, for findings. */
   public String place() {
     String path = path();
     return "line " + line + ", column " + column + " (" + (path.isEmpty() ? "top" : path) + ")";
   }
 
-  /** Bytes as text; what isn't UTF-8 is a finding, as it could not be read back as it was sent. */
-  public static Result<String> text(byte[] bytes) {
+  /** Decodes UTF-8; invalid bytes are a finding, as they could not be read back unchanged. */
+  public static Result<String> decodeUtf8(byte[] bytes) {
     try {
       ByteBuffer buffer = ByteBuffer.wrap(bytes);
       return Result.good(StandardCharsets.UTF_8.newDecoder().decode(buffer).toString());
@@ -91,15 +92,15 @@
 
   public static Result<LocatedJson> parse(String json) {
     Findings findings = new Findings();
-    Reader r = new Reader(findings);
+    Reader reader = new Reader(findings);
     try {
-      new JsonParser(r).parse(json);
+      new JsonParser(reader).parse(json);
     } catch (ParseException e) {
       findings.add(
           "line " + e.getLocation().line + ", column " + e.getLocation().column,
           "not JSON: " + e.getMessage().replaceFirst(" at \\d+:\\d+$", ""));
     }
-    return Result.of(findings, () -> r.last);
+    return Result.of(findings, () -> reader.lastValue);
   }
 
   public Fields fields(Findings findings) {
@@ -107,161 +108,163 @@
   }
 
   /**
-   * Makes the nodes. A large text has hundreds of thousands of them, so what is equal in many is
-   * one object: names of fields, and short texts.
+   * Builds the nodes. A large document has hundreds of thousands of them, so equal field names and
+   * equal short texts share one object.
    */
   private static final class Reader extends JsonHandler<Object, Object> {
-    /** Longer texts are seldom equal. */
-    private static final int LONGEST_SHARED_TEXT = 24;
+    /** Longer texts are rarely equal. */
+    private static final int MAX_SHARED_TEXT_CHARS = 24;
 
     private static final int MAX_SHARED_TEXTS = 4096;
 
     private final Findings findings;
     private final Map<String, String> sharedTexts = new HashMap<>();
     private final ArrayDeque<Position> positions = new ArrayDeque<>();
-    private final ArrayDeque<LocatedJson> open = new ArrayDeque<>();
-    private final ArrayDeque<Location> starts = new ArrayDeque<>();
-    private LocatedJson last;
+    private final ArrayDeque<LocatedJson> openContainers = new ArrayDeque<>();
+    private final ArrayDeque<Location> startLocations = new ArrayDeque<>();
+    private LocatedJson lastValue;
 
     Reader(Findings findings) {
       this.findings = findings;
       positions.push(new Position(null, null, 0));
     }
 
-    private void leaf(Kind k, String text) {
-      last = new LocatedJson(k, positions.peek(), starts.pop(), shared(text));
+    private void finishScalar(Kind kind, String text) {
+      lastValue = new LocatedJson(kind, positions.peek(), startLocations.pop(), intern(text));
     }
 
-    private String shared(String text) {
-      if (text == null || text.length() > LONGEST_SHARED_TEXT) return text;
+    private String intern(String text) {
+      if (text == null || text.length() > MAX_SHARED_TEXT_CHARS) return text;
       String first = sharedTexts.get(text);
       if (first != null) return first;
       if (sharedTexts.size() < MAX_SHARED_TEXTS) sharedTexts.put(text, text);
       return text;
     }
 
-    private void begin() {
-      starts.push(getLocation());
+    private void markStart() {
+      startLocations.push(getLocation());
     }
 
     @Override
     public void startNull() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endNull() {
-      leaf(Kind.NULL, null);
+      finishScalar(Kind.NULL, null);
     }
 
     @Override
     public void startBoolean() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endBoolean(boolean v) {
-      leaf(Kind.BOOLEAN, String.valueOf(v));
+      finishScalar(Kind.BOOLEAN, String.valueOf(v));
     }
 
     @Override
     public void startString() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endString(String text) {
-      leaf(Kind.STRING, text);
+      finishScalar(Kind.STRING, text);
     }
 
     @Override
     public void startNumber() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endNumber(String text) {
-      leaf(Kind.NUMBER, text);
+      finishScalar(Kind.NUMBER, text);
     }
 
     @Override
     public Object startArray() {
-      open.push(new LocatedJson(Kind.ARRAY, positions.peek(), getLocation(), null));
+      openContainers.push(new LocatedJson(Kind.ARRAY, positions.peek(), getLocation(), null));
       return null;
     }
 
     @Override
     public void endArray(Object a) {
-      last = open.pop();
+      lastValue = openContainers.pop();
     }
 
     @Override
     public void startArrayValue(Object a) {
-      positions.push(new Position(open.peek(), null, open.peek().items.size()));
+      positions.push(new Position(openContainers.peek(), null, openContainers.peek().items.size()));
     }
 
     @Override
     public void endArrayValue(Object a) {
       positions.pop();
-      open.peek().items.add(last);
+      openContainers.peek().items.add(lastValue);
     }
 
     @Override
     public Object startObject() {
-      open.push(new LocatedJson(Kind.OBJECT, positions.peek(), getLocation(), null));
+      openContainers.push(new LocatedJson(Kind.OBJECT, positions.peek(), getLocation(), null));
       return null;
     }
 
     @Override
     public void endObject(Object o) {
-      last = open.pop();
+      lastValue = openContainers.pop();
     }
 
     @Override
     public void startObjectValue(Object o, String name) {
-      positions.push(new Position(open.peek(), shared(name), 0));
+      positions.push(new Position(openContainers.peek(), intern(name), 0));
     }
 
     @Override
     public void endObjectValue(Object o, String name) {
       positions.pop();
-      if (open.peek().members.putIfAbsent(shared(name), last) != null)
-        findings.add(last.place(), "given twice");
+      if (openContainers.peek().members.putIfAbsent(intern(name), lastValue) != null)
+        findings.add(lastValue.place(), "given twice");
     }
   }
 
+  /** Reads the fields of an object, collecting findings and the names that were read. */
   public static final class Fields {
-    private final LocatedJson doc;
+    private final LocatedJson node;
     private final Findings findings;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> requestedNames = new HashSet<>();
 
-    private Fields(LocatedJson doc, Findings findings) {
-      this.doc = doc;
+    private Fields(LocatedJson node, Findings findings) {
+      this.node = node;
       this.findings = findings;
-      if (doc.kind != Kind.OBJECT) findings.add(doc.place(), "must be an object");
+      if (node.kind != Kind.OBJECT) findings.add(node.place(), "must be an object");
     }
 
     public boolean has(String name) {
-      return doc.members.containsKey(name);
+      return node.members.containsKey(name);
     }
 
     public String place(String name) {
-      LocatedJson json = doc.members.get(name);
-      return json == null ? doc.place() : json.place();
+      LocatedJson value = node.members.get(name);
+      return value == null ? node.place() : value.place();
     }
 
-    private LocatedJson get(String name, Kind k, boolean must) {
-      asked.add(name);
-      LocatedJson json = doc.members.get(name);
-      if (json == null) {
-        if (must && doc.kind == Kind.OBJECT) findings.add(doc.place(), "misses the field " + name);
+    private LocatedJson get(String name, Kind expected, boolean required) {
+      requestedNames.add(name);
+      LocatedJson value = node.members.get(name);
+      if (value == null) {
+        if (required && node.kind == Kind.OBJECT)
+          findings.add(node.place(), "misses the field " + name);
         return null;
       }
-      if (json.kind != k) {
+      if (value.kind != expected) {
         findings.add(
-            json.place(),
+            value.place(),
             "must be "
-                + switch (k) {
+                + switch (expected) {
                   case OBJECT -> "an object";
                   case ARRAY -> "a list";
                   case STRING -> "a text";
@@ -271,19 +274,19 @@
                 });
         return null;
       }
-      return json;
+      return value;
     }
 
     public String text(String name) {
-      LocatedJson json = get(name, Kind.STRING, true);
-      if (json == null) return "";
-      if (json.text.isBlank()) findings.add(json.place(), "must not be empty");
-      return json.text;
+      LocatedJson value = get(name, Kind.STRING, true);
+      if (value == null) return "";
+      if (value.text.isBlank()) findings.add(value.place(), "must not be empty");
+      return value.text;
     }
 
     public String text(String name, String defaultValue) {
-      LocatedJson json = get(name, Kind.STRING, false);
-      return json == null ? defaultValue : json.text;
+      LocatedJson value = get(name, Kind.STRING, false);
+      return value == null ? defaultValue : value.text;
     }
 
     public long integer(String name, long defaultValue, long min, long max) {
@@ -294,54 +297,56 @@
       return integer(name, true, min, min, max);
     }
 
-    private long integer(String name, boolean must, long defaultValue, long min, long max) {
-      LocatedJson json = get(name, Kind.NUMBER, must);
-      if (json == null) return defaultValue;
+    private long integer(String name, boolean required, long defaultValue, long min, long max) {
+      LocatedJson value = get(name, Kind.NUMBER, required);
+      if (value == null) return defaultValue;
       try {
-        long v = Long.parseLong(json.text);
-        if (v >= min && v <= max) return v;
+        long number = Long.parseLong(value.text);
+        if (number >= min && number <= max) return number;
       } catch (NumberFormatException e) {
         // reported below with the range
       }
-      findings.add(json.place(), "must be a whole number from " + min + " to " + max);
+      findings.add(value.place(), "must be a whole number from " + min + " to " + max);
       return defaultValue;
     }
 
     public double fraction(String name, double defaultValue, double min, double max) {
-      LocatedJson json = get(name, Kind.NUMBER, false);
-      if (json == null) return defaultValue;
-      double v = Double.parseDouble(json.text);
-      if (v >= min && v <= max) return v;
-      findings.add(json.place(), "must be a number from " + min + " to " + max);
+      LocatedJson value = get(name, Kind.NUMBER, false);
+      if (value == null) return defaultValue;
+      double number = Double.parseDouble(value.text);
+      if (number >= min && number <= max) return number;
+      findings.add(value.place(), "must be a number from " + min + " to " + max);
       return defaultValue;
     }
 
     public boolean flag(String name, boolean defaultValue) {
-      LocatedJson json = get(name, Kind.BOOLEAN, false);
-      return json == null ? defaultValue : json.text.equals("true");
+      LocatedJson value = get(name, Kind.BOOLEAN, false);
+      return value == null ? defaultValue : value.text.equals("true");
     }
 
-    public List<LocatedJson> list(String name, boolean must) {
-      LocatedJson json = get(name, Kind.ARRAY, must);
-      return json == null ? List.of() : json.items;
+    public List<LocatedJson> list(String name, boolean required) {
+      LocatedJson value = get(name, Kind.ARRAY, required);
+      return value == null ? List.of() : value.items;
     }
 
-    public List<String> texts(String name, boolean must) {
-      List<String> out = new ArrayList<>();
-      for (LocatedJson json : list(name, must)) {
-        if (json.kind == Kind.STRING && !json.text.isBlank()) out.add(json.text);
-        else findings.add(json.place(), "must be a text that is not empty");
+    public List<String> texts(String name, boolean required) {
+      List<String> texts = new ArrayList<>();
+      for (LocatedJson value : list(name, required)) {
+        if (value.kind == Kind.STRING && !value.text.isBlank()) texts.add(value.text);
+        else findings.add(value.place(), "must be a text that is not empty");
       }
-      return out;
+      return texts;
     }
 
-    public LocatedJson object(String name, boolean must) {
-      return get(name, Kind.OBJECT, must);
+    public LocatedJson object(String name, boolean required) {
+      return get(name, Kind.OBJECT, required);
     }
 
-    public void done() {
-      for (Map.Entry<String, LocatedJson> e : doc.members.entrySet())
-        if (!asked.contains(e.getKey())) findings.add(e.getValue().place(), "is not a known field");
+    /** Reports each field that was never read as a finding. */
+    public void reportUnknownFields() {
+      for (Map.Entry<String, LocatedJson> e : node.members.entrySet())
+        if (!requestedNames.contains(e.getKey()))
+          findings.add(e.getValue().place(), "is not a known field");
     }
   }
 }
--- a/common/src/main/java/gladelug/common/Program.java
+++ b/common/src/main/java/gladelug/common/Program.java
@@ -7,20 +7,20 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * What every program's main has in common: findings go to the error stream and end the process with
- * 2, a machine that won't do (port in use, folder damaged) ends it with one line and 3; SIGTERM
- * stops the services of the {@link ServiceRegistry}. An error that ends a thread ends the process
- * with 4. Nothing here starts a process.
+ * Common parts of the programs' main methods. Findings in arguments or settings are printed to the
+ * error stream and exit the process with 2; a start-up failure of the machine (port in use, damaged
+ * folder) prints one line and exits with 3; an uncaught {@link Error} exits with 4. SIGTERM stops
+ * the services of the {@link ServiceRegistry}.
  */
 public final class Program {
-  public static final int BAD_USE = 2, CANNOT = 3;
+  public static final int EXIT_BAD_USAGE = 2, EXIT_CANNOT_START = 3;
 
-  /** The process lost a thread that it can't do without; see {@link FatalFailure}. */
-  public static final int FAILED = 4;
+  /** Exit code of a process in which an essential thread failed; see {@link FatalFailure}. */
+  public static final int EXIT_FAILED = 4;
 
   private Program() {}
 
-  public static Namespace parse(ArgumentParser parser, String[] args) {
+  public static Namespace parseArguments(ArgumentParser parser, String[] args) {
     try {
       return parser.parseArgs(args);
     } catch (HelpScreenException e) {
@@ -28,20 +28,20 @@
       System.exit(0);
     } catch (ArgumentParserException e) {
       parser.handleError(e);
-      System.exit(BAD_USE);
+      System.exit(EXIT_BAD_USAGE);
     }
     throw new IllegalStateException();
   }
 
-  public static <T> T orExit(String program, Result<T> r) {
-    if (r instanceof Result.Good<T> g) return g.value();
-    System.err.println(program + ": nothing was started; found:");
-    for (Finding f : ((Result.Bad<T>) r).findings()) System.err.println("  " + f);
-    System.exit(BAD_USE);
+  public static <T> T valueOrExit(String program, Result<T> result) {
+    if (result instanceof Result.Good<T> good) return good.value();
+    System.err.println(program + ": nothing was started because of these findings:");
+    for (Finding finding : ((Result.Bad<T>) result).findings()) System.err.println("  " + finding);
+    System.exit(EXIT_BAD_USAGE);
     throw new IllegalStateException();
   }
 
-  public static Level level(String text) {
+  public static Level parseLogLevel(String text) {
     return switch (text) {
       case "fine" -> Level.FINE;
       case "warning" -> Level.WARNING;
@@ -50,10 +50,11 @@
   }
 
   /**
-   * Starts, then waits until asked to stop; the stop has this many ms before the process ends
-   * anyway.
+   * Starts the services and registers a shutdown hook that stops them.
+   *
+   * @param stopTimeoutMs time after which the process ends even if services are still stopping
    */
-  public static void run(String program, ServiceRegistry registry, long politely) {
+  public static void run(String program, ServiceRegistry registry, long stopTimeoutMs) {
     FatalFailure.endProcessOnUncaughtErrors();
     ProcessStalls.start();
     try {
@@ -61,22 +62,22 @@
     } catch (ServiceRegistry.StartupException e) {
       Log.fine("cannot-start", "what", e.getMessage());
       System.err.println(program + ": " + e.getMessage());
-      System.exit(CANNOT);
+      System.exit(EXIT_CANNOT_START);
     }
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
                 () -> {
                   Log.event("stopping");
-                  Thread t = new Thread(registry::stop, "stop");
-                  t.setDaemon(true);
-                  t.start();
+                  Thread stopThread = new Thread(registry::stop, "stop");
+                  stopThread.setDaemon(true);
+                  stopThread.start();
                   try {
-                    t.join(politely);
+                    stopThread.join(stopTimeoutMs);
                   } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
-                  Log.event("stopped", "in-time", !t.isAlive());
+                  Log.event("stopped", "in-time", !stopThread.isAlive());
                 },
                 "shutdown"));
     Log.event("started", "program", program, "services", registry.names());
--- a/common/src/main/java/gladelug/common/Result.java
+++ b/common/src/main/java/gladelug/common/Result.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * The outcome of something that may not work out: Good with a value, or Bad with the findings that
- * say why. Sealed, so that a caller has to look at both.
+ * The outcome of an operation that may fail: {@link Good} with a value, or {@link Bad} with the
+ * findings that explain the failure. Sealed, so that callers handle both cases.
  */
 public sealed interface Result<T> {
   record Good<T>(T value) implements Result<T> {}
@@ -20,20 +20,20 @@
     }
   }
 
-  static <T> Result<T> good(T v) {
-    return new Good<>(v);
+  static <T> Result<T> good(T value) {
+    return new Good<>(value);
   }
 
   static <T> Result<T> bad(String place, String what) {
     return new Bad<>(List.of(new Finding(place, what)));
   }
 
-  static <T> Result<T> of(Findings findings, Supplier<T> supplier) {
-    return findings.clean() ? new Good<>(supplier.get()) : new Bad<>(findings.list());
+  static <T> Result<T> of(Findings findings, Supplier<T> valueSupplier) {
+    return findings.isEmpty() ? new Good<>(valueSupplier.get()) : new Bad<>(findings.list());
   }
 
-  default <U> Result<U> then(Function<T, Result<U>> f) {
-    if (this instanceof Good<T> g) return f.apply(g.value());
+  default <U> Result<U> flatMap(Function<T, Result<U>> mapper) {
+    if (this instanceof Good<T> g) return mapper.apply(g.value());
     return new Bad<>(((Bad<T>) this).findings());
   }
 }
--- a/common/src/main/java/gladelug/common/ServiceRegistry.java
+++ b/common/src/main/java/gladelug/common/ServiceRegistry.java
@@ -7,19 +7,25 @@
 import java.util.Map;
 
 /**
- * Services with names, started in the order they were added and stopped in reverse, that find each
- * other by name when they start. It knows nothing of what they do. A program is a list of services;
- * one that can't start ends the program with one clear line ({@link StartupException}).
+ * Named services that are started in the order in which they were added, stopped in reverse order,
+ * and can look each other up by name while they start. A service that fails to start ends the
+ * program with a one-line message ({@link StartupException}).
  */
 public final class ServiceRegistry {
+  /** A part of a program that is started and stopped with it. */
   public interface Service {
-    /** Throws CannotStart when the machine or the settings don't allow it. */
+    /**
+     * Starts the service.
+     *
+     * @throws StartupException if the machine or the settings don't allow it
+     */
     void start(ServiceRegistry registry);
 
-    /** Polite: what was begun may end; called once. */
+    /** Stops the service gracefully: work in progress may finish. Called once. */
     default void stop() {}
   }
 
+  /** Thrown when a service cannot start; the message is shown to the operator. */
   public static final class StartupException extends RuntimeException {
     public StartupException(String what) {
       super(what);
@@ -33,16 +39,16 @@
   private final Map<String, Service> services = new LinkedHashMap<>();
   private final ArrayDeque<String> started = new ArrayDeque<>();
 
-  public ServiceRegistry add(String name, Service s) {
-    if (services.putIfAbsent(name, s) != null)
+  public ServiceRegistry add(String name, Service service) {
+    if (services.putIfAbsent(name, service) != null)
       throw new IllegalStateException("two services named " + name);
     return this;
   }
 
   public <T> T find(String name, Class<T> type) {
-    Service s = services.get(name);
-    if (s == null) throw new StartupException("no service named " + name);
-    return type.cast(s);
+    Service service = services.get(name);
+    if (service == null) throw new StartupException("no service named " + name);
+    return type.cast(service);
   }
 
   public List<String> names() {
@@ -50,24 +56,24 @@
   }
 
   public void start() {
-    for (Map.Entry<String, Service> e : services.entrySet()) {
+    for (Map.Entry<String, Service> entry : services.entrySet()) {
       try {
-        e.getValue().start(this);
+        entry.getValue().start(this);
       } catch (RuntimeException failure) {
         stop();
         throw failure;
       }
-      started.push(e.getKey());
+      started.push(entry.getKey());
     }
   }
 
   public synchronized void stop() {
     while (!started.isEmpty()) {
-      String n = started.pop();
+      String name = started.pop();
       try {
-        services.get(n).stop();
+        services.get(name).stop();
       } catch (RuntimeException e) {
-        Log.thrown("service-stop-problem", e, "service", n);
+        Log.thrown("service-stop-problem", e, "service", name);
       }
     }
   }
--- a/common/src/main/java/gladelug/common/Settings.java
+++ b/common/src/main/java/gladelug/common/Settings.java
@@ -11,11 +11,11 @@
 import java.util.function.Supplier;
 
 /**
- * A process's place: read from a settings file in JSON, from flags, or both, where a flag goes
- * first. All findings, from either, are collected and reported together before anything starts.
+ * The settings of a process, read from a JSON settings file, from flags, or from both; a flag takes
+ * precedence. All findings from both sources are reported together before any service starts.
  */
 public final class Settings {
-  private static final LocatedJson NOTHING =
+  private static final LocatedJson EMPTY_FILE =
       ((Result.Good<LocatedJson>) LocatedJson.parse("{}")).value();
   private final LocatedJson.Fields file;
   private final Map<String, String> flags;
@@ -28,9 +28,9 @@
   }
 
   public static Result<Settings> open(String path, Map<String, String> flags) {
-    Map<String, String> fl = new HashMap<>(flags);
-    fl.values().removeIf(v -> v == null);
-    if (path == null) return Result.good(new Settings(NOTHING, fl, new Findings()));
+    Map<String, String> givenFlags = new HashMap<>(flags);
+    givenFlags.values().removeIf(v -> v == null);
+    if (path == null) return Result.good(new Settings(EMPTY_FILE, givenFlags, new Findings()));
     String text;
     try {
       text = Files.readString(Path.of(path));
@@ -38,10 +38,10 @@
       return Result.bad("settings file " + path, "cannot be read: " + e.getClass().getSimpleName());
     }
     return LocatedJson.parse(text)
-        .then(json -> Result.good(new Settings(json, fl, new Findings())));
+        .flatMap(json -> Result.good(new Settings(json, givenFlags, new Findings())));
   }
 
-  /** A setting's name as a flag. */
+  /** Returns the command-line flag of a setting: "ringFileMb" is --ring-file-mb. */
   public static String flag(String name) {
     return "--" + name.replaceAll("([A-Z])", "-$1").toLowerCase(Locale.ROOT);
   }
@@ -56,7 +56,7 @@
 
   public String text(String name) {
     if (!has(name)) {
-      findings.add(flag(name), "is needed, as a flag or as " + name + " in the settings file");
+      findings.add(flag(name), "is required, as a flag or as " + name + " in the settings file");
       return "";
     }
     String text = text(name, "");
@@ -69,10 +69,12 @@
     return flags.getOrDefault(name, inFile);
   }
 
+  /** Returns a name of at most 31 characters that is safe in files, log lines and paths. */
   public String name(String name) {
     String text = text(name);
     if (!text.isEmpty() && !text.matches("[a-z0-9][a-z0-9-]{0,30}"))
-      findings.add(place(name), "must be small letters, digits and hyphens, 31 at most: " + text);
+      findings.add(
+          place(name), "must be small letters, digits and hyphens, at most 31 characters: " + text);
     return text;
   }
 
@@ -89,8 +91,8 @@
     if (!flags.containsKey(name)) return file.integer(name, defaultValue, min, max);
     file.integer(name, defaultValue, Long.MIN_VALUE, Long.MAX_VALUE);
     try {
-      long v = Long.parseLong(flags.get(name));
-      if (v >= min && v <= max) return v;
+      long value = Long.parseLong(flags.get(name));
+      if (value >= min && value <= max) return value;
     } catch (NumberFormatException e) {
       // reported below with the range
     }
@@ -99,8 +101,8 @@
   }
 
   public List<String> texts(String name) {
-    List<String> f = file.texts(name, false);
-    if (!flags.containsKey(name)) return f;
+    List<String> inFile = file.texts(name, false);
+    if (!flags.containsKey(name)) return inFile;
     return List.of(flags.get(name).split(",")).stream()
         .map(String::trim)
         .filter(text -> !text.isEmpty())
@@ -108,14 +110,14 @@
   }
 
   public List<Address> addresses(String name) {
-    List<Address> out = new ArrayList<>();
-    for (String text : texts(name)) out.add(Address.read(text, place(name), findings));
-    return out;
+    List<Address> addresses = new ArrayList<>();
+    for (String text : texts(name)) addresses.add(Address.read(text, place(name), findings));
+    return addresses;
   }
 
-  /** The last call: fields nobody asked for are findings too. */
-  public <T> Result<T> done(Supplier<T> made) {
-    file.done();
-    return Result.of(findings, made);
+  /** Reports fields that were never read as findings, then returns the value or all findings. */
+  public <T> Result<T> build(Supplier<T> valueSupplier) {
+    file.reportUnknownFields();
+    return Result.of(findings, valueSupplier);
   }
 }
--- a/common/src/main/java/gladelug/common/StallDetector.java
+++ b/common/src/main/java/gladelug/common/StallDetector.java
@@ -6,44 +6,45 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Finds threads that stand still though their process runs. Each watched thread gets a task now and
- * then; until that has run, the thread counts as standing still, for as long as the checks
- * themselves went on: a process that was frozen as a whole blames none of its threads. Thread-safe.
+ * Detects threads that are stalled while their process runs. Each watched thread periodically gets
+ * a probe task and counts as stalled until it has run it. Only time during which the checks
+ * themselves ran is counted, so no thread is blamed after the whole process was frozen.
+ * Thread-safe.
  */
 public final class StallDetector {
-  /** Gives a thread a task; false where it takes none. */
+  /** Submits tasks to a watched thread. */
   @FunctionalInterface
-  public interface Poster {
-    /** Hands the task over without waiting for it. */
+  public interface TaskSubmitter {
+    /** Submits a task without blocking; returns false if the thread accepts none. */
     boolean post(Runnable task);
   }
 
-  /** A watched thread; closed when the thread is to end. */
-  public final class Watched implements AutoCloseable {
+  /** A watched thread; must be closed before the thread ends. */
+  public final class WatchedThread implements AutoCloseable {
     private final String thread;
-    private final Poster poster;
+    private final TaskSubmitter submitter;
     private volatile boolean answered = true;
-    private volatile long longestMs;
-    private volatile long stillMs;
-    private long postedAtMs;
+    private volatile long longestWaitMs;
+    private volatile long stalledMs;
+    private long submittedAtMs;
 
-    private Watched(String thread, Poster poster) {
+    private WatchedThread(String thread, TaskSubmitter submitter) {
       this.thread = thread;
-      this.poster = poster;
+      this.submitter = submitter;
     }
 
     private void probe(long nowMs, Clock clock) {
-      postedAtMs = nowMs;
-      stillMs = 0;
+      submittedAtMs = nowMs;
+      stalledMs = 0;
       answered = false;
-      boolean posted =
-          poster.post(
+      boolean submitted =
+          submitter.post(
               () -> {
-                longestMs = Math.max(longestMs, clock.now() - postedAtMs);
+                longestWaitMs = Math.max(longestWaitMs, clock.now() - submittedAtMs);
                 answered = true;
               });
-      // a thread that has too much to do takes no task, and goes on; it is asked at the next check
-      if (!posted) answered = true;
+      // an overloaded thread rejects the task but isn't stalled; it is probed at the next check
+      if (!submitted) answered = true;
     }
 
     @Override
@@ -53,63 +54,72 @@
   }
 
   private final Clock clock;
-  private final int everyMs;
+  private final int checkIntervalMs;
   private final int stalledAfterMs;
-  private final int endsAfterMs;
+  private final int exitAfterMs;
   private final FatalFailure.Handler onFatal;
-  private final List<Watched> watched = new CopyOnWriteArrayList<>();
+  private final List<WatchedThread> watched = new CopyOnWriteArrayList<>();
   private long checkedAtMs;
 
   /**
-   * Watches nothing yet.
+   * Creates a detector that watches no thread yet.
    *
-   * @param everyMs between two checks
-   * @param stalledAfterMs standing still, after which {@link #stalled} names a thread
-   * @param endsAfterMs standing still, after which onFatal is told
+   * @param checkIntervalMs time between two checks
+   * @param stalledAfterMs time after which {@link #stalledThread} names a stalled thread
+   * @param exitAfterMs time after which onFatal is called for a stalled thread
    */
   StallDetector(
-      Clock clock, int everyMs, int stalledAfterMs, int endsAfterMs, FatalFailure.Handler onFatal) {
+      Clock clock,
+      int checkIntervalMs,
+      int stalledAfterMs,
+      int exitAfterMs,
+      FatalFailure.Handler onFatal) {
     this.clock = clock;
-    this.everyMs = everyMs;
+    this.checkIntervalMs = checkIntervalMs;
     this.stalledAfterMs = stalledAfterMs;
-    this.endsAfterMs = endsAfterMs;
+    this.exitAfterMs = exitAfterMs;
     this.onFatal = onFatal;
     this.checkedAtMs = clock.now();
   }
 
-  /** Watches a thread from now on. */
-  public Watched watch(String thread, Poster poster) {
-    Watched added = new Watched(thread, poster);
+  /** Starts to watch a thread. */
+  public WatchedThread watch(String thread, TaskSubmitter submitter) {
+    WatchedThread added = new WatchedThread(thread, submitter);
     watched.add(added);
     return added;
   }
 
-  /** To be called every everyMs; what passed beyond twice that was a pause of this process. */
+  /** Must be called every checkIntervalMs; a gap of more than two intervals counts as two. */
   void check() {
     long nowMs = clock.now();
-    long passedMs = Math.min(nowMs - checkedAtMs, 2L * everyMs);
+    long elapsedMs = Math.min(nowMs - checkedAtMs, 2L * checkIntervalMs);
     checkedAtMs = nowMs;
-    for (Watched one : watched) {
-      if (one.answered) {
-        one.probe(nowMs, clock);
+    for (WatchedThread watchedThread : watched) {
+      if (watchedThread.answered) {
+        watchedThread.probe(nowMs, clock);
         continue;
       }
-      one.stillMs += passedMs;
-      if (one.stillMs >= endsAfterMs)
-        onFatal.onFatal(one.thread, "stands still", new IllegalStateException(one.stillMs + " ms"));
+      watchedThread.stalledMs += elapsedMs;
+      if (watchedThread.stalledMs >= exitAfterMs)
+        onFatal.onFatal(
+            watchedThread.thread,
+            "is stalled",
+            new IllegalStateException(watchedThread.stalledMs + " ms"));
     }
   }
 
-  /** The name of a thread that has stood still for long, or empty. */
-  public String stalled() {
-    for (Watched one : watched) if (one.stillMs >= stalledAfterMs) return one.thread;
+  /** Returns the name of a stalled thread, or an empty text if there is none. */
+  public String stalledThread() {
+    for (WatchedThread watchedThread : watched)
+      if (watchedThread.stalledMs >= stalledAfterMs) return watchedThread.thread;
     return "";
   }
 
-  /** By thread, the longest that a task waited for the one before it, in ms. */
+  /** Returns the longest time in ms that a probe task waited, by thread. */
   public Map<String, Long> longestWaitsMs() {
     Map<String, Long> longest = new TreeMap<>();
-    for (Watched one : watched) longest.merge(one.thread, one.longestMs, Math::max);
+    for (WatchedThread watchedThread : watched)
+      longest.merge(watchedThread.thread, watchedThread.longestWaitMs, Math::max);
     return longest;
   }
 }
--- a/common/src/main/java/gladelug/common/connection/BindAddress.java
+++ b/common/src/main/java/gladelug/common/connection/BindAddress.java
@@ -6,33 +6,35 @@
 import io.vertx.core.net.ClientOptionsBase;
 
 /**
- * The IP number a process listens on and calls from. It is that of its advertised addresses, or
- * another where a machine has several (the setting bind); others only ever hear the advertised one.
+ * The IP address that a process listens on and connects from. By default it is that of the
+ * advertised addresses; the setting "bind" selects another one on machines that have several. Peers
+ * only learn the advertised address.
  */
 public record BindAddress(String ip) {
-  /** From the setting bind, else from the records address. */
+  /** Returns the address in the setting "bind", else that of the records address. */
   public static BindAddress of(Settings settings, Address records) {
-    String b = settings.text("bind", "");
+    String bind = settings.text("bind", "");
     Findings findings = settings.findings;
-    if (wild(records.host()))
+    if (isWildcard(records.host()))
       findings.add("--records", "is what others call, so it can't be " + records.host());
-    if (b.isEmpty()) return new BindAddress(records.host());
-    if (Address.number(b) < 0)
-      findings.add("--bind", "must be an IP number without a port, not " + b);
-    return new BindAddress(b);
+    if (bind.isEmpty()) return new BindAddress(records.host());
+    if (Address.ipv4ToLong(bind) < 0)
+      findings.add("--bind", "must be an IP number without a port, not " + bind);
+    return new BindAddress(bind);
   }
 
-  private static boolean wild(String host) {
+  private static boolean isWildcard(String host) {
     return host.equals("0.0.0.0");
   }
 
-  /** Where to listen for what is advertised as this. */
-  public Address at(Address advertised) {
+  /** Returns the address to listen on for an advertised address. */
+  public Address listenAddress(Address advertised) {
     return new Address(ip, advertised.port());
   }
 
+  /** Makes outgoing connections use this address unless it is the wildcard address. */
   public <T extends ClientOptionsBase> T withLocalAddress(T options) {
-    if (!wild(ip)) options.setLocalAddress(ip);
+    if (!isWildcard(ip)) options.setLocalAddress(ip);
     return options;
   }
 }
--- a/common/src/main/java/gladelug/common/connection/PersistentConnection.java
+++ b/common/src/main/java/gladelug/common/connection/PersistentConnection.java
@@ -8,20 +8,21 @@
 import java.util.function.Consumer;
 
 /**
- * A connection to one address that reconnects by itself until it is closed: opened at once, opened
- * again after it ends, reset after a read time-out, with one attempt to connect at a time. What is
- * sent while there is no connection is lost, as records on any connection may be.
+ * A connection to one address that reconnects automatically until it is closed. It is opened at
+ * once, reopened after it ends and reset after a read time-out, with one connection attempt at a
+ * time. Records sent while it is disconnected are lost, as records on any connection may be.
  */
 public final class PersistentConnection {
+  /** Receives records, on the connection's event loop. */
   public interface RecordHandler {
     void record(PersistentConnection connection, byte[] record) throws IOException;
   }
 
   private final Vertx vertx;
-  private final ConnectionAcceptor doors;
-  public final Address remote;
+  private final ConnectionAcceptor acceptor;
+  public final Address remoteAddress;
   private final String protocol;
-  private final RecordHandler handler;
+  private final RecordHandler recordHandler;
   private final Consumer<PersistentConnection> onConnected;
   private final Liveness liveness;
   private final ReadTimeoutDetector detector;
@@ -30,47 +31,51 @@
 
   public PersistentConnection(
       Vertx vertx,
-      ConnectionAcceptor doors,
-      Address address,
+      ConnectionAcceptor acceptor,
+      Address remoteAddress,
       String protocol,
-      RecordHandler records,
-      Consumer<PersistentConnection> opened) {
-    this(vertx, doors, address, protocol, Liveness.DATA, records, opened);
+      RecordHandler recordHandler,
+      Consumer<PersistentConnection> onConnected) {
+    this(vertx, acceptor, remoteAddress, protocol, Liveness.DATA_PLANE, recordHandler, onConnected);
   }
 
-  /** opened is told of each new connection, once records may be sent. */
+  /**
+   * Starts to connect.
+   *
+   * @param onConnected called for each new connection, once records may be sent
+   */
   public PersistentConnection(
       Vertx vertx,
-      ConnectionAcceptor doors,
-      Address address,
+      ConnectionAcceptor acceptor,
+      Address remoteAddress,
       String protocol,
       Liveness liveness,
-      RecordHandler records,
-      Consumer<PersistentConnection> opened) {
+      RecordHandler recordHandler,
+      Consumer<PersistentConnection> onConnected) {
     this.liveness = liveness;
     this.detector = new ReadTimeoutDetector(liveness, Clock.monotonic());
     this.vertx = vertx;
-    this.doors = doors;
-    this.remote = address;
+    this.acceptor = acceptor;
+    this.remoteAddress = remoteAddress;
     this.protocol = protocol;
-    this.handler = records;
-    this.onConnected = opened;
+    this.recordHandler = recordHandler;
+    this.onConnected = onConnected;
     connect();
   }
 
   private void connect() {
     if (closed) return;
-    doors
+    acceptor
         .connect(
-            remote,
+            remoteAddress,
             protocol,
-            liveness.connectTimeout(),
+            liveness.connectTimeoutMs(),
             detector,
-            c ->
+            established ->
                 new Connection.Receiver() {
                   @Override
                   public void record(byte[] record) throws IOException {
-                    handler.record(PersistentConnection.this, record);
+                    recordHandler.record(PersistentConnection.this, record);
                   }
 
                   @Override
@@ -81,40 +86,40 @@
                 })
         .subscribe()
         .with(
-            c -> {
-              connection = c;
-              if (closed || !c.open()) c.close();
+            established -> {
+              connection = established;
+              if (closed || !established.isOpen()) established.close();
               else onConnected.accept(this);
             },
             failure -> reconnectLater());
   }
 
   private void reconnectLater() {
-    if (!closed) vertx.setTimer(liveness.pause(), i -> connect());
+    if (!closed) vertx.setTimer(liveness.reconnectDelayMs(), i -> connect());
   }
 
   public boolean send(WireRecord message) {
-    Connection c = connection;
-    return c != null && c.send(message);
+    Connection current = connection;
+    return current != null && current.send(message);
   }
 
   /**
-   * Begins the connection anew where an answer is overdue. Sending does so too; whoever needs the
-   * bound to be tighter than the time between two records calls this in between.
+   * Reconnects if an answer is overdue. {@link #send} checks this too; callers that need a tighter
+   * bound than the time between two records call this method in between.
    */
   public void closeIfSilent() {
-    Connection c = connection;
-    if (c != null) c.closeIfSilent();
+    Connection current = connection;
+    if (current != null) current.closeIfSilent();
   }
 
-  public boolean open() {
-    Connection c = connection;
-    return c != null && c.open();
+  public boolean isOpen() {
+    Connection current = connection;
+    return current != null && current.isOpen();
   }
 
   public void close() {
     closed = true;
-    Connection c = connection;
-    if (c != null) c.close();
+    Connection current = connection;
+    if (current != null) current.close();
   }
 }
--- a/common/src/main/java/gladelug/common/message/DecisionRecords.java
+++ b/common/src/main/java/gladelug/common/message/DecisionRecords.java
@@ -5,23 +5,26 @@
 import java.io.IOException;
 
 /**
- * What a relay sends to peers on other machines so that its requests can be explained when it is
- * gone: a numbered batch of decision records, a JSON text a line, deflated. Best effort; never
- * answered.
+ * Decision records that a relay sends to peers on other machines, so that its requests can be
+ * explained after the relay is gone. Delivery is best effort and never acknowledged.
  */
 public sealed interface DecisionRecords extends WireRecord {
   /**
-   * low and high: the numbers of the requests in it; skipped: records left out so far for want of
-   * room.
+   * A numbered batch of decision records.
+   *
+   * @param firstNumber the lowest request number in the batch
+   * @param lastNumber the highest request number in the batch
+   * @param skippedCount number of records dropped so far for lack of space
+   * @param deflated the records as deflated JSON, one per line
    */
   record Batch(
       String relay,
       String incarnation,
       long sequence,
-      long low,
-      long high,
-      long skipped,
-      byte[] packed)
+      long firstNumber,
+      long lastNumber,
+      long skippedCount,
+      byte[] deflated)
       implements DecisionRecords {
     @Override
     public int type() {
@@ -33,15 +36,15 @@
       out.writeUTF(relay);
       out.writeUTF(incarnation);
       out.writeLong(sequence);
-      out.writeLong(low);
-      out.writeLong(high);
-      out.writeLong(skipped);
-      WireRecord.blob(out, packed);
+      out.writeLong(firstNumber);
+      out.writeLong(lastNumber);
+      out.writeLong(skippedCount);
+      WireRecord.writeBlob(out, deflated);
     }
   }
 
   static DecisionRecords read(int type, DataInputStream in) throws IOException {
-    if (type != 1) throw WireRecord.unknown(type);
+    if (type != 1) throw WireRecord.unknownType(type);
     return new Batch(
         in.readUTF(),
         in.readUTF(),
@@ -49,6 +52,6 @@
         in.readLong(),
         in.readLong(),
         in.readLong(),
-        WireRecord.blob(in));
+        WireRecord.readBlob(in));
   }
 }
--- a/common/src/main/java/gladelug/common/message/Lookup.java
+++ b/common/src/main/java/gladelug/common/message/Lookup.java
@@ -6,26 +6,28 @@
 import java.util.List;
 
 /**
- * What a relay asks an index process and what that answers. The blocks are the prompt's prefix
- * chain, so the answer per holder is how many leading blocks its entries match, and how much of the
- * next one it keeps in part; a warming or silent index says so and the relay goes on without a
- * hint.
+ * Messages between relays and index processes. A query contains the prompt's chain of prefix
+ * blocks; the response states, for each holder, how many leading blocks it has cached and how much
+ * of the next block. While an index is warming up its response says so, and the relay continues
+ * without a hint, as it does if no response arrives.
  */
 public sealed interface Lookup extends WireRecord {
   /**
-   * What one holder keeps of a prompt's chain, a hint only.
+   * The part of a prompt's chain that a holder has cached; only a hint.
    *
-   * @param holder the holder's instance
-   * @param blocks leading blocks, counted whole
-   * @param units units (tokens) kept of the block after those where it is kept in part, else 0
+   * @param holder instance ID of the replica or store
+   * @param blocks number of leading blocks that are cached in full
+   * @param partialUnits cached units (tokens) of the following block if it is cached in part, else
+   *     0
    */
-  record Match(String holder, int blocks, int units) {
+  record Match(String holder, int blocks, int partialUnits) {
     public Match(String holder, int blocks) {
       this(holder, blocks, 0);
     }
   }
 
-  record Question(long sequence, long[] blocks) implements Lookup {
+  /** A relay's query for the holders of a prompt's blocks. */
+  record Query(long sequence, long[] blocks) implements Lookup {
     @Override
     public int type() {
       return 1;
@@ -40,64 +42,67 @@
   }
 
   /**
-   * What a replica has to do of what all relays sent it, as the index was told.
+   * A replica's outstanding work from all relays, as reported to the index.
    *
-   * @param holder the replica's instance
-   * @param busyMs how long prompts that it was given keep it busy from now
-   * @param running requests that it should have now
-   * @param units what those take of its memory
+   * @param holder instance ID of the replica
+   * @param busyMs how long assigned prompts keep the replica busy, in ms from now
+   * @param runningRequests estimated number of requests that it is running
+   * @param memoryUnits the part of its memory that those requests use, in units (tokens)
    */
-  record Load(String holder, int busyMs, int running, int units) {}
+  record Load(String holder, int busyMs, int runningRequests, int memoryUnits) {}
 
   /**
-   * What a request is expected to ask of its replica.
+   * The expected cost of a request for its replica.
    *
-   * @param prefillMs until its prompt is computed or pulled
-   * @param replyMs from then to its last event
-   * @param units what it takes of the replica's memory
+   * @param prefillMs time in ms until its prompt is computed or fetched
+   * @param decodeMs time in ms from then to its last event
+   * @param memoryUnits memory that it uses at the replica, in units (tokens)
    */
-  record Work(int prefillMs, int replyMs, int units) {
+  record Work(int prefillMs, int decodeMs, int memoryUnits) {
     public static final Work UNKNOWN = new Work(0, 0, 0);
   }
 
   /**
-   * What the index knows of the fleet beside a prompt: who is busy, and how scarce memory is.
+   * The index's view of the whole fleet, independent of a prompt: loads and memory pressure.
    *
-   * @param loads replicas that are busy; one that isn't named is not, or was left out for length
-   * @param evictedShare of the blocks stored lately at all holders, how many drove another out: 0
-   *     with plenty of memory, about 1 where every holder is full
+   * @param loads busy replicas; others are idle or were omitted to keep the message short
+   * @param evictionRatio fraction of the blocks recently stored at all holders that evicted another
+   *     block: 0 with plenty of memory, about 1 if every holder is full
    */
-  record Fleet(List<Load> loads, double evictedShare) {
-    public static final Fleet UNKNOWN = new Fleet(List.of(), 0);
+  record FleetLoad(List<Load> loads, double evictionRatio) {
+    public static final FleetLoad UNKNOWN = new FleetLoad(List.of(), 0);
 
-    private static final int THOUSANDTHS = 1000;
+    private static final int PER_MILLE = 1000;
 
     private void write(DataOutputStream out) throws IOException {
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           loads,
-          (o, load) -> {
-            o.writeUTF(load.holder);
-            o.writeInt(load.busyMs);
-            o.writeInt(load.running);
-            o.writeInt(load.units);
+          (itemOut, load) -> {
+            itemOut.writeUTF(load.holder);
+            itemOut.writeInt(load.busyMs);
+            itemOut.writeInt(load.runningRequests);
+            itemOut.writeInt(load.memoryUnits);
           });
-      out.writeShort((int) (evictedShare * THOUSANDTHS));
+      out.writeShort((int) (evictionRatio * PER_MILLE));
     }
 
-    private static Fleet read(DataInputStream in) throws IOException {
-      return new Fleet(
-          WireRecord.list(in, i -> new Load(i.readUTF(), i.readInt(), i.readInt(), i.readInt())),
-          in.readUnsignedShort() / (double) THOUSANDTHS);
+    private static FleetLoad read(DataInputStream in) throws IOException {
+      return new FleetLoad(
+          WireRecord.readList(
+              in, i -> new Load(i.readUTF(), i.readInt(), i.readInt(), i.readInt())),
+          in.readUnsignedShort() / (double) PER_MILLE);
     }
   }
 
   /**
-   * fleet follows the matches only where there is something to say, as earlier releases read it.
+   * The response to a {@link Query}. The fleet load is written only if it is known, because earlier
+   * releases end the record after the matches.
    */
-  record Answer(long sequence, boolean warm, List<Match> matches, Fleet fleet) implements Lookup {
-    public Answer(long sequence, boolean warm, List<Match> matches) {
-      this(sequence, warm, matches, Fleet.UNKNOWN);
+  record Response(long sequence, boolean warm, List<Match> matches, FleetLoad fleetLoad)
+      implements Lookup {
+    public Response(long sequence, boolean warm, List<Match> matches) {
+      this(sequence, warm, matches, FleetLoad.UNKNOWN);
     }
 
     @Override
@@ -106,27 +111,27 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(sequence);
-      o.writeBoolean(warm);
-      WireRecord.list(
-          o,
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(sequence);
+      out.writeBoolean(warm);
+      WireRecord.writeList(
+          out,
           matches,
-          (p, m) -> {
-            p.writeUTF(m.holder);
-            p.writeInt(m.blocks);
-            p.writeInt(m.units);
+          (itemOut, match) -> {
+            itemOut.writeUTF(match.holder);
+            itemOut.writeInt(match.blocks);
+            itemOut.writeInt(match.partialUnits);
           });
-      if (!fleet.equals(Fleet.UNKNOWN)) fleet.write(o);
+      if (!fleetLoad.equals(FleetLoad.UNKNOWN)) fleetLoad.write(out);
     }
   }
 
   /**
-   * A relay sent a prompt of these blocks to a holder, which will keep them though no event told of
-   * it yet, and has so much work with it; earlier releases don't tell that.
+   * Reports that a relay sent a prompt to a holder, which will cache its blocks although no cache
+   * event has announced them yet. Earlier releases omit the expected work.
    */
-  record Placed(String holder, long[] blocks, Work work) implements Lookup {
-    public Placed(String holder, long[] blocks) {
+  record Placement(String holder, long[] blocks, Work work) implements Lookup {
+    public Placement(String holder, long[] blocks) {
       this(holder, blocks, Work.UNKNOWN);
     }
 
@@ -142,39 +147,41 @@
       for (long b : blocks) out.writeLong(b);
       if (work.equals(Work.UNKNOWN)) return;
       out.writeInt(work.prefillMs);
-      out.writeInt(work.replyMs);
-      out.writeInt(work.units);
+      out.writeInt(work.decodeMs);
+      out.writeInt(work.memoryUnits);
     }
   }
 
-  private static long[] blocks(DataInputStream in) throws IOException {
-    int n = in.readInt();
-    if (n < 0 || n > in.available() / 8) throw new IOException("impossible number of blocks " + n);
-    long[] b = new long[n];
-    for (int i = 0; i < n; i++) b[i] = in.readLong();
-    return b;
+  private static long[] readBlocks(DataInputStream in) throws IOException {
+    int count = in.readInt();
+    if (count < 0 || count > in.available() / 8)
+      throw new IOException("invalid block count " + count);
+    long[] blocks = new long[count];
+    for (int i = 0; i < count; i++) blocks[i] = in.readLong();
+    return blocks;
   }
 
-  private static Work work(DataInputStream in) throws IOException {
+  private static Work readWork(DataInputStream in) throws IOException {
     return new Work(in.readInt(), in.readInt(), in.readInt());
   }
 
   static Lookup read(int type, DataInputStream in) throws IOException {
     switch (type) {
       case 1 -> {
-        return new Question(in.readLong(), blocks(in));
+        return new Query(in.readLong(), readBlocks(in));
       }
       case 2 -> {
-        return new Answer(
+        return new Response(
             in.readLong(),
             in.readBoolean(),
-            WireRecord.list(in, i -> new Match(i.readUTF(), i.readInt(), i.readInt())),
-            in.available() > 0 ? Fleet.read(in) : Fleet.UNKNOWN);
+            WireRecord.readList(in, i -> new Match(i.readUTF(), i.readInt(), i.readInt())),
+            in.available() > 0 ? FleetLoad.read(in) : FleetLoad.UNKNOWN);
       }
       case 3 -> {
-        return new Placed(in.readUTF(), blocks(in), in.available() > 0 ? work(in) : Work.UNKNOWN);
+        return new Placement(
+            in.readUTF(), readBlocks(in), in.available() > 0 ? readWork(in) : Work.UNKNOWN);
       }
-      default -> throw WireRecord.unknown(type);
+      default -> throw WireRecord.unknownType(type);
     }
   }
 }
--- a/common/src/main/java/gladelug/common/message/StateUpdate.java
+++ b/common/src/main/java/gladelug/common/message/StateUpdate.java
@@ -6,44 +6,47 @@
 import java.util.List;
 
 /**
- * What control-plane and data-plane processes send each other on a persistent connection. A
- * data-plane process sends a {@link SubscriptionRequest} with the versions it has; the owner of a
- * key answers with a {@link LeaseGrant} where that is the newest number and pushes the newest value
- * otherwise. A subscription request after a push is its acknowledgement.
+ * Messages between control-plane and data-plane processes on a persistent connection. A data-plane
+ * process sends a {@link SubscriptionRequest} with the versions that it has; the owner of a key
+ * responds with a {@link LeaseGrant} if that version is the newest, else with the newest value. The
+ * next subscription request acknowledges a push.
  */
 public sealed interface StateUpdate extends WireRecord {
+  /** The version of a key's value that the sender has. */
   record KnownVersion(String key, long epoch, long number) {}
 
   /**
-   * left is what remains of the lease in ms; cutoffLeft, for weights, until nothing starts on old
-   * ones.
+   * A lease on a version.
+   *
+   * @param remainingMs remaining time of the lease
+   * @param cutoffRemainingMs for weights, time until no request may start on the old ones
    */
   record LeaseGrant(String key, long epoch, long number, int remainingMs, int cutoffRemainingMs) {}
 
-  /**
-   * What one relay has of a leaf of a service's share tree: requests waiting and requests using a
-   * place.
-   */
-  record QuotaDemand(String service, String leaf, int waiting, int using) {}
+  /** A relay's demand on a leaf of a service's quota tree: queued requests and occupied slots. */
+  record QuotaDemand(String service, String leaf, int waiting, int inUse) {}
 
-  /** Places a relay sees at the replicas of a service. */
+  /** The number of slots that a relay sees at the replicas of a service. */
   record ServiceCapacity(String service, int slots) {}
 
-  /** What a relay may use of a leaf, in thousandths of a place. */
+  /** A relay's allotment of a leaf, in thousandths of a slot. */
   record QuotaAllotment(String leaf, int milliSlots) {}
 
   /**
-   * ask is the asker's own monotonic time; it comes back so that a lease counts from the asking.
+   * Subscribes to values and acknowledges the versions that the sender has.
+   *
+   * @param sentAtMs the sender's monotonic time; the response repeats it, so that a lease counts
+   *     from the time of the request
    */
   record SubscriptionRequest(
       long sentAtMs,
       String name,
       long incarnation,
       String role,
-      String records,
-      String operator,
+      String recordsAddress,
+      String operatorAddress,
       String zone,
-      List<KnownVersion> known,
+      List<KnownVersion> knownVersions,
       List<QuotaDemand> demands,
       List<ServiceCapacity> capacities)
       implements StateUpdate {
@@ -53,46 +56,48 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(sentAtMs);
-      o.writeUTF(name);
-      o.writeLong(incarnation);
-      o.writeUTF(role);
-      o.writeUTF(records);
-      o.writeUTF(operator);
-      o.writeUTF(zone);
-      WireRecord.list(
-          o,
-          known,
-          (p, h) -> {
-            p.writeUTF(h.key);
-            p.writeLong(h.epoch);
-            p.writeLong(h.number);
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(sentAtMs);
+      out.writeUTF(name);
+      out.writeLong(incarnation);
+      out.writeUTF(role);
+      out.writeUTF(recordsAddress);
+      out.writeUTF(operatorAddress);
+      out.writeUTF(zone);
+      WireRecord.writeList(
+          out,
+          knownVersions,
+          (itemOut, version) -> {
+            itemOut.writeUTF(version.key);
+            itemOut.writeLong(version.epoch);
+            itemOut.writeLong(version.number);
           });
-      WireRecord.list(
-          o,
+      WireRecord.writeList(
+          out,
           demands,
-          (p, d) -> {
-            p.writeUTF(d.service);
-            p.writeUTF(d.leaf);
-            p.writeInt(d.waiting);
-            p.writeInt(d.using);
+          (itemOut, demand) -> {
+            itemOut.writeUTF(demand.service);
+            itemOut.writeUTF(demand.leaf);
+            itemOut.writeInt(demand.waiting);
+            itemOut.writeInt(demand.inUse);
           });
-      WireRecord.list(
-          o,
+      WireRecord.writeList(
+          out,
           capacities,
-          (p, x) -> {
-            p.writeUTF(x.service);
-            p.writeInt(x.slots);
+          (itemOut, capacity) -> {
+            itemOut.writeUTF(capacity.service);
+            itemOut.writeInt(capacity.slots);
           });
     }
   }
 
   /**
-   * relays: how many relays the teller heard lately, among which what the fleet may do is shared
-   * out.
+   * The response to a {@link SubscriptionRequest} for versions that are the newest.
+   *
+   * @param relayCount number of relays that the sender heard from recently, among which fleet-wide
+   *     limits are divided
    */
-  record LeaseGrants(long requestSentAtMs, List<LeaseGrant> grants, int relays)
+  record LeaseGrants(long requestSentAtMs, List<LeaseGrant> grants, int relayCount)
       implements StateUpdate {
     @Override
     public int type() {
@@ -100,47 +105,50 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(requestSentAtMs);
-      WireRecord.list(
-          o,
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(requestSentAtMs);
+      WireRecord.writeList(
+          out,
           grants,
-          (p, g) -> {
-            p.writeUTF(g.key);
-            p.writeLong(g.epoch);
-            p.writeLong(g.number);
-            p.writeInt(g.remainingMs);
-            p.writeInt(g.cutoffRemainingMs);
+          (itemOut, grant) -> {
+            itemOut.writeUTF(grant.key);
+            itemOut.writeLong(grant.epoch);
+            itemOut.writeLong(grant.number);
+            itemOut.writeInt(grant.remainingMs);
+            itemOut.writeInt(grant.cutoffRemainingMs);
           });
-      o.writeInt(relays);
+      out.writeInt(relayCount);
     }
   }
 
   /**
-   * A value whole, or where base is not -1 the changes from the number base, see Delta.
+   * Pushes a full value or, if baseNumber is not -1, a {@link BinaryDelta} to the version with that
+   * number.
    *
-   * @param sharingSince with a configuration, the number of the one with which the tenants that
-   *     share cached prefixes began anew, 0 where they never did; below 0 where that isn't told
+   * @param sharingSince for a configuration, the number of the configuration at which the current
+   *     sharing scope started, 0 if no scope was ever replaced, negative if not sent; see {@link
+   *     gladelug.common.configuration.PrefixSharing}
    */
   record ValuePush(
       String key,
       long epoch,
       long number,
-      long base,
+      long baseNumber,
       String digest,
       byte[] value,
       long sharingSince)
       implements StateUpdate {
-    private static final long NOT_TOLD = -1;
+    private static final long SHARING_NOT_SENT = -1;
 
-    /** A push that tells nothing of shared prefixes. */
-    public ValuePush(String key, long epoch, long number, long base, String digest, byte[] value) {
-      this(key, epoch, number, base, digest, value, NOT_TOLD);
+    /** Creates a push without information on shared prefixes. */
+    public ValuePush(
+        String key, long epoch, long number, long baseNumber, String digest, byte[] value) {
+      this(key, epoch, number, baseNumber, digest, value, SHARING_NOT_SENT);
     }
 
-    /** The same as releases can read it that know nothing of shared prefixes. */
+    /** Returns a copy for releases that don't support information on shared prefixes. */
     public ValuePush withoutSharing() {
-      return new ValuePush(key, epoch, number, base, digest, value);
+      return new ValuePush(key, epoch, number, baseNumber, digest, value);
     }
 
     @Override
@@ -153,14 +161,14 @@
       out.writeUTF(key);
       out.writeLong(epoch);
       out.writeLong(number);
-      out.writeLong(base);
+      out.writeLong(baseNumber);
       out.writeUTF(digest);
-      WireRecord.blob(out, value);
+      WireRecord.writeBlob(out, value);
       if (sharingSince >= 0) out.writeLong(sharingSince);
     }
   }
 
-  /** The receiver could not use a delta and wants the value whole. */
+  /** Requests the full value, after a delta that could not be applied. */
   record FullValueRequest(String key) implements StateUpdate {
     @Override
     public int type() {
@@ -174,10 +182,10 @@
   }
 
   /**
-   * The fleet-wide division of one service's places for one relay, under the epoch of who divides.
-   * Not full: no bounds.
+   * A relay's part of the fleet-wide division of a service's slots, in the epoch of the process
+   * that divides them. If limited is false the allotments don't apply.
    */
-  record CapacityGrant(long epoch, String service, boolean full, List<QuotaAllotment> allotments)
+  record CapacityGrant(long epoch, String service, boolean limited, List<QuotaAllotment> allotments)
       implements StateUpdate {
     @Override
     public int type() {
@@ -185,16 +193,16 @@
     }
 
     @Override
-    public void write(DataOutputStream o) throws IOException {
-      o.writeLong(epoch);
-      o.writeUTF(service);
-      o.writeBoolean(full);
-      WireRecord.list(
-          o,
+    public void write(DataOutputStream out) throws IOException {
+      out.writeLong(epoch);
+      out.writeUTF(service);
+      out.writeBoolean(limited);
+      WireRecord.writeList(
+          out,
           allotments,
-          (p, x) -> {
-            p.writeUTF(x.leaf);
-            p.writeInt(x.milliSlots);
+          (itemOut, allotment) -> {
+            itemOut.writeUTF(allotment.leaf);
+            itemOut.writeInt(allotment.milliSlots);
           });
     }
   }
@@ -210,14 +218,15 @@
               in.readUTF(),
               in.readUTF(),
               in.readUTF(),
-              WireRecord.list(in, i -> new KnownVersion(i.readUTF(), i.readLong(), i.readLong())),
-              WireRecord.list(
+              WireRecord.readList(
+                  in, i -> new KnownVersion(i.readUTF(), i.readLong(), i.readLong())),
+              WireRecord.readList(
                   in, i -> new QuotaDemand(i.readUTF(), i.readUTF(), i.readInt(), i.readInt())),
-              WireRecord.list(in, i -> new ServiceCapacity(i.readUTF(), i.readInt())));
+              WireRecord.readList(in, i -> new ServiceCapacity(i.readUTF(), i.readInt())));
       case 2 ->
           new LeaseGrants(
               in.readLong(),
-              WireRecord.list(
+              WireRecord.readList(
                   in,
                   i ->
                       new LeaseGrant(
@@ -230,7 +239,7 @@
               in.readLong(),
               in.readLong(),
               in.readUTF(),
-              WireRecord.blob(in));
+              WireRecord.readBlob(in));
       case 6 ->
           new ValuePush(
               in.readUTF(),
@@ -238,7 +247,7 @@
               in.readLong(),
               in.readLong(),
               in.readUTF(),
-              WireRecord.blob(in),
+              WireRecord.readBlob(in),
               in.readLong());
       case 4 -> new FullValueRequest(in.readUTF());
       case 5 ->
@@ -246,8 +255,8 @@
               in.readLong(),
               in.readUTF(),
               in.readBoolean(),
-              WireRecord.list(in, i -> new QuotaAllotment(i.readUTF(), i.readInt())));
-      default -> throw WireRecord.unknown(type);
+              WireRecord.readList(in, i -> new QuotaAllotment(i.readUTF(), i.readInt())));
+      default -> throw WireRecord.unknownType(type);
     };
   }
 }
--- a/common/src/test/java/gladelug/common/configuration/ConfigurationTest.java
+++ b/common/src/test/java/gladelug/common/configuration/ConfigurationTest.java
@@ -1,7 +1,7 @@
 package gladelug.common.configuration;
 
-import static gladelug.common.configuration.Configuration.hashOf;
-import static gladelug.common.configuration.Configuration.leaf;
+import static gladelug.common.configuration.Configuration.hashKey;
+import static gladelug.common.configuration.Configuration.leafPath;
 import static gladelug.common.configuration.Configuration.parse;
 
 import gladelug.common.Result;
@@ -12,8 +12,8 @@
 /** Tests of Configuration. */
 final class ConfigurationTest {
   @Test
-  void aGoodConfigurationIsIndexed() {
-    String h = hashOf("k1");
+  void aValidConfigurationIsIndexed() {
+    String h = hashKey("k1");
     Configuration configuration =
         ((Result.Good<Configuration>)
                 parse(
@@ -24,14 +24,14 @@
                  "tenants": [{"name": "t", "keys": ["sha256:%s"], "shares": [{"name": "x", "mappings": ["a"]}]}]}"""
                         .formatted(h)))
             .value();
-    Tenant t = configuration.tenantOfHash(h);
-    Assertions.assertEquals("t/x", leaf(t, configuration.route("/a")));
-    Assertions.assertEquals("t", leaf(t, configuration.route("/b")));
+    Tenant t = configuration.tenantByKeyHash(h);
+    Assertions.assertEquals("t/x", leafPath(t, configuration.route("/a")));
+    Assertions.assertEquals("t", leafPath(t, configuration.route("/b")));
     Assertions.assertTrue(configuration.route("/b").repeatable());
   }
 
   @Test
-  void aShareTreeThatCannotBeMetIsTold() {
+  void anInconsistentShareTreeIsReported() {
     String text =
         parse(
                 """
--- a/common/src/test/java/gladelug/common/configuration/PublishedNamesTest.java
+++ b/common/src/test/java/gladelug/common/configuration/PublishedNamesTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The fields of the values of keys, held against literals: they are on members' disks, go to relays
- * of other releases, and operators write the configuration.
+ * Compares the JSON fields of the control state's values with literals. The values are stored on
+ * members' disks and sent to relays of other releases, and operators write the configuration.
  */
 final class PublishedNamesTest {
   private static final String WEIGHTS_2 = "{\"s\":{\"now\":\"w2\",\"before\":\"w1\",\"nr\":2}}";
@@ -21,13 +21,13 @@
     return ((Result.Good<T>) result).value();
   }
 
-  /** How a document is read. */
+  /** Parses a document. */
   private interface Reading {
     Result<?> read(String document);
   }
 
-  /** Each field, wherever it stands, is read: under another name something else comes out. */
-  private static void eachFieldIsRead(String document, Reading reading) {
+  /** Asserts that renaming any field of the document changes the value or is a finding. */
+  private static void assertEachFieldIsRead(String document, Reading reading) {
     Object whole = good(reading.read(document));
     Matcher field = Pattern.compile("\"(\\w+)\":").matcher(document);
     while (field.find()) {
@@ -41,9 +41,10 @@
 
   @Test
   void weightsHaveTheseFields() {
-    String written = Weights.NONE.naming("s", "w1", 1).naming("s", "w2", 2).json();
+    String written =
+        Weights.NONE.withAssignment("s", "w1", 1).withAssignment("s", "w2", 2).toJson();
     Assertions.assertEquals(WEIGHTS_2, written);
-    Assertions.assertEquals(WEIGHTS_2, good(Weights.parse(WEIGHTS_2)).json());
+    Assertions.assertEquals(WEIGHTS_2, good(Weights.parse(WEIGHTS_2)).toJson());
   }
 
   @Test
@@ -58,7 +59,7 @@
             + "\"domain\":\"z\",\"state\":\"ready\",\"slots\":4,\"weights\":{\"m\":\"3\"}},"
             + "{\"service\":\"s\",\"instance\":\"j\",\"address\":\"10.0.0.1:80\","
             + "\"domain\":\"z\",\"state\":\"leaving\"}]}";
-    Assertions.assertEquals(text, new Replicas(all).json());
+    Assertions.assertEquals(text, new Replicas(all).toJson());
     Assertions.assertEquals(all, good(Replicas.parse(text)).all);
   }
 
@@ -71,11 +72,11 @@
                     "a", Address.of("10.0.0.1:1"), Address.of("10.0.0.1:2"))));
     String text =
         "{\"members\":[{\"name\":\"a\",\"records\":\"10.0.0.1:1\",\"operator\":\"10.0.0.1:2\"}]}";
-    Assertions.assertEquals(text, list.json());
+    Assertions.assertEquals(text, list.toJson());
     Assertions.assertEquals(list, good(CoreMemberList.parse(text)));
   }
 
-  private static String told(Configuration configuration) {
+  private static String describe(Configuration configuration) {
     return String.join(
         "\n",
         configuration.services.toString(),
@@ -95,9 +96,11 @@
            {"name":"v","shares":[{"name":"w"}]}]}]}
         """
             .formatted("ab".repeat(32));
-    eachFieldIsRead(
+    assertEachFieldIsRead(
         document,
-        text -> Configuration.parse(text).then(configuration -> Result.good(told(configuration))));
+        text ->
+            Configuration.parse(text)
+                .flatMap(configuration -> Result.good(describe(configuration))));
     for (String kind : List.of("model", "application"))
       good(Configuration.parse(document.replace("application", kind)));
   }
--- a/control-plane/src/main/java/gladelug/control/core/Membership.java
+++ b/control-plane/src/main/java/gladelug/control/core/Membership.java
@@ -24,64 +24,76 @@
 import java.util.function.Consumer;
 
 /**
- * Who the core's members are, at one member: bootstrap, joining, draining, and the change to the
- * members of the next generation. All calls come on the core's thread.
+ * The membership of the core as one member sees it: bootstrap, joining, draining, and the change to
+ * the members of the next generation. Called on the core's thread only.
  *
  * <pre>
- * uninitialized  no generation yet: announces for bootstrap, or asks to be let in
+ * uninitialized  no generation yet: sends bootstrap announcements, or asks to join
  *      |         all bootstrap members stored the same set, or a member sent an active generation
  *      v
  * active         takes part in its generation; the owner of the key core proposes the next members,
  *      |         which are written like any value of that key, so there is one next generation
  *      |         the change is committed, or another member asks to seal
  *      v
- * sealed         durably refuses the generation and says what it stores; whoever is sealed brings the
- *      |         change to an end: a majority of seals, then the registers merged (of every key the
- *      |         highest value and promise), then the next members told to activate
- *      |----->   active, where it is a member of the next generation
+ * sealed         durably refuses the generation and reports what it stores; each sealed member can
+ *      |         complete the change: it collects a majority of seal responses, merges the registers
+ *      |         (highest value and promise of each key) and tells the next members to activate
+ *      |----->   active, if it is a member of the next generation
  *      v
- * retired        a generation without this member is active: asks to be let in again
+ * retired        a generation without this member is active: asks to join again
  * </pre>
  */
 final class Membership {
-  /** Between two announcements while a fleet is being bootstrapped. */
+  /** Interval between two announcements while a fleet is being bootstrapped. */
   private static final long ANNOUNCE_INTERVAL_MS = 200;
 
-  /** Between two requests to be let in, and between two looks at the members by the owner. */
+  /**
+   * Interval between two join requests, and between two checks by the owner whether the members
+   * should change.
+   */
   private static final long JOIN_INTERVAL_MS = 300;
 
-  /** For how long a request to be let in counts. */
+  /** How long a join request is valid. */
   private static final long JOIN_REQUEST_LIFETIME_MS = 3000;
 
-  /** Between two transfers of the registers to one that lags; longer where they are large. */
+  /**
+   * Minimum interval between two transfers of the registers to a member that lags behind; the
+   * transfer time of large registers is added.
+   */
   private static final long RESEND_GENERATION_INTERVAL_MS = 500;
 
   private final CoreMember context;
   private final MemberSet.Member self;
+
+  /** The agreement on the first members; null if this member takes no part in it, or no more. */
   private Bootstrap bootstrap;
+
   private MemberSet members = MemberSet.NONE;
+
+  /** Whether a later generation is active without this member. */
   private boolean retired;
 
-  /** The newest members heard of, though this may be none of them. */
+  /** The members of the newest known generation, to which this member may not belong. */
   private MemberSet newestKnown = MemberSet.NONE;
 
-  /** The newest generation that anything was said in. */
+  /** The newest generation of which a message arrived. */
   private long newestGenerationHeard;
 
+  /** The bootstrap set whose write to disk is in progress, or null. */
   private MemberSet bootstrapSetBeingStored;
 
-  /** Nodes other than the bootstrap members are known to this bootstrap member. */
+  /** Whether this bootstrap member knows nodes other than the bootstrap members. */
   private boolean hasOtherContacts;
 
   private final JoinCandidates joinCandidates = new JoinCandidates();
 
-  /** While this is no member: when each member last told it who the members are. */
+  /** By member: when it last sent this node its generation; used while this node is no member. */
   private final Map<String, Long> generationReceivedAtMs = new HashMap<>();
 
-  /** Members of earlier generations, to be told that they are none any more. */
+  /** Members of earlier generations, which have to be told that they were removed. */
   private final Map<String, MemberSet.Member> formerMembers = new HashMap<>();
 
-  /** By name: when it may be told again of this generation. */
+  /** By name: when this generation may be sent to the member again. */
   private final Map<String, Long> resendGenerationAtMs = new HashMap<>();
 
   /** By member: when its last notice that it is draining arrived. */
@@ -90,7 +102,7 @@
   /** By member: the newest generation that it is known to take part in. */
   private final Map<String, Long> activeGenerations = new HashMap<>();
 
-  /** The change to the next generation, while there is one. */
+  /** The change to the next generation. */
   private final Reconfiguration reconfiguration;
 
   private long lastAnnouncedAtMs = CoreHost.NEVER;
@@ -104,139 +116,152 @@
     this.bootstrap =
         bootstrapMembers == null
             ? null
-            : new Bootstrap(self.name(), self.disk(), bootstrapMembers.members());
+            : new Bootstrap(self.name(), self.diskId(), bootstrapMembers.members());
   }
 
   /**
-   * From what is on disk; each may be missing. What is there goes before what was given at the
-   * start.
+   * Restores the state found on disk; each argument may be null. Stored members take precedence
+   * over the configured bootstrap members.
    */
   void recover(byte[] storedMembers, byte[] storedNextMembers, byte[] storedBootstrapSet) {
     if (storedBootstrapSet != null && bootstrap != null)
-      bootstrap.storedSet(MemberSet.of(storedBootstrapSet));
+      bootstrap.onSetStored(MemberSet.of(storedBootstrapSet));
     if (storedMembers != null) {
       activate(MemberSet.of(storedMembers));
       bootstrap = null;
     }
     if (storedNextMembers != null
         && MemberSet.of(storedNextMembers).generation() > members.generation())
-      reconfiguration.recover(MemberSet.of(storedNextMembers), context.host.now());
+      reconfiguration.recover(MemberSet.of(storedNextMembers), context.host.nowMs());
   }
 
   MemberSet members() {
     return members;
   }
 
-  boolean initialized() {
+  boolean isInitialized() {
     return members.generation() > 0;
   }
 
-  boolean sealed() {
+  boolean isSealed() {
     return reconfiguration.isSealed();
   }
 
-  boolean retired() {
+  boolean isRetired() {
     return retired;
   }
 
-  /** Whether this member takes part in its generation. */
-  boolean active() {
-    return initialized() && !sealed() && !retired;
+  /** Returns whether this member takes part in its generation. */
+  boolean isActive() {
+    return isInitialized() && !isSealed() && !retired;
   }
 
   private void activate(MemberSet next) {
     for (MemberSet.Member member : members.all())
       if (next.find(member.name()) == null) formerMembers.put(member.name(), member);
-    MemberSet before = members;
+    MemberSet previous = members;
     members = next;
     reconfiguration.clear();
     retired = false;
-    context.onGenerationStarted(before, next);
+    context.onGenerationStarted(previous, next);
   }
 
-  Envelope envelope(CoreMessage message) {
+  Envelope newEnvelope(CoreMessage message) {
     return new Envelope(members.generation(), context.self, context.disk, message);
   }
 
-  void announceForBootstrap(long now) {
-    if (bootstrap == null || now - lastAnnouncedAtMs < ANNOUNCE_INTERVAL_MS) return;
-    lastAnnouncedAtMs = now;
-    Set<Address> addresses = new HashSet<>(context.host.contacts());
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.remove(founder.records());
-    addresses.remove(self.records());
+  void announceForBootstrap(long nowMs) {
+    if (bootstrap == null || nowMs - lastAnnouncedAtMs < ANNOUNCE_INTERVAL_MS) return;
+    lastAnnouncedAtMs = nowMs;
+    Set<Address> addresses = new HashSet<>(context.host.contactAddresses());
+    for (MemberSet.Member bootstrapMember : bootstrap.members().all())
+      addresses.remove(bootstrapMember.recordsAddress());
+    addresses.remove(self.recordsAddress());
     hasOtherContacts = !addresses.isEmpty();
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.add(founder.records());
-    addresses.remove(self.records());
+    for (MemberSet.Member bootstrapMember : bootstrap.members().all())
+      addresses.add(bootstrapMember.recordsAddress());
+    addresses.remove(self.recordsAddress());
     for (Address address : addresses)
       context.host.sendTo(
           address,
-          envelope(
+          newEnvelope(
               new BootstrapAnnouncement(
-                  self.records().toString(), self.operator().toString(), bootstrap.storedSet())));
+                  self.recordsAddress().toString(),
+                  self.operatorAddress().toString(),
+                  bootstrap.storedSet())));
     agreeOnBootstrapSet();
   }
 
-  /** One set at a time is put on disk, and is said to the others only from there. */
+  /**
+   * Advances the agreement on the bootstrap set. One set at a time is written to disk, and it is
+   * announced only once it is there.
+   */
   private void agreeOnBootstrapSet() {
-    if (initialized() || bootstrap == null) return;
-    // who knows others than the founders gives them the time to say that there is a fleet already
+    if (isInitialized() || bootstrap == null) return;
+    // other known nodes get the time to report that the fleet exists already
     boolean mayPropose =
         !hasOtherContacts
-            || context.host.now() - context.startedAt >= 2L * context.config.peerTimeoutMs();
-    MemberSet toStore = bootstrapSetBeingStored == null ? bootstrap.nextToStore(mayPropose) : null;
+            || context.host.nowMs() - context.startedAtMs >= 2L * context.config.peerTimeoutMs();
+    MemberSet toStore =
+        bootstrapSetBeingStored == null ? bootstrap.nextSetToStore(mayPropose) : null;
     if (toStore != null) {
       bootstrapSetBeingStored = toStore;
       context.host.sync(
           DurableState.BOOTSTRAP_SET,
-          toStore.bytes(),
+          toStore.toBytes(),
           () -> {
             bootstrapSetBeingStored = null;
             if (bootstrap == null) return;
-            bootstrap.storedSet(toStore);
+            bootstrap.onSetStored(toStore);
             lastAnnouncedAtMs = CoreHost.NEVER;
             agreeOnBootstrapSet();
           });
     }
-    MemberSet agreed = bootstrap.agreed();
+    MemberSet agreed = bootstrap.agreedSet();
     if (agreed != null) installGeneration(agreed, List.of());
   }
 
   /**
-   * A machine that is no member and founds nothing asks to be let in; it votes on nothing
-   * meanwhile.
+   * Sends join requests from a machine that is neither a member nor a bootstrap member. It has no
+   * vote until it has joined.
    */
-  void requestToJoin(long now) {
-    if (bootstrap != null || now - lastAnnouncedAtMs < JOIN_INTERVAL_MS) return;
-    lastAnnouncedAtMs = now;
-    Set<Address> addresses = new HashSet<>(context.host.contacts());
-    for (MemberSet.Member member : newestKnown.all()) addresses.add(member.records());
-    for (MemberSet.Member member : members.all()) addresses.add(member.records());
-    addresses.remove(self.records());
+  void requestToJoin(long nowMs) {
+    if (bootstrap != null || nowMs - lastAnnouncedAtMs < JOIN_INTERVAL_MS) return;
+    lastAnnouncedAtMs = nowMs;
+    Set<Address> addresses = new HashSet<>(context.host.contactAddresses());
+    for (MemberSet.Member member : newestKnown.all()) addresses.add(member.recordsAddress());
+    for (MemberSet.Member member : members.all()) addresses.add(member.recordsAddress());
+    addresses.remove(self.recordsAddress());
     for (Address address : addresses)
       context.host.sendTo(
           address,
-          envelope(new JoinRequest(self.records().toString(), self.operator().toString())));
+          newEnvelope(
+              new JoinRequest(
+                  self.recordsAddress().toString(), self.operatorAddress().toString())));
   }
 
-  /** Whether a later generation than this member's is in force somewhere. */
-  boolean behind() {
+  /** Returns whether a message of a later generation than this member's has arrived. */
+  boolean isBehind() {
     return newestGenerationHeard > members.generation();
   }
 
-  /** What is said across generations; true where that was all. */
-  boolean onMembershipMessage(Envelope envelope, long now) {
+  /**
+   * Handles messages that are valid across generations. Returns whether the message was one of
+   * them.
+   */
+  boolean onMembershipMessage(Envelope envelope, long nowMs) {
     CoreMessage message = envelope.message();
     newestGenerationHeard = Math.max(newestGenerationHeard, envelope.generation());
     if (message instanceof BootstrapAnnouncement announcement)
-      onBootstrapAnnouncement(envelope, announcement, now);
+      onBootstrapAnnouncement(envelope, announcement, nowMs);
     else if (message instanceof Activate activation) {
-      generationReceivedAtMs.put(envelope.sender(), now);
+      generationReceivedAtMs.put(envelope.sender(), nowMs);
       activeGenerations.merge(envelope.sender(), envelope.generation(), Math::max);
       onActivate(activation);
-    } else if (message instanceof JoinRequest request) onJoinRequest(envelope, request, now);
-    else if (message instanceof DrainNotice) onDrainNotice(envelope, now);
+    } else if (message instanceof JoinRequest request) onJoinRequest(envelope, request, nowMs);
+    else if (message instanceof DrainNotice) onDrainNotice(envelope, nowMs);
     else if (message instanceof SealRequest request)
-      reconfiguration.onSealRequest(envelope, request, now);
+      reconfiguration.onSealRequest(envelope, request, nowMs);
     else if (message instanceof SealResponse response)
       reconfiguration.onSealResponse(envelope.sender(), response);
     else return false;
@@ -244,42 +269,44 @@
   }
 
   private void onBootstrapAnnouncement(
-      Envelope envelope, BootstrapAnnouncement announcement, long now) {
-    if (initialized()) {
+      Envelope envelope, BootstrapAnnouncement announcement, long nowMs) {
+    if (isInitialized()) {
       MemberSet.Member member = members.find(envelope.sender());
-      if (member != null && member.disk().equals(envelope.senderDisk()))
-        sendGeneration(envelope.sender(), now);
+      if (member != null && member.diskId().equals(envelope.senderDisk()))
+        sendGeneration(envelope.sender(), nowMs);
       else {
-        // it founds what was founded already, with another disk or long after: it shall join
-        context.host.event("unknown-node-at-bootstrap", "name", envelope.sender());
+        // the fleet exists already, and the sender has another disk or is no member: it has to join
+        context.host.logEvent("unknown-node-at-bootstrap", "name", envelope.sender());
         context.host.sendTo(
-            Address.of(announcement.records()), envelope(new Activate(members, List.of())));
+            Address.of(announcement.recordsAddress()),
+            newEnvelope(new Activate(members, List.of())));
       }
       return;
     }
     if (bootstrap == null) return;
-    MemberSet.Member founder = bootstrap.members().find(envelope.sender());
-    if (founder == null) return;
+    MemberSet.Member bootstrapMember = bootstrap.members().find(envelope.sender());
+    if (bootstrapMember == null) return;
     bootstrap.onAnnouncement(
         envelope.sender(), envelope.senderDisk(), announcement.storedBootstrapSet());
     agreeOnBootstrapSet();
   }
 
   /**
-   * To a member of this generation that seems not to know it: the members, and all that is kept
-   * here. A sealed member tells it too: without the one that lags there may be too few to seal.
+   * Sends this generation's members to a node that seems not to know them, and all registers too if
+   * it is a member. A sealed member also does so: without the member that lags behind there may be
+   * too few members to seal the generation.
    */
-  void sendGeneration(String name, long now) {
+  void sendGeneration(String name, long nowMs) {
     MemberSet.Member member = members.find(name);
-    if (now < resendGenerationAtMs.getOrDefault(name, Long.MIN_VALUE)) return;
-    List<RegisterRecord> registers = member == null ? List.of() : context.registers.all();
+    if (nowMs < resendGenerationAtMs.getOrDefault(name, Long.MIN_VALUE)) return;
+    List<RegisterRecord> registers = member == null ? List.of() : context.registers.records();
     resendGenerationAtMs.put(
-        name, now + RESEND_GENERATION_INTERVAL_MS + Reconfiguration.transferTimeMs(registers));
+        name, nowMs + RESEND_GENERATION_INTERVAL_MS + Reconfiguration.transferTimeMs(registers));
     if (member != null)
-      context.host.sendTo(member.records(), envelope(new Activate(members, registers)));
+      context.host.sendTo(member.recordsAddress(), newEnvelope(new Activate(members, registers)));
     else if (formerMembers.containsKey(name))
       context.host.sendTo(
-          formerMembers.get(name).records(), envelope(new Activate(members, List.of())));
+          formerMembers.get(name).recordsAddress(), newEnvelope(new Activate(members, List.of())));
   }
 
   private void onActivate(Activate activation) {
@@ -287,25 +314,28 @@
     if (received.generation() > newestKnown.generation()) newestKnown = received;
     if (received.generation() <= members.generation()) return;
     MemberSet.Member ownEntry = received.find(context.self);
-    if (ownEntry == null || !ownEntry.disk().equals(context.disk)) {
-      if (!initialized() && bootstrap != null) {
+    if (ownEntry == null || !ownEntry.diskId().equals(context.disk)) {
+      if (!isInitialized() && bootstrap != null) {
         bootstrap = null;
-        context.host.event("bootstrapped-without-this-disk", "generation", received.generation());
+        context.host.logEvent(
+            "bootstrapped-without-this-disk", "generation", received.generation());
       }
-      if (initialized() && !retired) {
+      if (isInitialized() && !retired) {
         retired = true;
         context.stepDownAll(StepDownReason.MEMBER_REMOVED);
-        context.host.event("member-removed", "generation", received.generation());
+        context.host.logEvent("member-removed", "generation", received.generation());
       }
       return;
     }
-    // told as to a stranger, at an address that another machine had before: all that is kept is
-    // still to come
+    // sent to an address that a non-member had before, so the registers are still to come
     if (received.generation() > 1 && activation.registers().isEmpty()) return;
     installGeneration(received, activation.registers());
   }
 
-  /** The cells first, the members last: only with these on disk does the generation count here. */
+  /**
+   * Stores a generation: first the registers, then the members. The generation becomes active only
+   * once its members are on disk.
+   */
   private void installGeneration(MemberSet received, List<RegisterRecord> registers) {
     for (RegisterRecord register : registers)
       context.store(
@@ -314,7 +344,7 @@
           () -> {});
     context.host.sync(
         DurableState.ACTIVE_MEMBERS,
-        received.bytes(),
+        received.toBytes(),
         () -> {
           if (received.generation() > members.generation()) {
             bootstrap = null;
@@ -323,71 +353,72 @@
         });
   }
 
-  private void onJoinRequest(Envelope envelope, JoinRequest request, long now) {
+  private void onJoinRequest(Envelope envelope, JoinRequest request, long nowMs) {
     MemberSet.Member candidate =
         new MemberSet.Member(
             envelope.sender(),
             envelope.senderDisk(),
-            Address.of(request.records()),
-            Address.of(request.operator()));
-    if (!initialized() && bootstrap != null) {
+            Address.of(request.recordsAddress()),
+            Address.of(request.operatorAddress()));
+    if (!isInitialized() && bootstrap != null) {
       bootstrap.onJoinRequest(candidate);
       agreeOnBootstrapSet();
     }
-    if (!initialized() || retired) return;
+    if (!isInitialized() || retired) return;
     MemberSet.Member member = members.find(envelope.sender());
-    if (member != null && member.disk().equals(envelope.senderDisk())) {
-      if (envelope.generation() < members.generation()) sendGeneration(envelope.sender(), now);
+    if (member != null && member.diskId().equals(envelope.senderDisk())) {
+      if (envelope.generation() < members.generation()) sendGeneration(envelope.sender(), nowMs);
       return;
     }
-    if (sealed()) return;
-    if (joinCandidates.onRequest(candidate, now))
-      context.host.event(
-          "join-requested", "name", candidate.name(), "records", candidate.records());
-    context.host.sendTo(candidate.records(), envelope(new Activate(members, List.of())));
+    if (isSealed()) return;
+    if (joinCandidates.onRequest(candidate, nowMs))
+      context.host.logEvent(
+          "join-requested", "name", candidate.name(), "records", candidate.recordsAddress());
+    context.host.sendTo(candidate.recordsAddress(), newEnvelope(new Activate(members, List.of())));
   }
 
-  private void onDrainNotice(Envelope envelope, long now) {
+  private void onDrainNotice(Envelope envelope, long nowMs) {
     if (envelope.generation() < members.generation()) {
-      sendGeneration(envelope.sender(), now);
+      sendGeneration(envelope.sender(), nowMs);
       return;
     }
     MemberSet.Member member = members.find(envelope.sender());
-    if (member != null && member.disk().equals(envelope.senderDisk()))
-      drainNoticeReceivedAtMs.put(member.name(), now);
+    if (member != null && member.diskId().equals(envelope.senderDisk()))
+      drainNoticeReceivedAtMs.put(member.name(), nowMs);
   }
 
-  boolean draining(String name, long now) {
+  boolean isDraining(String name, long nowMs) {
     Long receivedAtMs = drainNoticeReceivedAtMs.get(name);
-    return receivedAtMs != null && now - receivedAtMs < context.config.peerTimeoutMs();
+    return receivedAtMs != null && nowMs - receivedAtMs < context.config.peerTimeoutMs();
   }
 
   /**
-   * Says to all who may be members that this one leaves, and hears from them who took its place.
+   * Notifies all nodes that may be members that this member is draining. They respond with a newer
+   * generation if there is one.
    */
-  void announceDraining(long now) {
-    if (now - drainNoticeSentAtMs < context.config.heartbeatMs()) return;
-    drainNoticeSentAtMs = now;
+  void announceDraining(long nowMs) {
+    if (nowMs - drainNoticeSentAtMs < context.config.heartbeatMs()) return;
+    drainNoticeSentAtMs = nowMs;
     context.sendToAll(new DrainNotice());
     for (MemberSet.Member member : newestKnown.all())
       if (!member.equals(members.find(member.name())))
-        context.host.sendTo(member.records(), envelope(new DrainNotice()));
+        context.host.sendTo(member.recordsAddress(), newEnvelope(new DrainNotice()));
   }
 
   /**
-   * Whether the others can do without this machine, and lose as many more as they bear: it is no
-   * member, or its successor's generation is in force at a majority, or nobody stands by to succeed
-   * it and a majority lives without it.
+   * Returns whether this member may stop without reducing the fault tolerance of the others: it is
+   * no member, or a majority takes part in a generation without it, or there is no standby machine
+   * to replace it and a majority is alive without it.
    */
-  boolean safeToStop(long now) {
-    if (!initialized()) return true;
-    if (retired) return countActive(newestKnown) >= newestKnown.majority();
-    if (sealed() || hasStandbySuccessor()) return false;
+  boolean isSafeToStop(long nowMs) {
+    if (!isInitialized()) return true;
+    if (retired) return countActive(newestKnown) >= newestKnown.majoritySize();
+    if (isSealed() || hasStandbySuccessor()) return false;
     int others = 0;
     for (MemberSet.Member member : members.all())
-      if (!member.name().equals(context.self) && context.isAliveAndStays(member.name(), now))
-        others++;
-    return others >= Math.min(members.majority(), members.all().size() - 1);
+      if (!member.name().equals(context.self)
+          && context.isAliveAndNotDraining(member.name(), nowMs)) others++;
+    return others >= Math.min(members.majoritySize(), members.all().size() - 1);
   }
 
   private int countActive(MemberSet generation) {
@@ -404,95 +435,104 @@
   }
 
   /**
-   * Where a machine that stands by hands on what operators send it: the member heard last, or null.
+   * Returns the address to which a standby machine forwards operators' requests: that of the member
+   * heard from last. Null if there is none or this node is a member itself.
    */
-  Address forwardingAddress(long now) {
-    if (initialized() && !retired) return null;
+  Address forwardingAddress(long nowMs) {
+    if (isInitialized() && !retired) return null;
     MemberSet.Member latest = null;
     for (MemberSet.Member member : newestKnown.all()) {
       Long receivedAtMs = generationReceivedAtMs.get(member.name());
       if (receivedAtMs == null
-          || now - receivedAtMs >= 2L * context.config.peerTimeoutMs()
-          || member.records().equals(self.records())) continue;
+          || nowMs - receivedAtMs >= 2L * context.config.peerTimeoutMs()
+          || member.recordsAddress().equals(self.recordsAddress())) continue;
       if (latest == null || receivedAtMs > generationReceivedAtMs.get(latest.name()))
         latest = member;
     }
-    return latest == null ? null : latest.records();
+    return latest == null ? null : latest.recordsAddress();
   }
 
-  /** Where whoever stands by is answered; null for all others and where this member can't help. */
+  /**
+   * Returns the address at which a standby machine receives responses. Null for other senders, and
+   * if this member is not active.
+   */
   Address standbyAddress(Envelope envelope) {
-    MemberSet.Member candidate = active() ? joinCandidates.find(envelope.sender()) : null;
+    MemberSet.Member candidate = isActive() ? joinCandidates.find(envelope.sender()) : null;
     return candidate == null
-            || !candidate.disk().equals(envelope.senderDisk())
+            || !candidate.diskId().equals(envelope.senderDisk())
             || members.find(envelope.sender()) != null
         ? null
-        : candidate.records();
+        : candidate.recordsAddress();
   }
 
-  /** What an operator may let in: machines that ask to join, lately heard. */
+  /** Returns the machines that recently asked to join, which an operator may make members. */
   List<MemberSet.Member> joinCandidates() {
     return joinCandidates(JOIN_REQUEST_LIFETIME_MS);
   }
 
   private List<MemberSet.Member> joinCandidates(long withinMs) {
-    return joinCandidates.recent(withinMs, members, context.host.now());
+    return joinCandidates.recent(withinMs, members, context.host.nowMs());
   }
 
   /**
-   * A next set can't be taken back, so nobody is let in unasked who may have died since it was
-   * heard.
+   * Creates a plan from the recent join candidates. A committed next member set cannot be
+   * withdrawn, so only candidates heard within the peer time-out are added.
    */
-  private MembershipPlan plan(long now) {
+  private MembershipPlan newPlan(long nowMs) {
     return new MembershipPlan(
         members,
         joinCandidates(context.config.peerTimeoutMs()),
-        name -> context.isAliveAndStays(name, now));
+        name -> context.isAliveAndNotDraining(name, nowMs));
   }
 
-  /** The owner of the key core looks whether the members should change, which needs no operator. */
-  void proposeMembershipChange(long now) {
-    if (now - lastPlannedAtMs < JOIN_INTERVAL_MS
+  /**
+   * Checks, if this member owns the key core, whether the members should change without an
+   * operator's request.
+   */
+  void proposeMembershipChange(long nowMs) {
+    if (nowMs - lastPlannedAtMs < JOIN_INTERVAL_MS
         || !context.owns(StateKeys.CORE)
         || context.owner(StateKeys.CORE).hasPendingChanges()) return;
-    lastPlannedAtMs = now;
+    lastPlannedAtMs = nowMs;
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null) return;
     MembershipPlan.MembershipChange change =
-        plan(now)
+        newPlan(nowMs)
             .nextChange(
-                name -> context.silenceMs(name, now), name -> draining(name, now), context.config);
+                name -> context.silenceMs(name, nowMs),
+                name -> isDraining(name, nowMs),
+                context.config);
     if (change != null) writeMembershipChange(change, result -> {});
   }
 
   /**
-   * One at a time: the next set is written like any value of the key core, then the old generation
-   * is sealed.
+   * Proposes the next member set as a value of the key core; once committed the current generation
+   * is sealed. Only one change is made at a time.
    */
   private void writeMembershipChange(
-      MembershipPlan.MembershipChange change, Consumer<ChangeResult> answer) {
+      MembershipPlan.MembershipChange change, Consumer<ChangeResult> onResult) {
     KeyOwner owner = context.owner(StateKeys.CORE);
-    context.host.event(
+    context.host.logEvent(
         "membership-change",
         "reason",
         change.reason(),
         "out",
         change.removed(),
         "in",
-        change.added().stream().map(member -> member.name() + "/" + member.disk()).toList(),
+        change.added().stream().map(member -> member.name() + "/" + member.diskId()).toList(),
         "generation",
         change.next().generation());
     ChangeRequest request =
-        ChangeRequest.forgettable(StateKeys.CORE, owner.value().number(), change.next().bytes());
-    owner.propose(request, answer, context.host.now());
+        ChangeRequest.withoutBase(StateKeys.CORE, owner.value().number(), change.next().toBytes());
+    owner.propose(request, onResult, context.host.nowMs());
   }
 
   /**
-   * Replaces a member on an operator's order. Returns why it can't be, and then nothing changed, or
-   * an empty text.
+   * Replaces a member on an operator's request. Returns an empty string, or the reason for a
+   * refusal, after which nothing has changed.
    */
-  String replaceMember(String leaver, String replacement, Consumer<ChangeResult> answer) {
-    if (members.find(leaver) == null) return leaver + " is not a member of the core";
-    if (members.find(replacement) != null && !replacement.equals(leaver))
+  String replaceMember(String removed, String replacement, Consumer<ChangeResult> onResult) {
+    if (members.find(removed) == null) return removed + " is not a member of the core";
+    if (members.find(replacement) != null && !replacement.equals(removed))
       return replacement + " is already a member of the core";
     MemberSet.Member candidate =
         joinCandidates().stream()
@@ -501,22 +541,23 @@
             .orElse(null);
     if (candidate == null)
       return replacement
-          + " is not asking to join; start `control-plane run` there with an empty data folder first";
+          + " has not asked to join; first run `control-plane run` there with an empty data folder";
     if (!context.owns(StateKeys.CORE))
-      return "ask "
+      return "send this request to "
           + context.keyStatuses().stream()
               .filter(key -> key.key().equals(StateKeys.CORE))
               .map(KeyStatus::owner)
               .findFirst()
               .orElse("another machine")
-          + ", which owns the core's members at the moment";
+          + ", which currently owns the core's members";
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null)
-      return "another replacement is under way";
+      return "another change of members is in progress";
     MembershipPlan.MembershipChange change =
-        plan(context.host.now())
-            .change(MembershipChangeReason.OPERATOR_REQUEST, List.of(leaver), List.of(candidate));
-    if (change == null) return "fewer than a majority of the members would be alive then";
-    writeMembershipChange(change, answer);
+        newPlan(context.host.nowMs())
+            .change(MembershipChangeReason.OPERATOR_REQUEST, List.of(removed), List.of(candidate));
+    if (change == null)
+      return "fewer than a majority of the members would be alive after the replacement";
+    writeMembershipChange(change, onResult);
     return "";
   }
 
@@ -527,21 +568,21 @@
   }
 
   /**
-   * Whether this member has to bring a change of members to an end. One that leaves by the change
-   * has to as well, until a majority of those who come next takes part: before, what is kept here
-   * may be the only copy beside one that may still be lost.
+   * Returns whether this member has to work on completing a change of members. A member removed by
+   * the change continues as well until a majority of the next members takes part: before that, its
+   * registers may be the only other copy besides one that may still be lost.
    */
   boolean mustCompleteReconfiguration() {
-    return sealed() && !(retired && countActive(newestKnown) >= newestKnown.majority());
+    return isSealed() && !(retired && countActive(newestKnown) >= newestKnown.majoritySize());
   }
 
-  /** The generation is refused from now on, durably; these are to be the next members. */
-  void seal(MemberSet next, long now) {
-    reconfiguration.seal(next, now);
+  /** Seals the generation durably for the given next members. */
+  void seal(MemberSet next, long nowMs) {
+    reconfiguration.seal(next, nowMs);
   }
 
-  /** Brings a sealed generation to its end, once it is this member's turn. */
-  void completeReconfiguration(long now) {
-    reconfiguration.complete(now);
+  /** Completes the change from a sealed generation, once it is this member's turn. */
+  void completeReconfiguration(long nowMs) {
+    reconfiguration.complete(nowMs);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
+++ b/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
@@ -8,15 +8,19 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Which members should come next. It only decides, from who is a member, who asks to be one, and
- * how long each has been silent; the owner of the key core asks it and then has the change written,
- * sealed and activated. First members whose machines came back empty are replaced by themselves.
- * Then those that have been dead for long or are about to end are replaced by machines unknown to
- * the core, as many at once as there are. Then the core grows towards the number of voters wanted,
- * always to an odd one. Never a next set of which fewer than a majority are alive.
+ * Decides which members the next generation should have, given the current members, the join
+ * candidates and how long each member has been out of contact. The owner of the key core uses it
+ * and then has the change written, sealed and activated. Members whose machines restarted with an
+ * empty disk are replaced first, by the same machines with their new disks. Next, members that are
+ * dead for long or draining are replaced with machines that are no members, as many at once as
+ * there are candidates. Last, the core grows towards the configured number of members, always to an
+ * odd number. A set of which fewer than a majority are alive is never planned.
  */
 final class MembershipPlan {
-  /** One change of members: why, who goes, who comes, and the set of the next generation. */
+  /**
+   * One change of members: its reason, the names removed, the members added, and the set of the
+   * next generation.
+   */
   record MembershipChange(
       MembershipChangeReason reason,
       List<String> removed,
@@ -25,30 +29,30 @@
 
   private final MemberSet current;
   private final List<MemberSet.Member> joinCandidates;
-  private final Predicate<String> alive;
+  private final Predicate<String> isAlive;
 
   /**
-   * Makes a plan from what is known now.
+   * Creates a plan for the current state.
    *
-   * @param current the members in force
-   * @param joinCandidates who asked lately to be let in, with disks that no member has
-   * @param alive whether a member is alive and to stay, by name
+   * @param current the members of the active generation
+   * @param joinCandidates nodes that recently asked to join, with disks that no member has
+   * @param isAlive whether the member of this name is alive and not draining
    */
   MembershipPlan(
-      MemberSet current, List<MemberSet.Member> joinCandidates, Predicate<String> alive) {
+      MemberSet current, List<MemberSet.Member> joinCandidates, Predicate<String> isAlive) {
     this.current = current;
     this.joinCandidates = joinCandidates;
-    this.alive = alive;
+    this.isAlive = isAlive;
   }
 
   /**
-   * The next change, one at the most, or null.
+   * Returns the next change, or null if none is needed or possible.
    *
-   * @param silentMs for how long there was no contact with a member, by name
-   * @param draining whether a member said that it was asked to stop, by name
+   * @param silentMs for how many ms there has been no contact with the member of this name
+   * @param isDraining whether the member of this name announced that it is draining
    */
   MembershipChange nextChange(
-      ToLongFunction<String> silentMs, Predicate<String> draining, QuorumConfig config) {
+      ToLongFunction<String> silentMs, Predicate<String> isDraining, QuorumConfig config) {
     MembershipChange wiped = replaceWiped(silentMs, config);
     if (wiped != null) return wiped;
     List<MemberSet.Member> unknown =
@@ -59,51 +63,60 @@
     List<String> removed = deadMembers(silentMs, config);
     MembershipChangeReason reason =
         removed.isEmpty() ? MembershipChangeReason.DRAINING : MembershipChangeReason.DEAD;
-    removed.addAll(drainingMembers(draining, config));
+    removed.addAll(drainingMembers(isDraining, config));
     if (!removed.isEmpty()) {
       int replaced = Math.min(removed.size(), unknown.size());
       return change(reason, removed.subList(0, replaced), unknown.subList(0, replaced));
     }
-    int size = current.all().size(), more = size % 2 == 0 ? 1 : 2;
-    if (size + more > config.targetMembers() || unknown.size() < more) return null;
-    return change(MembershipChangeReason.GROWTH, List.of(), unknown.subList(0, more));
+    int size = current.all().size(), growth = size % 2 == 0 ? 1 : 2;
+    if (size + growth > config.targetMembers() || unknown.size() < growth) return null;
+    return change(MembershipChangeReason.GROWTH, List.of(), unknown.subList(0, growth));
   }
 
-  /** All at once whose machines came back empty: each change of members costs time of its own. */
+  /**
+   * Replaces all members whose machines restarted with an empty disk in one change, since each
+   * change of members interrupts the service for a while.
+   */
   private MembershipChange replaceWiped(ToLongFunction<String> silentMs, QuorumConfig config) {
-    List<MemberSet.Member> back = new ArrayList<>();
+    List<MemberSet.Member> returned = new ArrayList<>();
     for (MemberSet.Member candidate : joinCandidates) {
       MemberSet.Member member = current.find(candidate.name());
       if (member != null
-          && !alive.test(member.name())
-          && silentMs.applyAsLong(member.name()) > 2L * config.peerTimeoutMs()) back.add(candidate);
+          && !isAlive.test(member.name())
+          && silentMs.applyAsLong(member.name()) > 2L * config.peerTimeoutMs())
+        returned.add(candidate);
     }
-    if (back.isEmpty()) return null;
+    if (returned.isEmpty()) return null;
     return change(
         MembershipChangeReason.WIPED_DISK,
-        back.stream().map(MemberSet.Member::name).toList(),
-        back);
+        returned.stream().map(MemberSet.Member::name).toList(),
+        returned);
   }
 
-  /** Those silent for `replaceDeadAfterMs` or longer, the longest silent first. */
+  /**
+   * Returns the members out of contact for at least {@code replaceDeadAfterMs}, the longest first.
+   */
   private List<String> deadMembers(ToLongFunction<String> silentMs, QuorumConfig config) {
     List<String> dead = new ArrayList<>();
     if (config.replaceDeadAfterMs() == 0) return dead;
     for (MemberSet.Member member : current.all())
-      if (!alive.test(member.name())
+      if (!isAlive.test(member.name())
           && silentMs.applyAsLong(member.name()) >= config.replaceDeadAfterMs())
         dead.add(member.name());
     dead.sort(Comparator.comparingLong(silentMs).reversed());
     return dead;
   }
 
-  /** Those whose place has to be taken before they end. */
-  private List<String> drainingMembers(Predicate<String> draining, QuorumConfig config) {
+  /** Returns the draining members, which have to be replaced before they stop. */
+  private List<String> drainingMembers(Predicate<String> isDraining, QuorumConfig config) {
     if (config.replaceDeadAfterMs() == 0) return List.of();
-    return current.all().stream().map(MemberSet.Member::name).filter(draining).toList();
+    return current.all().stream().map(MemberSet.Member::name).filter(isDraining).toList();
   }
 
-  /** The set with these out and those in, or null where a majority of it isn't alive. */
+  /**
+   * Returns the change that removes and adds the given members, or null if fewer than a majority of
+   * the resulting set would be alive.
+   */
   MembershipChange change(
       MembershipChangeReason reason, List<String> removed, List<MemberSet.Member> added) {
     List<MemberSet.Member> members = new ArrayList<>(current.all());
@@ -112,8 +125,8 @@
     MemberSet next = new MemberSet(current.generation() + 1, members);
     int aliveCount = 0;
     for (MemberSet.Member member : next.all())
-      if (added.contains(member) || alive.test(member.name())) aliveCount++;
-    return aliveCount < next.majority()
+      if (added.contains(member) || isAlive.test(member.name())) aliveCount++;
+    return aliveCount < next.majoritySize()
         ? null
         : new MembershipChange(reason, List.copyOf(removed), List.copyOf(added), next);
   }
--- a/control-plane/src/main/java/gladelug/control/core/RegisterAcceptor.java
+++ b/control-plane/src/main/java/gladelug/control/core/RegisterAcceptor.java
@@ -16,19 +16,19 @@
 import java.util.List;
 
 /**
- * The member's side of the protocol, the acceptor: promises epochs, accepts values and confirms
- * owners. All is durable before it is answered. Only the core's thread calls it.
+ * The acceptor of the protocol: promises epochs, accepts values and confirms owners. State is
+ * durable before a response is sent. Called on the core's thread only.
  */
 final class RegisterAcceptor {
-  /** What the acceptor needs of the member it is part of. */
+  /** The services of the member that the acceptor uses. */
   interface Context {
     /** Sends a response to a member by name; may be lost. */
     void send(String member, CoreMessage response);
 
-    /** Whether another member than the candidate is known to own the key and to be well. */
+    /** Returns whether a member other than the candidate is known to own the key and to work. */
     boolean hasWorkingOwner(String key, String candidate);
 
-    /** The key was promised to another member, which is given the time to serve it. */
+    /** Called when the key was promised to another member, which then gets the time to serve it. */
     void onPromisedToOther(String key);
   }
 
@@ -44,42 +44,45 @@
     this.context = context;
   }
 
-  /** Promises the epoch, unless a newer one is promised or the key's owner works. */
+  /**
+   * Promises the epoch, unless the same or a higher one is promised or, without a handover, the key
+   * has a working owner.
+   */
   void onPrepareRequest(String sender, PrepareRequest prepare) {
     String key = prepare.key();
     long epoch = prepare.epoch();
     Register register = registers.get(key);
-    if (epoch <= register.promised()
+    if (epoch <= register.promisedEpoch()
         || !prepare.handover() && context.hasWorkingOwner(key, sender)) {
       context.send(
           sender,
-          new PrepareResponse(key, epoch, false, register.promised(), 0, VersionedValue.NONE));
+          new PrepareResponse(key, epoch, false, register.promisedEpoch(), 0, VersionedValue.NONE));
       return;
     }
     if (!sender.equals(self)) context.onPromisedToOther(key);
     PrepareResponse granted =
-        new PrepareResponse(key, epoch, true, epoch, register.epoch(), register.value());
-    registers.keep(
+        new PrepareResponse(key, epoch, true, epoch, register.acceptedEpoch(), register.value());
+    registers.put(
         key,
-        new Register(epoch, register.epoch(), register.value()),
+        new Register(epoch, register.acceptedEpoch(), register.value()),
         () -> context.send(sender, granted));
   }
 
-  /** Accepts the value, unless a newer epoch is promised. */
+  /** Accepts the value, unless a higher epoch is promised. */
   void onAcceptRequest(String sender, AcceptRequest accept) {
     String key = accept.key();
     long number = accept.value().number();
     Register register = registers.get(key);
-    if (accept.epoch() < register.promised()) {
+    if (accept.epoch() < register.promisedEpoch()) {
       context.send(
-          sender, new AcceptResponse(key, accept.epoch(), number, false, register.promised()));
+          sender, new AcceptResponse(key, accept.epoch(), number, false, register.promisedEpoch()));
       return;
     }
     Register stored =
         register.isReplacedBy(accept.epoch(), number)
             ? new Register(accept.epoch(), accept.epoch(), accept.value())
             : register;
-    registers.keep(
+    registers.put(
         key,
         stored,
         () ->
@@ -88,8 +91,8 @@
   }
 
   /**
-   * Says for each key whether its owner's epoch is still the newest one promised. An epoch that is
-   * newer counts as promised, so the answer then waits for the disk.
+   * Answers for each key whether its owner's epoch is still the highest promised one. A higher
+   * epoch counts as promised, so the response then waits for the disk.
    */
   void onConfirmRequest(String sender, ConfirmRequest confirm) {
     List<EpochStatus> statuses = new ArrayList<>();
@@ -98,10 +101,10 @@
       String key = keyEpoch.key();
       long epoch = keyEpoch.epoch();
       Register register = registers.get(key);
-      boolean granted = epoch >= register.promised();
-      if (epoch > register.promised()) {
-        register = new Register(epoch, register.epoch(), register.value());
-        registers.keep(key, register, () -> {});
+      boolean granted = epoch >= register.promisedEpoch();
+      if (epoch > register.promisedEpoch()) {
+        register = new Register(epoch, register.acceptedEpoch(), register.value());
+        registers.put(key, register, () -> {});
         raised = true;
       }
       statuses.add(
@@ -109,8 +112,8 @@
               key,
               epoch,
               granted,
-              register.promised(),
-              register.epoch(),
+              register.promisedEpoch(),
+              register.acceptedEpoch(),
               register.value().number()));
     }
     ConfirmResponse response = new ConfirmResponse(confirm.round(), statuses);
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
@@ -15,55 +15,59 @@
 import java.util.Map;
 
 /**
- * The data-plane processes that ask this member for control state: what each holds, the leases
- * granted to it, and the values pushed to it, directly or by way of another member. Only the core's
- * thread calls it; times are of the host's monotonic clock, in ms.
+ * The data-plane processes that subscribe to control state at this member: the versions they hold,
+ * the leases granted to them, and the values pushed to them, directly or relayed by another member.
+ * Called on the core's thread only; times are of the host's monotonic clock, in ms.
  */
 final class SubscriberRegistry {
   /** The role of the processes that serve requests. */
   private static final String RELAY_ROLE = "relay";
 
-  /** The way of a process that asks this member itself. */
+  /** Value of {@code relayedBy} for a process that sends its requests to this member directly. */
   private static final String DIRECT = "";
 
-  /** Says in a push that it is the value whole, not a change of an earlier number. */
-  private static final int NO_BASE = -1;
+  /** Base number of a push that carries the full value instead of a delta. */
+  private static final int FULL_VALUE = -1;
 
-  /** A relay that has not asked for this long gets no share: three asks missed. */
+  /**
+   * A relay that has not sent a request for this long gets no share of the capacity; it has then
+   * missed three requests.
+   */
   private static final long RELAY_TIMEOUT_MS = 2400;
 
-  /** For this long after a process asked directly, it is not answered by way of others. */
+  /** For this long after a direct request, relayed requests of the same process are ignored. */
   private static final long DIRECT_PREFERRED_MS = 900;
 
-  /** Between two counts of the relays. */
+  /** Interval between two counts of the relays. */
   private static final long RELAY_COUNT_INTERVAL_MS = 500;
 
-  /** A relay is counted for this long after it asked last. */
+  /** A relay is counted for this long after its last request. */
   private static final long RELAY_COUNTED_FOR_MS = 4000;
 
-  /** A process that has not asked for this long is forgotten. */
+  /** A process that has not sent a request for this long is removed. */
   private static final long SUBSCRIBER_EXPIRY_MS = 60_000;
 
-  /** Unasked, the same value is not pushed whole to the same process again before this. */
-  private static final long PUSH_INTERVAL_MS = 300;
+  /** Minimum interval between two unrequested pushes of the same full value to the same process. */
+  private static final long MIN_PUSH_INTERVAL_MS = 300;
 
-  private static final int MAX_PUSHES_REMEMBERED = 4096;
+  /** How many pushes are remembered; beyond that all are forgotten. */
+  private static final int MAX_REMEMBERED_PUSHES = 4096;
 
-  /** What the registry needs of the member it is part of. */
+  /** The services of the member that the registry uses. */
   interface Context {
-    /** Whether the members are known here. */
-    boolean settled();
+    /** Returns whether this member knows the members of a generation. */
+    boolean isInitialized();
 
-    /** The members of the generation. */
+    /** Returns the members of the generation. */
     MemberSet members();
 
-    /** The owner of a key where this member serves it, else null. */
+    /** Returns the owner of a key if this member serves the key, else null. */
     KeyOwner servingOwner(String key);
 
     /** Sends to a member by name; may be lost. */
     void send(String member, CoreMessage message);
 
-    /** A process was seen to hold this number of a key for the first time. */
+    /** Called when a process reports a version number of a key for the first time. */
     void onNumberSeen(String key, long number, String subscriber);
   }
 
@@ -71,27 +75,29 @@
   private final Context context;
   private final Map<String, SubscriberStatus> subscribers = new LinkedHashMap<>();
 
-  /** By process, key and number: when it was pushed last. */
-  private final Map<String, Long> pushedAt = new HashMap<>();
+  /** By process name, key and version number: when that value was last pushed. */
+  private final Map<String, Long> pushedAtMs = new HashMap<>();
 
+  /** The number of relays at the last count. */
   private int relayCount;
-  private long relaysCountedAt = CoreHost.NEVER;
+
+  private long relaysCountedAtMs = CoreHost.NEVER;
 
   SubscriberRegistry(CoreHost host, Context context) {
     this.host = host;
     this.context = context;
   }
 
-  /** All processes that asked lately, in the order in which they asked first. */
+  /** Returns all processes that recently sent requests, in the order of their first requests. */
   Collection<SubscriberStatus> all() {
     return subscribers.values();
   }
 
-  /** The relays that ask, which share the capacity. */
-  List<SubscriberStatus> activeRelays(long now) {
+  /** Returns the active relays, among which the capacity is allocated. */
+  List<SubscriberStatus> activeRelays(long nowMs) {
     List<SubscriberStatus> relays = new ArrayList<>();
     for (SubscriberStatus subscriber : subscribers.values())
-      if (isRelay(subscriber) && now - subscriber.lastRequestAt() < RELAY_TIMEOUT_MS)
+      if (isRelay(subscriber) && nowMs - subscriber.lastRequestAtMs() < RELAY_TIMEOUT_MS)
         relays.add(subscriber);
     return relays;
   }
@@ -100,19 +106,22 @@
     return subscriber.role().equals(RELAY_ROLE);
   }
 
-  /** Forgets the processes that no longer ask. */
-  void expire(long now) {
+  /** Removes the processes that no longer send requests. */
+  void expire(long nowMs) {
     subscribers
         .values()
-        .removeIf(subscriber -> now - subscriber.lastRequestAt() > SUBSCRIBER_EXPIRY_MS);
+        .removeIf(subscriber -> nowMs - subscriber.lastRequestAtMs() > SUBSCRIBER_EXPIRY_MS);
   }
 
-  /** To a process that is known, on the way it last asked by; directly where it did so lately. */
+  /**
+   * Sends an update to a known process, directly or through the member that relayed its last
+   * accepted request.
+   */
   void send(String subscriber, StateUpdate update) {
     send(subscribers.get(subscriber), update);
   }
 
-  /** Sends a value as the process can read it. */
+  /** Pushes a value, without the fields that the process cannot read. */
   private void push(SubscriberStatus subscriber, StateUpdate.ValuePush push) {
     send(subscriber, readsPrefixSharing(subscriber) ? push : push.withoutSharing());
   }
@@ -123,30 +132,31 @@
   }
 
   private void send(SubscriberStatus subscriber, StateUpdate update) {
-    if (subscriber.relayedBy().isEmpty()) host.news(subscriber.name(), update);
+    if (subscriber.relayedBy().isEmpty()) host.pushUpdate(subscriber.name(), update);
     else context.send(subscriber.relayedBy(), new RelayedStateUpdate(subscriber.name(), update));
   }
 
-  /** A process asks this member itself. */
-  void onRequest(StateUpdate.SubscriptionRequest request, long now) {
-    onRelayedRequest(request, DIRECT, now);
+  /** Handles a request that a process sent to this member directly. */
+  void onRequest(StateUpdate.SubscriptionRequest request, long nowMs) {
+    onRelayedRequest(request, DIRECT, nowMs);
   }
 
   /**
-   * A process asks: grants leases of what this member owns, and pushes values newer than its own.
+   * Handles a request: grants leases on the keys that this member owns, and pushes values newer
+   * than those the process holds.
    *
-   * @param relayedBy the member that passed the request on
+   * @param relayedBy the member that relayed the request; empty for a direct one
    */
-  void onRelayedRequest(StateUpdate.SubscriptionRequest request, String relayedBy, long now) {
-    SubscriberStatus old = subscribers.get(request.name());
+  void onRelayedRequest(StateUpdate.SubscriptionRequest request, String relayedBy, long nowMs) {
+    SubscriberStatus previous = subscribers.get(request.name());
     if (!relayedBy.isEmpty()
-        && old != null
-        && old.relayedBy().isEmpty()
-        && now - old.lastRequestAt() < DIRECT_PREFERRED_MS) return;
-    SubscriberStatus subscriber = status(request, old, relayedBy, now);
+        && previous != null
+        && previous.relayedBy().isEmpty()
+        && nowMs - previous.lastRequestAtMs() < DIRECT_PREFERRED_MS) return;
+    SubscriberStatus subscriber = newStatus(request, previous, relayedBy, nowMs);
     subscribers.put(request.name(), subscriber);
     List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       if (version.key().equals(StateKeys.CORE)) {
         pushMembers(subscriber, version);
         continue;
@@ -155,50 +165,60 @@
       if (owner == null) continue;
       String holder = request.name() + "#" + request.incarnation();
       StateUpdate.LeaseGrant grant =
-          owner.onSubscription(holder, isRelay(subscriber), version, now);
+          owner.onSubscription(holder, isRelay(subscriber), version, nowMs);
       if (grant != null) grants.add(grant);
       else if (version.number() < owner.value().number())
-        pushFullValue(subscriber, owner, now, false);
+        pushFullValue(subscriber, owner, nowMs, false);
     }
     if (!grants.isEmpty())
-      send(subscriber, new StateUpdate.LeaseGrants(request.sentAtMs(), grants, relayCount(now)));
+      send(subscriber, new StateUpdate.LeaseGrants(request.sentAtMs(), grants, relayCount(nowMs)));
   }
 
-  /** What the request says, with the times since which the process holds its versions. */
-  private SubscriberStatus status(
-      StateUpdate.SubscriptionRequest request, SubscriberStatus old, String relayedBy, long now) {
-    Map<String, Long> versionSince = new HashMap<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+  /**
+   * Returns the status that the request reports, with the times since which the process holds its
+   * versions.
+   */
+  private SubscriberStatus newStatus(
+      StateUpdate.SubscriptionRequest request,
+      SubscriberStatus previous,
+      String relayedBy,
+      long nowMs) {
+    Map<String, Long> versionSinceMs = new HashMap<>();
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       boolean same =
-          old != null
-              && old.incarnation() == request.incarnation()
-              && old.versions().stream()
+          previous != null
+              && previous.incarnation() == request.incarnation()
+              && previous.versions().stream()
                   .anyMatch(
                       other ->
                           other.key().equals(version.key()) && other.number() == version.number());
       if (!same && version.number() > 0)
         context.onNumberSeen(version.key(), version.number(), request.name());
-      versionSince.put(
-          version.key(), same ? old.versionSince().getOrDefault(version.key(), now) : now);
+      versionSinceMs.put(
+          version.key(),
+          same ? previous.versionSinceMs().getOrDefault(version.key(), nowMs) : nowMs);
     }
     return new SubscriberStatus(
         request.name(),
         request.incarnation(),
         request.role(),
-        request.records(),
-        request.operator(),
+        request.recordsAddress(),
+        request.operatorAddress(),
         request.zone(),
-        now,
-        request.known(),
-        versionSince,
+        nowMs,
+        request.knownVersions(),
+        versionSinceMs,
         request.demands(),
         request.capacities(),
         relayedBy);
   }
 
-  /** The members themselves, to a process that knows an earlier generation; no key's owner does. */
+  /**
+   * Pushes the members to a process that knows an earlier generation. Every member does so, whether
+   * or not it owns the key core.
+   */
   private void pushMembers(SubscriberStatus subscriber, StateUpdate.KnownVersion version) {
-    if (!context.settled() || version.number() >= context.members().generation()) return;
+    if (!context.isInitialized() || version.number() >= context.members().generation()) return;
     long generation = context.members().generation();
     send(
         subscriber,
@@ -206,83 +226,86 @@
             StateKeys.CORE,
             generation,
             generation,
-            NO_BASE,
+            FULL_VALUE,
             "",
-            context.members().coreMemberListJson()));
+            context.members().toCoreMemberListJson()));
   }
 
-  private int relayCount(long now) {
-    if (now - relaysCountedAt > RELAY_COUNT_INTERVAL_MS) {
-      relaysCountedAt = now;
+  private int relayCount(long nowMs) {
+    if (nowMs - relaysCountedAtMs > RELAY_COUNT_INTERVAL_MS) {
+      relaysCountedAtMs = nowMs;
       relayCount =
           (int)
               subscribers.values().stream()
                   .filter(
                       subscriber ->
                           isRelay(subscriber)
-                              && now - subscriber.lastRequestAt() < RELAY_COUNTED_FOR_MS)
+                              && nowMs - subscriber.lastRequestAtMs() < RELAY_COUNTED_FOR_MS)
                   .count();
     }
     return relayCount;
   }
 
-  /** A process couldn't use a change of a key and asks for the value whole. */
-  void onFullValueRequested(String name, String key, long now) {
+  /** Pushes the full value to a process that could not apply a delta of a key. */
+  void onFullValueRequested(String name, String key, long nowMs) {
     KeyOwner owner = context.servingOwner(key);
     if (owner != null && subscribers.containsKey(name))
-      pushFullValue(subscribers.get(name), owner, now, true);
+      pushFullValue(subscribers.get(name), owner, nowMs, true);
   }
 
   private void pushFullValue(
-      SubscriberStatus subscriber, KeyOwner owner, long now, boolean requested) {
+      SubscriberStatus subscriber, KeyOwner owner, long nowMs, boolean requested) {
     VersionedValue value = owner.value();
-    String push = subscriber.name() + " " + owner.key + " " + value.number();
-    Long last = pushedAt.get(push);
-    if (!requested && last != null && now - last < PUSH_INTERVAL_MS) return;
-    if (pushedAt.size() > MAX_PUSHES_REMEMBERED) pushedAt.clear();
-    pushedAt.put(push, now);
+    String pushKey = subscriber.name() + " " + owner.key + " " + value.number();
+    Long lastPushAtMs = pushedAtMs.get(pushKey);
+    if (!requested && lastPushAtMs != null && nowMs - lastPushAtMs < MIN_PUSH_INTERVAL_MS) return;
+    if (pushedAtMs.size() > MAX_REMEMBERED_PUSHES) pushedAtMs.clear();
+    pushedAtMs.put(pushKey, nowMs);
     push(
         subscriber,
         new StateUpdate.ValuePush(
             owner.key,
             owner.epoch,
             value.number(),
-            NO_BASE,
+            FULL_VALUE,
             value.digest(),
             value.body(),
             value.sharing().since()));
   }
 
-  /** The change alone to those who hold the number before it, else the value whole. */
-  void pushChange(String key, long epoch, VersionedValue before, VersionedValue after) {
-    byte[] delta = BinaryDelta.between(before.body(), after.body());
+  /**
+   * Pushes a new value: a delta to the processes that hold the previous number, else the full
+   * value.
+   */
+  void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value) {
+    byte[] delta = BinaryDelta.between(previous.body(), value.body());
     StateUpdate.ValuePush whole =
         new StateUpdate.ValuePush(
             key,
             epoch,
-            after.number(),
-            NO_BASE,
-            after.digest(),
-            after.body(),
-            after.sharing().since());
+            value.number(),
+            FULL_VALUE,
+            value.digest(),
+            value.body(),
+            value.sharing().since());
     StateUpdate.ValuePush change =
         delta == null
             ? whole
             : new StateUpdate.ValuePush(
                 key,
                 epoch,
-                after.number(),
-                before.number(),
-                after.digest(),
+                value.number(),
+                previous.number(),
+                value.digest(),
                 delta,
-                after.sharing().since());
+                value.sharing().since());
     for (SubscriberStatus subscriber : subscribers.values()) {
-      boolean holdsBefore =
+      boolean holdsPrevious =
           subscriber.versions().stream()
               .anyMatch(
-                  version -> version.key().equals(key) && version.number() == before.number());
-      pushedAt.put(subscriber.name() + " " + key + " " + after.number(), host.now());
-      push(subscriber, holdsBefore ? change : whole);
+                  version -> version.key().equals(key) && version.number() == previous.number());
+      pushedAtMs.put(subscriber.name() + " " + key + " " + value.number(), host.nowMs());
+      push(subscriber, holdsPrevious ? change : whole);
     }
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/RegisterVersion.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/RegisterVersion.java
@@ -6,12 +6,14 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Which value of a key a member has; epoch and number together mean one value. */
+/**
+ * Identifies the value of a key that a member stores: epoch and number together identify one value.
+ */
 public record RegisterVersion(String key, long epoch, long number) {
-  /** Writes versions as a message between members carries them. */
+  /** Writes versions in the format of messages between members. */
   public static void writeList(DataOutputStream out, List<RegisterVersion> versions)
       throws IOException {
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         versions,
         (target, version) -> {
@@ -23,7 +25,7 @@
 
   /** Reads what {@link #writeList} wrote. */
   public static List<RegisterVersion> readList(DataInputStream in) throws IOException {
-    return WireRecord.list(in, RegisterVersion::read);
+    return WireRecord.readList(in, RegisterVersion::read);
   }
 
   private static RegisterVersion read(DataInputStream in) throws IOException {
--- a/control-plane/src/test/java/gladelug/control/ChangeSummaryTest.java
+++ b/control-plane/src/test/java/gladelug/control/ChangeSummaryTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of ChangeSummary. */
+/** Tests {@link ChangeSummary}. */
 final class ChangeSummaryTest {
   private static final String KEY = "'sha256:" + "a1".repeat(32) + "'";
 
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void namesWhatCameWentAndChangedAndNeverAKey() {
+  void addedRemovedAndChangedNamesAreListedWithoutApiKeys() {
     Configuration before =
         configuration(
             service("s"), route("x", "/x", "s") + "," + route("y", "/y", "s"), tenant(KEY));
@@ -50,11 +50,11 @@
             service("s"), route("x", "/z", "s") + "," + route("v", "/v", "s"), tenant(""));
     Assertions.assertEquals(
         "mappings new: v; mappings gone: y; mappings changed: x; tenants changed: t",
-        ChangeSummary.ofConfiguration(before, after));
+        ChangeSummary.summarizeConfiguration(before, after));
   }
 
   @Test
-  void aRouteThatGoesToAnotherServiceChangedAndOneWhosePlaceMovedDidNot() {
+  void aRouteCountsAsChangedIfItsServiceChangedButNotIfItsPositionDid() {
     Configuration before =
         configuration(
             service("s") + "," + service("u"),
@@ -65,22 +65,24 @@
             service("u") + "," + service("s"),
             route("y", "/y", "s") + "," + route("x", "/x", "u"),
             tenant(KEY));
-    Assertions.assertEquals("mappings changed: x", ChangeSummary.ofConfiguration(before, after));
-    Assertions.assertEquals("nothing that has a name", ChangeSummary.ofConfiguration(after, after));
+    Assertions.assertEquals(
+        "mappings changed: x", ChangeSummary.summarizeConfiguration(before, after));
+    Assertions.assertEquals(
+        "nothing that has a name", ChangeSummary.summarizeConfiguration(after, after));
   }
 
   @Test
-  void weightsAreNamedWithWhatTheyWereBefore() {
+  void aWeightsSummaryListsThePreviousAndTheNewWeights() {
     Assertions.assertEquals(
         "m from w1 to w2",
-        ChangeSummary.ofWeights(
+        ChangeSummary.summarizeWeights(
             bytes("{\"m\":{\"now\":\"w1\"}}"),
             bytes("{\"m\":{\"now\":\"w2\",\"before\":\"w1\"}}")));
-    Assertions.assertEquals("", ChangeSummary.ofWeights(bytes("no JSON"), bytes("{}")));
+    Assertions.assertEquals("", ChangeSummary.summarizeWeights(bytes("no JSON"), bytes("{}")));
   }
 
   @Test
-  void aConfigurationThatCannotBeReadHasNoSummary() {
+  void anInvalidConfigurationHasNoSummary() {
     ControlOwnerTasks tasks = new ControlOwnerTasks(Configuration::parse);
     Assertions.assertEquals("", tasks.summarizeChange("policy", bytes("no JSON"), bytes("{}")));
   }
--- a/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Bootstrap. */
+/** Tests how bootstrap members agree on the first member set, {@link Bootstrap}. */
 final class BootstrapTest {
   private static final Address ADDRESS = Address.of("1.1.1.1:1");
-  private static final List<Member> THREE =
+  private static final List<Member> BOOTSTRAP_MEMBERS =
       List.of(
           new Member("a", "", ADDRESS, ADDRESS),
           new Member("b", "", ADDRESS, ADDRESS),
           new Member("c", "", ADDRESS, ADDRESS));
 
-  private static Bootstrap founder(String name, String disk) {
-    return new Bootstrap(name, disk, THREE);
+  private static Bootstrap newBootstrap(String name, String disk) {
+    return new Bootstrap(name, disk, BOOTSTRAP_MEMBERS);
   }
 
   private static MemberSet set(String a, String b, String c) {
@@ -30,59 +30,60 @@
   }
 
   @Test
-  void theFirstMakesTheSetOnceItHasMetAllAndItHoldsOnceAllPinnedIt() {
-    Bootstrap a = founder("a", "a1");
+  void theFirstMemberProposesTheSetOnceItHasHeardFromAllAndItIsAgreedOnceAllStoredIt() {
+    Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
-    Assertions.assertNull(a.nextToStore(true));
+    Assertions.assertNull(a.nextSetToStore(true));
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    MemberSet s = a.nextToStore(true);
-    Assertions.assertEquals(set("a1", "b1", "c1"), s);
-    Assertions.assertNull(a.nextToStore(false), "not yet time");
-    a.storedSet(s);
-    a.onAnnouncement("b", "b1", s);
-    Assertions.assertNull(a.agreed());
-    a.onAnnouncement("c", "c1", s);
-    Assertions.assertEquals(s, a.agreed());
+    MemberSet proposed = a.nextSetToStore(true);
+    Assertions.assertEquals(set("a1", "b1", "c1"), proposed);
+    Assertions.assertNull(a.nextSetToStore(false), "must not propose yet");
+    a.onSetStored(proposed);
+    a.onAnnouncement("b", "b1", proposed);
+    Assertions.assertNull(a.agreedSet());
+    a.onAnnouncement("c", "c1", proposed);
+    Assertions.assertEquals(proposed, a.agreedSet());
   }
 
   @Test
-  void theOthersMakeNoneButPinTheFirstOnesEvenWhereAnotherLostItsDiskMeanwhile() {
-    MemberSet s = set("a1", "b1", "c1");
-    Bootstrap b = founder("b", "b1");
+  void theOthersProposeNoneButStoreTheFirstMembersSetEvenIfAnotherLostItsDiskMeanwhile() {
+    MemberSet proposed = set("a1", "b1", "c1");
+    Bootstrap b = newBootstrap("b", "b1");
     b.onAnnouncement("a", "a1", MemberSet.NONE);
     b.onAnnouncement("c", "c2", MemberSet.NONE);
-    Assertions.assertNull(b.nextToStore(true));
-    b.onAnnouncement("a", "a1", s);
-    Assertions.assertEquals(s, b.nextToStore(true));
-    b.storedSet(s);
-    Assertions.assertEquals(s, b.agreed(), "two of three have it, and the third's disk is lost");
-    Bootstrap c = founder("c", "c2");
-    c.onAnnouncement("a", "a1", s);
-    c.onAnnouncement("b", "b1", s);
-    Assertions.assertNull(c.nextToStore(true), "it lost the disk that the set lists");
+    Assertions.assertNull(b.nextSetToStore(true));
+    b.onAnnouncement("a", "a1", proposed);
+    Assertions.assertEquals(proposed, b.nextSetToStore(true));
+    b.onSetStored(proposed);
+    Assertions.assertEquals(
+        proposed, b.agreedSet(), "two of three stored it, and the disk of the third is lost");
+    Bootstrap c = newBootstrap("c", "c2");
+    c.onAnnouncement("a", "a1", proposed);
+    c.onAnnouncement("b", "b1", proposed);
+    Assertions.assertNull(c.nextSetToStore(true), "it lost the disk that the set lists");
   }
 
   @Test
-  void aMakerThatLostItsDiskMakesNoneWhereOneIsPinned() {
-    Bootstrap a = founder("a", "a2");
+  void aProposerThatLostItsDiskProposesNoSetWhileOneIsStored() {
+    Bootstrap a = newBootstrap("a", "a2");
     a.onAnnouncement("b", "b1", set("a1", "b1", "c1"));
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    Assertions.assertNull(a.nextToStore(true));
+    Assertions.assertNull(a.nextSetToStore(true));
   }
 
   @Test
-  void aSetThatNeverCanHoldIsLeftForTheNewOneAndNoOther() {
-    MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
-    Bootstrap b = founder("b", "b1");
-    b.onAnnouncement("a", "a1", old);
-    b.storedSet(old);
-    b.onAnnouncement("c", "c1", now);
-    Assertions.assertNull(b.nextToStore(true), "its maker may still be there");
-    b.onAnnouncement("a", "a2", now);
-    Assertions.assertEquals(now, b.nextToStore(true));
-    b.storedSet(now);
-    Assertions.assertNull(b.nextToStore(true));
-    Assertions.assertEquals(now, b.agreed());
+  void aSetThatCanNeverBeAgreedIsReplacedByTheNewOneAndNoOther() {
+    MemberSet oldSet = set("a1", "b1", "c1"), newSet = set("a2", "b1", "c1");
+    Bootstrap b = newBootstrap("b", "b1");
+    b.onAnnouncement("a", "a1", oldSet);
+    b.onSetStored(oldSet);
+    b.onAnnouncement("c", "c1", newSet);
+    Assertions.assertNull(b.nextSetToStore(true), "its proposer may still have its disk");
+    b.onAnnouncement("a", "a2", newSet);
+    Assertions.assertEquals(newSet, b.nextSetToStore(true));
+    b.onSetStored(newSet);
+    Assertions.assertNull(b.nextSetToStore(true));
+    Assertions.assertEquals(newSet, b.agreedSet());
   }
 
   private static Member joining(String name, String disk) {
@@ -90,88 +91,89 @@
   }
 
   @Test
-  void aFounderThatCameBackEmptyBeforeItWasHeardIsInTheSetAndNobodyWaitsForItToStoreIt() {
-    Bootstrap a = founder("a", "a1");
+  void aMemberThatRestartedEmptyBeforeItWasHeardIsInTheSetAndNobodyWaitsForItToStoreIt() {
+    Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onJoinRequest(joining("c", "c2"));
-    MemberSet s = a.nextToStore(true);
-    Assertions.assertEquals(set("a1", "b1", "c2"), s);
-    a.storedSet(s);
-    Assertions.assertNull(a.agreed(), "one of three");
-    a.onAnnouncement("b", "b1", s);
-    Assertions.assertEquals(s, a.agreed());
+    MemberSet proposed = a.nextSetToStore(true);
+    Assertions.assertEquals(set("a1", "b1", "c2"), proposed);
+    a.onSetStored(proposed);
+    Assertions.assertNull(a.agreedSet(), "stored by one of three");
+    a.onAnnouncement("b", "b1", proposed);
+    Assertions.assertEquals(proposed, a.agreedSet());
   }
 
   @Test
-  void aSetWithTheDiskThatWasLostComesIntoForceOnceItsMachineAsksToBeLetIn() {
-    MemberSet s = set("a1", "b1", "c1");
-    Bootstrap b = founder("b", "b1");
-    b.onAnnouncement("a", "a1", s);
+  void aSetWithALostDiskIsAgreedOnceItsMachineAsksToJoin() {
+    MemberSet proposed = set("a1", "b1", "c1");
+    Bootstrap b = newBootstrap("b", "b1");
+    b.onAnnouncement("a", "a1", proposed);
     b.onAnnouncement("c", "c1", MemberSet.NONE);
-    b.storedSet(b.nextToStore(true));
-    Assertions.assertNull(b.agreed());
+    b.onSetStored(b.nextSetToStore(true));
+    Assertions.assertNull(b.agreedSet());
     b.onJoinRequest(joining("c", "c2"));
-    Assertions.assertEquals(s, b.agreed());
+    Assertions.assertEquals(proposed, b.agreedSet());
   }
 
   @Test
-  void theNextByNameProposesForAFirstThatCameBackEmpty() {
-    Bootstrap b = founder("b", "b1");
-    Bootstrap c = founder("c", "c1");
+  void theNextMemberByNameProposesInPlaceOfAFirstThatRestartedEmpty() {
+    Bootstrap b = newBootstrap("b", "b1");
+    Bootstrap c = newBootstrap("c", "c1");
     b.onAnnouncement("c", "c1", MemberSet.NONE);
     b.onJoinRequest(joining("a", "a2"));
-    MemberSet s = b.nextToStore(true);
-    Assertions.assertEquals(set("a2", "b1", "c1"), s);
-    b.storedSet(s);
+    MemberSet proposed = b.nextSetToStore(true);
+    Assertions.assertEquals(set("a2", "b1", "c1"), proposed);
+    b.onSetStored(proposed);
     c.onJoinRequest(joining("a", "a2"));
     c.onAnnouncement("b", "b1", MemberSet.NONE);
-    Assertions.assertNull(c.nextToStore(true), "the one before it by name bootstraps");
-    c.onAnnouncement("b", "b1", s);
-    Assertions.assertEquals(s, c.nextToStore(true));
-    c.storedSet(s);
-    Assertions.assertEquals(s, c.agreed());
+    Assertions.assertNull(c.nextSetToStore(true), "a member before it by name bootstraps");
+    c.onAnnouncement("b", "b1", proposed);
+    Assertions.assertEquals(proposed, c.nextSetToStore(true));
+    c.onSetStored(proposed);
+    Assertions.assertEquals(proposed, c.agreedSet());
   }
 
   @Test
-  void theLostFirstOnesSetIsLeftForTheOneProposedInItsPlace() {
-    MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
-    Bootstrap c = founder("c", "c1");
-    c.onAnnouncement("a", "a1", old);
-    c.storedSet(c.nextToStore(true));
-    c.onAnnouncement("b", "b1", now);
-    Assertions.assertNull(c.nextToStore(true), "its proposer may still be there");
+  void theSetOfALostFirstMemberIsReplacedByTheOneProposedInItsPlace() {
+    MemberSet oldSet = set("a1", "b1", "c1"), newSet = set("a2", "b1", "c1");
+    Bootstrap c = newBootstrap("c", "c1");
+    c.onAnnouncement("a", "a1", oldSet);
+    c.onSetStored(c.nextSetToStore(true));
+    c.onAnnouncement("b", "b1", newSet);
+    Assertions.assertNull(c.nextSetToStore(true), "its proposer may still have its disk");
     c.onJoinRequest(joining("a", "a2"));
-    Assertions.assertEquals(now, c.nextToStore(true));
-    c.storedSet(now);
-    Assertions.assertEquals(now, c.agreed());
-    Bootstrap b = founder("b", "b1");
+    Assertions.assertEquals(newSet, c.nextSetToStore(true));
+    c.onSetStored(newSet);
+    Assertions.assertEquals(newSet, c.agreedSet());
+    Bootstrap b = newBootstrap("b", "b1");
     b.onJoinRequest(joining("a", "a2"));
-    b.onAnnouncement("c", "c1", old);
-    Assertions.assertEquals(old, b.nextToStore(true), "one that is stored goes before a new one");
+    b.onAnnouncement("c", "c1", oldSet);
+    Assertions.assertEquals(
+        oldSet, b.nextSetToStore(true), "a stored set takes precedence over a new one");
   }
 
   @Test
-  void aDiskThatBootstrapsIsNotLostByAskingToBeLetIn() {
-    Bootstrap a = founder("a", "a1");
+  void aDiskThatBootstrapsDoesNotCountAsLostWhenItsMemberAsksToJoin() {
+    Bootstrap a = newBootstrap("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    MemberSet s = a.nextToStore(true);
-    a.storedSet(s);
-    a.onAnnouncement("b", "b1", s);
+    MemberSet proposed = a.nextSetToStore(true);
+    a.onSetStored(proposed);
+    a.onAnnouncement("b", "b1", proposed);
     a.onJoinRequest(joining("c", "c1"));
     a.onJoinRequest(joining("x", "x1"));
     a.onJoinRequest(joining("a", "a2"));
-    Assertions.assertNull(a.agreed());
+    Assertions.assertNull(a.agreedSet());
   }
 
   @Test
-  void whatIsNoSetOfTheseFoundersOrNotThisDiskIsNotPinned() {
-    Bootstrap b = founder("b", "b1");
+  void aSetWithOtherMembersOrAnotherDiskOfThisMemberIsNotStored() {
+    Bootstrap b = newBootstrap("b", "b1");
     b.onAnnouncement("a", "a1", set("a1", "another", "c1"));
-    Assertions.assertNull(b.nextToStore(true));
+    Assertions.assertNull(b.nextSetToStore(true));
     b.onAnnouncement("a", "a1", new MemberSet(1, set("a1", "b1", "c1").all().subList(0, 2)));
-    Assertions.assertNull(b.nextToStore(true));
+    Assertions.assertNull(b.nextSetToStore(true));
     b.onAnnouncement("x", "x", set("a1", "b1", "c1"));
-    Assertions.assertNull(b.nextToStore(true));
+    Assertions.assertNull(b.nextSetToStore(true));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What core members of different releases must agree on: the bytes of each message between them and
- * the names of the entries on disk, held against literals. Classes and constants may be renamed
- * freely; a literal here changes only with a new release of the wire.
+ * Compares what core members of different releases must agree on with literals: the bytes of each
+ * message between them and the names of the entries on disk. Classes and constants may be renamed
+ * freely; a literal here changes only with a new version of the wire format.
  */
 final class PublishedNamesTest {
   private static VersionedValue value() {
@@ -46,17 +46,17 @@
             new MemberSet.Member("a", "d", Address.of("10.0.0.1:1"), Address.of("10.0.0.1:2"))));
   }
 
-  private static CoreMessage changed(ChangeResult answer) {
-    return new CoreMessage.ForwardedChangeResponse(1, answer);
+  private static CoreMessage changeResponse(ChangeResult result) {
+    return new CoreMessage.ForwardedChangeResponse(1, result);
   }
 
-  /** An example of each message and of each answer to a change; every list in it has an entry. */
+  /** Returns an example of each message and of each result of a change, by a name of its own. */
   static Map<String, CoreMessage> examples() {
     Map<String, CoreMessage> examples = new LinkedHashMap<>();
-    List<RegisterRecord> kept =
-        List.of(new RegisterRecord("policy", new Register(1, 0, VersionedValue.NONE).bytes()));
+    List<RegisterRecord> registers =
+        List.of(new RegisterRecord("policy", new Register(1, 0, VersionedValue.NONE).toBytes()));
     List<RegisterVersion> versions = List.of(new RegisterVersion("policy", 1, 2));
-    StateUpdate.SubscriptionRequest ask =
+    StateUpdate.SubscriptionRequest subscription =
         new StateUpdate.SubscriptionRequest(
             1, "r", 2, "relay", "a", "b", "z", List.of(), List.of(), List.of());
     examples.put(
@@ -82,19 +82,19 @@
         "change",
         new CoreMessage.ForwardedChangeRequest(
             1, new ChangeRequest("policy", 2, 3, new byte[] {4, 5})));
-    examples.put("changed: done", changed(new ChangeResult.Acknowledged(2, true, 3, 4, 5)));
-    examples.put("changed: stale", changed(new ChangeResult.Conflict(2)));
-    examples.put("changed: unknown", changed(new ChangeResult.Unknown(2)));
-    examples.put("changed: busy", changed(new ChangeResult.QueueFull()));
-    examples.put("changed: no owner", changed(new ChangeResult.NoOwner()));
-    examples.put("changed: too large", changed(new ChangeResult.TooLarge(2, 3)));
+    examples.put("changed: done", changeResponse(new ChangeResult.Acknowledged(2, true, 3, 4, 5)));
+    examples.put("changed: stale", changeResponse(new ChangeResult.Conflict(2)));
+    examples.put("changed: unknown", changeResponse(new ChangeResult.Unknown(2)));
+    examples.put("changed: busy", changeResponse(new ChangeResult.QueueFull()));
+    examples.put("changed: no owner", changeResponse(new ChangeResult.NoOwner()));
+    examples.put("changed: too large", changeResponse(new ChangeResult.TooLarge(2, 3)));
     examples.put(
         "meet", new CoreMessage.BootstrapAnnouncement("10.0.0.1:1", "10.0.0.1:2", members()));
-    examples.put("settled", new CoreMessage.Activate(members(), kept));
+    examples.put("settled", new CoreMessage.Activate(members(), registers));
     examples.put("join", new CoreMessage.JoinRequest("10.0.0.1:1", "10.0.0.1:2"));
     examples.put("seal", new CoreMessage.SealRequest(members(), 1, versions));
-    examples.put("sealed", new CoreMessage.SealResponse(4, 1, kept, versions));
-    examples.put("carry", new CoreMessage.RelayedSubscriptionRequest(ask));
+    examples.put("sealed", new CoreMessage.SealResponse(4, 1, registers, versions));
+    examples.put("carry", new CoreMessage.RelayedSubscriptionRequest(subscription));
     examples.put(
         "carried",
         new CoreMessage.RelayedStateUpdate("r", new StateUpdate.FullValueRequest("policy")));
@@ -213,26 +213,26 @@
           Map.entry("leaving", "1e00000000000000030006636f72652d6100046469736b"));
 
   static byte[] bytes(CoreMessage message) {
-    return WireRecord.bytes(new Envelope(3, "core-a", "disk", message));
+    return WireRecord.encode(new Envelope(3, "core-a", "disk", message));
   }
 
   @Test
-  void eachMessageHasTheBytesItAlwaysHad() {
+  void eachMessageHasItsPublishedBytes() {
     Map<String, String> now = new LinkedHashMap<>();
     examples().forEach((name, message) -> now.put(name, HexFormat.of().formatHex(bytes(message))));
     Assertions.assertEquals(BYTES, now);
   }
 
   @Test
-  void theBytesAreReadAsTheSameMessage() throws IOException {
+  void thePublishedBytesAreReadAsTheSameMessage() throws IOException {
     for (Map.Entry<String, String> entry : BYTES.entrySet()) {
-      Envelope read = WireRecord.read(HexFormat.of().parseHex(entry.getValue()), Envelope::read);
-      Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.bytes(read)));
+      Envelope read = WireRecord.decode(HexFormat.of().parseHex(entry.getValue()), Envelope::read);
+      Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.encode(read)));
     }
   }
 
   @Test
-  void noMessageIsLeftOut() {
+  void theExamplesCoverAllMessagesAndResults() {
     Set<Class<?>> known = new HashSet<>();
     for (CoreMessage example : examples().values()) {
       known.add(example.getClass());
@@ -244,14 +244,17 @@
     Assertions.assertEquals(all, known);
   }
 
-  /** Each name is known, as what can't be read under it is found; under another name it isn't. */
+  /**
+   * An unreadable record is reported under each known name and under no other, which shows that the
+   * name is known.
+   */
   @Test
-  void theEntriesOnDiskHaveTheirNames() {
+  void theEntriesOnDiskHaveTheirPublishedNames() {
     byte[] unreadable = {9};
     Set<String> found = new TreeSet<>();
     for (String name :
         List.of("cell/policy", "epochs/policy", "members", "sealed", "pinned", "policy", "other"))
-      DurableState.findings(Map.of(name, unreadable), "core-a", "disk")
+      DurableState.validate(Map.of(name, unreadable), "core-a", "disk")
           .forEach(finding -> found.add(finding.place()));
     Assertions.assertEquals(
         Set.of("cell/policy", "epochs/policy", "members", "sealed", "pinned"), found);
@@ -259,6 +262,6 @@
     Assertions.assertEquals("policy", StateDecoder.keyOf("epochs/policy"));
     Assertions.assertEquals(
         List.of("members", "sealed", "pinned"),
-        List.of(StateDecoder.MEMBERS, StateDecoder.SEALED, DurableState.BOOTSTRAP_SET));
+        List.of(StateDecoder.MEMBERS_ENTRY, StateDecoder.SEALED_ENTRY, DurableState.BOOTSTRAP_SET));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
+++ b/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
@@ -1,6 +1,6 @@
 package gladelug.control.instances;
 
-import static gladelug.control.instances.InstanceListPoll.narrowed;
+import static gladelug.control.instances.InstanceListPoll.retainListed;
 
 import gladelug.common.Address;
 import gladelug.common.Result;
@@ -16,47 +16,48 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of InstanceListPoll. */
+/** Tests {@link InstanceListPoll}. */
 final class InstanceListPollTest {
-  private static Replicas list(String... states) {
+  /** Builds a list: one letter for the instance id, then + if it is ready or - if it is not. */
+  private static Replicas list(String... instances) {
     List<Replicas.Replica> replicas = new ArrayList<>();
-    for (String state : states)
+    for (String instance : instances)
       replicas.add(
           new Replicas.Replica(
               "m",
-              state.substring(0, 1),
-              Address.of("1.1.1.1:" + (int) state.charAt(0)),
+              instance.substring(0, 1),
+              Address.of("1.1.1.1:" + (int) instance.charAt(0)),
               "z",
-              state.endsWith("+")));
+              instance.endsWith("+")));
     return new Replicas(replicas);
   }
 
   @Test
-  void whatIsOfferedAgainOnlyTakesAway() {
-    byte[] kept = list("a+", "b+", "c-", "d+").json().getBytes(StandardCharsets.UTF_8);
+  void aRetainedListOnlyRemovesTargets() {
+    byte[] stored = list("a+", "b+", "c-", "d+").toJson().getBytes(StandardCharsets.UTF_8);
     Assertions.assertEquals(
-        list("a+", "b-", "c-").json(),
-        new String(narrowed(kept, list("a+", "b-", "c+", "e+")), StandardCharsets.UTF_8));
+        list("a+", "b-", "c-").toJson(),
+        new String(retainListed(stored, list("a+", "b-", "c+", "e+")), StandardCharsets.UTF_8));
   }
 
-  /** What is kept of lists, and the number it has. */
+  /** An in-memory store of one list and its number. */
   private static final class Store implements InstanceListPoll.Store {
     private long number;
-    private String kept;
+    private String storedJson;
 
     Store(long number, Replicas list) {
       this.number = number;
-      this.kept = list.json();
+      this.storedJson = list.toJson();
     }
 
-    InstanceListPoll.StoredList kept() {
-      return new InstanceListPoll.StoredList(number, kept.getBytes(StandardCharsets.UTF_8));
+    InstanceListPoll.StoredList storedList() {
+      return new InstanceListPoll.StoredList(number, storedJson.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
-    public Uni<ChangeResult> change(long base, byte[] list) {
+    public Uni<ChangeResult> propose(long base, byte[] list) {
       if (base != number) return Uni.createFrom().item(new ChangeResult.Conflict(number));
-      kept = new String(list, StandardCharsets.UTF_8);
+      storedJson = new String(list, StandardCharsets.UTF_8);
       return Uni.createFrom().item(new ChangeResult.Acknowledged(++number, false, 0, 0, 0));
     }
 
@@ -65,30 +66,30 @@
   }
 
   @Test
-  void aListThatComesLateIsNotPutOnTopOfANewerOne() {
+  void aLateListDoesNotReplaceANewerOne() {
     Store store = new Store(3, list("a+", "b+"));
     CompletableFuture<Result<Replicas>> late = new CompletableFuture<>();
     AtomicReference<Result<Optional<ChangeResult>>> outcome = new AtomicReference<>();
-    InstanceListPoll.poll(store.kept(), store, () -> Uni.createFrom().completionStage(late))
+    InstanceListPoll.poll(store.storedList(), store, () -> Uni.createFrom().completionStage(late))
         .subscribe()
         .with(outcome::set);
-    // meanwhile another owner heard that b drains
+    // meanwhile another owner polls a list in which b is draining
     InstanceListPoll.poll(
-            store.kept(), store, () -> Uni.createFrom().item(Result.good(list("a+", "b-"))))
+            store.storedList(), store, () -> Uni.createFrom().item(Result.good(list("a+", "b-"))))
         .subscribe()
         .with(ignored -> {});
     late.complete(Result.good(list("a+", "b+", "c+")));
     Assertions.assertEquals(Result.good(Optional.of(new ChangeResult.Conflict(4))), outcome.get());
-    Assertions.assertEquals(list("a+", "b-").json(), store.kept);
+    Assertions.assertEquals(list("a+", "b-").toJson(), store.storedJson);
   }
 
   @Test
-  void aListAsKeptAndOneThatMakesNoSenseProposeNothing() {
+  void anUnchangedOrInvalidListIsNotProposed() {
     Store store = new Store(3, list("a+"));
     List<Result<Optional<ChangeResult>>> outcomes = new ArrayList<>();
-    Result<Replicas> senseless = Result.bad("Instances", "is not a list");
-    for (Result<Replicas> answer : List.of(Result.good(list("a+")), senseless))
-      InstanceListPoll.poll(store.kept(), store, () -> Uni.createFrom().item(answer))
+    Result<Replicas> invalid = Result.bad("Instances", "is not a list");
+    for (Result<Replicas> answer : List.of(Result.good(list("a+")), invalid))
+      InstanceListPoll.poll(store.storedList(), store, () -> Uni.createFrom().item(answer))
           .subscribe()
           .with(outcomes::add);
     Assertions.assertEquals(Result.good(Optional.empty()), outcomes.get(0));
--- a/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
+++ b/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
@@ -21,51 +21,53 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A real member of a core with its listener for operators, over loopback, for tests. */
+/** A core member with its operator endpoint on the loopback interface, for tests. */
 final class OneMemberCore implements AutoCloseable {
   private static final String IP = "127.0.0.1", NAME = "a";
   private static final int CUTOFF_MS = 15_000, RING_FILE_MB = 8;
 
-  /** Where operators are answered. */
-  final Address operator = new Address(IP, freePort());
+  /** The address of the operator endpoint. */
+  final Address operatorAddress = new Address(IP, freePort());
 
   final CoreService core;
   private final Vertx vertx = Vertx.vertx();
   private final ServiceRegistry services;
 
   /**
-   * Starts it on an empty folder.
+   * Starts the member on an empty data folder.
    *
-   * @param bootstrapMembers how many are to bootstrap the core; those beside this one never come
+   * @param bootstrapMembers the number of bootstrap members of the core; all but this one never
+   *     start
    */
   OneMemberCore(Path data, int bootstrapMembers) {
-    Address records = new Address(IP, freePort());
+    Address recordsAddress = new Address(IP, freePort());
     List<MemberSet.Member> all = new ArrayList<>();
-    all.add(new MemberSet.Member(NAME, "", records, operator));
+    all.add(new MemberSet.Member(NAME, "", recordsAddress, operatorAddress));
     for (int i = 1; i < bootstrapMembers; i++) {
-      Address nobody = new Address(IP, freePort());
-      all.add(new MemberSet.Member("absent" + i, "", nobody, nobody));
+      Address unusedAddress = new Address(IP, freePort());
+      all.add(new MemberSet.Member("absent" + i, "", unusedAddress, unusedAddress));
     }
     CoreDataFolder disk = CoreDataFolder.open(NAME, data.toString(), RING_FILE_MB, all);
     Shuffle.Descriptor self =
-        new Shuffle.Descriptor(NAME, "control", records.toString(), operator.toString(), "z", 0, 0);
+        new Shuffle.Descriptor(
+            NAME, "control", recordsAddress.toString(), operatorAddress.toString(), "z", 0, 0);
     core =
         new CoreService(
             vertx,
             disk.ring(),
             QuorumConfig.DEFAULT,
-            new MemberSet.Member(NAME, disk.id(), records, operator),
+            new MemberSet.Member(NAME, disk.diskId(), recordsAddress, operatorAddress),
             List.of(),
             CUTOFF_MS,
-            new BootstrapMembers(disk.founders()),
+            new BootstrapMembers(disk.bootstrapMembers()),
             new ControlOwnerTasks(Configuration::parse),
             what -> {});
     services =
         new ServiceRegistry()
-            .add("doors", new ConnectionAcceptor(vertx, records, new BindAddress(IP), NAME))
+            .add("doors", new ConnectionAcceptor(vertx, recordsAddress, new BindAddress(IP), NAME))
             .add("views", new PartialViewService(vertx, self, List.of()))
             .add("core", core)
-            .add("operator-endpoint", new OperatorEndpoint(vertx, operator));
+            .add("operator-endpoint", new OperatorEndpoint(vertx, operatorAddress));
     services.start();
   }
 
--- a/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
+++ b/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of RolloutBatches. */
+/** Tests {@link RolloutBatches}. */
 final class RolloutBatchesTest {
-  private static SortedMap<String, ReplicaProgress> of(String states) {
+  /** Builds the progress of instances a, b, ...: m is updated, - is unresponsive, w is outdated. */
+  private static SortedMap<String, ReplicaProgress> progress(String states) {
     SortedMap<String, ReplicaProgress> progress = new TreeMap<>();
     for (int i = 0; i < states.length(); i++)
       progress.put(
@@ -23,16 +24,16 @@
   }
 
   @Test
-  void aThirdAtATimeAndNobodyHoldsTheRestForEver() {
-    SortedMap<String, ReplicaProgress> none = of("wwwwwww"),
-        two = of("mmwwwww"),
-        three = of("mmmwwww"),
-        silent = of("mm-wwww");
+  void aThirdLoadsAtATimeAndNoReplicaBlocksTheOthersForever() {
+    SortedMap<String, ReplicaProgress> none = progress("wwwwwww"),
+        two = progress("mmwwwww"),
+        three = progress("mmmwwww"),
+        silent = progress("mm-wwww");
     Assertions.assertTrue(mayStart("a", none, 0, 15000) && mayStart("c", none, 0, 15000));
     Assertions.assertFalse(mayStart("d", two, 4999, 15000));
     Assertions.assertTrue(mayStart("d", three, 100, 15000));
     Assertions.assertTrue(
-        mayStart("d", silent, 100, 15000), "one that doesn't answer holds nobody");
+        mayStart("d", silent, 100, 15000), "an unresponsive replica blocks no other");
     Assertions.assertFalse(mayStart("g", three, 100, 15000));
     Assertions.assertTrue(mayStart("d", two, 5000, 15000));
     Assertions.assertTrue(mayStart("g", none, 10000, 15000));
@@ -40,9 +41,9 @@
   }
 
   @Test
-  void aPunctualRollGoesByTimeAloneSoThatRelaysCanReckonWithIt() {
+  void aStrictlyTimedRolloutDependsOnTimeAloneSoThatRelaysCanPredictIt() {
     RolloutPlan plan = new RolloutPlan(400, 4800, 4);
-    SortedMap<String, ReplicaProgress> none = of("wwwwwww"), all = of("mmmmmmw");
+    SortedMap<String, ReplicaProgress> none = progress("wwwwwww"), all = progress("mmmmmmw");
     Assertions.assertFalse(mayStart("a", none, 399, plan, true));
     Assertions.assertTrue(
         mayStart("a", none, 400, plan, true) && mayStart("b", none, 400, plan, true));
@@ -50,11 +51,11 @@
     Assertions.assertTrue(mayStart("c", none, 1600, plan, true));
     Assertions.assertFalse(
         mayStart("g", all, 3999, plan, true),
-        "all before it have moved, but its time has not come");
+        "all earlier replicas are updated, but the batch is not due yet");
     Assertions.assertTrue(mayStart("g", all, 4000, plan, true));
     for (String instance : none.keySet())
       Assertions.assertEquals(
           mayStart(instance, none, 2800, plan, true),
-          2800 >= plan.due(plan.part(instance, none.keySet())));
+          2800 >= plan.dueMs(plan.partOf(instance, none.keySet())));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -19,7 +19,7 @@
 import gladelug.data.index.HttpHolderFeeds;
 import gladelug.data.index.IndexService;
 import gladelug.data.relay.ChoiceMode;
-import gladelug.data.relay.OwnProtocol;
+import gladelug.data.relay.NativeProtocol;
 import gladelug.data.relay.RelayService;
 import gladelug.data.relay.RelaySettings;
 import gladelug.data.state.StateSubscriptionService;
@@ -34,11 +34,11 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /**
- * The program data-plane: `relay` carries requests, `index` keeps the Cuckoo Summary of all
- * holders. Neither has a disk.
+ * The data-plane program: the relay command forwards requests to replicas, the index command
+ * maintains the Cuckoo Summary of all holders. Neither uses a disk.
  */
 public final class DataPlane {
-  private static final Map<String, ChoiceMode> MODES =
+  private static final Map<String, ChoiceMode> CHOICE_MODES =
       new TreeMap<>(
           Map.of(
               "summary",
@@ -47,38 +47,40 @@
               ChoiceMode.LEAST_LOAD,
               "holder-always",
               ChoiceMode.HOLDER_ALWAYS));
-  private static final String[] BOTH = {
+  private static final String[] COMMON_FLAGS = {
     "name", "domain", "records", "operator", "bind", "seeds", "reasonsMb", "log"
   };
-  private static final String[] RELAY = {"callers", "index", "backlog", "choice", "division"};
-  private static final String[] INDEX = {"fingerprintBits", "mostHolders", "listPauseMs"};
+  private static final String[] RELAY_FLAGS = {"callers", "index", "backlog", "choice", "division"};
+  private static final String[] INDEX_FLAGS = {"fingerprintBits", "mostHolders", "listPauseMs"};
 
+  /** The settings of a relay or an index; those of the other command are null, empty or 0. */
   record DataPlaneSettings(
       String name,
       String zone,
-      Address records,
-      Address operator,
-      BindAddress local,
+      Address recordsAddress,
+      Address operatorAddress,
+      BindAddress bindAddress,
       List<Address> seeds,
-      String log,
-      Address callers,
-      Address index,
-      int queue,
+      String logLevel,
+      Address callerAddress,
+      Address indexAddress,
+      int maxQueued,
       String choice,
       String division,
       int fingerprintBits,
-      int mostHolders,
+      int maxHolders,
       long listPauseMs,
-      int reasonsMb) {}
+      int decisionLogMib) {}
 
   private DataPlane() {}
 
-  static Result<DataPlaneSettings> place(boolean relay, String file, Map<String, String> flags) {
+  static Result<DataPlaneSettings> parseSettings(
+      boolean relay, String file, Map<String, String> flags) {
     return Settings.open(file, flags)
-        .then(
+        .flatMap(
             settings -> {
               Address records = settings.address("records");
-              DataPlaneSettings p =
+              DataPlaneSettings parsed =
                   new DataPlaneSettings(
                       settings.name("name"),
                       settings.text("domain", ""),
@@ -98,35 +100,40 @@
                           : (int)
                               settings.integer(
                                   "mostHolders",
-                                  FleetSummary.MOST_HOLDERS,
+                                  FleetSummary.DEFAULT_MAX_HOLDERS,
                                   1,
-                                  CuckooSummary.MOST_HOLDERS),
+                                  CuckooSummary.MAX_HOLDERS),
                       relay
                           ? 0
                           : settings.integer(
-                              "listPauseMs", CacheEventFeed.LIST_PAUSE, 0, 3_600_000),
+                              "listPauseMs", CacheEventFeed.MIN_LIST_INTERVAL_MS, 0, 3_600_000),
                       (int) settings.integer("reasonsMb", 16, 1, 4096));
-              if (!relay && p.fingerprintBits + CuckooSummary.holderBits(p.mostHolders) > 31)
+              if (!relay
+                  && parsed.fingerprintBits + CuckooSummary.holderBits(parsed.maxHolders) > 31)
                 settings.findings.add(
                     Settings.flag("fingerprintBits"),
                     "at most "
-                        + (31 - CuckooSummary.holderBits(p.mostHolders))
-                        + " where there may be "
-                        + p.mostHolders
+                        + (31 - CuckooSummary.holderBits(parsed.maxHolders))
+                        + " with a maximum of "
+                        + parsed.maxHolders
                         + " holders");
-              if (p.seeds.isEmpty())
+              if (parsed.seeds.isEmpty())
                 settings.findings.add(
-                    "--seeds", "at least one records address of another process is needed");
-              if (p.seeds.contains(p.records))
+                    "--seeds", "at least one records address of another process is required");
+              if (parsed.seeds.contains(parsed.recordsAddress))
                 settings.findings.add(
                     "--seeds",
-                    "name this process itself, " + p.records + "; a seed is another process");
-              if (relay && !MODES.containsKey(p.choice))
+                    "must not contain "
+                        + parsed.recordsAddress
+                        + ", this process's own records address");
+              if (relay && !CHOICE_MODES.containsKey(parsed.choice))
                 settings.findings.add(
-                    "--choice", "must be one of " + MODES.keySet() + ", not " + p.choice);
-              if (relay && !p.division.equals("fleet") && !p.division.equals("alone"))
-                settings.findings.add("--division", "must be fleet or alone, not " + p.division);
-              return settings.done(() -> p);
+                    "--choice",
+                    "must be one of " + CHOICE_MODES.keySet() + ", not " + parsed.choice);
+              if (relay && !parsed.division.equals("fleet") && !parsed.division.equals("alone"))
+                settings.findings.add(
+                    "--division", "must be fleet or alone, not " + parsed.division);
+              return settings.build(() -> parsed);
             });
   }
 
@@ -135,108 +142,141 @@
         ArgumentParsers.newFor("data-plane")
             .build()
             .defaultHelp(true)
-            .description("Carries orders to replicas, and indexes which of them keep what.");
-    var subs = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
-    Map<String, String[]> flags = Map.of("relay", RELAY, "index", INDEX);
-    for (String c : List.of("relay", "index")) {
-      Subparser p =
-          subs.addParser(c).help(c.equals("relay") ? "carry orders" : "index kept prefix blocks");
-      p.addArgument("--settings").metavar("FILE").help("settings file in JSON; flags go first");
-      for (String f : BOTH) p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
-      for (String f : flags.get(c))
-        p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
+            .description(
+                "Forwards requests to replicas, and indexes which prefix blocks each replica keeps.");
+    var subparsers = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
+    Map<String, String[]> flags = Map.of("relay", RELAY_FLAGS, "index", INDEX_FLAGS);
+    for (String command : List.of("relay", "index")) {
+      Subparser subparser =
+          subparsers
+              .addParser(command)
+              .help(
+                  command.equals("relay")
+                      ? "forward requests to replicas"
+                      : "index the prefix blocks that holders keep");
+      subparser
+          .addArgument("--settings")
+          .metavar("FILE")
+          .help("settings file in JSON; flags take precedence");
+      for (String flag : COMMON_FLAGS)
+        subparser.addArgument(Settings.flag(flag)).dest(flag).metavar("VALUE").help(help(flag));
+      for (String flag : flags.get(command))
+        subparser.addArgument(Settings.flag(flag)).dest(flag).metavar("VALUE").help(help(flag));
     }
-    Namespace arguments = Program.parse(parser, args);
+    Namespace arguments = Program.parseArguments(parser, args);
     boolean relay = arguments.getString("command").equals("relay");
     Map<String, String> given = new HashMap<>();
-    for (String f : BOTH) given.put(f, arguments.getString(f));
-    for (String f : relay ? RELAY : INDEX) given.put(f, arguments.getString(f));
-    run(relay, Program.orExit("data-plane", place(relay, arguments.getString("settings"), given)));
+    for (String flag : COMMON_FLAGS) given.put(flag, arguments.getString(flag));
+    for (String flag : relay ? RELAY_FLAGS : INDEX_FLAGS)
+      given.put(flag, arguments.getString(flag));
+    run(
+        relay,
+        Program.valueOrExit(
+            "data-plane", parseSettings(relay, arguments.getString("settings"), given)));
   }
 
-  private static String help(String f) {
-    return switch (f) {
-      case "name" -> "this process's name in the fleet";
-      case "domain" -> "the domain (zone) it stands in";
-      case "records" -> "IP:PORT for circuits between processes";
-      case "bind" -> "IP number to listen on and call from, where it isn't the advertised one";
-      case "operator" -> "IP:PORT for operators and the platform";
+  private static String help(String flag) {
+    return switch (flag) {
+      case "name" -> "name of this process in the fleet";
+      case "domain" -> "the domain (zone) of this process";
+      case "records" -> "IP:PORT for connections between processes";
+      case "bind" ->
+          "local IP address to listen on and connect from, if it differs from the advertised one";
+      case "operator" -> "IP:PORT of the status endpoint for operators and the platform";
       case "seeds" -> "IP:PORT,... of other processes' records addresses";
-      case "reasonsMb" -> "MiB of other relays' decision records kept here";
+      case "reasonsMb" -> "memory for decision records of other relays, in MiB";
       case "log" -> "fine, info or warning";
-      case "callers" -> "IP:PORT for callers";
-      case "index" -> "IP:PORT of this machine's index process, where it has one";
-      case "backlog" -> "how many orders of a service may wait here";
-      case "mostHolders" -> "how many replicas and stores the index has room for, up to 1024";
-      case "listPauseMs" -> "milliseconds between two loads of one replica's block list, at least";
-      case "division" -> "who divides a full fleet: fleet, or alone for comparisons";
+      case "callers" -> "IP:PORT to accept callers on";
+      case "index" -> "IP:PORT of the index process on this machine, if there is one";
+      case "backlog" -> "maximum number of queued requests per service";
+      case "mostHolders" -> "maximum number of replicas and stores in the index, up to 1024";
+      case "listPauseMs" ->
+          "minimum interval between two loads of a replica's block list, in milliseconds";
+      case "division" ->
+          "who allocates the capacity of a full fleet: fleet, or alone for comparisons";
       case "choice" ->
           "how a replica is chosen: summary; least-occupancy and holder-always are for comparisons";
-      default -> "width f of a fingerprint in the Cuckoo Summary";
+      default -> "width of a fingerprint in the Cuckoo Summary, in bits";
     };
   }
 
-  static void run(boolean relay, DataPlaneSettings p) {
-    Log.setUp(p.name, Program.level(p.log), System.out);
+  static void run(boolean relay, DataPlaneSettings settings) {
+    Log.setUp(settings.name, Program.parseLogLevel(settings.logLevel), System.out);
     Vertx vertx = Vertx.vertx();
     vertx.getDelegate().exceptionHandler(FatalFailure::onUncaught);
     Clock clock = Clock.monotonic();
     Shuffle.Descriptor self =
         new Shuffle.Descriptor(
-            p.name,
+            settings.name,
             relay ? "relay" : "index",
-            p.records.toString(),
-            p.operator.toString(),
-            p.zone,
+            settings.recordsAddress.toString(),
+            settings.operatorAddress.toString(),
+            settings.zone,
             0,
             0);
-    DecisionLogService reasons =
-        new DecisionLogService(vertx, clock, p.name, p.records.host(), (long) p.reasonsMb << 20);
+    DecisionLogService decisionLog =
+        new DecisionLogService(
+            vertx,
+            clock,
+            settings.name,
+            settings.recordsAddress.host(),
+            (long) settings.decisionLogMib << 20);
     ServiceRegistry registry =
         new ServiceRegistry()
-            .add("doors", new ConnectionAcceptor(vertx, p.records, p.local, p.name))
-            .add("views", new PartialViewService(vertx, self, p.seeds))
-            .add("news", new StateSubscriptionService(vertx, clock, self, p.seeds))
-            .add("reasons", reasons);
+            .add(
+                "doors",
+                new ConnectionAcceptor(
+                    vertx, settings.recordsAddress, settings.bindAddress, settings.name))
+            .add("views", new PartialViewService(vertx, self, settings.seeds))
+            .add("news", new StateSubscriptionService(vertx, clock, self, settings.seeds))
+            .add("reasons", decisionLog);
     if (relay) {
-      RelayService r =
+      RelayService relayService =
           new RelayService(
               vertx,
               clock,
-              p.name,
-              p.zone,
-              new OwnProtocol(p.callers),
-              p.index,
-              RelaySettings.builder().queueMost(p.queue).alone(p.division.equals("alone")).build(),
-              MODES.get(p.choice),
-              RelayService.Ends.USUAL);
+              settings.name,
+              settings.zone,
+              new NativeProtocol(settings.callerAddress),
+              settings.indexAddress,
+              RelaySettings.builder()
+                  .maxQueuedRequests(settings.maxQueued)
+                  .localSharesOnly(settings.division.equals("alone"))
+                  .build(),
+              CHOICE_MODES.get(settings.choice),
+              RelayService.ShutdownTimes.DEFAULT);
       registry
           .add(
               "status-door",
               new StatusEndpoint(
                   vertx,
-                  p.operator,
-                  r::unready,
-                  r::status,
-                  t -> {
-                    r.routes(t);
-                    reasons.routes(t);
+                  settings.operatorAddress,
+                  relayService::unreadyReason,
+                  relayService::status,
+                  router -> {
+                    relayService.registerRoutes(router);
+                    decisionLog.addRoutes(router);
                   }))
-          .add("relay", r);
+          .add("relay", relayService);
     } else {
-      IndexService x =
+      IndexService indexService =
           new IndexService(
               clock,
-              p.fingerprintBits,
-              p.mostHolders,
+              settings.fingerprintBits,
+              settings.maxHolders,
               HttpHolderFeeds.factory(
-                  vertx, CacheEventFeed.Policy.STRICT.listPauseMs(p.listPauseMs)));
+                  vertx, CacheEventFeed.Policy.STRICT.withMinListIntervalMs(settings.listPauseMs)));
       registry
           .add(
               "status-door",
-              new StatusEndpoint(vertx, p.operator, () -> "", x::status, reasons::routes))
-          .add("index", x);
+              new StatusEndpoint(
+                  vertx,
+                  settings.operatorAddress,
+                  () -> "",
+                  indexService::status,
+                  decisionLog::addRoutes))
+          .add("index", indexService);
     }
-    Program.run("data-plane", registry, RelayService.DRAIN + 2000);
+    Program.run("data-plane", registry, RelayService.DRAIN_MS + 2000);
   }
 }
