--- a/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
+++ b/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
@@ -5,142 +5,178 @@
 import java.util.TreeSet;
 
 /**
- * Follows one holder's cache events, pure. Events carry the holder's incarnation and a sequence:
- * repeats are dropped, small reorderings wait in a bounded window. What a gap that stays means is
- * the policy's: under STRICT the holder's list is loaded in place of its entries, to go on after
- * the list's sequence, so that a block is never removed that wasn't inserted; under a tolerant
- * policy the numbers that never come are counted, and only too many of them lead to a list. A new
- * incarnation clears the holder at once and loads its list; a holder that says it lost events is
- * listed too. Until a list asked for other reasons comes, the holder's entries stay: they are
- * hints. A list is asked for no oftener than the policy's pause; a tolerant feed goes on with
- * events until then.
+ * Follows the cache events of one holder; performs no I/O. Events carry the holder's incarnation
+ * and a sequence number: duplicates are dropped, and events that arrive out of order wait in a
+ * bounded window. The policy determines the effect of a gap that persists. Under the strict policy
+ * the holder's list replaces all its entries, and events continue after the list's sequence number,
+ * so that a block is never removed without having been inserted. Under a tolerant policy missing
+ * events are counted, and only too many of them cause a list request. A new incarnation clears the
+ * holder immediately and loads its list; a holder that reports lost events is listed as well. Until
+ * a list requested for other reasons arrives, the holder's entries remain, since they are hints.
+ * Lists are requested no more often than the policy's minimum interval; a tolerant feed continues
+ * to apply events until then.
  */
 public final class CacheEventFeed {
-  public static final int WINDOW = 64;
-  public static final long PATIENCE = 300, LIST_PAUSE = 300;
+  /** The maximum number of events that wait for a missing one. */
+  public static final int REORDER_WINDOW_EVENTS = 64;
 
-  /** What numbers that never arrive mean. */
-  public sealed interface Gaps {
-    Gaps STRICT = new Strict();
+  /**
+   * The default time that a missing event is waited for, and the default minimum interval between
+   * list requests.
+   */
+  public static final long GAP_TIMEOUT_MS = 300, MIN_LIST_INTERVAL_MS = 300;
 
-    /** A gap that stays means a resync. */
-    record Strict() implements Gaps {}
+  /** How gaps in the sequence are treated. */
+  public sealed interface GapPolicy {
+    GapPolicy STRICT = new Strict();
 
-    /** More than limit missing of the last per numbers mean a resync. */
-    record Tolerant(int limit, int per) implements Gaps {
+    /** A gap that persists causes a resync. */
+    record Strict() implements GapPolicy {}
+
+    /** More than maxMissing missing events among the last outOf sequence numbers cause a resync. */
+    record Tolerant(int maxMissing, int outOf) implements GapPolicy {
       public Tolerant {
-        if (limit < 0 || per < 1) throw new IllegalArgumentException(limit + " missing of " + per);
+        if (maxMissing < 0 || outOf < 1)
+          throw new IllegalArgumentException(maxMissing + " missing events out of " + outOf);
       }
     }
 
-    static Gaps tolerant(int limit, int per) {
-      return new Tolerant(limit, per);
+    static GapPolicy tolerant(int maxMissing, int outOf) {
+      return new Tolerant(maxMissing, outOf);
     }
   }
 
   /**
    * How a holder is followed.
    *
-   * @param gaps what numbers that never arrive mean
-   * @param patienceMs how long a missing number is waited for
-   * @param listPauseMs a list is asked for at most this often, since it costs the holder work
+   * @param gaps how gaps in the sequence are treated
+   * @param gapTimeoutMs how long a missing event is waited for
+   * @param minListIntervalMs minimum interval between list requests, since a list costs the holder
+   *     work
    */
-  public record Policy(Gaps gaps, long patienceMs, long listPauseMs) {
-    public static final Policy STRICT = new Policy(Gaps.STRICT, PATIENCE, LIST_PAUSE);
+  public record Policy(GapPolicy gaps, long gapTimeoutMs, long minListIntervalMs) {
+    public static final Policy STRICT =
+        new Policy(GapPolicy.STRICT, GAP_TIMEOUT_MS, MIN_LIST_INTERVAL_MS);
 
-    public Policy gaps(Gaps g) {
-      return new Policy(g, patienceMs, listPauseMs);
+    public Policy withGaps(GapPolicy gapPolicy) {
+      return new Policy(gapPolicy, gapTimeoutMs, minListIntervalMs);
     }
 
-    public Policy patienceMs(long ms) {
-      return new Policy(gaps, ms, listPauseMs);
+    public Policy withGapTimeoutMs(long timeoutMs) {
+      return new Policy(gaps, timeoutMs, minListIntervalMs);
     }
 
-    public Policy listPauseMs(long ms) {
-      return new Policy(gaps, patienceMs, ms);
+    public Policy withMinListIntervalMs(long intervalMs) {
+      return new Policy(gaps, gapTimeoutMs, intervalMs);
     }
   }
 
+  /** The actions that a feed takes. */
   public interface Effects {
-    /** So many units of the block are kept now; part as in {@link CacheEvent}. */
-    void keep(long block, int units, boolean part);
+    /** Sets the units of the block that are kept now; partial as in {@link CacheEvent}. */
+    void setKept(long block, int units, boolean partial);
 
-    /** The holder keeps nothing of what was told. */
+    /** Removes all entries of the holder. */
     void clear();
 
-    /** Clear the holder and insert these. */
-    void load(BlockList list);
+    /** Replaces all entries of the holder with the list. */
+    void replaceAll(BlockList list);
 
-    /** Ask the holder for its list; listed() follows with the same nr. */
-    void list(long nr);
+    /**
+     * Requests the list of the holder; {@link CacheEventFeed#onList} follows with the same number.
+     */
+    void requestList(long requestNumber);
   }
 
-  private record Waiting(CacheEvent event, long came) {}
+  private record Buffered(CacheEvent event, long receivedAtMs) {}
 
   private static final long NEVER = Long.MIN_VALUE / 2;
-  private final Effects fx;
+  private final Effects effects;
   private final Policy policy;
-  private final Gaps.Tolerant tolerant;
-  private final int room;
-  private final TreeMap<Long, Waiting> window = new TreeMap<>();
+  private final GapPolicy.Tolerant tolerance;
+
+  /** The maximum number of events that wait for a list. */
+  private final int maxBuffered;
 
-  /** Tolerant only: numbers passed over, of the last per; at most limit of them. */
+  /** The events that wait for earlier ones or for a list, by sequence number. */
+  private final TreeMap<Long, Buffered> window = new TreeMap<>();
+
+  /** Tolerant only: the missing sequence numbers among the last outOf; at most maxMissing. */
   private final TreeSet<Long> missing = new TreeSet<>();
 
-  /** Tolerant only: while numbers are missing, the newest number that told of each block. */
-  private final LinkedHashMap<Long, Long> newest = new LinkedHashMap<>();
+  /**
+   * Tolerant only: while events are missing, the newest sequence number that reported each block.
+   */
+  private final LinkedHashMap<Long, Long> newestByBlock = new LinkedHashMap<>();
 
   private String incarnation = "";
-  private String left = "";
-  private long applied;
+
+  /** The incarnation before the current one; its late events are dropped. */
+  private String previousIncarnation = "";
+
+  private long appliedSequence;
   private boolean following;
-  private long listNr;
-  private long answered;
-  private long listAt = NEVER;
-  private boolean listWanted;
-  private long lostUpTo = -1;
-  private long behindSince = -1;
-  private long told;
-  private long resyncs;
-  private long repeats;
-  private long missed;
-  private String windowOf = "";
-
-  public CacheEventFeed(Effects fx) {
-    this(fx, Policy.STRICT);
+  private long listRequestNumber;
+  private long answeredListNumber;
+  private long lastListRequestMs = NEVER;
+  private boolean listPending;
+
+  /** The newest event with a loss mark that arrived while a list was awaited; -1 if none did. */
+  private long lostUpToSequence = -1;
+
+  /** The time since which events are missing; -1 if none are. */
+  private long behindSinceMs = -1;
+
+  /** The newest sequence number that was reported without an event. */
+  private long announcedSequence;
+
+  private long resyncCount;
+  private long duplicateCount;
+  private long missedCount;
+
+  /** The incarnation of the events in the window. */
+  private String windowIncarnation = "";
+
+  public CacheEventFeed(Effects effects) {
+    this(effects, Policy.STRICT);
   }
 
-  public CacheEventFeed(Effects fx, Policy policy) {
-    this.fx = fx;
+  public CacheEventFeed(Effects effects, Policy policy) {
+    this.effects = effects;
     this.policy = policy;
-    this.tolerant = policy.gaps instanceof Gaps.Tolerant t ? t : null;
-    this.room = tolerant == null ? 16 * WINDOW : 1024 * WINDOW;
+    this.tolerance = policy.gaps instanceof GapPolicy.Tolerant t ? t : null;
+    this.maxBuffered =
+        tolerance == null ? 16 * REORDER_WINDOW_EVENTS : 1024 * REORDER_WINDOW_EVENTS;
   }
 
-  public boolean following() {
+  /** Returns whether events are applied; false while a list is awaited. */
+  public boolean isFollowing() {
     return following;
   }
 
+  /** Returns the incarnation whose events are applied; empty before the first list. */
   public String incarnation() {
     return incarnation;
   }
 
-  public long applied() {
-    return applied;
+  /** Returns the sequence number up to which events are applied. */
+  public long appliedSequence() {
+    return appliedSequence;
   }
 
-  /** How often the list was asked for. */
-  public long resyncs() {
-    return resyncs;
+  /** Returns how often the list was requested. */
+  public long resyncCount() {
+    return resyncCount;
   }
 
-  public long repeats() {
-    return repeats;
+  /** Returns how many events were dropped as duplicates. */
+  public long duplicateCount() {
+    return duplicateCount;
   }
 
-  /** Numbers passed over, but for those that came later after all. */
-  public long missed() {
-    return missed;
+  /** Returns how many events were skipped and have not arrived late. */
+  public long missedCount() {
+    return missedCount;
   }
 
   public Policy policy() {
@@ -148,188 +184,196 @@
   }
 
   /**
-   * Asks for the list, now or when the pause since the last time is over; again where an answer
-   * failed to come. A strict feed applies nothing until then.
+   * Requests the list, immediately or when the minimum interval since the last request is over;
+   * also repeats a request that got no answer. A strict feed applies nothing until the list
+   * arrives.
    */
-  public void resync(long now) {
-    if (tolerant == null) stop();
-    relist(now);
+  public void resync(long nowMs) {
+    if (tolerance == null) stopFollowing();
+    requestList(nowMs);
   }
 
-  private void stop() {
+  private void stopFollowing() {
     following = false;
-    behindSince = -1;
+    behindSinceMs = -1;
   }
 
   /**
-   * As resync, where nothing is wrong with what was applied: events go on until the list is asked
-   * for.
+   * Requests the list although the applied events are intact: events continue to apply until the
+   * list is requested.
    */
-  public void relist(long now) {
-    if (now - listAt < policy.listPauseMs) {
-      listWanted = true;
+  public void requestList(long nowMs) {
+    if (nowMs - lastListRequestMs < policy.minListIntervalMs) {
+      listPending = true;
       return;
     }
-    stop();
-    listWanted = false;
-    listAt = now;
-    resyncs++;
-    fx.list(++listNr);
+    stopFollowing();
+    listPending = false;
+    lastListRequestMs = nowMs;
+    resyncCount++;
+    effects.requestList(++listRequestNumber);
   }
 
-  public void listed(long nr, BlockList list) {
-    if (following || nr != listNr || nr == answered) return;
-    answered = nr;
-    if (!list.incarnation().equals(windowOf)) window.clear();
-    incarnation = windowOf = list.incarnation();
-    if (incarnation.equals(left)) left = "";
-    applied = list.number();
+  /** Handles the list that was requested under this number. */
+  public void onList(long requestNumber, BlockList list) {
+    if (following || requestNumber != listRequestNumber || requestNumber == answeredListNumber)
+      return;
+    answeredListNumber = requestNumber;
+    if (!list.incarnation().equals(windowIncarnation)) window.clear();
+    incarnation = windowIncarnation = list.incarnation();
+    if (incarnation.equals(previousIncarnation)) previousIncarnation = "";
+    appliedSequence = list.lastSequence();
     missing.clear();
-    newest.clear();
+    newestByBlock.clear();
     following = true;
-    behindSince = -1;
-    fx.load(list);
-    drain();
-    // lost after the list was made: this list stands until the next one comes
-    listWanted = lostUpTo > list.number();
-    lostUpTo = -1;
+    behindSinceMs = -1;
+    effects.replaceAll(list);
+    applyInOrder();
+    // Events were lost after this list was made: it stays in use until the next one arrives.
+    listPending = lostUpToSequence > list.lastSequence();
+    lostUpToSequence = -1;
   }
 
-  /** The list of this nr won't come: another one, after the pause. */
-  public void listFailed(long nr, long now) {
-    if (!following && nr == listNr && nr != answered) resync(now);
+  /** Handles a list request that failed: requests another list after the minimum interval. */
+  public void onListFailed(long requestNumber, long nowMs) {
+    if (!following && requestNumber == listRequestNumber && requestNumber != answeredListNumber)
+      resync(nowMs);
   }
 
-  public void event(CacheEvent event, long now) {
-    String inc = event.incarnation();
-    long seq = event.number();
-    if (inc.equals(left)) {
-      repeats++;
+  /** Handles an event. */
+  public void onEvent(CacheEvent event, long nowMs) {
+    String eventIncarnation = event.incarnation();
+    long sequence = event.sequence();
+    if (eventIncarnation.equals(previousIncarnation)) {
+      duplicateCount++;
       return;
     }
     if (!following) {
-      if (!inc.equals(windowOf)) {
+      if (!eventIncarnation.equals(windowIncarnation)) {
         window.clear();
-        lostUpTo = -1;
-        windowOf = inc;
+        lostUpToSequence = -1;
+        windowIncarnation = eventIncarnation;
       }
-      if (event.lost()) lostUpTo = Math.max(lostUpTo, seq);
-      window.put(seq, new Waiting(event, now));
-      if (window.size() > room) window.pollFirstEntry();
+      if (event.eventsLost()) lostUpToSequence = Math.max(lostUpToSequence, sequence);
+      window.put(sequence, new Buffered(event, nowMs));
+      if (window.size() > maxBuffered) window.pollFirstEntry();
       return;
     }
-    if (!inc.equals(incarnation)) {
+    if (!eventIncarnation.equals(incarnation)) {
       window.clear();
-      window.put(seq, new Waiting(event, now));
-      leave(inc, now);
-    } else if (seq <= applied) late(event);
-    else if (window.containsKey(seq)) repeats++;
+      window.put(sequence, new Buffered(event, nowMs));
+      switchIncarnation(eventIncarnation, nowMs);
+    } else if (sequence <= appliedSequence) applyLate(event);
+    else if (window.containsKey(sequence)) duplicateCount++;
     else {
-      window.put(seq, new Waiting(event, now));
-      if (event.lost()) {
-        resync(now);
+      window.put(sequence, new Buffered(event, nowMs));
+      if (event.eventsLost()) {
+        resync(nowMs);
         if (!following) return;
       }
-      drain();
-      if (window.isEmpty()) behindSince = -1;
-      else if (behindSince < 0) behindSince = now;
-      if (window.size() <= WINDOW) return;
-      if (tolerant == null) resync(now);
-      else passOver(window.firstKey() - 1, now);
+      applyInOrder();
+      if (window.isEmpty()) behindSinceMs = -1;
+      else if (behindSinceMs < 0) behindSinceMs = nowMs;
+      if (window.size() <= REORDER_WINDOW_EVENTS) return;
+      if (tolerance == null) resync(nowMs);
+      else skipTo(window.firstKey() - 1, nowMs);
     }
   }
 
-  private void leave(String inc, long now) {
-    left = incarnation;
-    windowOf = inc;
-    lostUpTo = -1;
-    fx.clear();
-    stop();
-    resync(now);
+  private void switchIncarnation(String eventIncarnation, long nowMs) {
+    previousIncarnation = incarnation;
+    windowIncarnation = eventIncarnation;
+    lostUpToSequence = -1;
+    effects.clear();
+    stopFollowing();
+    resync(nowMs);
   }
 
-  /** A number passed over that comes after all counts, unless something newer told of its block. */
-  private void late(CacheEvent event) {
-    if (!missing.remove(event.number())) {
-      repeats++;
+  /** Applies a skipped event that arrives late, unless a newer event reported its block. */
+  private void applyLate(CacheEvent event) {
+    if (!missing.remove(event.sequence())) {
+      duplicateCount++;
       return;
     }
-    missed--;
-    if (newest.getOrDefault(event.block(), -1L) < event.number()) apply(event);
-    if (missing.isEmpty()) newest.clear();
+    missedCount--;
+    if (newestByBlock.getOrDefault(event.block(), -1L) < event.sequence()) apply(event);
+    if (missing.isEmpty()) newestByBlock.clear();
   }
 
-  /** The holder told its newest sequence without an event. */
-  public void pulse(String inc, long newest, long now) {
-    if (!following || inc.equals(left)) return;
-    if (!inc.equals(incarnation)) {
+  /** Handles a report of the newest sequence number without an event. */
+  public void onPulse(String eventIncarnation, long newestSequence, long nowMs) {
+    if (!following || eventIncarnation.equals(previousIncarnation)) return;
+    if (!eventIncarnation.equals(incarnation)) {
       window.clear();
-      leave(inc, now);
-    } else if (newest <= applied) {
-      if (window.isEmpty()) behindSince = -1;
-    } else if (behindSince < 0) {
-      behindSince = now;
-      told = newest;
+      switchIncarnation(eventIncarnation, nowMs);
+    } else if (newestSequence <= appliedSequence) {
+      if (window.isEmpty()) behindSinceMs = -1;
+    } else if (behindSinceMs < 0) {
+      behindSinceMs = nowMs;
+      announcedSequence = newestSequence;
     }
-    tick(now);
+    tick(nowMs);
   }
 
-  public void tick(long now) {
-    if (listWanted && now - listAt >= policy.listPauseMs) relist(now);
-    if (!following || behindSince < 0) return;
-    if (tolerant == null) {
-      if (now - behindSince > policy.patienceMs) resync(now);
+  /** Handles timeouts: requests a pending list, and gives up on gaps that outlast the timeout. */
+  public void tick(long nowMs) {
+    if (listPending && nowMs - lastListRequestMs >= policy.minListIntervalMs) requestList(nowMs);
+    if (!following || behindSinceMs < 0) return;
+    if (tolerance == null) {
+      if (nowMs - behindSinceMs > policy.gapTimeoutMs) resync(nowMs);
     } else {
       while (following
           && !window.isEmpty()
-          && now - window.firstEntry().getValue().came > policy.patienceMs)
-        passOver(window.firstKey() - 1, now);
+          && nowMs - window.firstEntry().getValue().receivedAtMs > policy.gapTimeoutMs)
+        skipTo(window.firstKey() - 1, nowMs);
       if (!following) return;
-      if (window.isEmpty() && now - behindSince > policy.patienceMs) {
-        if (told > applied) passOver(told, now);
-        if (following) behindSince = -1;
+      if (window.isEmpty() && nowMs - behindSinceMs > policy.gapTimeoutMs) {
+        if (announcedSequence > appliedSequence) skipTo(announcedSequence, nowMs);
+        if (following) behindSinceMs = -1;
       }
     }
   }
 
-  /** Tolerant only: what is missing up to this number isn't waited for any longer. */
-  private void passOver(long upTo, long now) {
-    long n = upTo - applied;
-    missed += n;
-    missing.headSet(upTo - tolerant.per, true).clear();
-    boolean many = Math.min(n, tolerant.per) + missing.size() > tolerant.limit;
-    if (!many)
-      for (long i = Math.max(applied, upTo - tolerant.per) + 1; i <= upTo; i++) missing.add(i);
-    applied = upTo;
-    if (many) {
+  /** Tolerant only: skips the missing events up to this number. */
+  private void skipTo(long upTo, long nowMs) {
+    long skipped = upTo - appliedSequence;
+    missedCount += skipped;
+    missing.headSet(upTo - tolerance.outOf, true).clear();
+    boolean tooMany = Math.min(skipped, tolerance.outOf) + missing.size() > tolerance.maxMissing;
+    if (!tooMany)
+      for (long i = Math.max(appliedSequence, upTo - tolerance.outOf) + 1; i <= upTo; i++)
+        missing.add(i);
+    appliedSequence = upTo;
+    if (tooMany) {
       missing.clear();
-      newest.clear();
-      resync(now);
+      newestByBlock.clear();
+      resync(nowMs);
     }
-    if (following) drain();
+    if (following) applyInOrder();
   }
 
-  private void drain() {
-    while (!window.isEmpty() && window.firstKey() <= applied) {
+  private void applyInOrder() {
+    while (!window.isEmpty() && window.firstKey() <= appliedSequence) {
       window.pollFirstEntry();
-      repeats++;
+      duplicateCount++;
     }
-    while (!window.isEmpty() && window.firstKey() == applied + 1) {
+    while (!window.isEmpty() && window.firstKey() == appliedSequence + 1) {
       CacheEvent event = window.pollFirstEntry().getValue().event;
-      applied++;
+      appliedSequence++;
       apply(event);
     }
-    if (tolerant == null || missing.isEmpty()) return;
-    missing.headSet(applied - tolerant.per, true).clear();
-    if (missing.isEmpty()) newest.clear();
+    if (tolerance == null || missing.isEmpty()) return;
+    missing.headSet(appliedSequence - tolerance.outOf, true).clear();
+    if (missing.isEmpty()) newestByBlock.clear();
   }
 
   private void apply(CacheEvent event) {
     if (!missing.isEmpty()) {
-      newest.remove(event.block());
-      newest.put(event.block(), event.number());
-      if (newest.size() > tolerant.per) newest.remove(newest.keySet().iterator().next());
+      newestByBlock.remove(event.block());
+      newestByBlock.put(event.block(), event.sequence());
+      if (newestByBlock.size() > tolerance.outOf)
+        newestByBlock.remove(newestByBlock.keySet().iterator().next());
     }
-    fx.keep(event.block(), event.units(), event.part());
+    effects.setKept(event.block(), event.units(), event.partial());
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
@@ -9,88 +9,88 @@
 import java.util.PriorityQueue;
 
 /**
- * What all relays together gave each replica and how scarce the holders' memory is: a relay alone
- * sees its own small part of both. Prompts are reckoned as a queue that is done one after the
- * other, replies as running side by side; what isn't told of any more runs out by itself. A hint,
- * like all of the index. Lives on one thread.
+ * Tracks the work that all relays together sent to each replica, and how scarce the memory of the
+ * holders is; a single relay sees only its own part of both. Prefills are modelled as a queue
+ * processed one after the other, replies as running concurrently; work ends by its estimated time,
+ * not by a report. A hint, like everything in the index. Confined to one thread.
  */
 public final class FleetLoad {
-  /** No work that is told of keeps a replica busy for longer, in ms. */
-  private static final long MOST_BUSY_MS = 10_000;
+  /** The maximum time in ms for which reported work marks a replica as busy. */
+  private static final long MAX_BUSY_MS = 10_000;
 
-  /** How many requests of a replica are reckoned with at most. */
-  private static final int MOST_RUNNING = 1024;
+  /** The maximum number of requests tracked per replica. */
+  private static final int MAX_RUNNING = 1024;
 
-  /** How many replicas an answer names at most; the busiest, as they are to be avoided. */
-  private static final int MOST_NAMED = 64;
+  /** The maximum number of replicas in an answer: the busiest, since those are to be avoided. */
+  private static final int MAX_NAMED = 64;
 
-  /** The weight of one stored or evicted block against those before it. */
+  /** The weight of one stored or evicted block in the moving averages. */
   private static final double BLOCK_WEIGHT = 1.0 / 512;
 
-  private record Running(long endsAt, int units) {}
+  private record Running(long endsAtMs, int units) {}
 
-  /** What one replica was given. */
-  private static final class Given {
+  /** The work assigned to one replica. */
+  private static final class AssignedWork {
     private final PriorityQueue<Running> running =
-        new PriorityQueue<>(Comparator.comparingLong(Running::endsAt));
-    private long busyUntil;
+        new PriorityQueue<>(Comparator.comparingLong(Running::endsAtMs));
+    private long busyUntilMs;
     private int units;
 
-    void add(Lookup.Work work, long now) {
-      long prefilled = Math.max(now, busyUntil) + Math.max(0, work.prefillMs());
-      busyUntil = Math.min(now + MOST_BUSY_MS, prefilled);
-      if (running.size() >= MOST_RUNNING) remove(running.poll());
-      long reply = Math.min(MOST_BUSY_MS, Math.max(0, work.replyMs()));
-      running.add(new Running(busyUntil + reply, Math.max(0, work.units())));
-      units += Math.max(0, work.units());
+    void add(Lookup.Work work, long nowMs) {
+      long prefillEndMs = Math.max(nowMs, busyUntilMs) + Math.max(0, work.prefillMs());
+      busyUntilMs = Math.min(nowMs + MAX_BUSY_MS, prefillEndMs);
+      if (running.size() >= MAX_RUNNING) remove(running.poll());
+      long replyMs = Math.min(MAX_BUSY_MS, Math.max(0, work.decodeMs()));
+      running.add(new Running(busyUntilMs + replyMs, Math.max(0, work.memoryUnits())));
+      units += Math.max(0, work.memoryUnits());
     }
 
     private void remove(Running ended) {
       units -= ended.units;
     }
 
-    /** Whether nothing is left of it. */
-    boolean expire(long now) {
-      while (!running.isEmpty() && running.peek().endsAt <= now) remove(running.poll());
-      return running.isEmpty() && busyUntil <= now;
+    /** Removes ended work; returns whether nothing is left. */
+    boolean expire(long nowMs) {
+      while (!running.isEmpty() && running.peek().endsAtMs <= nowMs) remove(running.poll());
+      return running.isEmpty() && busyUntilMs <= nowMs;
     }
 
-    Lookup.Load told(String holder, long now) {
+    Lookup.Load toLoad(String holder, long nowMs) {
       return new Lookup.Load(
-          holder, (int) Math.max(0, busyUntil - now), running.size(), Math.max(0, units));
+          holder, (int) Math.max(0, busyUntilMs - nowMs), running.size(), Math.max(0, units));
     }
   }
 
-  private final Map<String, Given> given = new HashMap<>();
+  private final Map<String, AssignedWork> workByReplica = new HashMap<>();
   private double stored;
   private double evicted;
 
-  /** A relay sent a replica so much work. */
-  public void placed(String holder, Lookup.Work work, long now) {
+  /** Records that a relay sent work to a replica. */
+  public void recordPlacement(String holder, Lookup.Work work, long nowMs) {
     if (work.equals(Lookup.Work.UNKNOWN)) return;
-    given.computeIfAbsent(holder, name -> new Given()).add(work, now);
+    workByReplica.computeIfAbsent(holder, name -> new AssignedWork()).add(work, nowMs);
   }
 
-  /** A holder told that it keeps a block, or keeps it no more. */
-  void event(boolean keeps) {
-    stored += ((keeps ? 1 : 0) - stored) * BLOCK_WEIGHT;
-    evicted += ((keeps ? 0 : 1) - evicted) * BLOCK_WEIGHT;
+  /** Records that a holder stored or evicted a block. */
+  void recordBlockEvent(boolean kept) {
+    stored += ((kept ? 1 : 0) - stored) * BLOCK_WEIGHT;
+    evicted += ((kept ? 0 : 1) - evicted) * BLOCK_WEIGHT;
   }
 
-  void gone(String holder) {
-    given.remove(holder);
+  void removeHolder(String holder) {
+    workByReplica.remove(holder);
   }
 
-  /** What an answer tells of it now. */
-  public Lookup.Fleet told(long now) {
-    given.values().removeIf(work -> work.expire(now));
-    List<Lookup.Load> loads = new ArrayList<>(given.size());
-    given.forEach((holder, work) -> loads.add(work.told(holder, now)));
-    if (loads.size() > MOST_NAMED) {
+  /** Returns the load as included in an answer now. */
+  public Lookup.FleetLoad snapshot(long nowMs) {
+    workByReplica.values().removeIf(work -> work.expire(nowMs));
+    List<Lookup.Load> loads = new ArrayList<>(workByReplica.size());
+    workByReplica.forEach((holder, work) -> loads.add(work.toLoad(holder, nowMs)));
+    if (loads.size() > MAX_NAMED) {
       loads.sort(Comparator.comparingInt(Lookup.Load::busyMs).reversed());
-      loads.subList(MOST_NAMED, loads.size()).clear();
+      loads.subList(MAX_NAMED, loads.size()).clear();
     }
-    return new Lookup.Fleet(List.copyOf(loads), evictedShare());
+    return new Lookup.FleetLoad(List.copyOf(loads), evictedShare());
   }
 
   private double evictedShare() {
--- a/data-plane/src/main/java/gladelug/data/index/Holder.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holder.java
@@ -4,69 +4,85 @@
 import java.util.function.LongConsumer;
 
 /**
- * One holder as the summary knows it: its dense id, its feed, the blocks it keeps in part, when it
- * was last heard. Pure; who asks it for its list is set by whoever has the connections.
+ * A holder as the summary knows it: its dense id, its feed, the blocks it keeps in part, and when
+ * it was last heard. Performs no I/O; the owner of the connections sets the callback that requests
+ * its list.
  */
 public final class Holder {
-  private static final long SILENT = 3000;
+  /** The time after which a holder that was not heard counts as silent. */
+  private static final long SILENT_AFTER_MS = 3000;
+
   public final Replica replica;
   public final CacheEventFeed feed;
   final int id;
-  long capacity;
-  boolean inNext;
+  long capacityBlocks;
+
+  /** Whether the replacement table holds the entries of this holder. */
+  boolean inReplacement;
 
-  /** Units of the blocks that it keeps in part. */
-  final PartialBlocks parts = new PartialBlocks();
+  /** The units of the blocks that the holder keeps in part. */
+  final PartialBlocks partialBlocks = new PartialBlocks();
 
-  /** Listed no more: what still arrives must not touch the entries of whoever has its id next. */
+  /**
+   * Whether the holder is no longer listed; what still arrives from it must not change the entries
+   * of the next holder with its id.
+   */
   boolean dropped;
 
-  /** Has answered or failed to at least once. */
-  public boolean tried;
+  /** Whether the holder has answered or failed to answer at least once. */
+  public boolean contacted;
+
+  /** When the holder was last heard, in ms on the summary's clock. */
+  public long lastHeardMs;
 
-  public long heard;
-  private LongConsumer lists = nr -> {};
+  private LongConsumer listRequester = requestNumber -> {};
 
-  Holder(Replica r, int id, long now, CacheEventFeed.Policy policy, CacheEventFeed.Effects fx) {
-    this.replica = r;
+  Holder(
+      Replica replica,
+      int id,
+      long nowMs,
+      CacheEventFeed.Policy policy,
+      CacheEventFeed.Effects effects) {
+    this.replica = replica;
     this.id = id;
-    this.heard = now;
+    this.lastHeardMs = nowMs;
     this.feed =
         new CacheEventFeed(
             new CacheEventFeed.Effects() {
               @Override
-              public void keep(long block, int units, boolean part) {
-                if (!dropped) fx.keep(block, units, part);
+              public void setKept(long block, int units, boolean partial) {
+                if (!dropped) effects.setKept(block, units, partial);
               }
 
               @Override
               public void clear() {
-                if (!dropped) fx.clear();
+                if (!dropped) effects.clear();
               }
 
               @Override
-              public void load(BlockList list) {
-                if (!dropped) fx.load(list);
+              public void replaceAll(BlockList list) {
+                if (!dropped) effects.replaceAll(list);
               }
 
               @Override
-              public void list(long nr) {
-                if (!dropped) lists.accept(nr);
+              public void requestList(long requestNumber) {
+                if (!dropped) listRequester.accept(requestNumber);
               }
             },
             policy);
   }
 
-  /** The most blocks that it can keep, as far as known; 0 = not known. */
-  public long capacity() {
-    return capacity;
+  /** Returns the maximum number of blocks that the holder can keep; 0 = not known. */
+  public long capacityBlocks() {
+    return capacityBlocks;
   }
 
-  public void lists(LongConsumer asks) {
-    lists = asks;
+  /** Sets the callback that requests the list, given the number of the request. */
+  public void setListRequester(LongConsumer requester) {
+    listRequester = requester;
   }
 
-  boolean silent(long now) {
-    return now - heard > SILENT;
+  boolean isSilent(long nowMs) {
+    return nowMs - lastHeardMs > SILENT_AFTER_MS;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
+++ b/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
@@ -4,38 +4,43 @@
 import java.util.Map;
 
 /**
- * Where prompts were sent a moment ago: their blocks will be kept there though no event told of
- * them yet. A relay remembers its own, an index those it is told of. Bounded, and a hint like the
- * table's own. Lives on one thread.
+ * Remembers where prompts were sent recently: their blocks will be kept there although no event has
+ * reported them yet. A relay remembers its own placements, an index those that relays report.
+ * Bounded, and a hint like the summary. Confined to one thread.
  */
 public final class RecentPlacements {
-  static final int MOST = 4096;
-  static final long LASTS = 4000;
+  /** The maximum number of block and instance pairs; the oldest are evicted. */
+  static final int MAX_ENTRIES = 4096;
+
+  /** The time for which a placement counts; events report the blocks by then. */
+  static final long LIFETIME_MS = 4000;
 
   private record Key(long block, String instance) {}
 
-  private final Map<Key, Long> until =
+  private final Map<Key, Long> expiryMs =
       new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Key, Long> e) {
-          return size() > MOST;
+        protected boolean removeEldestEntry(Map.Entry<Key, Long> eldest) {
+          return size() > MAX_ENTRIES;
         }
       };
 
-  /** A prompt of these blocks goes to an instance. */
-  public void sent(long[] blocks, String instance, long now) {
-    for (long b : blocks) {
-      Key k = new Key(b, instance);
-      until.remove(k);
-      until.put(k, now + LASTS);
+  /** Records that a prompt with these blocks was sent to an instance. */
+  public void recordPlacement(long[] blocks, String instance, long nowMs) {
+    for (long block : blocks) {
+      Key key = new Key(block, instance);
+      expiryMs.remove(key);
+      expiryMs.put(key, nowMs + LIFETIME_MS);
     }
   }
 
-  /** How many of the first blocks an instance should have by what was sent there. */
-  public int leading(long[] blocks, String instance, long now) {
-    int n = 0;
-    while (n < blocks.length
-        && until.getOrDefault(new Key(blocks[n], instance), Long.MIN_VALUE) > now) n++;
-    return n;
+  /**
+   * Returns how many of the first blocks an instance should have, according to recent placements.
+   */
+  public int leadingBlocks(long[] blocks, String instance, long nowMs) {
+    int count = 0;
+    while (count < blocks.length
+        && expiryMs.getOrDefault(new Key(blocks[count], instance), Long.MIN_VALUE) > nowMs) count++;
+    return count;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
@@ -9,9 +9,9 @@
 import io.smallrye.mutiny.subscription.UniEmitter;
 
 /**
- * When: a place at once, or the queue by the share tree, or refused at once where, behind the work
- * that waits already, it could not end before its caller's deadline. Whoever is let into the queue
- * could therefore be served in the order of arrival.
+ * Admits a request at once, queues it by the tree of quota shares, or refuses it when the work
+ * queued ahead of it would make it miss its deadline. Every queued request could therefore still
+ * finish in time if it were served in order of arrival.
  */
 record AdmissionFilter(Relay relay) implements RequestFilter {
   @Override
@@ -20,64 +20,70 @@
   }
 
   @Override
-  public Uni<FilterResult> pass(Request request) {
-    FilterResult unservable = unservable(request);
-    if (unservable != null) return Uni.createFrom().item(unservable);
+  public Uni<FilterResult> apply(Request request) {
+    FilterResult refusal = refusalIfUnservable(request);
+    if (refusal != null) return Uni.createFrom().item(refusal);
     relay.estimates.estimate(request);
-    double waitMs = relay.waitMs(request);
-    if (waitMs > 0 && endsTooLate(request, waitMs) && relay.settings.has(Mechanism.EARLY_REFUSAL))
-      return Uni.createFrom().item(tooLate(request));
-    return Uni.createFrom().emitter(emitter -> enter(request, emitter));
+    double waitMs = relay.estimatedWaitMs(request);
+    if (waitMs > 0
+        && endsTooLate(request, waitMs)
+        && relay.settings.isEnabled(Mechanism.EARLY_REFUSAL))
+      return Uni.createFrom().item(refusalTooLate(request));
+    return Uni.createFrom().emitter(emitter -> enqueue(request, emitter));
   }
 
-  /** The refusal where nobody can run it now, or null. */
-  private FilterResult unservable(Request request) {
+  /** Returns the refusal when no replica can run the request now, or null. */
+  private FilterResult refusalIfUnservable(Request request) {
     String service = request.service.name();
-    if (request.service.kind() == Configuration.Kind.MODEL && relay.weights(request.model) == null)
-      return relay.refusalForWantOfWeights(request);
-    if (relay.backends.of(service).isEmpty())
+    if (request.service.kind() == Configuration.Kind.MODEL
+        && relay.allowedWeights(request.model) == null)
+      return relay.refusalForMissingWeights(request);
+    if (relay.backends.readyReplicas(service).isEmpty())
       return FilterResult.notRun(
           503,
           "no replica of " + service + " is listed as ready",
-          relay.retryAdvice.untilRoomMs(request));
+          relay.retryAdvice.msUntilRoom(request));
     return null;
   }
 
-  /** Whether it would end after its deadline, the only time that its caller is known to have. */
+  /**
+   * Returns whether the request would finish after its deadline, the only time limit its caller is
+   * known to have.
+   */
   private boolean endsTooLate(Request request, double waitMs) {
     return relay.clock.now() + waitMs > request.latestStartMs();
   }
 
-  private FilterResult tooLate(Request request) {
+  private FilterResult refusalTooLate(Request request) {
     String service = request.service.name();
     String reason =
-        "the backlog is longer than the order may wait: "
+        "the queue is too long to meet the deadline: "
             + relay.queue(service).size()
-            + " wait, "
-            + relay.free(service)
-            + " places";
-    return FilterResult.notRun(503, reason, relay.retryAdvice.untilRoomMs(request));
+            + " requests queued, "
+            + relay.freeSlots(service)
+            + " slots free";
+    return FilterResult.notRun(503, reason, relay.retryAdvice.msUntilRoom(request));
   }
 
-  private void enter(Request request, UniEmitter<? super FilterResult> emitter) {
+  private void enqueue(Request request, UniEmitter<? super FilterResult> emitter) {
     WaitQueue queue = relay.queue(request.service.name());
-    long enteredAt = relay.clock.now();
-    request.leaveQueue =
+    long enteredAtMs = relay.clock.now();
+    request.onLeaveQueue =
         result -> {
-          request.leaveQueue = null;
-          long now = relay.clock.now();
+          request.onLeaveQueue = null;
+          long nowMs = relay.clock.now();
           request.decision.add(
               "admission",
-              now,
-              Json.object().add("waitedMs", now - enteredAt).add("backlogThen", queue.size()));
+              nowMs,
+              Json.object().add("waitedMs", nowMs - enteredAtMs).add("backlogThen", queue.size()));
           emitter.complete(result);
         };
-    if (queue.enter(request)) {
-      relay.pump();
+    if (queue.offer(request)) {
+      relay.admitWaiting();
       return;
     }
-    request.leaveQueue = null;
+    request.onLeaveQueue = null;
     emitter.complete(
-        FilterResult.notRun(503, "the backlog is full", relay.retryAdvice.untilRoomMs(request)));
+        FilterResult.notRun(503, "the queue is full", relay.retryAdvice.msUntilRoom(request)));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixLookupFilter.java
@@ -9,12 +9,15 @@
 import gladelug.data.request.RequestFilter;
 import io.smallrye.mutiny.Uni;
 
-/** Where the prompt's prefix already is: a hint of the Cuckoo Summary, awaited for milliseconds. */
+/**
+ * Looks up where the prefix of the prompt is cached: a hint of the Cuckoo Summary, awaited for
+ * milliseconds.
+ */
 record PrefixLookupFilter(Relay relay, Lookups lookups) implements RequestFilter {
   private static final long[] NO_BLOCKS = {};
 
-  /** What text is cut into until a replica told otherwise, in bytes. */
-  static final int USUAL_BLOCK_BYTES = 256;
+  /** Block size assumed until a replica reports its own, in bytes. */
+  static final int DEFAULT_BLOCK_BYTES = 256;
 
   @Override
   public String name() {
@@ -22,62 +25,67 @@
   }
 
   @Override
-  public Uni<FilterResult> pass(Request request) {
+  public Uni<FilterResult> apply(Request request) {
     if (request.service.kind() != Configuration.Kind.MODEL)
-      return Uni.createFrom().item(FilterResult.GO);
-    String[] mayRun = relay.weights(request.model);
-    if (mayRun == null) return Uni.createFrom().item(relay.refusalForWantOfWeights(request));
-    chooseWeights(request, mayRun);
-    boolean hints = relay.settings.has(Mechanism.INDEX_HINTS);
-    long askedAt = relay.clock.now();
+      return Uni.createFrom().item(FilterResult.CONTINUE);
+    String[] allowedWeights = relay.allowedWeights(request.model);
+    if (allowedWeights == null)
+      return Uni.createFrom().item(relay.refusalForMissingWeights(request));
+    chooseWeights(request, allowedWeights);
+    boolean hints = relay.settings.isEnabled(Mechanism.INDEX_HINTS);
+    long askedAtMs = relay.clock.now();
     return lookups
         .ask(
-            hints ? request.blocks : NO_BLOCKS, fleet -> relay.fleet(request.service.name(), fleet))
+            hints ? request.blockKeys : NO_BLOCKS,
+            fleet -> relay.recordFleetLoad(request.service.name(), fleet))
         .map(
-            found -> {
-              request.lookupMs = relay.clock.now() - askedAt;
-              take(request, found);
-              return FilterResult.GO;
+            result -> {
+              request.lookupMs = relay.clock.now() - askedAtMs;
+              applyResult(request, result);
+              return FilterResult.CONTINUE;
             });
   }
 
-  /** The weights that most likely serve it, and the keys of its blocks under those. */
-  private void chooseWeights(Request request, String[] mayRun) {
-    long now = relay.clock.now();
-    int blockBytes = USUAL_BLOCK_BYTES;
+  /**
+   * Sets the weights that will most likely serve the request, and the keys of its blocks under
+   * those weights.
+   */
+  private void chooseWeights(Request request, String[] allowedWeights) {
+    long nowMs = relay.clock.now();
+    int blockBytes = DEFAULT_BLOCK_BYTES;
     int newest = 0;
     int older = 0;
-    for (Backend backend : relay.backends.of(request.service.name())) {
-      if (!backend.usable(now)) continue;
+    for (Backend backend : relay.backends.readyReplicas(request.service.name())) {
+      if (!backend.isUsable(nowMs)) continue;
       blockBytes = backend.blockBytes;
-      String runs = relay.weightsOf(backend, request.model);
-      if (runs.equals(mayRun[0])) newest++;
-      else if (!mayRun[1].isEmpty() && runs.equals(mayRun[1])) older++;
+      String weights = relay.effectiveWeights(backend, request.model);
+      if (weights.equals(allowedWeights[0])) newest++;
+      else if (!allowedWeights[1].isEmpty() && weights.equals(allowedWeights[1])) older++;
     }
-    boolean toNewest = relay.settings.prefersNewest() ? newest > 0 : newest >= older;
-    request.weights = toNewest || older == 0 ? mayRun[0] : mayRun[1];
-    request.blocks =
-        request.prompt.keys(request.model, request.weights, request.cacheScope, blockBytes);
+    boolean toNewest = relay.settings.prefersNewestWeights() ? newest > 0 : newest >= older;
+    request.weights = toNewest || older == 0 ? allowedWeights[0] : allowedWeights[1];
+    request.blockKeys =
+        request.prompt.blockKeys(request.model, request.weights, request.cacheScope, blockBytes);
   }
 
-  private void take(Request request, Lookups.Found found) {
-    request.matches = found.matches();
-    request.lookupAnswer = found.how();
-    if (found.answered()) relay.fleet(request.service.name(), found.fleet());
+  private void applyResult(Request request, Lookups.LookupResult result) {
+    request.matches = result.matches();
+    request.lookupOutcome = result.outcome();
+    if (result.isAnswered()) relay.recordFleetLoad(request.service.name(), result.fleet());
     JsonArray matches = new JsonArray();
-    for (Lookup.Match match : found.matches())
+    for (Lookup.Match match : result.matches())
       matches.add(
           Json.object()
               .add("holder", match.holder())
               .add("blocks", match.blocks())
-              .add("units", match.units()));
+              .add("units", match.partialUnits()));
     request.decision.add(
         "lookup",
         relay.clock.now(),
         Json.object()
             .add("weights", request.weights)
-            .add("blocks", request.blocks.length)
-            .add("index", found.how())
+            .add("blocks", request.blockKeys.length)
+            .add("index", result.outcome())
             .add("matches", matches));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixStore.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixStore.java
@@ -3,15 +3,15 @@
 import gladelug.common.configuration.Configuration;
 
 /**
- * A store of kept prompts as a relay sees it: where it stands, how long its link takes a unit, and
- * this relay's share of that link. Confined to the request thread.
+ * A store of cached prefixes as seen by a relay: its address, the transfer time per unit, and this
+ * relay's share of its link. Confined to the request thread.
  */
 final class PrefixStore {
-  /** Another zone's link takes twice as long. */
-  private static final double OTHER_ZONE = 2;
+  /** Factor of the transfer time to another zone. */
+  private static final double OTHER_ZONE_FACTOR = 2;
 
-  /** What a save has to spare the next caller who asks for the same, in ms. */
-  private static final double LEAST_SPARED_MS = 10;
+  /** Minimum time that a save has to save the next request for the same prefix, in ms. */
+  private static final double MIN_SAVED_MS = 10;
 
   private final Configuration.Service service;
   private final StoreLink link;
@@ -33,24 +33,28 @@
     return link;
   }
 
-  /** Ms that moving a unit between it and a replica takes its link; negative where not known. */
-  double unitMs(Backend backend) {
+  /**
+   * Returns the link time to move one unit between the store and a replica, in ms; negative if
+   * unknown.
+   */
+  double transferMsPerUnit(Backend backend) {
     double mbps = service.engine().linkMbps();
     if (mbps <= 0 || backend.tokenBytes() <= 0) return -1;
     double ms = backend.tokenBytes() * 8.0 / (mbps * 1000);
-    return service.zone().equals(backend.replica.zone()) ? ms : ms * OTHER_ZONE;
+    return service.zone().equals(backend.replica.zone()) ? ms : ms * OTHER_ZONE_FACTOR;
   }
 
   /**
-   * Whether a replica should save what it is about to compute: the next caller is spared some time
-   * by pulling it, and there is time left on the link.
+   * Returns whether a replica should save the prefix it is about to compute: the next request gains
+   * enough time by pulling it, and the link has time left.
    *
-   * @param shared units of the prompt that other requests may ask for
-   * @param all units that a save moves
+   * @param sharedUnits units of the prompt that other requests may have in common
+   * @param totalUnits units that a save transfers
    */
-  boolean sparesTime(Backend backend, int shared, int all, long now) {
-    double unit = unitMs(backend);
-    if (unit < 0 || shared * (backend.unitMs - unit) < LEAST_SPARED_MS) return false;
-    return link.maySave(all * unit, now);
+  boolean isWorthSaving(Backend backend, int sharedUnits, int totalUnits, long nowMs) {
+    double msPerUnit = transferMsPerUnit(backend);
+    if (msPerUnit < 0 || sharedUnits * (backend.computeMsPerUnit - msPerUnit) < MIN_SAVED_MS)
+      return false;
+    return link.maySave(totalUnits * msPerUnit, nowMs);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Relay.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Relay.java
@@ -16,7 +16,7 @@
 import gladelug.data.request.FilterChain;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Request;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
 import gladelug.data.state.ControlStateSnapshot;
 import gladelug.data.state.StateSubscription;
 import java.util.ArrayList;
@@ -29,270 +29,314 @@
 import java.util.function.IntSupplier;
 
 /**
- * What the filters of one relay share: snapshot and leases, replicas, queues, retry budget, the
- * requests under way. All on the request thread, one event loop; what other threads bring (a new
- * snapshot, a lookup's answer) is posted to it.
+ * The state shared by the filters of one relay: snapshot and leases, replicas, queues, retry
+ * budget, and running requests. Everything runs on the request thread, one event loop; input from
+ * other threads (a new snapshot, the answer to a lookup) is posted to it.
  */
 public final class Relay {
   /**
-   * How long after its lease for configurations or replicas ran out a relay lets streams go on;
-   * then it can't know that a key still holds.
+   * How long streams may continue after the lease for configuration or replicas has expired, in ms.
+   * After that the relay cannot know whether a key is still valid.
    */
-  public static final long GRACE = 2000;
+  public static final long STREAM_GRACE_MS = 2000;
 
-  static final String EXPIRED_UNSENT = "expired before it was handed over";
+  static final String EXPIRED_BEFORE_SEND =
+      "the deadline passed before the request was sent to a replica";
 
-  private static final String EXPIRED_UNPLACED = "no place came while it could still end in time";
+  private static final String EXPIRED_IN_QUEUE = "no slot became free in time to meet the deadline";
 
-  private static final long STALE = 2000;
+  /** Maximum age of the fleet's division of slots, in ms. */
+  private static final long ALLOTMENT_MAX_AGE_MS = 2000;
 
-  private static final long ASLEEP = 500;
+  /** Time between ticks above which this process counts as stalled, in ms. */
+  private static final long STALL_THRESHOLD_MS = 500;
 
-  /** After its turn to take new weights, from when on a replica may be asked for those, in ms. */
-  private static final long LOADS = 1200;
+  /**
+   * Time after a replica's turn in a rollout from which on it may be asked for the new weights, in
+   * ms.
+   */
+  private static final long WEIGHT_LOAD_MS = 1200;
 
-  /** How long before its turn to take new weights a replica is left alone, in ms. */
-  private static final long BEFORE = 400;
+  /** Time before a replica's turn in a rollout from which on it is avoided, in ms. */
+  private static final long ROLLOUT_LEAD_MS = 400;
 
   public final Clock clock;
-  public final StateSubscription news;
+  public final StateSubscription subscription;
   public final Backends backends;
-  public final RetryBudget budget;
+  public final RetryBudget retryBudget;
   public final String zone;
   public final RetryAdvice retryAdvice = new RetryAdvice(this);
   public RelaySettings settings;
   private final Map<String, WaitQueue> queues = new HashMap<>();
-  private final Map<String, Integer> admitted = new HashMap<>();
-  private final Map<Long, Request> live = new LinkedHashMap<>();
-  private ControlStateSnapshot shaped = ControlStateSnapshot.NONE;
+
+  /** Admitted requests that have no replica yet, by service. */
+  private final Map<String, Integer> admittedByService = new HashMap<>();
+
+  private final Map<Long, Request> liveRequests = new LinkedHashMap<>();
+  private ControlStateSnapshot appliedSnapshot = ControlStateSnapshot.NONE;
   private UrgencyLevels urgencyLevels = new UrgencyLevels(Configuration.EMPTY);
-  public final IntSupplier relays;
+  public final IntSupplier relayCount;
   public final RecentPlacements placements = new RecentPlacements();
   final PrefixStores stores;
-  final ReuseShare reuse = new ReuseShare();
+  final ReuseShare reuseShare = new ReuseShare();
   final WorkEstimates estimates;
   private double evictedShare;
-  private long ticked;
-  private long awake;
-  private boolean pumping;
-  private boolean pumpAgain;
+  private long lastTickMs;
 
-  /** Not ready any more, though requests are still taken that end in time. */
-  public boolean leaving;
+  /** End of this process's last stall. */
+  private long awakeSinceMs;
 
-  /** When whatever still runs is cut off, on this relay's clock, once it is leaving. */
-  private long drainsUntilMs = Long.MAX_VALUE;
+  private boolean admitting;
+  private boolean admitAgain;
 
-  /** Records that have ended, for whoever hands them on. */
-  public Consumer<Decision> reasons = decision -> {};
+  /** Whether the relay is shutting down. Requests that end in time are still accepted. */
+  public boolean draining;
+
+  /** When the requests still running during shutdown are cut off, on this relay's clock. */
+  private long drainDeadlineMs = Long.MAX_VALUE;
+
+  /** Receives the decision records of ended requests. */
+  public Consumer<Decision> decisionSink = decision -> {};
 
   public Relay(
       Clock clock,
-      StateSubscription news,
+      StateSubscription subscription,
       Function<Relay, Backends> backends,
       String zone,
       RelaySettings settings,
-      IntSupplier relays) {
-    this.relays = relays;
-    this.stores = new PrefixStores(relays);
+      IntSupplier relayCount) {
+    this.relayCount = relayCount;
+    this.stores = new PrefixStores(relayCount);
     this.settings = settings;
-    this.budget = new RetryBudget(() -> this.settings, relays);
-    this.ticked = clock.now();
-    this.awake = ticked;
+    this.retryBudget = new RetryBudget(() -> this.settings, relayCount);
+    this.lastTickMs = clock.now();
+    this.awakeSinceMs = lastTickMs;
     this.clock = clock;
-    this.news = news;
+    this.subscription = subscription;
     this.zone = zone;
     this.backends = backends.apply(this);
-    this.estimates = new WorkEstimates(this.backends, reuse);
+    this.estimates = new WorkEstimates(this.backends, reuseShare);
   }
 
-  public ControlStateSnapshot tables() {
-    return news.tables();
+  public ControlStateSnapshot snapshot() {
+    return subscription.snapshot();
   }
 
-  /** Empty where requests may start now, else the reason why not. */
-  public String unready() {
-    ControlStateSnapshot snapshot = tables();
-    if (snapshot.configurationNumber() == 0) return "no policy yet";
-    if (snapshot.replicasNumber() == 0) return "no list of replicas yet";
-    if (!news.leases.valid(clock.now())) return "no licence";
+  /** Returns the reason why no requests may start now, or an empty string if they may. */
+  public String unreadyReason() {
+    ControlStateSnapshot snapshot = snapshot();
+    if (snapshot.configurationNumber() == 0) return "no configuration received yet";
+    if (snapshot.replicasNumber() == 0) return "no replica list received yet";
+    if (!subscription.leases.isValid(clock.now())) return "no licence";
     return "";
   }
 
-  /** Not ready from now on; whatever still runs then is cut off at a time on this relay's clock. */
-  public void leave(long untilMs) {
-    leaving = true;
-    drainsUntilMs = untilMs;
+  /**
+   * Marks the relay as shutting down. Requests still running at the deadline (on this relay's
+   * clock) are cut off.
+   */
+  public void startDraining(long deadlineMs) {
+    draining = true;
+    drainDeadlineMs = deadlineMs;
   }
 
   /**
-   * Why a request that nothing was passed on of is better begun elsewhere, as it may last longer
-   * than this relay, or null. Its deadline counts, the only end that is certain.
+   * Returns the refusal of a request that may outlive this relay and of which no piece has been
+   * passed on, or null. The deadline of the request decides, as it is the only certain end.
    */
-  FilterResult refusalIfItMayOutlastThis(Request request) {
-    return request.deadline > drainsUntilMs
-        ? FilterResult.notRun(503, "stopping before it has to end", FilterResult.RETRY_AT_ONCE_MS)
+  FilterResult refusalIfOutlivesRelay(Request request) {
+    return request.deadlineMs > drainDeadlineMs
+        ? FilterResult.notRun(
+            503, "this relay stops before the request's deadline", FilterResult.RETRY_AT_ONCE_MS)
         : null;
   }
 
-  /** What a request is told for whose model nobody named weights. */
-  FilterResult refusalForWantOfWeights(Request request) {
+  /** Returns the refusal of a request for whose model no weights are named. */
+  FilterResult refusalForMissingWeights(Request request) {
     return FilterResult.notRun(
-        503, "no weights are named for " + request.model, retryAdvice.untilStateMs());
+        503, "no weights are named for model " + request.model, retryAdvice.msUntilState());
   }
 
   /**
-   * The weights of a model that a request may run on now: the newest, and until the cutoff those
-   * before; null where there are none. Where nobody has to name weights first, those that replicas
-   * tell of stand until somebody does.
+   * Returns the weights on which requests for a model may run now: the newest and, until the
+   * cutoff, the previous ones; null if there are none. Unless weights have to be named first, the
+   * weights reported by replicas count until some are named.
    */
-  public String[] weights(String model) {
-    Weights.Named n = tables().weights().of(model);
-    if (n == null) return settings.anyWeights() ? new String[] {backends.newest(model), ""} : null;
+  public String[] allowedWeights(String model) {
+    Weights.Assignment named = snapshot().weights().of(model);
+    if (named == null)
+      return settings.allowsUnnamedWeights()
+          ? new String[] {backends.newestWeights(model), ""}
+          : null;
     String before =
-        n.before().isEmpty() && settings.anyWeights()
-            ? backends.newestBelow(model, n.now())
-            : n.before();
-    return new String[] {n.now(), clock.now() < news.leases.cutoffAt() ? before : ""};
+        named.previous().isEmpty() && settings.allowsUnnamedWeights()
+            ? backends.newestWeightsBefore(model, named.current())
+            : named.previous();
+    return new String[] {
+      named.current(), clock.now() < subscription.leases.cutoffAtMs() ? before : ""
+    };
   }
 
-  /** Whether a request may begin on these weights now. */
-  public boolean mayRun(String model, String w) {
-    return mayRun(weights(model), w);
-  }
-
-  /** As above, with what {@link #weights} gave for the model; may is null where it gave none. */
-  static boolean mayRun(String[] may, String w) {
-    return may != null && !w.isEmpty() && (w.equals(may[0]) || w.equals(may[1]));
+  /** Returns whether a request may start on these weights now. */
+  public boolean mayRun(String model, String weights) {
+    return mayRun(allowedWeights(model), weights);
   }
 
   /**
-   * Whether a replica runs weights on which requests may begin now, of any model it serves. Looking
-   * for the newest weights reads all replicas, so a caller that asks about each of them hands in a
-   * map that lives for this one look.
+   * Like {@link #mayRun(String, String)}, with the result of {@link #allowedWeights}, which may be
+   * null.
    */
-  private boolean runs(Backend backend, Map<String, String[]> may) {
-    for (String m : backend.weights.keySet())
-      if (mayRun(may.computeIfAbsent(m, this::weights), weightsOf(backend, m))) return true;
-    return false;
+  static boolean mayRun(String[] allowedWeights, String weights) {
+    return allowedWeights != null
+        && !weights.isEmpty()
+        && (weights.equals(allowedWeights[0]) || weights.equals(allowedWeights[1]));
   }
 
   /**
-   * The weights a replica is taken to run: what it or the list last told, but once it has had its
-   * turn to take newer ones, those; it says so if it doesn't yet, and then is left alone for a
-   * moment.
+   * Returns whether a replica runs weights of any of its models on which requests may start now.
+   * Determining the newest weights reads all replicas, so callers that check many replicas pass a
+   * map that caches the result during one pass.
    */
-  public String weightsOf(Backend backend, String model) {
-    String told = backend.weights(model);
-    Weights.Named n = backend.reports ? null : tables().weights().of(model);
-    if (n == null || told.isEmpty() || !Backend.newer(n.now(), told)) return told;
-    long now = clock.now();
-    return !backend.saidOld(now) && now >= turn(backend) + LOADS ? n.now() : told;
+  private boolean runsAllowedWeights(Backend backend, Map<String, String[]> allowedWeights) {
+    for (String model : backend.weightsByModel.keySet())
+      if (mayRun(
+          allowedWeights.computeIfAbsent(model, this::allowedWeights),
+          effectiveWeights(backend, model))) return true;
+    return false;
   }
 
   /**
-   * Whether a replica's turn to take newer weights has come, or is about to, and neither it nor the
-   * list has told yet that it runs them. What runs there ends first, and until it has loaded it
-   * turns away what is new: better left alone.
+   * Returns the weights a replica is assumed to run: those last reported by it or the list, or the
+   * newer ones once its turn to load them has come. If the replica reports that it does not run
+   * them yet, the reported weights count for a moment.
    */
-  public boolean loads(Backend backend, String model) {
-    Weights.Named n = backend.reports ? null : tables().weights().of(model);
-    if (n == null
-        || backend.weights(model).isEmpty()
-        || !Backend.newer(n.now(), backend.weights(model))) return false;
-    return clock.now() >= turn(backend) - BEFORE;
+  public String effectiveWeights(Backend backend, String model) {
+    String reported = backend.reportedWeights(model);
+    Weights.Assignment named = backend.reportsLoad ? null : snapshot().weights().of(model);
+    if (named == null || reported.isEmpty() || !Backend.isNewer(named.current(), reported))
+      return reported;
+    long nowMs = clock.now();
+    return !backend.isOnOldWeights(nowMs) && nowMs >= rolloutTurnMs(backend) + WEIGHT_LOAD_MS
+        ? named.current()
+        : reported;
   }
 
   /**
-   * When a replica's turn to take the named weights comes, on this relay's clock; in the past where
-   * it has.
+   * Returns whether a replica's turn to load newer weights has come or is about to, and neither it
+   * nor the list has reported yet that it runs them. Running requests finish first, and until the
+   * weights are loaded the replica refuses new ones, so it is better avoided.
    */
-  private long turn(Backend b) {
-    long named = news.leases.cutoffAt() - settings.cutoffMs();
-    if (clock.now() >= news.leases.cutoffAt()) return clock.now() - LOADS;
-    List<String> all =
-        backends.of(b.replica.service()).stream().map(x -> x.replica.instance()).toList();
-    return named + settings.roll().due(settings.roll().part(b.replica.instance(), all));
+  public boolean isLoadingWeights(Backend backend, String model) {
+    Weights.Assignment named = backend.reportsLoad ? null : snapshot().weights().of(model);
+    if (named == null
+        || backend.reportedWeights(model).isEmpty()
+        || !Backend.isNewer(named.current(), backend.reportedWeights(model))) return false;
+    return clock.now() >= rolloutTurnMs(backend) - ROLLOUT_LEAD_MS;
   }
 
   /**
-   * Where a holder of kept prompts is called: a replica's or a store's address and zone; or null.
+   * Returns when a replica's turn to load the named weights comes, on this relay's clock; in the
+   * past if it has come.
    */
-  public Replica holder(String name) {
-    Replica p = tables().replicas().find(name);
-    if (p != null) return p;
-    Configuration.Service s = tables().configuration().service(name);
-    return s == null || s.store() == null ? null : Holders.store(s);
+  private long rolloutTurnMs(Backend backend) {
+    long namedAtMs = subscription.leases.cutoffAtMs() - settings.weightsCutoffMs();
+    if (clock.now() >= subscription.leases.cutoffAtMs()) return clock.now() - WEIGHT_LOAD_MS;
+    List<String> instances =
+        backends.readyReplicas(backend.replica.service()).stream()
+            .map(each -> each.replica.instance())
+            .toList();
+    return namedAtMs
+        + settings
+            .rolloutPlan()
+            .dueMs(settings.rolloutPlan().partOf(backend.replica.instance(), instances));
+  }
+
+  /** Returns the address and zone of a holder of cached prefixes, a replica or a store, or null. */
+  public Replica findHolder(String name) {
+    Replica replica = snapshot().replicas().find(name);
+    if (replica != null) return replica;
+    Configuration.Service service = snapshot().configuration().service(name);
+    return service == null || service.storeAddress() == null
+        ? null
+        : Holders.storeAsHolder(service);
+  }
+
+  /** Learns from the time between sending a request and the first piece of its answer, in ms. */
+  public void recordFirstPiece(Request request, Backend backend, long firstPieceMs) {
+    if (backend.reportsLoad) return;
+    double excessMs = firstPieceMs - request.queueMs;
+    PrefixStore store = stores.find(request.fetchFrom);
+    if (request.fetchBlocks > 0 && excessMs > 4 * request.workMs + 250) {
+      if (store == null) backend.markLinkSlow(clock.now());
+      else store.link().markSlow(clock.now());
+    }
+    if (request.fetchBlocks > 0 || !settings.isEnabled(Mechanism.LEARNED_SPEED)) return;
+    estimates.recordFirstPiece(request, firstPieceMs);
   }
 
   /**
-   * The first piece of a request came so many ms after it was handed over: what is learned of its
-   * replica.
+   * Applies the load of a service's replicas reported by an index; replicas not listed are idle.
    */
-  public void firstPiece(Request request, Backend backend, long ms) {
-    if (backend.reports) return;
-    double rest = ms - request.queueMs;
-    PrefixStore store = stores.find(request.fetchFrom);
-    if (request.fetchBlocks > 0 && rest > 4 * request.workMs + 250) {
-      if (store == null) backend.slowLink(clock.now());
-      else store.link().slow(clock.now());
-    }
-    if (request.fetchBlocks > 0 || !settings.has(Mechanism.LEARNED_SPEED)) return;
-    estimates.firstPieceCame(request, ms);
-  }
-
-  /** What an index told of the replicas of a service; one it doesn't name is free. */
-  void fleet(String service, Lookup.Fleet fleet) {
-    evictedShare = fleet.evictedShare();
-    if (!settings.has(Mechanism.FLEET_LOADS) || fleet.equals(Lookup.Fleet.UNKNOWN)) return;
-    Map<String, Lookup.Load> busy = new HashMap<>();
-    for (Lookup.Load load : fleet.loads()) busy.put(load.holder(), load);
-    long now = clock.now();
-    for (Backend backend : backends.of(service)) {
+  void recordFleetLoad(String service, Lookup.FleetLoad fleetLoad) {
+    evictedShare = fleetLoad.evictionRatio();
+    if (!settings.isEnabled(Mechanism.FLEET_LOADS) || fleetLoad.equals(Lookup.FleetLoad.UNKNOWN))
+      return;
+    Map<String, Lookup.Load> loadsByInstance = new HashMap<>();
+    for (Lookup.Load load : fleetLoad.loads()) loadsByInstance.put(load.holder(), load);
+    long nowMs = clock.now();
+    for (Backend backend : backends.readyReplicas(service)) {
       String instance = backend.replica.instance();
-      backend.fleetLoad(busy.getOrDefault(instance, new Lookup.Load(instance, 0, 0, 0)), now);
+      backend.recordFleetLoad(
+          loadsByInstance.getOrDefault(instance, new Lookup.Load(instance, 0, 0, 0)), nowMs);
     }
   }
 
-  /** Of the blocks that holders stored lately, the share that drove another out. */
+  /** Returns the share of recently stored blocks that evicted another one. */
   double evictedShare() {
     return evictedShare;
   }
 
-  /** How urgent replicas are told that a request is, by the newest configuration; 0 is first. */
-  public int urgency(Request request) {
-    return urgencyLevels.of(request);
+  /**
+   * Returns the urgency level sent to replicas for a request, by the newest configuration; 0 is the
+   * most urgent.
+   */
+  public int urgencyLevel(Request request) {
+    return urgencyLevels.levelOf(request);
   }
 
+  /** Returns the queue of a service. */
   public WaitQueue queue(String service) {
     return queues.computeIfAbsent(
         service,
-        text -> {
-          WaitQueue b = new WaitQueue(settings.queueMost());
-          b.shape(tables().configuration());
-          return b;
+        serviceName -> {
+          WaitQueue queue = new WaitQueue(settings.maxQueuedRequests());
+          queue.configure(snapshot().configuration());
+          return queue;
         });
   }
 
+  /** Registers a running request. */
   public void begin(Request request) {
-    live.put(request.decision.nr, request);
+    liveRequests.put(request.decision.number, request);
   }
 
-  public List<Request> live() {
-    return new ArrayList<>(live.values());
+  public List<Request> liveRequests() {
+    return new ArrayList<>(liveRequests.values());
   }
 
-  /** The request's end: its place is free. */
-  public void ended(Request request) {
-    if (live.remove(request.decision.nr) == null) return;
+  /** Ends a request: frees its slot, completes its record and logs it. */
+  public void finish(Request request) {
+    if (liveRequests.remove(request.decision.number) == null) return;
     request.state.end();
     if (request.admitted) {
       request.admitted = false;
       queue(request.service.name()).release(request);
-      if (request.backend == null) admitted.merge(request.service.name(), -1, Integer::sum);
-      if (request.decision.outcome().equals("complete")) estimates.completed(request, clock.now());
+      if (request.backend == null)
+        admittedByService.merge(request.service.name(), -1, Integer::sum);
+      if (request.decision.outcome().equals("complete"))
+        estimates.recordCompletion(request, clock.now());
     }
-    drop(request);
+    releaseReplica(request);
     if (request.pausedTooLong())
       request.decision.add(
           "paused",
@@ -300,10 +344,10 @@
           Json.object()
               .add("ms", request.longestPauseMs())
               .add("endedMs", request.longestPauseEndedMs())
-              .add("allowedMs", request.route.gapMs()));
+              .add("allowedMs", request.route.eventGapTargetMs()));
     request.decision.end();
-    reasons.accept(request.decision);
-    pump();
+    decisionSink.accept(request.decision);
+    admitWaiting();
     Log.event(
         "request-ended",
         "order",
@@ -315,15 +359,15 @@
         "outcome",
         request.decision.outcome(),
         "tries",
-        request.tries,
+        request.tryCount,
         "pieces",
         request.piecesOut,
         "ms",
-        clock.now() - request.came,
+        clock.now() - request.receivedAtMs,
         "units",
         request.promptUnits(),
         "held",
-        request.heldUnits,
+        request.maxHeldUnits,
         "computed",
         request.computeUnits,
         "fetched",
@@ -333,7 +377,7 @@
         "saved",
         request.saveTo.isEmpty() ? "-" : request.saveTo,
         "index",
-        request.lookupAnswer,
+        request.lookupOutcome,
         "lookupMs",
         request.lookupMs,
         "queueMs",
@@ -345,295 +389,336 @@
         "pauseEndedMs",
         request.longestPauseEndedMs(),
         "replica",
-        request.triedLast == null ? "-" : request.triedLast.replica.instance(),
+        request.lastTriedBackend == null ? "-" : request.lastTriedBackend.replica.instance(),
         "handedMs",
-        request.tries == 0 ? -1 : request.handedAt - request.came,
+        request.tryCount == 0 ? -1 : request.forwardedAtMs - request.receivedAtMs,
         "runningThere",
-        request.runningThere,
+        request.runningOnBackend,
         "why",
-        request.why);
+        request.failureReason);
   }
 
-  /** The request holds no replica any more. */
-  public void drop(Request request) {
+  /** Releases the replica assigned to the request, if any. */
+  public void releaseReplica(Request request) {
     if (request.backend == null) return;
-    request.backend.mine = Math.max(0, request.backend.mine - 1);
-    request.backend.gives(request.units());
+    request.backend.ownRequests = Math.max(0, request.backend.ownRequests - 1);
+    request.backend.releaseUnits(request.units());
     request.backend = null;
-    if (request.admitted) admitted.merge(request.service.name(), 1, Integer::sum);
+    if (request.admitted) admittedByService.merge(request.service.name(), 1, Integer::sum);
   }
 
-  public void choose(Request request, Backend backend, double ms) {
-    drop(request);
-    backend.takes(request.units());
+  /** Assigns a replica to a request that causes workMs of work there. */
+  public void assignReplica(Request request, Backend backend, double workMs) {
+    releaseReplica(request);
+    backend.reserveUnits(request.units());
     request.backend = backend;
-    backend.mine++;
-    backend.owes(ms, clock.now());
-    admitted.merge(request.service.name(), -1, Integer::sum);
+    backend.ownRequests++;
+    backend.addWork(workMs, clock.now());
+    admittedByService.merge(request.service.name(), -1, Integer::sum);
   }
 
-  private int places(String service) {
-    int n = 0;
-    for (Backend backend : backends.of(service))
-      if (backend.usable(clock.now())) n += backend.places();
-    return n;
+  /** Returns the number of slots at the usable replicas of a service. */
+  private int admissionSlots(String service) {
+    int slots = 0;
+    for (Backend backend : backends.readyReplicas(service))
+      if (backend.isUsable(clock.now())) slots += backend.admissionSlots();
+    return slots;
   }
 
   /**
-   * Tells what waits and is seen here, and takes the fleet's division; with none fresh, an equal
-   * part.
+   * Reports local demand and capacity, and applies the fleet's division of slots; without a recent
+   * one, an equal share.
    */
-  private void divide(long now, long passed) {
-    List<StateUpdate.QuotaDemand> ds = new ArrayList<>();
-    List<StateUpdate.ServiceCapacity> ps = new ArrayList<>();
-    for (Map.Entry<String, WaitQueue> e : queues.entrySet()) {
-      String text = e.getKey();
-      e.getValue()
+  private void updateShares(long nowMs, long elapsedMs) {
+    List<StateUpdate.QuotaDemand> demands = new ArrayList<>();
+    List<StateUpdate.ServiceCapacity> capacities = new ArrayList<>();
+    for (Map.Entry<String, WaitQueue> entry : queues.entrySet()) {
+      String service = entry.getKey();
+      entry
+          .getValue()
           .waitingAndUsed()
-          .forEach((leaf, n) -> ds.add(new StateUpdate.QuotaDemand(text, leaf, n[0], n[1])));
-      ps.add(new StateUpdate.ServiceCapacity(text, places(text)));
-      StateSubscription.Allotment a = news.allotment(text);
-      if (settings.alone() || a == null || now - a.at() > STALE || !a.full())
-        e.getValue().unbound();
-      else e.getValue().bound(a.milli(), passed, estimates.requestMs(text));
+          .forEach(
+              (leaf, usage) ->
+                  demands.add(new StateUpdate.QuotaDemand(service, leaf, usage[0], usage[1])));
+      capacities.add(new StateUpdate.ServiceCapacity(service, admissionSlots(service)));
+      StateSubscription.Allotment allotment = subscription.allotment(service);
+      if (settings.localSharesOnly()
+          || allotment == null
+          || nowMs - allotment.receivedAtMs() > ALLOTMENT_MAX_AGE_MS
+          || !allotment.full()) entry.getValue().clearBounds();
+      else
+        entry
+            .getValue()
+            .setBounds(allotment.milliSlotsByLeaf(), elapsedMs, estimates.meanRequestMs(service));
     }
-    news.demand(List.copyOf(ds), List.copyOf(ps));
+    subscription.reportDemand(List.copyOf(demands), List.copyOf(capacities));
   }
 
   /**
-   * By service and leaf: waiting and using here, and the part of places the fleet's division leaves
-   * this relay, if it bounds.
+   * Returns, by service and leaf, the queued and running requests, and the share of slots that the
+   * fleet's division leaves this relay if it sets one.
    */
-  public JsonObject shares() {
-    JsonObject o = Json.object();
-    long now = clock.now();
-    for (Map.Entry<String, WaitQueue> e : queues.entrySet()) {
-      StateSubscription.Allotment a = news.allotment(e.getKey());
-      boolean fresh = a != null && now - a.at() <= STALE;
-      JsonObject l = Json.object();
-      e.getValue()
+  public JsonObject sharesJson() {
+    JsonObject services = Json.object();
+    long nowMs = clock.now();
+    for (Map.Entry<String, WaitQueue> entry : queues.entrySet()) {
+      StateSubscription.Allotment allotment = subscription.allotment(entry.getKey());
+      boolean fresh = allotment != null && nowMs - allotment.receivedAtMs() <= ALLOTMENT_MAX_AGE_MS;
+      JsonObject leaves = Json.object();
+      entry
+          .getValue()
           .waitingAndUsed()
           .forEach(
-              (leaf, n) -> {
-                JsonObject x = Json.object().add("waiting", n[0]).add("using", n[1]);
-                if (fresh && a.full()) x.add("part", a.milli().getOrDefault(leaf, 1000) / 1000.0);
-                l.add(leaf, x);
+              (leaf, usage) -> {
+                JsonObject leafUsage =
+                    Json.object().add("waiting", usage[0]).add("using", usage[1]);
+                if (fresh && allotment.full())
+                  leafUsage.add(
+                      "part", allotment.milliSlotsByLeaf().getOrDefault(leaf, 1000) / 1000.0);
+                leaves.add(leaf, leafUsage);
               });
-      o.add(
-          e.getKey(),
+      services.add(
+          entry.getKey(),
           Json.object()
-              .add("divided", !fresh ? "by nobody" : a.full() ? "full" : "not full")
-              .add("leaves", l));
+              .add("divided", !fresh ? "by nobody" : allotment.full() ? "full" : "not full")
+              .add("leaves", leaves));
     }
-    return o;
-  }
-
-  /** With nobody dividing, as much of the places as if all relays asked alike. */
-  private int equalPart(String service) {
-    StateSubscription.Allotment a = news.allotment(service);
-    if (settings.alone()) return Integer.MAX_VALUE;
-    if (a != null && clock.now() - a.at() <= STALE) return Integer.MAX_VALUE;
-    int n = Math.max(1, relays.getAsInt());
-    return (places(service) + n - 1) / n;
+    return services;
   }
 
-  public int free(String service) {
-    Configuration.Service s = tables().configuration().service(service);
-    boolean model = s == null || s.kind() == Configuration.Kind.MODEL;
-    Map<String, String[]> may = new HashMap<>();
+  /**
+   * Returns an equal share of the slots if no recent division by the fleet is known, assuming the
+   * same demand at all relays.
+   */
+  private int equalShare(String service) {
+    StateSubscription.Allotment allotment = subscription.allotment(service);
+    if (settings.localSharesOnly()) return Integer.MAX_VALUE;
+    if (allotment != null && clock.now() - allotment.receivedAtMs() <= ALLOTMENT_MAX_AGE_MS)
+      return Integer.MAX_VALUE;
+    int relays = Math.max(1, relayCount.getAsInt());
+    return (admissionSlots(service) + relays - 1) / relays;
+  }
+
+  /** Returns how many more requests of a service may be admitted now. */
+  public int freeSlots(String service) {
+    Configuration.Service configured = snapshot().configuration().service(service);
+    boolean model = configured == null || configured.kind() == Configuration.Kind.MODEL;
+    Map<String, String[]> allowedWeights = new HashMap<>();
     return Math.min(
-        backends.free(service, backend -> !model || runs(backend, may))
-            - admitted.getOrDefault(service, 0),
-        equalPart(service) - queue(service).used());
+        backends.freeSlots(
+                service, backend -> !model || runsAllowedWeights(backend, allowedWeights))
+            - admittedByService.getOrDefault(service, 0),
+        equalShare(service) - queue(service).usedSlots());
   }
 
   /**
-   * How long a request would wait for a place if it joined the queue now, in ms: until one comes
-   * free, and for what goes before it.
+   * Returns how long a request would wait for a slot if it joined the queue now, in ms, including
+   * the work queued ahead of it.
    */
-  double waitMs(Request request) {
+  double estimatedWaitMs(Request request) {
     String service = request.service.name();
     WaitQueue queue = queue(service);
-    if (queue.size() == 0 && free(service) > 0) return 0;
-    return queue.waitMs(request, estimates.requestMs(service), equalPartOfListed(service));
+    if (queue.size() == 0 && freeSlots(service) > 0) return 0;
+    return queue.estimatedWaitMs(
+        request, estimates.meanRequestMs(service), equalShareOfListed(service));
   }
 
-  /** As much of the places of all replicas, usable now or not, as if all relays asked alike. */
-  private int equalPartOfListed(String service) {
+  /** Returns an equal share of the slots of all listed replicas, whether usable now or not. */
+  private int equalShareOfListed(String service) {
     int listed = 0;
-    for (Backend backend : backends.of(service)) listed += backend.places();
-    return listed / Math.max(1, relays.getAsInt());
+    for (Backend backend : backends.readyReplicas(service)) listed += backend.admissionSlots();
+    return listed / Math.max(1, relayCount.getAsInt());
   }
 
-  /** Gives free places to those that wait, as the share tree says. */
-  public void pump() {
-    if (pumping) {
-      pumpAgain = true;
+  /** Assigns free slots to queued requests in the order of the tree of quota shares. */
+  public void admitWaiting() {
+    if (admitting) {
+      admitAgain = true;
       return;
     }
-    pumping = true;
+    admitting = true;
     try {
       do {
-        pumpAgain = false;
-        for (Map.Entry<String, WaitQueue> e : new ArrayList<>(queues.entrySet())) places(e);
-      } while (pumpAgain);
+        admitAgain = false;
+        for (Map.Entry<String, WaitQueue> entry : new ArrayList<>(queues.entrySet()))
+          admitWaiting(entry);
+      } while (admitAgain);
     } finally {
-      // whatever goes wrong with one request, those behind it are not left waiting for ever
-      pumping = false;
+      // a failure of one request must not leave those behind it queued forever
+      admitting = false;
     }
   }
 
-  private void places(Map.Entry<String, WaitQueue> e) {
-    while (e.getValue().size() > 0 && free(e.getKey()) > 0) {
-      Request request = e.getValue().next();
+  private void admitWaiting(Map.Entry<String, WaitQueue> entry) {
+    while (entry.getValue().size() > 0 && freeSlots(entry.getKey()) > 0) {
+      Request request = entry.getValue().poll();
       if (request == null) break;
       request.admitted = true;
-      admitted.merge(e.getKey(), 1, Integer::sum);
-      request.leaveQueue.accept(FilterResult.GO);
+      admittedByService.merge(entry.getKey(), 1, Integer::sum);
+      request.onLeaveQueue.accept(FilterResult.CONTINUE);
     }
   }
 
-  /** The caller went away: nothing is left to be done for its request. */
-  public void gone(Request request) {
-    request.gone = true;
-    State.At at = request.state.at();
-    if (at == State.At.ENDED) return;
+  /** Handles a caller that disconnected: its request is dropped or cancelled. */
+  public void callerGone(Request request) {
+    request.callerGone = true;
+    RequestState.Phase state = request.state.phase();
+    if (state == RequestState.Phase.ENDED) return;
     request.decision.add(
         "caller-gone", clock.now(), Json.object().add("pieces", request.piecesOut));
-    if (at == State.At.WAITING) stop(request, "the caller went away", 499);
+    if (state == RequestState.Phase.WAITING) stop(request, "the caller disconnected", 499);
     else if (request.state.end()) {
-      request.decision.outcome("caller-gone");
+      request.decision.setOutcome("caller-gone");
       request.cancel.run();
-      ended(request);
+      finish(request);
     }
   }
 
-  /** The way of a request through this relay. */
-  public FilterChain way(Lookups lookups, ChoiceMode mode, Exchange exchange) {
+  /** Creates the chain of filters that requests pass in this relay. */
+  public FilterChain filterChain(Lookups lookups, ChoiceMode choiceMode, Exchange exchange) {
     return new FilterChain(
         List.of(
             new KeyFilter(this),
             new RouteFilter(this),
             new AdmissionFilter(this),
             new PrefixLookupFilter(this, lookups),
-            new ReplicaChoice(this, mode, lookups),
+            new ReplicaChoice(this, choiceMode, lookups),
             new FetchPlanFilter(this),
             new Forwarding(this, exchange)),
         "choice",
         clock,
-        this::ended);
+        this::finish);
   }
 
-  /** A new snapshot: back ends, shares, and what it forbids of requests under way. */
-  public void tables(ControlStateSnapshot snapshot) {
-    backends.tables(snapshot);
-    stores.tables(snapshot, clock.now());
-    if (snapshot.configurationNumber() != shaped.configurationNumber()) {
+  /**
+   * Applies a new snapshot to replicas and quota shares, and stops requests that it no longer
+   * permits.
+   */
+  public void applySnapshot(ControlStateSnapshot snapshot) {
+    backends.applySnapshot(snapshot);
+    stores.applySnapshot(snapshot, clock.now());
+    if (snapshot.configurationNumber() != appliedSnapshot.configurationNumber()) {
       urgencyLevels = new UrgencyLevels(snapshot.configuration());
-      for (WaitQueue b : queues.values()) b.shape(snapshot.configuration());
-      for (Request request : live()) {
-        if (request.tenant == null || request.route != null && request.route.open()) continue;
-        Configuration.Tenant n = snapshot.configuration().tenantOfHash(request.keyHash);
+      for (WaitQueue queue : queues.values()) queue.configure(snapshot.configuration());
+      for (Request request : liveRequests()) {
+        if (request.tenant == null || request.route != null && request.route.allowsAnonymous())
+          continue;
+        Configuration.Tenant tenant = snapshot.configuration().tenantByKeyHash(request.apiKeyHash);
         boolean runs =
-            request.state.at() == State.At.HANDED || request.state.at() == State.At.STREAMING;
-        if ((n == null || !n.name().equals(request.tenant.name()))
-            && (settings.cutsStreams() || !runs)) stop(request, "key revoked", 401);
+            request.state.phase() == RequestState.Phase.FORWARDED
+                || request.state.phase() == RequestState.Phase.STREAMING;
+        if ((tenant == null || !tenant.name().equals(request.tenant.name()))
+            && (settings.cutsRevokedStreams() || !runs))
+          stop(request, "the API key was revoked", 401);
       }
     }
-    shaped = snapshot;
-    pump();
+    appliedSnapshot = snapshot;
+    admitWaiting();
   }
 
-  /** Ends a request wherever it is: refused from the queue, or cut off at the replica. */
-  public void stop(Request o, String why, int status) {
-    State.At at = o.state.at();
-    if (at == State.At.WAITING && !o.admitted && o.leaveQueue != null) {
-      for (Request x : queue(o.service.name()).leave(y -> y == o))
-        x.leaveQueue.accept(
-            FilterResult.notRun(status, why, status == 401 ? 0 : retryAdvice.untilStateMs()));
-    } else if (at == State.At.HANDED || at == State.At.STREAMING) cutOff(o, why);
-    // an admitted request still waiting meets the same check at the hand-over
+  /** Stops a request: refuses it if it is queued, cuts it off if it is at a replica. */
+  public void stop(Request request, String reason, int status) {
+    RequestState.Phase state = request.state.phase();
+    if (state == RequestState.Phase.WAITING && !request.admitted && request.onLeaveQueue != null) {
+      for (Request removed : queue(request.service.name()).removeIf(waiting -> waiting == request))
+        removed.onLeaveQueue.accept(
+            FilterResult.notRun(status, reason, status == 401 ? 0 : retryAdvice.msUntilState()));
+    } else if (state == RequestState.Phase.FORWARDED || state == RequestState.Phase.STREAMING)
+      cutOff(request, reason);
+    // an admitted request that is not sent yet meets the same check before it is sent
   }
 
-  public void cutOff(Request request, String why) {
-    boolean streaming = request.state.at() == State.At.STREAMING;
+  /** Cuts off a request that was sent to a replica and tells its caller. */
+  public void cutOff(Request request, String reason) {
+    boolean wasStreaming = request.state.phase() == RequestState.Phase.STREAMING;
     if (!request.state.end()) return;
-    // the reason first: letting the replica go may end the request's record on the spot
+    // add the reason first: cancelling may end the request's record at once
     request.decision.add(
-        "cut-off", clock.now(), Json.object().add("why", why).add("pieces", request.piecesOut));
-    request.decision.outcome(streaming ? "cut-off" : "unknown");
-    request.why = why;
+        "cut-off", clock.now(), Json.object().add("why", reason).add("pieces", request.piecesOut));
+    request.decision.setOutcome(wasStreaming ? "cut-off" : "unknown");
+    request.failureReason = reason;
     request.cancel.run();
-    if (!request.gone) {
-      if (streaming) request.caller.cutOff(request, why);
+    if (!request.callerGone) {
+      if (wasStreaming) request.caller.cutOff(request, reason);
       else
         request.caller.refuse(
             request,
             (FilterResult.Refuse)
                 FilterResult.unknown(
-                    request.deadline <= clock.now() ? 504 : 502,
-                    why,
-                    retryAdvice.untilRoomMs(request)));
+                    request.deadlineMs <= clock.now() ? 504 : 502,
+                    reason,
+                    retryAdvice.msUntilRoom(request)));
     }
-    ended(request);
+    finish(request);
   }
 
   /**
-   * Its deadline passed while a connection was awaited: the caller is told at once, and when the
-   * connection is up nothing leaves on it.
+   * Refuses a request whose deadline passed while it awaited a connection. The caller is told at
+   * once, and nothing is sent when the connection is established.
    */
   private void expireUnsent(Request request) {
     if (!request.state.end()) return;
-    FilterResult.Refuse v =
+    FilterResult.Refuse refusal =
         ((FilterResult.Refuse)
-                FilterResult.notRun(503, EXPIRED_UNSENT, retryAdvice.untilRoomMs(request)))
-            .afterTriesOf(request);
+                FilterResult.notRun(503, EXPIRED_BEFORE_SEND, retryAdvice.msUntilRoom(request)))
+            .adjustedForTriesOf(request);
     request.decision.add(
         "turned-away",
         clock.now(),
-        Json.object().add("status", v.status()).add("reason", v.reason()));
-    request.decision.outcome(v.outcome());
-    request.why = v.reason();
-    if (!request.gone) request.caller.refuse(request, v);
-    ended(request);
+        Json.object().add("status", refusal.status()).add("reason", refusal.reason()));
+    request.decision.setOutcome(refusal.outcome());
+    request.failureReason = refusal.reason();
+    if (!request.callerGone) request.caller.refuse(request, refusal);
+    finish(request);
   }
 
-  /** What waits and can't end in time any more is told so at once, so that its caller can go on. */
-  private void refuseTooLate(long now) {
-    if (!settings.has(Mechanism.EARLY_REFUSAL)) return;
+  /**
+   * Refuses queued requests that can no longer finish in time, so that their callers need not wait
+   * for the deadline.
+   */
+  private void refuseOverdue(long nowMs) {
+    if (!settings.isEnabled(Mechanism.EARLY_REFUSAL)) return;
     for (WaitQueue queue : queues.values())
-      for (Request request : queue.leave(waiting -> now > waiting.latestStartMs()))
-        request.leaveQueue.accept(
-            FilterResult.notRun(503, EXPIRED_UNPLACED, retryAdvice.untilRoomMs(request)));
+      for (Request request : queue.removeIf(waiting -> nowMs > waiting.latestStartMs()))
+        request.onLeaveQueue.accept(
+            FilterResult.notRun(503, EXPIRED_IN_QUEUE, retryAdvice.msUntilRoom(request)));
   }
 
   /**
-   * Called a few times a second: deadlines, and streams whose right to go on can't be known any
-   * more.
+   * Enforces deadlines, and cuts off streams whose permission cannot be known any more. Called
+   * several times a second.
    */
   public void tick() {
-    long now = clock.now();
-    divide(now, now - ticked);
-    // after a pause of its own, replicas are given the time to say that they are there
-    if (now - ticked > ASLEEP) awake = now;
-    ticked = now;
-    refuseTooLate(now);
-    for (Request o : live()) {
-      if (o.deadline > 0 && now >= o.deadline) {
-        State.At at = o.state.at();
-        if (at == State.At.WAITING && !o.admitted && o.leaveQueue != null) {
-          for (Request x : queue(o.service.name()).leave(y -> y == o))
-            x.leaveQueue.accept(
-                FilterResult.notRun(503, "expired in the backlog", retryAdvice.untilRoomMs(x)));
-        } else if (at == State.At.HANDED || at == State.At.STREAMING) cutOff(o, "expired");
-        else if (at == State.At.WAITING && o.admitted) expireUnsent(o);
-      } else if (o.backend != null
-          && o.backend.silent(now, awake)
-          && o.state.at() != State.At.WAITING) o.lost.accept("has fallen silent");
+    long nowMs = clock.now();
+    updateShares(nowMs, nowMs - lastTickMs);
+    // after a stall of this process, replicas are given time to report again
+    if (nowMs - lastTickMs > STALL_THRESHOLD_MS) awakeSinceMs = nowMs;
+    lastTickMs = nowMs;
+    refuseOverdue(nowMs);
+    for (Request request : liveRequests()) {
+      if (request.deadlineMs > 0 && nowMs >= request.deadlineMs) {
+        RequestState.Phase state = request.state.phase();
+        if (state == RequestState.Phase.WAITING
+            && !request.admitted
+            && request.onLeaveQueue != null) {
+          for (Request removed :
+              queue(request.service.name()).removeIf(waiting -> waiting == request))
+            removed.onLeaveQueue.accept(
+                FilterResult.notRun(
+                    503, "the deadline passed in the queue", retryAdvice.msUntilRoom(removed)));
+        } else if (state == RequestState.Phase.FORWARDED || state == RequestState.Phase.STREAMING)
+          cutOff(request, "expired");
+        else if (state == RequestState.Phase.WAITING && request.admitted) expireUnsent(request);
+      } else if (request.backend != null
+          && request.backend.isSilent(nowMs, awakeSinceMs)
+          && request.state.phase() != RequestState.Phase.WAITING)
+        request.onReplicaLost.accept("sent no load report for too long");
     }
-    if (settings.cutsStreams() && now - news.leases.until(StateKeys.CONFIGURATION) > GRACE)
-      for (Request o : live())
-        if (o.tenant != null) stop(o, "no licence for so long that keys can't be known", 503);
-    pump();
+    if (settings.cutsRevokedStreams()
+        && nowMs - subscription.leases.validUntilMs(StateKeys.CONFIGURATION) > STREAM_GRACE_MS)
+      for (Request request : liveRequests())
+        if (request.tenant != null)
+          stop(request, "no licence for so long that keys may have been revoked", 503);
+    admitWaiting();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
@@ -2,31 +2,34 @@
 
 import gladelug.common.Clock;
 import gladelug.common.connection.BindAddress;
-import gladelug.data.request.Decisions;
 import gladelug.data.request.FilterChain;
+import gladelug.data.request.RecentDecisions;
 import io.smallrye.mutiny.Uni;
 import io.vertx.mutiny.core.Vertx;
 
 /**
- * What a relay speaks: to callers at its listener, to replicas, and how it learns their state. The
- * filters between are the same whatever is spoken. Called on the request thread.
+ * The protocols of a relay: to callers at its listener, to replicas, and for learning the state of
+ * replicas. The filters in between do not depend on them. Called on the request thread.
  */
 public interface RelayProtocol {
-  /** The machine under a relay. */
-  record Under(Vertx vertx, BindAddress local, Clock clock) {}
+  /** The event loop, local address and clock of a relay. */
+  record Environment(Vertx vertx, BindAddress localAddress, Clock clock) {}
 
-  /** The open door. */
-  interface Door {
-    /** From now on callers are told to go elsewhere with their next request. */
-    default void leaving() {}
+  /** The open listener for callers. */
+  interface Listener {
+    /** Tells callers from now on to send their next request elsewhere. */
+    default void startDraining() {}
 
     void close();
   }
 
-  Backends backends(Under u, Relay r);
+  /** Creates the replicas of a relay and starts to learn their state. */
+  Backends createBackends(Environment environment, Relay relay);
 
-  Exchange exchange(Under u, Relay r);
+  /** Creates the exchange over which requests are sent to replicas. */
+  Exchange createExchange(Environment environment, Relay relay);
 
-  /** Opens the door; fails where it can't be opened. */
-  Uni<Door> open(Under u, Relay r, Decisions decisions, FilterChain way);
+  /** Opens the listener; fails if it cannot be opened. */
+  Uni<Listener> open(
+      Environment environment, Relay relay, RecentDecisions decisions, FilterChain filterChain);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayService.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayService.java
@@ -14,9 +14,9 @@
 import gladelug.data.StatusEndpoint;
 import gladelug.data.decisions.DecisionLogService;
 import gladelug.data.request.Decision;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Request;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
 import gladelug.data.state.ControlStateSnapshot;
 import gladelug.data.state.StateSubscriptionService;
 import io.smallrye.mutiny.Uni;
@@ -32,23 +32,29 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Puts a relay together on one event loop, the request thread, and shuts it down gracefully: not
- * ready first, then no new requests, then those under way may end.
+ * Assembles a relay on one event loop, the request thread, and shuts it down gracefully: it becomes
+ * unready first, then refuses new requests, then lets running ones finish.
  */
 public final class RelayService implements ServiceRegistry.Service {
-  public static final long DRAIN = 8000;
-  private static final int REMEMBERED = 16384;
+  /** Default maximum duration of a shutdown, in ms. */
+  public static final long DRAIN_MS = 8000;
 
-  /** How often deadlines are looked at, ms, and while no request is under way. */
-  private static final long TICK = 50, IDLE_TICK = 200;
+  /** Number of decision records kept for the operator. */
+  private static final int REMEMBERED_DECISIONS = 16384;
+
+  /** Interval at which deadlines are checked, in ms; the second one while no request is running. */
+  private static final long TICK_MS = 50, IDLE_TICK_MS = 200;
 
   /**
-   * A relay that stops takes what has to end before it does. lingerMs: how long it stays though
-   * nothing is under way, as callers may still be sent to it; drainMs: when it has ended at the
-   * latest.
+   * Times of a shutdown, in ms. A stopping relay still accepts requests that have to end before it
+   * does.
+   *
+   * @param lingerMs how long it stays though no request is running, as callers may still be sent to
+   *     it
+   * @param drainMs when it has ended at the latest
    */
-  public record Ends(long lingerMs, long drainMs) {
-    public static final Ends USUAL = new Ends(0, DRAIN);
+  public record ShutdownTimes(long lingerMs, long drainMs) {
+    public static final ShutdownTimes DEFAULT = new ShutdownTimes(0, DRAIN_MS);
   }
 
   private final Vertx vertx;
@@ -56,15 +62,15 @@
   private final String name;
   private final String zone;
   private final RelayProtocol protocol;
-  private final Address index;
+  private final Address ownIndex;
   private final RelaySettings settings;
-  private final ChoiceMode mode;
-  private final Ends ends;
+  private final ChoiceMode choiceMode;
+  private final ShutdownTimes shutdownTimes;
   private Context context;
   private volatile Relay relay;
-  private StallDetector.Watched watched;
-  private Decisions decisions;
-  private RelayProtocol.Door door;
+  private StallDetector.WatchedThread stallWatch;
+  private RecentDecisions decisions;
+  private RelayProtocol.Listener listener;
 
   public RelayService(
       Vertx vertx,
@@ -72,89 +78,97 @@
       String name,
       String zone,
       RelayProtocol protocol,
-      Address index,
+      Address ownIndex,
       RelaySettings settings,
-      ChoiceMode mode,
-      Ends ends) {
+      ChoiceMode choiceMode,
+      ShutdownTimes shutdownTimes) {
     this.vertx = vertx;
     this.clock = clock;
     this.name = name;
     this.zone = zone;
     this.protocol = protocol;
-    this.index = index;
+    this.ownIndex = ownIndex;
     this.settings = settings;
-    this.mode = mode;
-    this.ends = ends;
+    this.choiceMode = choiceMode;
+    this.shutdownTimes = shutdownTimes;
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    StateSubscriptionService news = registry.find("news", StateSubscriptionService.class);
-    ConnectionAcceptor doors = registry.find("doors", ConnectionAcceptor.class);
+    StateSubscriptionService subscriptions = registry.find("news", StateSubscriptionService.class);
+    ConnectionAcceptor acceptor = registry.find("doors", ConnectionAcceptor.class);
     PartialViewService views = registry.find("views", PartialViewService.class);
-    DecisionLogService reasons = registry.find("reasons", DecisionLogService.class);
-    reasons.prepare();
-    decisions = new Decisions(REMEMBERED, name, news.run());
+    DecisionLogService decisionLog = registry.find("reasons", DecisionLogService.class);
+    decisionLog.keepPeersConnected();
+    decisions = new RecentDecisions(REMEMBERED_DECISIONS, name, subscriptions.run());
     context = vertx.getOrCreateContext();
-    watched = ProcessStalls.detector().watch("requests", this::onRequestThread);
-    RelayProtocol.Under under = new RelayProtocol.Under(vertx, doors.local, clock);
-    CompletableFuture<Void> up = new CompletableFuture<>();
+    stallWatch = ProcessStalls.detector().watch("requests", this::onRequestThread);
+    RelayProtocol.Environment environment =
+        new RelayProtocol.Environment(vertx, acceptor.bindAddress, clock);
+    CompletableFuture<Void> started = new CompletableFuture<>();
     context.runOnContext(
         () -> {
-          Relay r =
+          Relay newRelay =
               new Relay(
                   clock,
-                  news.held,
-                  x -> protocol.backends(under, x),
+                  subscriptions.subscription,
+                  created -> protocol.createBackends(environment, created),
                   zone,
                   settings,
                   () ->
                       Math.max(
-                          news.held.relays(),
+                          subscriptions.subscription.relayCount(),
                           1
                               + (int)
                                   views.all().stream()
-                                      .filter(d -> d.role().equals("relay"))
+                                      .filter(each -> each.role().equals("relay"))
                                       .count()));
           LookupClient lookups =
               new LookupClient(
                   vertx,
                   context,
-                  doors,
+                  acceptor,
                   views,
                   zone,
-                  index,
-                  settings.lookupMs(),
-                  settings.oneIndexAZone());
-          ticks(r);
+                  ownIndex,
+                  settings.lookupTimeoutMs(),
+                  settings.oneIndexPerZone());
+          scheduleTicks(newRelay);
           List<Decision> ended = new ArrayList<>();
-          r.reasons = ended::add;
+          newRelay.decisionSink = ended::add;
           vertx.setPeriodic(
-              DecisionLogService.PERIOD,
-              i -> {
-                for (Request request : r.live())
-                  if (request.state.at() != State.At.WAITING) ended.add(request.decision);
-                reasons.hand(List.copyOf(ended), decisions.run());
+              DecisionLogService.SEND_INTERVAL_MS,
+              timer -> {
+                for (Request request : newRelay.liveRequests())
+                  if (request.state.phase() != RequestState.Phase.WAITING)
+                    ended.add(request.decision);
+                decisionLog.submit(List.copyOf(ended), decisions.runId());
                 ended.clear();
               });
-          relay = r;
+          relay = newRelay;
           protocol
-              .open(under, r, decisions, r.way(lookups, mode, protocol.exchange(under, r)))
+              .open(
+                  environment,
+                  newRelay,
+                  decisions,
+                  newRelay.filterChain(
+                      lookups, choiceMode, protocol.createExchange(environment, newRelay)))
               .subscribe()
               .with(
-                  d -> {
-                    door = d;
-                    up.complete(null);
+                  opened -> {
+                    listener = opened;
+                    started.complete(null);
                   },
-                  up::completeExceptionally);
+                  started::completeExceptionally);
         });
     try {
-      up.get(10, TimeUnit.SECONDS);
-    } catch (InterruptedException | ExecutionException | TimeoutException e) {
+      started.get(10, TimeUnit.SECONDS);
+    } catch (InterruptedException | ExecutionException | TimeoutException failure) {
       throw new ServiceRegistry.StartupException(
-          "cannot listen for callers: " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for callers: " + ConnectionAcceptor.rootCauseMessage(failure), failure);
     }
-    news.listen(snapshot -> context.runOnContext(() -> relay.tables(snapshot)));
+    subscriptions.addListener(
+        snapshot -> context.runOnContext(() -> relay.applySnapshot(snapshot)));
     Log.event("caller-listener-started", "name", name);
   }
 
@@ -163,118 +177,128 @@
     return true;
   }
 
-  /** While nothing is under way there are no deadlines to watch, so the relay wakes less often. */
-  private void ticks(Relay r) {
-    r.tick();
-    vertx.setTimer(r.live().isEmpty() ? IDLE_TICK : TICK, i -> ticks(r));
+  /**
+   * Schedules the next tick. Without running requests there are no deadlines to check, so ticks are
+   * less frequent.
+   */
+  private void scheduleTicks(Relay current) {
+    current.tick();
+    vertx.setTimer(
+        current.liveRequests().isEmpty() ? IDLE_TICK_MS : TICK_MS, timer -> scheduleTicks(current));
   }
 
-  /** Other settings from now on. */
-  public void settings(RelaySettings s) {
-    context.runOnContext(() -> relay.settings = s);
+  /** Replaces the settings. */
+  public void updateSettings(RelaySettings newSettings) {
+    context.runOnContext(() -> relay.settings = newSettings);
   }
 
-  public String unready() {
-    return ProcessStalls.orElse(
-        relay == null ? "starting" : relay.leaving ? "stopping" : relay.unready());
+  /** Returns why the relay accepts no requests now, or an empty string if it does. */
+  public String unreadyReason() {
+    return ProcessStalls.unreadyReasonOr(
+        relay == null ? "starting" : relay.draining ? "stopping" : relay.unreadyReason());
   }
 
+  /** Returns the status of the relay, collected on the request thread. */
   public Uni<JsonObject> status() {
     return Uni.createFrom()
         .emitter(
-            e ->
+            emitter ->
                 context.runOnContext(
                     () -> {
-                      Relay r = relay;
-                      ControlStateSnapshot snapshot = r.tables();
-                      long now = clock.now();
-                      JsonObject json = Json.object();
+                      Relay current = relay;
+                      ControlStateSnapshot snapshot = current.snapshot();
+                      long nowMs = clock.now();
+                      JsonObject leases = Json.object();
                       for (String key : StateKeys.LEASED)
-                        json.add(key, Math.max(-1, r.news.leases.until(key) - now));
-                      e.complete(
+                        leases.add(
+                            key,
+                            Math.max(-1, current.subscription.leases.validUntilMs(key) - nowMs));
+                      emitter.complete(
                           Json.object()
                               .add("name", name)
                               .add("domain", zone)
-                              .add("unready", r.unready())
+                              .add("unready", current.unreadyReason())
                               .add("policy", snapshot.configurationNumber())
                               .add("weights", snapshot.weightsNumber())
                               .add("replicas", snapshot.replicasNumber())
                               .add("generation", snapshot.generation())
-                              .add("licenceLeftMs", json)
-                              .add("ordersUnderWay", r.live().size())
+                              .add("licenceLeftMs", leases)
+                              .add("ordersUnderWay", current.liveRequests().size())
                               .add("longestWaitsMs", longestWaits())
-                              .add("shares", r.shares())
-                              .add("backends", r.backends.json()));
+                              .add("shares", current.sharesJson())
+                              .add("backends", current.backends.json()));
                     }));
   }
 
-  /** By thread, the longest that a task waited for the one before it. */
+  /** Returns, by thread, the longest time a task waited for the one before it, in ms. */
   private static JsonObject longestWaits() {
     JsonObject waits = Json.object();
     ProcessStalls.detector().longestWaitsMs().forEach(waits::add);
     return waits;
   }
 
-  public void routes(Router r) {
-    r.get("/operator/requests/:id").handler(this::explain);
-    // the earlier path, for one release
-    r.get("/operator/orders/:id").handler(this::explain);
+  /** Registers the operator's paths. */
+  public void registerRoutes(Router router) {
+    router.get("/operator/requests/:id").handler(this::explain);
+    // the earlier path, kept for one release
+    router.get("/operator/orders/:id").handler(this::explain);
   }
 
   private void explain(RoutingContext context) {
-    Decisions.Found f = decisions.find(context.pathParam("id"));
-    if (f instanceof Decisions.Found.Yes y) StatusEndpoint.say(context, 200, y.decision().json());
-    else if (f instanceof Decisions.Found.Malformed)
-      StatusEndpoint.say(
+    RecentDecisions.FindResult found = decisions.find(context.pathParam("id"));
+    if (found instanceof RecentDecisions.FindResult.Present hit)
+      StatusEndpoint.sendJson(context, 200, hit.decision().toJson());
+    else if (found instanceof RecentDecisions.FindResult.Malformed)
+      StatusEndpoint.sendJson(
           context,
           400,
           Json.object()
               .add(
                   "reason", "a request id is RELAY.RUN.NUMBER, as in the header Gladelug-Request"));
-    else if (f instanceof Decisions.Found.Overwritten)
-      StatusEndpoint.say(
+    else if (found instanceof RecentDecisions.FindResult.Overwritten)
+      StatusEndpoint.sendJson(
           context,
           410,
           Json.object()
               .add(
                   "reason",
-                  "this relay took the request but has overwritten its record; it remembers the last "
-                      + REMEMBERED));
-    else if (f instanceof Decisions.Found.OtherRun)
-      StatusEndpoint.say(
+                  "this relay accepted the request but has overwritten its record; it keeps the last "
+                      + REMEMBERED_DECISIONS));
+    else if (found instanceof RecentDecisions.FindResult.OtherRun)
+      StatusEndpoint.sendJson(
           context,
           410,
           Json.object()
               .add(
                   "reason",
-                  "the request was taken by an earlier run of this relay, whose records are gone"));
+                  "the request was accepted by an earlier run of this relay, whose records are lost"));
     else
-      StatusEndpoint.say(
+      StatusEndpoint.sendJson(
           context, 404, Json.object().add("reason", "this relay never took such a request"));
   }
 
   @Override
   public void stop() {
-    watched.close();
+    stallWatch.close();
     CompletableFuture<Void> done = new CompletableFuture<>();
     context.runOnContext(
         () -> {
-          long begun = clock.now();
-          relay.leave(begun + ends.drainMs);
-          door.leaving();
+          long startedAtMs = clock.now();
+          relay.startDraining(startedAtMs + shutdownTimes.drainMs);
+          listener.startDraining();
           vertx.setPeriodic(
               20,
-              i -> {
-                long past = clock.now() - begun;
-                if (past >= ends.lingerMs && relay.live().isEmpty() || past > ends.drainMs)
-                  done.complete(null);
+              timer -> {
+                long elapsedMs = clock.now() - startedAtMs;
+                if (elapsedMs >= shutdownTimes.lingerMs && relay.liveRequests().isEmpty()
+                    || elapsedMs > shutdownTimes.drainMs) done.complete(null);
               });
         });
     try {
-      done.get(ends.drainMs + 1000, TimeUnit.MILLISECONDS);
-    } catch (InterruptedException | ExecutionException | TimeoutException e) {
+      done.get(shutdownTimes.drainMs + 1000, TimeUnit.MILLISECONDS);
+    } catch (InterruptedException | ExecutionException | TimeoutException failure) {
       Log.warn("drain-unfinished");
     }
-    door.close();
+    listener.close();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RetryBudget.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RetryBudget.java
@@ -6,53 +6,64 @@
 import java.util.function.Supplier;
 
 /**
- * The budget of retries: every first attempt of a service earns a fraction of one, and a small
- * allowance stands at the start, so that over the fleet they stay under the bound whatever fails.
- * What the fleet may spend beyond its earnings in a window is divided evenly over the relays.
+ * Limits retries: every first attempt of a service earns a fraction of a retry, and there is a
+ * small initial allowance, so that retries over the fleet stay under the bound whatever fails. What
+ * the fleet may spend in a window beyond its earnings is divided evenly among the relays.
  */
 public final class RetryBudget {
-  /** The product's own figures: 0.15 earned a first try, at most 3 saved up, 1 to begin with. */
-  static final double EARN = 0.15, ALLOWANCE = 1, MOST = 3;
+  /** Built-in values: retries earned per first attempt, initial allowance, and maximum saved up. */
+  static final double DEFAULT_EARN_RATIO = 0.15, DEFAULT_ALLOWANCE = 1, DEFAULT_MAX_TOKENS = 3;
 
   /**
-   * Of what a bound leaves, how much is used: a relay's share is reckoned from a view that may lag.
+   * Share of the bound that is used, as a relay's part is computed from a view of the fleet that
+   * may lag behind.
    */
-  private static final double CAREFUL = 0.7;
+  private static final double SAFETY_FACTOR = 0.7;
 
-  private final Map<String, double[]> tokens = new HashMap<>();
+  private final Map<String, double[]> tokensByService = new HashMap<>();
   private final Supplier<RelaySettings> settings;
-  private final IntSupplier relays;
+  private final IntSupplier relayCount;
 
-  /** By the settings of the moment; relays: over how many the fleet's allowance is shared out. */
-  public RetryBudget(Supplier<RelaySettings> settings, IntSupplier relays) {
+  /**
+   * Creates a budget that follows changes of the settings.
+   *
+   * @param relayCount number of relays that share the fleet's allowance
+   */
+  public RetryBudget(Supplier<RelaySettings> settings, IntSupplier relayCount) {
     this.settings = settings;
-    this.relays = relays;
+    this.relayCount = relayCount;
   }
 
-  private boolean own() {
+  private boolean usesDefaults() {
     return settings.get().retrySlack() < 0;
   }
 
-  private double most() {
-    return own()
-        ? MOST
-        : Math.max(0, settings.get().retrySlack() * CAREFUL / Math.max(1, relays.getAsInt()));
+  private double maxTokens() {
+    return usesDefaults()
+        ? DEFAULT_MAX_TOKENS
+        : Math.max(
+            0, settings.get().retrySlack() * SAFETY_FACTOR / Math.max(1, relayCount.getAsInt()));
   }
 
-  private double[] of(String service) {
-    return tokens.computeIfAbsent(service, text -> new double[] {own() ? ALLOWANCE : most() / 2});
+  private double[] tokensOf(String service) {
+    return tokensByService.computeIfAbsent(
+        service, name -> new double[] {usesDefaults() ? DEFAULT_ALLOWANCE : maxTokens() / 2});
   }
 
-  public void firstTry(String service) {
-    double[] t = of(service);
-    t[0] =
-        Math.min(Math.max(1, most()), t[0] + settings.get().retryRatio() * (own() ? 1 : CAREFUL));
+  /** Records a first attempt, which earns a fraction of a retry. */
+  public void recordFirstAttempt(String service) {
+    double[] tokens = tokensOf(service);
+    tokens[0] =
+        Math.min(
+            Math.max(1, maxTokens()),
+            tokens[0] + settings.get().retryRatio() * (usesDefaults() ? 1 : SAFETY_FACTOR));
   }
 
-  public boolean secondTry(String service) {
-    double[] t = of(service);
-    if (t[0] < 1) return false;
-    t[0]--;
+  /** Takes one retry from the budget; returns false if there is none left. */
+  public boolean takeRetry(String service) {
+    double[] tokens = tokensOf(service);
+    if (tokens[0] < 1) return false;
+    tokens[0]--;
     return true;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/request/Prompt.java
+++ b/data-plane/src/main/java/gladelug/data/request/Prompt.java
@@ -4,32 +4,39 @@
 import java.util.List;
 
 /**
- * What a request's prompt is to the index and to the choice of a replica: its prefix blocks in
- * order, each with a key that no other model, weights or scope of sharing has, and a size in units.
- * The product's own callers send text, which is split into blocks of bytes, one unit each; others
- * send the parts and their tokens, one unit a token.
+ * A request's prompt as the index and the choice of a replica see it: its prefix blocks in order,
+ * each with a size in units and a key that depends on model, weights and cache scope. Callers of
+ * the product's own protocol send text, which is split into blocks of bytes of one unit each; other
+ * protocols send parts with their token counts, one unit per token.
  */
 public sealed interface Prompt {
   Prompt NONE = new Parts(List.of());
 
-  /** The keys of the prefix blocks under these; blockBytes is what the replicas cut text into. */
-  long[] keys(String model, String weights, String scope, int blockBytes);
+  /**
+   * Returns the keys of the prefix blocks; blockBytes is the block size with which replicas split
+   * text.
+   */
+  long[] blockKeys(String model, String weights, String scope, int blockBytes);
 
-  /** The size of the block at i, in units. */
-  int units(int i);
+  /** Returns the size of a block in units. */
+  int blockUnits(int index);
 
-  /** The size of all of it, in units; blockBytes is what the replicas cut text into. */
+  /**
+   * Returns the size of the whole prompt in units; blockBytes is the block size with which replicas
+   * split text.
+   */
   int totalUnits(int blockBytes);
 
-  /** A prompt as text. */
+  /** A prompt given as text. */
   record Text(String text) implements Prompt {
     @Override
-    public long[] keys(String model, String weights, String scope, int blockBytes) {
-      return Blocks.ids(model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
+    public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
+      return PrefixBlocks.computeIds(
+          model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
     }
 
     @Override
-    public int units(int i) {
+    public int blockUnits(int index) {
       return 1;
     }
 
@@ -39,26 +46,27 @@
     }
   }
 
-  /** A named part of a prompt and its tokens. */
+  /** A named part of a prompt and its length in tokens. */
   record Part(String id, int tokens) {}
 
-  /** A prompt as its parts in order. */
+  /** A prompt given as its parts in order. */
   record Parts(List<Part> parts) implements Prompt {
     public Parts {
       parts = List.copyOf(parts);
     }
 
     @Override
-    public long[] keys(String model, String weights, String scope, int blockBytes) {
-      String salt = Salt.of(model, weights, scope);
-      long[] out = new long[parts.size()];
-      for (int i = 0; i < out.length; i++) out[i] = Salt.key(salt, parts.get(i).id);
-      return out;
+    public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
+      String salt = CacheSalt.of(model, weights, scope);
+      long[] keys = new long[parts.size()];
+      for (int index = 0; index < keys.length; index++)
+        keys[index] = CacheSalt.partKey(salt, parts.get(index).id);
+      return keys;
     }
 
     @Override
-    public int units(int i) {
-      return parts.get(i).tokens;
+    public int blockUnits(int index) {
+      return parts.get(index).tokens;
     }
 
     @Override
--- a/data-plane/src/main/java/gladelug/data/request/Request.java
+++ b/data-plane/src/main/java/gladelug/data/request/Request.java
@@ -8,179 +8,236 @@
 import java.util.function.Consumer;
 
 /**
- * One request under way: what the caller sent, what the filters found, and the caller that gets its
- * answer. Confined to the request thread but for its state.
+ * A request in progress: what the caller sent, what the filters found, and the caller that receives
+ * the answer. Confined to the request thread except for its state.
  */
 public final class Request {
-  public final State state = new State();
+  public final RequestState state = new RequestState();
   public final Decision decision;
-  public final long came;
-  public final String keyHash;
+  public final long receivedAtMs;
+  public final String apiKeyHash;
   public final String path;
   public final Caller caller;
   public Configuration.Tenant tenant;
   public Configuration.Route route;
   public Configuration.Service service;
+
+  /** The leaf of the quota tree that the request counts against; set with the route. */
   public String leaf = "";
-  public long deadline;
-  public long handedAt;
+
+  /** The deadline on the relay's clock. */
+  public long deadlineMs;
+
+  /** The time on the relay's clock at which the request was last forwarded to a replica. */
+  public long forwardedAtMs;
+
+  /** Whether the request may be run again after an earlier try may have run it. */
   public boolean repeatable;
 
-  /** What the caller said of it, or null. */
-  public Boolean askedRepeatable;
+  /** Whether the caller declared the request repeatable; null if it did not say. */
+  public Boolean declaredRepeatable;
 
-  /** Of the path's host, empty where the caller names none. */
+  /** The host that the caller named; empty if it named none. */
   public String host = "";
 
-  public Message message = Message.NONE;
+  public ReceivedRequest received = ReceivedRequest.NONE;
   public Prompt prompt = Prompt.NONE;
 
-  /** Whose weights it runs on: the model it names, or its service. */
+  /** The model that the caller named, otherwise the service; selects the weights. */
   public String model = "";
 
+  /** The maximum number of pieces of the answer. */
   public int maxPieces;
 
-  /** Tokens put out at most, as the caller said; 0 where it didn't. */
-  public int tokensOut;
+  /** The maximum number of output tokens that the caller set; 0 if it set none. */
+  public int maxTokensOut;
 
-  /** Estimated before it is given a place, in ms: its prompt and reply; and those with all else. */
+  /**
+   * The estimated time of prefill and reply in ms, set before the request is admitted to a replica.
+   */
   public double ownWorkMs;
 
+  /**
+   * The expected time in ms from forwarding to the end of the answer, derived from ownWorkMs and
+   * the measured durations of earlier requests.
+   */
   public double expectedMs;
 
-  /** How long the caller waits in all, in ms; 0 where it didn't say. */
+  /** The total time in ms that the caller waits for the answer; 0 if it did not say. */
   public long patienceMs;
 
-  /** Told by the caller that what it sends may be taken up in the middle, after this event. */
-  public String lastEvent = "";
+  /**
+   * The id of the event after which the caller wants the answer resumed; empty if the answer cannot
+   * be resumed.
+   */
+  public String lastEventId = "";
 
   /**
-   * Whether the last piece that went out is the event named by lastEvent, so that the answer can be
-   * taken up after it.
+   * Whether the last piece sent is the event named by lastEventId, so that the answer can resume
+   * after it.
    */
-  public boolean resumesAfterLast;
+  public boolean canResumeAfterLastEvent;
 
-  public Head head;
+  public ResponseHead responseHead;
 
-  /** Why it was refused or cut off, for the log. */
-  public String why = "";
+  /** The reason why the request was refused or cut off, for the log. */
+  public String failureReason = "";
 
-  /** The only replica that may be chosen now, or null. */
-  public Backend only;
+  /** The only replica that may be chosen now, or null for any. */
+  public Backend requiredBackend;
 
   /**
-   * From 0 to 1, the same for every try at the same replicas: which part of a split route it takes.
+   * A draw from 0 to 1 that selects a branch of a split route; the same for every try at the same
+   * replicas.
    */
-  public double draw;
+  public double splitDraw;
 
+  /** The version of the weights that the request runs on. */
   public String weights = "";
 
-  /** Among whom it shares cached prefixes. */
+  /** The scope in which the request shares cached prefixes; see {@link CacheScope}. */
   public String cacheScope = "";
 
-  public long[] blocks = new long[0];
+  /** The keys of the prefix blocks of the prompt. */
+  public long[] blockKeys = new long[0];
+
   public List<Lookup.Match> matches = List.of();
 
-  /** How the index answered: answered, warming, late, no-index or no-block; - where not asked. */
-  public String lookupAnswer = "-";
+  /**
+   * The outcome of the index lookup: answered, warming, late, no-index or no-block; "-" if the
+   * index was not queried.
+   */
+  public String lookupOutcome = "-";
 
-  /** How long the index's answer was waited for, in ms. */
+  /** The time waited for the index's answer, in ms. */
   public long lookupMs;
 
-  /** The most units of its prompt's first blocks that any one holder keeps, as the index told. */
-  public int heldUnits;
+  /**
+   * The maximum over all holders of the units of the prompt's first blocks that a holder keeps,
+   * according to the index.
+   */
+  public int maxHeldUnits;
 
-  /** From its arrival to the first piece of the answer, in ms; -1 before that. */
+  /** The time from arrival to the first piece of the answer in ms; -1 before that. */
   public long firstPieceMs = -1;
 
-  /** When the last piece of the answer came, on the relay's clock; counts from the first one on. */
+  /** The time of the last piece of the answer on the relay's clock; valid after the first piece. */
   private long lastPieceAtMs;
 
-  /** The longest time between two pieces of the answer, in ms, and when it ended. */
+  /** The longest pause between two pieces of the answer, in ms. */
   private long longestPauseMs;
 
+  /** The time on the relay's clock at which the longest pause ended. */
   private long longestPauseEndedAtMs;
 
   public Backend backend;
-  public int matched;
+
+  /** The number of first blocks that the chosen replica already keeps. */
+  public int matchedBlocks;
+
+  /** The holder from which the replica fetches blocks; empty for none. */
   public String fetchFrom = "";
+
   public int fetchBlocks;
 
-  /** The store to which its replica is to save the prompt; empty for none. */
+  /** The store to which the replica saves the prompt; empty for none. */
   public String saveTo = "";
 
-  /**
-   * What the choice reckoned with: units to compute, ms of that and of pulling, ms in the replica's
-   * queue.
-   */
+  /** The units that the chosen replica must compute, as estimated by the choice. */
   public int computeUnits;
 
+  /** The estimated time in ms to compute and to fetch from other holders. */
   public double workMs;
+
+  /** The estimated time in ms in the chosen replica's queue. */
   public double queueMs;
 
-  /** Requests that the chosen replica had by then, as far as the relay and the index knew. */
-  public int runningThere;
+  /**
+   * The number of requests at the chosen replica at that time, as far as the relay and the index
+   * knew.
+   */
+  public int runningOnBackend;
 
-  public int tries;
+  /** The number of times the request was forwarded to a replica. */
+  public int tryCount;
 
-  /** The replica it went to last, or null. */
-  public Backend triedLast;
+  /** The replica that was tried last, or null. */
+  public Backend lastTriedBackend;
 
   /**
-   * A replica had it and didn't say that it did not run it, so nothing may be called not-run any
-   * more.
+   * Whether a replica received the request and did not report it as not run; the outcome can then
+   * no longer be "not-run".
    */
   public boolean mayHaveRun;
 
-  public int choices;
+  /** The number of times the request was sent back to the choice of a replica. */
+  public int choiceCount;
+
   public boolean admitted;
+
+  /** The number of pieces of the answer that arrived so far. */
   public int piecesOut;
-  public boolean gone;
+
+  /** Whether the caller closed the connection. */
+  public boolean callerGone;
+
+  /** Cancels the exchange with the replica. */
   public Runnable cancel = () -> {};
 
-  /** Told why, where its replica is known to be silent; nothing more of it counts then. */
-  public Consumer<String> lost = why -> {};
+  /**
+   * Called with the reason when the replica is found to be silent; nothing more that it sends is
+   * used.
+   */
+  public Consumer<String> onReplicaLost = reason -> {};
 
-  public Consumer<FilterResult> leaveQueue;
+  /** Called with the result when the request leaves the queue of waiting requests. */
+  public Consumer<FilterResult> onLeaveQueue;
 
-  /** The caller's side of a request. */
+  /** The connection to the caller of a request. */
   public interface Caller {
-    void refuse(Request request, FilterResult.Refuse v);
+    /** Sends a refusal instead of an answer. */
+    void refuse(Request request, FilterResult.Refuse refusal);
 
-    /** False where the caller can't take more for now; ready is then called once. */
-    boolean piece(Request request, Buffer piece, Runnable ready);
+    /**
+     * Sends a piece of the answer. Returns false if the caller cannot take more for now; ready is
+     * then called once.
+     */
+    boolean sendPiece(Request request, Buffer piece, Runnable ready);
 
-    /** Before the first piece, once. */
-    default void head(Request request, Head h) {}
+    /** Sends the head of the answer; called once, before the first piece. */
+    default void sendHead(Request request, ResponseHead head) {}
 
+    /** Ends the answer after its last piece. */
     void complete(Request request, int pieces);
 
-    void cutOff(Request request, String why);
+    /** Breaks off an answer that cannot be completed. */
+    void cutOff(Request request, String reason);
   }
 
   /**
-   * Cached prefixes are shared among others from now on: none is known that it may use, and what
-   * was found in the former scope is forgotten.
+   * Moves the request to another cache scope: discards the matches found in the former scope, since
+   * the request may not use them.
    */
-  public void moveTo(String otherScope, int blockBytes) {
-    cacheScope = otherScope;
+  public void changeCacheScope(String newScope, int blockBytes) {
+    cacheScope = newScope;
     matches = List.of();
-    blocks = prompt.keys(model, weights, cacheScope, blockBytes);
-    matched = 0;
+    blockKeys = prompt.blockKeys(model, weights, cacheScope, blockBytes);
+    matchedBlocks = 0;
     fetchFrom = "";
     fetchBlocks = 0;
   }
 
-  public Request(Decision decision, long came, String keyHash, String path, Caller caller) {
+  public Request(
+      Decision decision, long receivedAtMs, String apiKeyHash, String path, Caller caller) {
     this.decision = decision;
-    this.came = came;
-    this.keyHash = keyHash;
+    this.receivedAtMs = receivedAtMs;
+    this.apiKeyHash = apiKeyHash;
     this.path = path;
     this.caller = caller;
   }
 
-  /** A piece of the answer came, the first or a later one. */
-  public void pieceCame(long nowMs) {
+  /** Records that a piece of the answer arrived. */
+  public void recordPiece(long nowMs) {
     if (piecesOut > 0 && nowMs - lastPieceAtMs > longestPauseMs) {
       longestPauseMs = nowMs - lastPieceAtMs;
       longestPauseEndedAtMs = nowMs;
@@ -189,45 +246,56 @@
     piecesOut++;
   }
 
-  /** The longest time between two pieces of the answer so far, in ms; 0 before the second. */
+  /**
+   * Returns the longest pause between two pieces of the answer so far in ms; 0 before the second
+   * piece.
+   */
   public long longestPauseMs() {
     return longestPauseMs;
   }
 
-  /** From its arrival to the end of that pause, in ms; -1 where there is none. */
+  /** Returns the time from arrival to the end of the longest pause in ms; -1 if there was none. */
   public long longestPauseEndedMs() {
-    return longestPauseMs == 0 ? -1 : longestPauseEndedAtMs - came;
+    return longestPauseMs == 0 ? -1 : longestPauseEndedAtMs - receivedAtMs;
   }
 
-  /** Whether a pause was longer than its route allows. */
+  /** Returns whether a pause between two pieces was longer than the route allows. */
   public boolean pausedTooLong() {
-    return route != null && route.gapMs() > 0 && longestPauseMs > route.gapMs();
+    return route != null
+        && route.eventGapTargetMs() > 0
+        && longestPauseMs > route.eventGapTargetMs();
   }
 
-  /** The last moment at which it may begin and is still likely to end before its deadline. */
+  /**
+   * Returns the latest start time at which the request is still expected to end before its
+   * deadline.
+   */
   public long latestStartMs() {
-    return deadline - Math.round(expectedMs);
+    return deadlineMs - Math.round(expectedMs);
   }
 
-  /** The most that is put out for it, in tokens or, where those aren't told, in pieces. */
-  public int mostTokensOut() {
-    return tokensOut > 0 ? tokensOut : maxPieces;
+  /** Returns the bound on the output, in tokens if the caller set one, otherwise in pieces. */
+  public int outputLimit() {
+    return maxTokensOut > 0 ? maxTokensOut : maxPieces;
   }
 
-  /** What it takes of a replica's memory, in units: its prompt and what is put out at most. */
+  /**
+   * Returns the memory that the request takes at a replica, in units: its prompt and its maximum
+   * output.
+   */
   public int units() {
-    return promptUnits() + tokensOut;
+    return promptUnits() + maxTokensOut;
   }
 
-  /** The size of its prompt, in units. */
+  /** Returns the size of the prompt in units. */
   public int promptUnits() {
-    return promptUnits(blocks.length);
+    return promptUnits(blockKeys.length);
   }
 
-  /** The size of the first so many blocks of its prompt, in units. */
-  public int promptUnits(int firstBlocks) {
+  /** Returns the size of the first blocks of the prompt in units. */
+  public int promptUnits(int blockCount) {
     int units = 0;
-    for (int i = 0; i < firstBlocks; i++) units += prompt.units(i);
+    for (int i = 0; i < blockCount; i++) units += prompt.blockUnits(i);
     return units;
   }
 
--- a/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
+++ b/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
@@ -6,11 +6,11 @@
 import gladelug.common.configuration.Weights;
 
 /**
- * The control state as this process has received it: one immutable snapshot, replaced as a whole.
- * Numbers only rise. A number of 0 means that no value has been received.
+ * The control state as this process has received it: an immutable snapshot, replaced as a whole.
+ * Version numbers only rise; 0 means that no value has been received.
  *
- * @param prefixSharingSince the number of the configuration with which the tenants that share
- *     cached prefixes began anew, 0 where they never did
+ * @param prefixSharingSince number of the configuration in which the sharing of cached prefixes
+ *     between tenants last restarted; 0 if it never did
  */
 public record ControlStateSnapshot(
     long configurationNumber,
@@ -27,10 +27,10 @@
       new ControlStateSnapshot(
           0, "", Configuration.EMPTY, 0, 0, Weights.NONE, 0, Replicas.NONE, 0, CoreMemberList.NONE);
 
-  ControlStateSnapshot configuration(
-      long n, String digest, Configuration configuration, long sharingSince) {
+  ControlStateSnapshot withConfiguration(
+      long number, String digest, Configuration configuration, long sharingSince) {
     return new ControlStateSnapshot(
-        n,
+        number,
         digest,
         configuration,
         sharingSince,
@@ -42,13 +42,13 @@
         core);
   }
 
-  ControlStateSnapshot weights(long n, Weights weights) {
+  ControlStateSnapshot withWeights(long number, Weights weights) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
         configuration,
         prefixSharingSince,
-        n,
+        number,
         weights,
         replicasNumber,
         replicas,
@@ -56,7 +56,7 @@
         core);
   }
 
-  ControlStateSnapshot replicas(long n, Replicas replicas) {
+  ControlStateSnapshot withReplicas(long number, Replicas replicas) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
@@ -64,13 +64,13 @@
         prefixSharingSince,
         weightsNumber,
         weights,
-        n,
+        number,
         replicas,
         generation,
         core);
   }
 
-  ControlStateSnapshot core(long g, CoreMemberList c) {
+  ControlStateSnapshot withCore(long generation, CoreMemberList core) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
@@ -80,11 +80,12 @@
         weights,
         replicasNumber,
         replicas,
-        g,
-        c);
+        generation,
+        core);
   }
 
-  public boolean complete() {
+  /** Returns whether a configuration and a list of replicas have been received. */
+  public boolean isComplete() {
     return configurationNumber > 0 && replicasNumber > 0;
   }
 }
--- a/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
+++ b/data-plane/src/test/java/gladelug/data/decisions/DecisionLogTest.java
@@ -1,6 +1,6 @@
 package gladelug.data.decisions;
 
-import static gladelug.data.decisions.DecisionLog.packed;
+import static gladelug.data.decisions.DecisionLog.pack;
 
 import gladelug.common.message.DecisionRecords.Batch;
 import java.nio.charset.StandardCharsets;
@@ -19,38 +19,38 @@
         low,
         low + lines.length - 1,
         0,
-        packed(
-            List.of(lines).stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toList()));
+        pack(List.of(lines).stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toList()));
   }
 
-  private static String line(long n, String outcome) {
-    return "{\"order\":\"relay-1.00aa." + n + "\",\"outcome\":\"" + outcome + "\"}";
+  private static String line(long number, String outcome) {
+    return "{\"order\":\"relay-1.00aa." + number + "\",\"outcome\":\"" + outcome + "\"}";
   }
 
   @Test
-  void theNewestOfARequestIsFoundAndNothingElse() {
-    DecisionLog k = new DecisionLog(1 << 20);
-    Assertions.assertTrue(k.add(batch("00aa", 5, line(5, "live"), line(6, "complete"))));
-    Assertions.assertEquals("live", k.find("relay-1.00aa.5").getString("outcome", ""));
-    Assertions.assertTrue(k.add(batch("00aa", 5, line(5, "complete"))));
-    Assertions.assertEquals("complete", k.find("relay-1.00aa.5").getString("outcome", ""));
+  void onlyTheNewestRecordOfARequestIsFound() {
+    DecisionLog log = new DecisionLog(1 << 20);
+    Assertions.assertTrue(log.add(batch("00aa", 5, line(5, "live"), line(6, "complete"))));
+    Assertions.assertEquals("live", log.find("relay-1.00aa.5").getString("outcome", ""));
+    Assertions.assertTrue(log.add(batch("00aa", 5, line(5, "complete"))));
+    Assertions.assertEquals("complete", log.find("relay-1.00aa.5").getString("outcome", ""));
     for (String id :
         new String[] {
           "relay-1.00aa.7", "relay-1.00ab.5", "relay-2.00aa.5", "relay-1.00aa", "", "x.y.z"
-        }) Assertions.assertNull(k.find(id), id);
+        }) Assertions.assertNull(log.find(id), id);
   }
 
   @Test
-  void tornBatchesAreRefusedAndTheBoundHolds() {
-    DecisionLog k = new DecisionLog(200);
-    Batch b = batch("00aa", 5, line(5, "complete"));
-    byte[] half = Arrays.copyOf(b.packed(), b.packed().length / 2);
-    Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 5, 0, half)));
-    Assertions.assertFalse(k.add(new Batch("no such name", "00aa", 1, 5, 5, 0, b.packed())));
-    Assertions.assertFalse(k.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, b.packed())));
-    for (int i = 0; i < 50; i++) k.add(batch("00aa", i, line(i, "complete")));
-    Assertions.assertTrue(k.json().getLong("bytes", 0) <= 200);
-    Assertions.assertNull(k.find("relay-1.00aa.0"), "the oldest went first");
-    Assertions.assertNotNull(k.find("relay-1.00aa.49"));
+  void corruptBatchesAreRefusedAndTheBoundHolds() {
+    DecisionLog log = new DecisionLog(200);
+    Batch batch = batch("00aa", 5, line(5, "complete"));
+    byte[] half = Arrays.copyOf(batch.deflated(), batch.deflated().length / 2);
+    Assertions.assertFalse(log.add(new Batch("relay-1", "00aa", 1, 5, 5, 0, half)));
+    Assertions.assertFalse(
+        log.add(new Batch("no such name", "00aa", 1, 5, 5, 0, batch.deflated())));
+    Assertions.assertFalse(log.add(new Batch("relay-1", "00aa", 1, 5, 4, 0, batch.deflated())));
+    for (int i = 0; i < 50; i++) log.add(batch("00aa", i, line(i, "complete")));
+    Assertions.assertTrue(log.toJson().getLong("bytes", 0) <= 200);
+    Assertions.assertNull(log.find("relay-1.00aa.0"), "the oldest batch was evicted first");
+    Assertions.assertNotNull(log.find("relay-1.00aa.49"));
   }
 }
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedBurst.java
@@ -5,9 +5,9 @@
 import gladelug.common.configuration.Configuration;
 import gladelug.common.configuration.QuotaShare;
 import gladelug.common.configuration.Replicas;
-import gladelug.data.request.Decisions;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Prompt;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Request;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.buffer.Buffer;
@@ -18,9 +18,9 @@
 import java.util.Map;
 
 /**
- * Callers in a burst at one of several relays before one replica, on simulated time and without a
- * network. The replica serves as many at once as it has slots, the others in the order they came;
- * an answer begins when it is served.
+ * Simulates a burst of callers at one of several relays in front of one replica, on simulated time
+ * and without a network. The replica serves as many requests at once as it has slots, the others in
+ * order of arrival; an answer begins when its request is served.
  */
 final class SimulatedBurst {
   static final int SLOTS = 2;
@@ -28,17 +28,17 @@
   private static final int ROUTE_TIMEOUT_MS = 60_000;
   private static final long TICK_MS = 100;
 
-  /** What a caller asks and how long it waits. */
+  /** A call with its size and the time its caller waits. */
   record Call(String tenant, String path, long patienceMs, int promptTokens, int replyTokens) {
     static Call waiting(long patienceMs) {
       return new Call("t", "/x", patienceMs, 0, 0);
     }
 
-    Call of(String otherTenant) {
+    Call ofTenant(String otherTenant) {
       return new Call(otherTenant, path, patienceMs, promptTokens, replyTokens);
     }
 
-    Call on(String otherPath) {
+    Call onPath(String otherPath) {
       return new Call(tenant, otherPath, patienceMs, promptTokens, replyTokens);
     }
 
@@ -47,10 +47,10 @@
     }
   }
 
-  /** What became of a call: its times are -1 where that didn't happen. */
+  /** The outcome of a call; times of events that did not happen are -1. */
   static final class Outcome implements Request.Caller {
     final Call call;
-    final long askedAtMs;
+    final long calledAtMs;
     long firstPieceAtMs = -1;
     long completeAtMs = -1;
     long refusedAtMs = -1;
@@ -60,25 +60,25 @@
     Outcome(SimulatedBurst burst, Call call) {
       this.burst = burst;
       this.call = call;
-      this.askedAtMs = burst.nowMs();
+      this.calledAtMs = burst.nowMs();
     }
 
     boolean served() {
-      return completeAtMs >= 0 && completeAtMs - askedAtMs <= call.patienceMs;
+      return completeAtMs >= 0 && completeAtMs - calledAtMs <= call.patienceMs;
     }
 
     long refusedAfterMs() {
-      return refusedAtMs - askedAtMs;
+      return refusedAtMs - calledAtMs;
     }
 
     @Override
-    public void refuse(Request request, FilterResult.Refuse told) {
+    public void refuse(Request request, FilterResult.Refuse received) {
       refusedAtMs = burst.nowMs();
-      refusal = told;
+      refusal = received;
     }
 
     @Override
-    public boolean piece(Request request, Buffer piece, Runnable ready) {
+    public boolean sendPiece(Request request, Buffer piece, Runnable ready) {
       if (firstPieceAtMs < 0) firstPieceAtMs = burst.nowMs();
       return true;
     }
@@ -92,16 +92,16 @@
     public void cutOff(Request request, String why) {}
   }
 
-  private record AtReplica(Request request, Exchange.Reply to) {}
+  private record AtReplica(Request request, Exchange.Reply reply) {}
 
   private final SimulatedTime time = new SimulatedTime();
   private final Deque<AtReplica> waiting = new ArrayDeque<>();
-  private final Decisions decisions = new Decisions(64, "r", 1);
+  private final RecentDecisions decisions = new RecentDecisions(64, "r", 1);
   private final List<Relay> relays = new ArrayList<>();
   private int running;
-  private int asked;
+  private int callCount;
 
-  /** How long the replica works at a request, in ms. */
+  /** Returns how long the replica works on a request, in ms. */
   interface Work {
     long ms(Request request);
   }
@@ -113,17 +113,21 @@
     Replicas.Replica replica =
         new Replicas.Replica(
             "m", "replica", Address.of("1.1.1.1:100"), "z", true, SLOTS, Map.of("m", "1"));
-    RelaySettings settings = RelaySettings.builder().anyWeights(true).alone(true).build();
+    RelaySettings settings =
+        RelaySettings.builder().allowsUnnamedWeights(true).localSharesOnly(true).build();
     for (int i = 0; i < relayCount; i++)
-      relays.add(
-          SimulatedRelay.started(time, configuration, List.of(replica), settings, relayCount));
+      relays.add(SimulatedRelay.start(time, configuration, List.of(replica), settings, relayCount));
     tick();
   }
 
-  /** One tenant, one service and one route of this target latency (0: none named). */
+  /**
+   * Creates a configuration with one tenant, one service and one route of this target latency (0
+   * for none).
+   */
   static Configuration configuration(int targetLatencyMs) {
     return configuration(
-        List.of(tenant("t", 0)), List.of(route("/x").times(ROUTE_TIMEOUT_MS, targetLatencyMs, 0)));
+        List.of(tenant("t", 0)),
+        List.of(route("/x").timings(ROUTE_TIMEOUT_MS, targetLatencyMs, 0)));
   }
 
   static Configuration configuration(
@@ -141,21 +145,21 @@
             "z");
     List<Configuration.Route> built = new ArrayList<>();
     for (Configuration.Route.Builder route : routes) built.add(route.build(built.size()));
-    return new Configuration(1, List.of(service), built, tenants, Configuration.Limits.USUAL);
+    return new Configuration(1, List.of(service), built, tenants, Configuration.Limits.DEFAULT);
   }
 
   static Configuration.Route.Builder route(String path) {
     return Configuration.Route.named(path)
-        .at("", path, false)
-        .to(0, 1)
-        .times(ROUTE_TIMEOUT_MS, 0, 0);
+        .matching("", path, false)
+        .addService(0, 1)
+        .timings(ROUTE_TIMEOUT_MS, 0, 0);
   }
 
   static Configuration.Tenant tenant(String name, int tier) {
     return new Configuration.Tenant(
         0,
         name,
-        List.of(Configuration.hashOf("key-of-" + name)),
+        List.of(Configuration.hashKey("key-of-" + name)),
         false,
         new QuotaShare(name, name, 1, tier, 0, List.of(), List.of()));
   }
@@ -165,7 +169,7 @@
     time.after(TICK_MS, this::tick);
   }
 
-  /** Plays so many ms. */
+  /** Advances the simulation by this many ms. */
   void run(long ms) {
     time.run(ms);
   }
@@ -174,12 +178,15 @@
     return time.nowMs();
   }
 
-  /** The relay that is asked. */
+  /** Returns the relay that receives the calls. */
   Relay relay() {
     return relays.get(0);
   }
 
-  /** So many calls alike at the first relay, evenly over so many ms, which are played. */
+  /**
+   * Makes equal calls at the first relay, spread evenly over overMs, and advances the simulation by
+   * that time.
+   */
   List<Outcome> burst(int calls, Call call, long overMs) {
     List<Outcome> outcomes = new ArrayList<>();
     for (int i = 0; i < calls; i++) {
@@ -189,7 +196,7 @@
     return outcomes;
   }
 
-  /** One call at the first relay. */
+  /** Makes one call at the first relay. */
   Outcome ask(Call call) {
     Outcome outcome = new Outcome(this, call);
     Relay relay = relays.get(0);
@@ -197,27 +204,27 @@
         new Request(
             decisions.begin(nowMs()),
             nowMs(),
-            Configuration.hashOf("key-of-" + call.tenant),
+            Configuration.hashKey("key-of-" + call.tenant),
             call.path,
             outcome);
     request.model = "m";
     request.patienceMs = call.patienceMs;
-    request.tokensOut = call.replyTokens;
+    request.maxTokensOut = call.replyTokens;
     request.prompt =
-        new Prompt.Parts(List.of(new Prompt.Part("part-" + asked++, call.promptTokens)));
+        new Prompt.Parts(List.of(new Prompt.Part("part-" + callCount++, call.promptTokens)));
     relay.begin(request);
     relay
-        .way(
-            blocks -> Uni.createFrom().item(new Lookups.Found("no-index", List.of())),
+        .filterChain(
+            blocks -> Uni.createFrom().item(new Lookups.LookupResult("no-index", List.of())),
             ChoiceMode.SUMMARY,
             this::send)
-        .go(request);
+        .start(request);
     return outcome;
   }
 
-  private void send(Request request, Backend backend, Exchange.Reply to) {
-    if (!to.leave(new SimulatedRelay.Unheld())) return;
-    waiting.add(new AtReplica(request, to));
+  private void send(Request request, Backend backend, Exchange.Reply reply) {
+    if (!reply.beginSend(new SimulatedRelay.IgnoringHandle())) return;
+    waiting.add(new AtReplica(request, reply));
     serveNext();
   }
 
@@ -225,14 +232,14 @@
     while (running < SLOTS && !waiting.isEmpty()) {
       AtReplica next = waiting.poll();
       running++;
-      next.to.piece(Buffer.buffer("x"), "");
+      next.reply.piece(Buffer.buffer("x"), "");
       time.after(work.ms(next.request), () -> served(next));
     }
   }
 
   private void served(AtReplica done) {
     running--;
-    done.to.end();
+    done.reply.end();
     serveNext();
   }
 }
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedEngine.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedEngine.java
@@ -7,24 +7,23 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * A replica that batches continuously, on the time of a test: in each step every running reply gets
- * a token, and one piece of the prompts that wait is read beside them, so prompts make the tokens
- * of others come late. Attention makes the pieces of a long prompt dearer than those of a short
- * one.
+ * A replica with continuous batching on simulated time. In each step every running reply gets a
+ * token, and one chunk of the waiting prompts is processed, so that prompts delay the tokens of
+ * other requests. Attention makes the later chunks of a long prompt slower.
  */
 final class SimulatedEngine {
   private static final double STEP_MS = 4.73;
   private static final double STEP_MS_PER_REQUEST = 0.0138;
-  private static final double READ_TOKENS_PER_MS = 38.4;
+  private static final double PREFILL_TOKENS_PER_MS = 38.4;
   private static final double ATTENTION_MS_PER_MILLION_PAIRS = 1.18;
-  private static final int PIECE_TOKENS = 2048;
+  private static final int CHUNK_TOKENS = 2048;
 
-  /** Tokens in an event of a reply after the first. */
+  /** Tokens per event of a reply after the first event. */
   private static final int EVENT_TOKENS = 5;
 
-  private static final double PAIRS = 1e6;
+  private static final double MILLION = 1e6;
 
-  /** Who gets a reply's events. */
+  /** Receives the events of a reply. */
   interface Reply {
     void event();
 
@@ -35,8 +34,8 @@
     private final int promptTokens;
     private final int replyTokens;
     private final Reply reply;
-    private int read;
-    private int written;
+    private int prefilledTokens;
+    private int writtenTokens;
 
     private Job(int promptTokens, int replyTokens, Reply reply) {
       this.promptTokens = promptTokens;
@@ -45,59 +44,64 @@
     }
   }
 
-  private final double slowness;
-  private final ArrayDeque<Job> unread = new ArrayDeque<>();
+  private final double slowdown;
+  private final ArrayDeque<Job> prefilling = new ArrayDeque<>();
   private final List<Job> running = new ArrayList<>();
   private final DoubleConsumer nextStepAfterMs;
   private boolean stepping;
 
   /**
-   * @param slowness how many times as long as others it takes for everything
-   * @param nextStepAfterMs told when {@link #stepEnded} is to be called next
+   * Creates an idle engine.
+   *
+   * @param slowdown factor on the duration of every step
+   * @param nextStepAfterMs receives the time after which {@link #stepEnded} has to be called
    */
-  SimulatedEngine(double slowness, DoubleConsumer nextStepAfterMs) {
-    this.slowness = slowness;
+  SimulatedEngine(double slowdown, DoubleConsumer nextStepAfterMs) {
+    this.slowdown = slowdown;
     this.nextStepAfterMs = nextStepAfterMs;
   }
 
-  /** Takes a request of which so many tokens of the prompt are to be computed. */
-  void take(int promptTokens, int replyTokens, Reply reply) {
-    unread.add(new Job(promptTokens, Math.max(1, replyTokens), reply));
+  /** Accepts a request of which promptTokens of the prompt have to be computed. */
+  void submit(int promptTokens, int replyTokens, Reply reply) {
+    prefilling.add(new Job(promptTokens, Math.max(1, replyTokens), reply));
     if (!stepping) step();
   }
 
   private void step() {
-    stepping = !unread.isEmpty() || !running.isEmpty();
+    stepping = !prefilling.isEmpty() || !running.isEmpty();
     if (!stepping) return;
     double ms = STEP_MS + running.size() * STEP_MS_PER_REQUEST;
-    int left = PIECE_TOKENS;
-    for (Job job : unread) {
-      int tokens = Math.min(left, job.promptTokens - job.read);
-      ms += tokens / READ_TOKENS_PER_MS;
-      ms += ATTENTION_MS_PER_MILLION_PAIRS * tokens * (job.read + tokens / 2.0) / PAIRS;
-      job.read += tokens;
-      left -= tokens;
-      if (left == 0) break;
+    int remainingTokens = CHUNK_TOKENS;
+    for (Job job : prefilling) {
+      int tokens = Math.min(remainingTokens, job.promptTokens - job.prefilledTokens);
+      ms += tokens / PREFILL_TOKENS_PER_MS;
+      ms +=
+          ATTENTION_MS_PER_MILLION_PAIRS * tokens * (job.prefilledTokens + tokens / 2.0) / MILLION;
+      job.prefilledTokens += tokens;
+      remainingTokens -= tokens;
+      if (remainingTokens == 0) break;
     }
-    nextStepAfterMs.accept(ms * slowness);
+    nextStepAfterMs.accept(ms * slowdown);
   }
 
-  /** The step that was begun is over: its tokens come out, and the next begins. */
+  /** Ends the current step: emits its tokens and starts the next step. */
   void stepEnded() {
-    List<Job> all = new ArrayList<>(running);
-    while (!unread.isEmpty() && unread.peek().read >= unread.peek().promptTokens) {
-      Job job = unread.poll();
+    List<Job> advanced = new ArrayList<>(running);
+    while (!prefilling.isEmpty()
+        && prefilling.peek().prefilledTokens >= prefilling.peek().promptTokens) {
+      Job job = prefilling.poll();
       running.add(job);
-      all.add(job);
+      advanced.add(job);
     }
-    for (Job job : all) {
-      job.written++;
-      if (job.written % EVENT_TOKENS == 1 || job.written == job.replyTokens) job.reply.event();
+    for (Job job : advanced) {
+      job.writtenTokens++;
+      if (job.writtenTokens % EVENT_TOKENS == 1 || job.writtenTokens == job.replyTokens)
+        job.reply.event();
     }
-    for (Iterator<Job> each = running.iterator(); each.hasNext(); ) {
-      Job job = each.next();
-      if (job.written < job.replyTokens) continue;
-      each.remove();
+    for (Iterator<Job> iterator = running.iterator(); iterator.hasNext(); ) {
+      Job job = iterator.next();
+      if (job.writtenTokens < job.replyTokens) continue;
+      iterator.remove();
       job.reply.end();
     }
     step();
--- a/data-plane/src/test/java/gladelug/data/relay/SimulatedRelay.java
+++ b/data-plane/src/test/java/gladelug/data/relay/SimulatedRelay.java
@@ -11,51 +11,52 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A relay on simulated time that was told a configuration and replicas, with leases for long. */
+/** Creates relays on simulated time that have a configuration, replicas and long leases. */
 final class SimulatedRelay {
   private static final int LEASE_MS = 3_600_000;
 
   private SimulatedRelay() {}
 
-  static Relay started(
+  /** Returns a relay that is ready for requests. */
+  static Relay start(
       SimulatedTime time,
       Configuration configuration,
       List<Replicas.Replica> replicas,
       RelaySettings settings,
       int relayCount) {
-    Relay[] made = new Relay[1];
+    Relay[] started = new Relay[1];
     StateSubscription state =
         new StateSubscription(
             time::nowMs,
             new Shuffle.Descriptor("r", "relay", "1.1.1.1:1", "1.1.1.1:2", "z", 0, 0),
             1,
-            snapshot -> made[0].tables(snapshot),
-            text -> Result.good(configuration));
-    made[0] =
+            snapshot -> started[0].applySnapshot(snapshot),
+            json -> Result.good(configuration));
+    started[0] =
         new Relay(
             time::nowMs,
             state,
-            relay -> new Backends(time::nowMs, null, relay::pump),
+            relay -> new Backends(time::nowMs, null, relay::admitWaiting),
             "z",
             settings,
             () -> relayCount);
-    tell(state, StateKeys.CONFIGURATION, "{}");
-    tell(state, StateKeys.WEIGHTS, "{}");
-    tell(state, StateKeys.REPLICAS, new Replicas(replicas).json());
+    push(state, StateKeys.CONFIGURATION, "{}");
+    push(state, StateKeys.WEIGHTS, "{}");
+    push(state, StateKeys.REPLICAS, new Replicas(replicas).toJson());
     List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
     for (String key : StateKeys.LEASED)
       grants.add(new StateUpdate.LeaseGrant(key, 1, state.number(key), LEASE_MS, LEASE_MS));
-    state.told(new StateUpdate.LeaseGrants(time.nowMs(), grants, 1));
-    return made[0];
+    state.apply(new StateUpdate.LeaseGrants(time.nowMs(), grants, 1));
+    return started[0];
   }
 
-  private static void tell(StateSubscription state, String key, String value) {
+  private static void push(StateSubscription state, String key, String value) {
     byte[] body = value.getBytes(StandardCharsets.UTF_8);
-    state.told(new StateUpdate.ValuePush(key, 1, 1, -1, "", body));
+    state.apply(new StateUpdate.ValuePush(key, 1, 1, -1, "", body));
   }
 
-  /** A replica's connection that nobody lets go of. */
-  static final class Unheld implements Exchange.Handle {
+  /** A handle that ignores resets, pauses and resumes. */
+  static final class IgnoringHandle implements Exchange.Handle {
     @Override
     public void reset() {}
 
--- a/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
+++ b/data-plane/src/test/java/gladelug/data/state/ReplicatedStateViewTest.java
@@ -5,7 +5,7 @@
 import gladelug.common.message.Shuffle;
 import gladelug.common.message.StateKeys;
 import gladelug.common.message.StateUpdate;
-import gladelug.data.state.ReplicatedStateView.Told;
+import gladelug.data.state.ReplicatedStateView.UpdateResult;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,19 +19,19 @@
   }
 
   private static StateUpdate.ValuePush push(
-      long epoch, long nr, long base, String digestOf, byte[] v) {
+      long epoch, long number, long base, String digestedText, byte[] value) {
     return new StateUpdate.ValuePush(
-        StateKeys.CONFIGURATION, epoch, nr, base, Digest.hex(digestOf), v);
+        StateKeys.CONFIGURATION, epoch, number, base, Digest.hex(digestedText), value);
   }
 
   @Test
-  void aChangeIsTakenOnlyOnItsBaseAndOnlyIfTheDigestAgrees() {
+  void aDeltaIsAppliedOnlyToItsBaseAndOnlyIfTheDigestMatches() {
     List<String> taken = new ArrayList<>();
-    ReplicatedStateView b =
+    ReplicatedStateView view =
         new ReplicatedStateView(
             new Shuffle.Descriptor("r", "relay", "", "", "", 0, 0),
             1,
-            p -> taken.add(new String(p.value(), StandardCharsets.UTF_8)));
+            push -> taken.add(new String(push.value(), StandardCharsets.UTF_8)));
     String
         one =
             "so it begins and goes on. ".repeat(20)
@@ -40,31 +40,33 @@
         two = one.replace("twice", "three times"),
         three = two + "!";
     Assertions.assertEquals(
-        Told.WANTS_WHOLE,
-        b.told(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))),
-        "a gap");
-    Assertions.assertEquals(Told.TAKEN, b.told(push(1, 1, -1, one, bytes(one))));
+        UpdateResult.NEEDS_FULL_VALUE,
+        view.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))),
+        "the base of the delta is missing");
+    Assertions.assertEquals(UpdateResult.APPLIED, view.apply(push(1, 1, -1, one, bytes(one))));
     Assertions.assertEquals(
-        Told.TAKEN, b.told(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))));
+        UpdateResult.APPLIED,
+        view.apply(push(1, 2, 1, two, BinaryDelta.between(bytes(one), bytes(two)))));
     Assertions.assertEquals(
-        Told.WANTS_WHOLE,
-        b.told(push(1, 3, 2, one, BinaryDelta.between(bytes(two), bytes(three)))),
-        "another digest");
+        UpdateResult.NEEDS_FULL_VALUE,
+        view.apply(push(1, 3, 2, one, BinaryDelta.between(bytes(two), bytes(three)))),
+        "the digest does not match");
     Assertions.assertEquals(
-        Told.NOTHING, b.told(push(1, 1, -1, one, bytes(one))), "a lower number");
+        UpdateResult.IGNORED, view.apply(push(1, 1, -1, one, bytes(one))), "a lower number");
     Assertions.assertEquals(
-        Told.NOTHING, b.told(push(0, 9, -1, three, bytes(three))), "a lower epoch");
+        UpdateResult.IGNORED, view.apply(push(0, 9, -1, three, bytes(three))), "a lower epoch");
     Assertions.assertEquals(List.of(one, two), taken);
   }
 
   @Test
-  void aDivisionUnderALowerEpochIsNotTaken() {
-    ReplicatedStateView b =
+  void aCapacityGrantUnderALowerEpochIsIgnored() {
+    ReplicatedStateView view =
         new ReplicatedStateView(
-            new Shuffle.Descriptor("r", "relay", "", "", "", 0, 0), 1, p -> true);
+            new Shuffle.Descriptor("r", "relay", "", "", "", 0, 0), 1, push -> true);
     Assertions.assertEquals(
-        Told.ALLOTTED, b.told(new StateUpdate.CapacityGrant(5, "m", true, List.of())));
+        UpdateResult.CAPACITY_GRANTED,
+        view.apply(new StateUpdate.CapacityGrant(5, "m", true, List.of())));
     Assertions.assertEquals(
-        Told.NOTHING, b.told(new StateUpdate.CapacityGrant(4, "m", true, List.of())));
+        UpdateResult.IGNORED, view.apply(new StateUpdate.CapacityGrant(4, "m", true, List.of())));
   }
 }
