--- a/common/src/main/java/gladelug/common/Address.java
+++ b/common/src/main/java/gladelug/common/Address.java
@@ -13,7 +13,7 @@
       return Result.bad(place, "has no port number: " + text);
     }
     if (p < 0 || p > 65535) return Result.bad(place, "port must be from 0 to 65535: " + text);
-    if (number(h) < 0) return Result.bad(place, "must be an IP number, not a name: " + h);
+    if (ipv4ToLong(h) < 0) return Result.bad(place, "must be an IP number, not a name: " + h);
     return Result.good(new Address(h, p));
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** The IPv4 number, or -1 where it is none. */
-  public static long number(String h) {
+  public static long ipv4ToLong(String h) {
     String[] ps = h.split("\\.", -1);
     if (ps.length != 4) return -1;
     long n = 0;
--- a/common/src/main/java/gladelug/common/FatalFailure.java
+++ b/common/src/main/java/gladelug/common/FatalFailure.java
@@ -20,14 +20,14 @@
 
   private FatalFailure() {}
 
-  /** Logs what failed and ends the process at once with {@link Program#FAILED}. */
+  /** Logs what failed and ends the process at once with {@link Program#EXIT_FAILED}. */
   public static void endProcess(String thread, String task, Throwable cause) {
     try {
       Log.thrown("process-failed", cause, "thread", thread, "task", task);
       System.err.println("failed in thread " + thread + ", task " + task + ": " + cause);
     } finally {
       // shutdown hooks could wait for the very thread that is gone
-      Runtime.getRuntime().halt(Program.FAILED);
+      Runtime.getRuntime().halt(Program.EXIT_FAILED);
     }
   }
 
--- a/common/src/main/java/gladelug/common/Findings.java
+++ b/common/src/main/java/gladelug/common/Findings.java
@@ -14,7 +14,7 @@
     all.add(new Finding(place, what));
   }
 
-  public boolean clean() {
+  public boolean isEmpty() {
     return all.isEmpty();
   }
 
--- a/common/src/main/java/gladelug/common/LocatedJson.java
+++ b/common/src/main/java/gladelug/common/LocatedJson.java
@@ -80,7 +80,7 @@
   }
 
   /** Bytes as text; what isn't UTF-8 is a finding, as it could not be read back as it was sent. */
-  public static Result<String> text(byte[] bytes) {
+  public static Result<String> decodeUtf8(byte[] bytes) {
     try {
       ByteBuffer buffer = ByteBuffer.wrap(bytes);
       return Result.good(StandardCharsets.UTF_8.newDecoder().decode(buffer).toString());
@@ -99,7 +99,7 @@
           "line " + e.getLocation().line + ", column " + e.getLocation().column,
           "not JSON: " + e.getMessage().replaceFirst(" at \\d+:\\d+$", ""));
     }
-    return Result.of(findings, () -> r.last);
+    return Result.of(findings, () -> r.lastValue);
   }
 
   public Fields fields(Findings findings) {
@@ -112,149 +112,150 @@
    */
   private static final class Reader extends JsonHandler<Object, Object> {
     /** Longer texts are seldom equal. */
-    private static final int LONGEST_SHARED_TEXT = 24;
+    private static final int MAX_SHARED_TEXT_CHARS = 24;
 
     private static final int MAX_SHARED_TEXTS = 4096;
 
     private final Findings findings;
     private final Map<String, String> sharedTexts = new HashMap<>();
     private final ArrayDeque<Position> positions = new ArrayDeque<>();
-    private final ArrayDeque<LocatedJson> open = new ArrayDeque<>();
-    private final ArrayDeque<Location> starts = new ArrayDeque<>();
-    private LocatedJson last;
+    private final ArrayDeque<LocatedJson> openContainers = new ArrayDeque<>();
+    private final ArrayDeque<Location> startLocations = new ArrayDeque<>();
+    private LocatedJson lastValue;
 
     Reader(Findings findings) {
       this.findings = findings;
       positions.push(new Position(null, null, 0));
     }
 
-    private void leaf(Kind k, String text) {
-      last = new LocatedJson(k, positions.peek(), starts.pop(), shared(text));
+    private void finishScalar(Kind k, String text) {
+      lastValue = new LocatedJson(k, positions.peek(), startLocations.pop(), intern(text));
     }
 
-    private String shared(String text) {
-      if (text == null || text.length() > LONGEST_SHARED_TEXT) return text;
+    private String intern(String text) {
+      if (text == null || text.length() > MAX_SHARED_TEXT_CHARS) return text;
       String first = sharedTexts.get(text);
       if (first != null) return first;
       if (sharedTexts.size() < MAX_SHARED_TEXTS) sharedTexts.put(text, text);
       return text;
     }
 
-    private void begin() {
-      starts.push(getLocation());
+    private void markStart() {
+      startLocations.push(getLocation());
     }
 
     @Override
     public void startNull() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endNull() {
-      leaf(Kind.NULL, null);
+      finishScalar(Kind.NULL, null);
     }
 
     @Override
     public void startBoolean() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endBoolean(boolean v) {
-      leaf(Kind.BOOLEAN, String.valueOf(v));
+      finishScalar(Kind.BOOLEAN, String.valueOf(v));
     }
 
     @Override
     public void startString() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endString(String text) {
-      leaf(Kind.STRING, text);
+      finishScalar(Kind.STRING, text);
     }
 
     @Override
     public void startNumber() {
-      begin();
+      markStart();
     }
 
     @Override
     public void endNumber(String text) {
-      leaf(Kind.NUMBER, text);
+      finishScalar(Kind.NUMBER, text);
     }
 
     @Override
     public Object startArray() {
-      open.push(new LocatedJson(Kind.ARRAY, positions.peek(), getLocation(), null));
+      openContainers.push(new LocatedJson(Kind.ARRAY, positions.peek(), getLocation(), null));
       return null;
     }
 
     @Override
     public void endArray(Object a) {
-      last = open.pop();
+      lastValue = openContainers.pop();
     }
 
     @Override
     public void startArrayValue(Object a) {
-      positions.push(new Position(open.peek(), null, open.peek().items.size()));
+      positions.push(new Position(openContainers.peek(), null, openContainers.peek().items.size()));
     }
 
     @Override
     public void endArrayValue(Object a) {
       positions.pop();
-      open.peek().items.add(last);
+      openContainers.peek().items.add(lastValue);
     }
 
     @Override
     public Object startObject() {
-      open.push(new LocatedJson(Kind.OBJECT, positions.peek(), getLocation(), null));
+      openContainers.push(new LocatedJson(Kind.OBJECT, positions.peek(), getLocation(), null));
       return null;
     }
 
     @Override
     public void endObject(Object o) {
-      last = open.pop();
+      lastValue = openContainers.pop();
     }
 
     @Override
     public void startObjectValue(Object o, String name) {
-      positions.push(new Position(open.peek(), shared(name), 0));
+      positions.push(new Position(openContainers.peek(), intern(name), 0));
     }
 
     @Override
     public void endObjectValue(Object o, String name) {
       positions.pop();
-      if (open.peek().members.putIfAbsent(shared(name), last) != null)
-        findings.add(last.place(), "given twice");
+      if (openContainers.peek().members.putIfAbsent(intern(name), lastValue) != null)
+        findings.add(lastValue.place(), "given twice");
     }
   }
 
   public static final class Fields {
-    private final LocatedJson doc;
+    private final LocatedJson node;
     private final Findings findings;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> requestedNames = new HashSet<>();
 
     private Fields(LocatedJson doc, Findings findings) {
-      this.doc = doc;
+      this.node = doc;
       this.findings = findings;
       if (doc.kind != Kind.OBJECT) findings.add(doc.place(), "must be an object");
     }
 
     public boolean has(String name) {
-      return doc.members.containsKey(name);
+      return node.members.containsKey(name);
     }
 
     public String place(String name) {
-      LocatedJson json = doc.members.get(name);
-      return json == null ? doc.place() : json.place();
+      LocatedJson json = node.members.get(name);
+      return json == null ? node.place() : json.place();
     }
 
     private LocatedJson get(String name, Kind k, boolean must) {
-      asked.add(name);
-      LocatedJson json = doc.members.get(name);
+      requestedNames.add(name);
+      LocatedJson json = node.members.get(name);
       if (json == null) {
-        if (must && doc.kind == Kind.OBJECT) findings.add(doc.place(), "misses the field " + name);
+        if (must && node.kind == Kind.OBJECT)
+          findings.add(node.place(), "misses the field " + name);
         return null;
       }
       if (json.kind != k) {
@@ -339,9 +340,10 @@
       return get(name, Kind.OBJECT, must);
     }
 
-    public void done() {
-      for (Map.Entry<String, LocatedJson> e : doc.members.entrySet())
-        if (!asked.contains(e.getKey())) findings.add(e.getValue().place(), "is not a known field");
+    public void reportUnknownFields() {
+      for (Map.Entry<String, LocatedJson> e : node.members.entrySet())
+        if (!requestedNames.contains(e.getKey()))
+          findings.add(e.getValue().place(), "is not a known field");
     }
   }
 }
--- a/common/src/main/java/gladelug/common/ProcessStalls.java
+++ b/common/src/main/java/gladelug/common/ProcessStalls.java
@@ -2,17 +2,21 @@
 
 /**
  * The stalls of this process: a thread that has stood still for six seconds takes readiness away,
- * and after thirty the process ends with {@link Program#FAILED}, so that it is started anew.
+ * and after thirty the process ends with {@link Program#EXIT_FAILED}, so that it is started anew.
  */
 public final class ProcessStalls {
   /** Between two checks, in ms. */
-  private static final int EVERY_MS = 2000;
+  private static final int CHECK_INTERVAL_MS = 2000;
 
-  private static final int UNREADY_AFTER_MS = 6000, ENDS_AFTER_MS = 30_000;
+  private static final int UNREADY_AFTER_MS = 6000, EXIT_AFTER_MS = 30_000;
 
   private static final StallDetector DETECTOR =
       new StallDetector(
-          Clock.monotonic(), EVERY_MS, UNREADY_AFTER_MS, ENDS_AFTER_MS, FatalFailure::endProcess);
+          Clock.monotonic(),
+          CHECK_INTERVAL_MS,
+          UNREADY_AFTER_MS,
+          EXIT_AFTER_MS,
+          FatalFailure::endProcess);
 
   private ProcessStalls() {}
 
@@ -26,16 +30,16 @@
     Thread thread =
         new Thread(
             () -> {
-              while (pause()) DETECTOR.check();
+              while (sleepUntilNextCheck()) DETECTOR.check();
             },
             "stalls");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private static boolean pause() {
+  private static boolean sleepUntilNextCheck() {
     try {
-      Thread.sleep(EVERY_MS);
+      Thread.sleep(CHECK_INTERVAL_MS);
       return true;
     } catch (InterruptedException e) {
       return false;
@@ -43,8 +47,8 @@
   }
 
   /** Why the process isn't ready on account of a thread, else what the rest of it says. */
-  public static String orElse(String unready) {
-    String thread = DETECTOR.stalled();
+  public static String unreadyReasonOr(String unready) {
+    String thread = DETECTOR.stalledThread();
     return thread.isEmpty() ? unready : "thread " + thread + " stands still";
   }
 }
--- a/common/src/main/java/gladelug/common/Program.java
+++ b/common/src/main/java/gladelug/common/Program.java
@@ -13,14 +13,14 @@
  * with 4. Nothing here starts a process.
  */
 public final class Program {
-  public static final int BAD_USE = 2, CANNOT = 3;
+  public static final int EXIT_BAD_USAGE = 2, EXIT_CANNOT_START = 3;
 
   /** The process lost a thread that it can't do without; see {@link FatalFailure}. */
-  public static final int FAILED = 4;
+  public static final int EXIT_FAILED = 4;
 
   private Program() {}
 
-  public static Namespace parse(ArgumentParser parser, String[] args) {
+  public static Namespace parseArguments(ArgumentParser parser, String[] args) {
     try {
       return parser.parseArgs(args);
     } catch (HelpScreenException e) {
@@ -28,20 +28,20 @@
       System.exit(0);
     } catch (ArgumentParserException e) {
       parser.handleError(e);
-      System.exit(BAD_USE);
+      System.exit(EXIT_BAD_USAGE);
     }
     throw new IllegalStateException();
   }
 
-  public static <T> T orExit(String program, Result<T> r) {
+  public static <T> T valueOrExit(String program, Result<T> r) {
     if (r instanceof Result.Good<T> g) return g.value();
     System.err.println(program + ": nothing was started; found:");
     for (Finding f : ((Result.Bad<T>) r).findings()) System.err.println("  " + f);
-    System.exit(BAD_USE);
+    System.exit(EXIT_BAD_USAGE);
     throw new IllegalStateException();
   }
 
-  public static Level level(String text) {
+  public static Level parseLogLevel(String text) {
     return switch (text) {
       case "fine" -> Level.FINE;
       case "warning" -> Level.WARNING;
@@ -61,7 +61,7 @@
     } catch (ServiceRegistry.StartupException e) {
       Log.fine("cannot-start", "what", e.getMessage());
       System.err.println(program + ": " + e.getMessage());
-      System.exit(CANNOT);
+      System.exit(EXIT_CANNOT_START);
     }
     Runtime.getRuntime()
         .addShutdownHook(
--- a/common/src/main/java/gladelug/common/Result.java
+++ b/common/src/main/java/gladelug/common/Result.java
@@ -29,10 +29,10 @@
   }
 
   static <T> Result<T> of(Findings findings, Supplier<T> supplier) {
-    return findings.clean() ? new Good<>(supplier.get()) : new Bad<>(findings.list());
+    return findings.isEmpty() ? new Good<>(supplier.get()) : new Bad<>(findings.list());
   }
 
-  default <U> Result<U> then(Function<T, Result<U>> f) {
+  default <U> Result<U> flatMap(Function<T, Result<U>> f) {
     if (this instanceof Good<T> g) return f.apply(g.value());
     return new Bad<>(((Bad<T>) this).findings());
   }
--- a/common/src/main/java/gladelug/common/Settings.java
+++ b/common/src/main/java/gladelug/common/Settings.java
@@ -15,7 +15,7 @@
  * first. All findings, from either, are collected and reported together before anything starts.
  */
 public final class Settings {
-  private static final LocatedJson NOTHING =
+  private static final LocatedJson EMPTY_FILE =
       ((Result.Good<LocatedJson>) LocatedJson.parse("{}")).value();
   private final LocatedJson.Fields file;
   private final Map<String, String> flags;
@@ -30,7 +30,7 @@
   public static Result<Settings> open(String path, Map<String, String> flags) {
     Map<String, String> fl = new HashMap<>(flags);
     fl.values().removeIf(v -> v == null);
-    if (path == null) return Result.good(new Settings(NOTHING, fl, new Findings()));
+    if (path == null) return Result.good(new Settings(EMPTY_FILE, fl, new Findings()));
     String text;
     try {
       text = Files.readString(Path.of(path));
@@ -38,7 +38,7 @@
       return Result.bad("settings file " + path, "cannot be read: " + e.getClass().getSimpleName());
     }
     return LocatedJson.parse(text)
-        .then(json -> Result.good(new Settings(json, fl, new Findings())));
+        .flatMap(json -> Result.good(new Settings(json, fl, new Findings())));
   }
 
   /** A setting's name as a flag. */
@@ -114,8 +114,8 @@
   }
 
   /** The last call: fields nobody asked for are findings too. */
-  public <T> Result<T> done(Supplier<T> made) {
-    file.done();
+  public <T> Result<T> build(Supplier<T> made) {
+    file.reportUnknownFields();
     return Result.of(findings, made);
   }
 }
--- a/common/src/main/java/gladelug/common/SingleThreadWorker.java
+++ b/common/src/main/java/gladelug/common/SingleThreadWorker.java
@@ -30,7 +30,7 @@
   private final PriorityQueue<ScheduledTask> scheduled = new PriorityQueue<>();
   private final Thread thread;
   private final FatalFailure.Handler onFatal;
-  private final StallDetector.Watched watched;
+  private final StallDetector.WatchedThread watched;
   private volatile boolean open = true;
   private long nextSequence;
 
--- a/common/src/main/java/gladelug/common/StallDetector.java
+++ b/common/src/main/java/gladelug/common/StallDetector.java
@@ -13,33 +13,33 @@
 public final class StallDetector {
   /** Gives a thread a task; false where it takes none. */
   @FunctionalInterface
-  public interface Poster {
+  public interface TaskSubmitter {
     /** Hands the task over without waiting for it. */
     boolean post(Runnable task);
   }
 
   /** A watched thread; closed when the thread is to end. */
-  public final class Watched implements AutoCloseable {
+  public final class WatchedThread implements AutoCloseable {
     private final String thread;
-    private final Poster poster;
+    private final TaskSubmitter submitter;
     private volatile boolean answered = true;
-    private volatile long longestMs;
-    private volatile long stillMs;
-    private long postedAtMs;
+    private volatile long longestWaitMs;
+    private volatile long stalledMs;
+    private long submittedAtMs;
 
-    private Watched(String thread, Poster poster) {
+    private WatchedThread(String thread, TaskSubmitter poster) {
       this.thread = thread;
-      this.poster = poster;
+      this.submitter = poster;
     }
 
     private void probe(long nowMs, Clock clock) {
-      postedAtMs = nowMs;
-      stillMs = 0;
+      submittedAtMs = nowMs;
+      stalledMs = 0;
       answered = false;
       boolean posted =
-          poster.post(
+          submitter.post(
               () -> {
-                longestMs = Math.max(longestMs, clock.now() - postedAtMs);
+                longestWaitMs = Math.max(longestWaitMs, clock.now() - submittedAtMs);
                 answered = true;
               });
       // a thread that has too much to do takes no task, and goes on; it is asked at the next check
@@ -53,33 +53,33 @@
   }
 
   private final Clock clock;
-  private final int everyMs;
+  private final int checkIntervalMs;
   private final int stalledAfterMs;
-  private final int endsAfterMs;
+  private final int exitAfterMs;
   private final FatalFailure.Handler onFatal;
-  private final List<Watched> watched = new CopyOnWriteArrayList<>();
+  private final List<WatchedThread> watched = new CopyOnWriteArrayList<>();
   private long checkedAtMs;
 
   /**
    * Watches nothing yet.
    *
-   * @param everyMs between two checks
-   * @param stalledAfterMs standing still, after which {@link #stalled} names a thread
-   * @param endsAfterMs standing still, after which onFatal is told
+   * @param checkIntervalMs between two checks
+   * @param stalledAfterMs standing still, after which {@link #stalledThread} names a thread
+   * @param exitAfterMs standing still, after which onFatal is told
    */
   StallDetector(
       Clock clock, int everyMs, int stalledAfterMs, int endsAfterMs, FatalFailure.Handler onFatal) {
     this.clock = clock;
-    this.everyMs = everyMs;
+    this.checkIntervalMs = everyMs;
     this.stalledAfterMs = stalledAfterMs;
-    this.endsAfterMs = endsAfterMs;
+    this.exitAfterMs = endsAfterMs;
     this.onFatal = onFatal;
     this.checkedAtMs = clock.now();
   }
 
   /** Watches a thread from now on. */
-  public Watched watch(String thread, Poster poster) {
-    Watched added = new Watched(thread, poster);
+  public WatchedThread watch(String thread, TaskSubmitter poster) {
+    WatchedThread added = new WatchedThread(thread, poster);
     watched.add(added);
     return added;
   }
@@ -87,29 +87,30 @@
   /** To be called every everyMs; what passed beyond twice that was a pause of this process. */
   void check() {
     long nowMs = clock.now();
-    long passedMs = Math.min(nowMs - checkedAtMs, 2L * everyMs);
+    long passedMs = Math.min(nowMs - checkedAtMs, 2L * checkIntervalMs);
     checkedAtMs = nowMs;
-    for (Watched one : watched) {
+    for (WatchedThread one : watched) {
       if (one.answered) {
         one.probe(nowMs, clock);
         continue;
       }
-      one.stillMs += passedMs;
-      if (one.stillMs >= endsAfterMs)
-        onFatal.onFatal(one.thread, "stands still", new IllegalStateException(one.stillMs + " ms"));
+      one.stalledMs += passedMs;
+      if (one.stalledMs >= exitAfterMs)
+        onFatal.onFatal(
+            one.thread, "stands still", new IllegalStateException(one.stalledMs + " ms"));
     }
   }
 
   /** The name of a thread that has stood still for long, or empty. */
-  public String stalled() {
-    for (Watched one : watched) if (one.stillMs >= stalledAfterMs) return one.thread;
+  public String stalledThread() {
+    for (WatchedThread one : watched) if (one.stalledMs >= stalledAfterMs) return one.thread;
     return "";
   }
 
   /** By thread, the longest that a task waited for the one before it, in ms. */
   public Map<String, Long> longestWaitsMs() {
     Map<String, Long> longest = new TreeMap<>();
-    for (Watched one : watched) longest.merge(one.thread, one.longestMs, Math::max);
+    for (WatchedThread one : watched) longest.merge(one.thread, one.longestWaitMs, Math::max);
     return longest;
   }
 }
--- a/common/src/main/java/gladelug/common/configuration/AllowedEndpoint.java
+++ b/common/src/main/java/gladelug/common/configuration/AllowedEndpoint.java
@@ -7,7 +7,7 @@
  * One place a service may be called at: an address block and the ports in it, written
  * "10.1.2.0/24:8000-8999", "10.1.2.3:8080" or "10.1.2.0/24" for any port.
  */
-public record AllowedEndpoint(long net, int bits, int low, int high) {
+public record AllowedEndpoint(long network, int prefixLength, int firstPort, int lastPort) {
   public static Result<AllowedEndpoint> parse(String text, String place) {
     String h = text;
     int lo = 1, hi = 65535, bits = 32;
@@ -28,15 +28,18 @@
     } catch (NumberFormatException e) {
       lo = -1;
     }
-    long n = Address.number(h);
+    long n = Address.ipv4ToLong(h);
     if (n < 0 || bits < 0 || bits > 32 || lo < 1 || hi > 65535 || lo > hi)
       return Result.bad(place, "must be IP, IP/BITS, either with :PORT or :LOW-HIGH, not " + text);
     return Result.good(new AllowedEndpoint(n & mask(bits), bits, lo, hi));
   }
 
   public boolean allows(Address address) {
-    long n = Address.number(address.host());
-    return n >= 0 && (n & mask(bits)) == net && address.port() >= low && address.port() <= high;
+    long n = Address.ipv4ToLong(address.host());
+    return n >= 0
+        && (n & mask(prefixLength)) == network
+        && address.port() >= firstPort
+        && address.port() <= lastPort;
   }
 
   private static long mask(int bits) {
--- a/common/src/main/java/gladelug/common/configuration/Configuration.java
+++ b/common/src/main/java/gladelug/common/configuration/Configuration.java
@@ -33,10 +33,10 @@
    */
   public record Engine(
       int slots,
-      long keptTokens,
-      int tokenBytes,
+      long cacheCapacityTokens,
+      int bytesPerToken,
       double linkMbps,
-      int followers,
+      int maxEventSubscribers,
       List<String> models) {
     public static final Engine UNKNOWN = new Engine(0, 0, 0, 0, 0, List.of());
   }
@@ -49,24 +49,25 @@
       int index,
       String name,
       Kind kind,
-      List<AllowedEndpoint> allow,
-      int connections,
+      List<AllowedEndpoint> allowedEndpoints,
+      int maxConnections,
       Engine engine,
-      Address store,
+      Address storeAddress,
       String zone) {
     public boolean allows(Address address) {
-      for (AllowedEndpoint endpoint : allow) if (endpoint.allows(address)) return true;
+      for (AllowedEndpoint endpoint : allowedEndpoints) if (endpoint.allows(address)) return true;
       return false;
     }
   }
 
   /** What a client may send at most and how long it may take: bytes and milliseconds. */
-  public record Limits(int headerBytes, int bodyBytes, int headerMs, int idleMs) {
-    public static final Limits USUAL = new Limits(16_384, 16_777_216, 10_000, 120_000);
+  public record Limits(
+      int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {
+    public static final Limits DEFAULT = new Limits(16_384, 16_777_216, 10_000, 120_000);
   }
 
   /** A part of a route's traffic: a service by its index and how much of it. */
-  public record Weighted(int service, int weight) {}
+  public record WeightedService(int serviceIndex, int weight) {}
 
   /**
    * Which requests go to which service. host is empty for any; prefix tells whether path begins the
@@ -78,24 +79,25 @@
       String name,
       String host,
       String path,
-      boolean prefix,
-      List<Weighted> split,
+      boolean matchesPrefix,
+      List<WeightedService> trafficSplit,
       int deadlineMs,
       boolean repeatable,
       int maxBodyBytes,
-      int aimMs,
-      int gapMs,
-      int attempts,
+      int firstEventTargetMs,
+      int eventGapTargetMs,
+      int maxAttempts,
       int tier,
-      boolean open,
-      boolean stream,
+      boolean allowsAnonymous,
+      boolean streaming,
       boolean resumable) {
-    public int service() {
-      return split.get(0).service();
+    public int primaryService() {
+      return trafficSplit.get(0).serviceIndex();
     }
 
-    public boolean allows(int service) {
-      for (Weighted w : split) if (w.service == service && w.weight > 0) return true;
+    public boolean allowsService(int service) {
+      for (WeightedService w : trafficSplit)
+        if (w.serviceIndex == service && w.weight > 0) return true;
       return false;
     }
 
@@ -103,35 +105,35 @@
      * The service for a request whose draw is from 0 to 1: by the weights, the same for the same
      * draw.
      */
-    public int service(double draw) {
+    public int chooseService(double draw) {
       int all = 0;
-      for (Weighted w : split) all += w.weight;
+      for (WeightedService w : trafficSplit) all += w.weight;
       double at = draw * all;
-      for (Weighted w : split) {
+      for (WeightedService w : trafficSplit) {
         at -= w.weight;
-        if (at < 0) return w.service;
+        if (at < 0) return w.serviceIndex;
       }
-      return split.get(split.size() - 1).service;
+      return trafficSplit.get(trafficSplit.size() - 1).serviceIndex;
     }
 
     /** The same route wherever it and its services stand in the lists of a configuration. */
-    public Route withoutPlaces() {
+    public Route withoutIndices() {
       return new Route(
           0,
           name,
           host,
           path,
-          prefix,
+          matchesPrefix,
           List.of(),
           deadlineMs,
           repeatable,
           maxBodyBytes,
-          aimMs,
-          gapMs,
-          attempts,
+          firstEventTargetMs,
+          eventGapTargetMs,
+          maxAttempts,
           tier,
-          open,
-          stream,
+          allowsAnonymous,
+          streaming,
           resumable);
     }
 
@@ -146,49 +148,49 @@
       private final String name;
       private String host = "";
       private String path = "/";
-      private boolean prefix;
-      private final List<Weighted> split = new ArrayList<>();
+      private boolean matchesPrefix;
+      private final List<WeightedService> trafficSplit = new ArrayList<>();
       private int deadlineMs = 10_000;
       private boolean repeatable;
       private int maxBodyBytes = 262_144;
-      private int aimMs;
-      private int gapMs;
-      private int attempts = 2;
+      private int firstEventTargetMs;
+      private int eventGapTargetMs;
+      private int maxAttempts = 2;
       private int tier;
-      private boolean open;
-      private boolean stream = true;
+      private boolean allowsAnonymous;
+      private boolean streaming = true;
       private boolean resumable;
 
       private Builder(String name) {
         this.name = name;
       }
 
-      public Builder at(String h, String p, boolean begins) {
+      public Builder matching(String h, String p, boolean begins) {
         host = h;
         path = p;
-        prefix = begins;
+        matchesPrefix = begins;
         return this;
       }
 
-      public Builder to(int service, int weight) {
-        split.add(new Weighted(service, weight));
+      public Builder addService(int service, int weight) {
+        trafficSplit.add(new WeightedService(service, weight));
         return this;
       }
 
-      public Builder times(int deadline, int aim, int gap) {
+      public Builder timings(int deadline, int aim, int gap) {
         deadlineMs = deadline;
-        aimMs = aim;
-        gapMs = gap;
+        firstEventTargetMs = aim;
+        eventGapTargetMs = gap;
         return this;
       }
 
-      public Builder tries(boolean again, int most) {
+      public Builder attempts(boolean again, int most) {
         repeatable = again;
-        attempts = most;
+        maxAttempts = most;
         return this;
       }
 
-      public Builder body(int bytes) {
+      public Builder maxBodyBytes(int bytes) {
         maxBodyBytes = bytes;
         return this;
       }
@@ -198,13 +200,13 @@
         return this;
       }
 
-      public Builder open(boolean yes) {
-        open = yes;
+      public Builder allowsAnonymous(boolean yes) {
+        allowsAnonymous = yes;
         return this;
       }
 
-      public Builder stream(boolean yes, boolean mayResume) {
-        stream = yes;
+      public Builder streaming(boolean yes, boolean mayResume) {
+        streaming = yes;
         resumable = mayResume;
         return this;
       }
@@ -215,24 +217,24 @@
             name,
             host,
             path,
-            prefix,
-            List.copyOf(split),
+            matchesPrefix,
+            List.copyOf(trafficSplit),
             deadlineMs,
             repeatable,
             maxBodyBytes,
-            aimMs,
-            gapMs,
-            attempts,
+            firstEventTargetMs,
+            eventGapTargetMs,
+            maxAttempts,
             tier,
-            open,
-            stream,
+            allowsAnonymous,
+            streaming,
             resumable);
       }
     }
   }
 
   public record Tenant(
-      int index, String name, List<String> keys, boolean isolated, QuotaShare share) {}
+      int index, String name, List<String> keyHashes, boolean isolated, QuotaShare rootShare) {}
 
   public final List<Service> services;
   public final List<Route> routes;
@@ -242,10 +244,10 @@
   /** The operator's own number for it, 0 where there is none. */
   public final long revision;
 
-  private final Map<String, Route> byPath = new HashMap<>();
-  private final Map<String, Route> byPrefix = new HashMap<>();
-  private final Map<String, Tenant> byKey = new HashMap<>();
-  private final Map<String, Service> byName = new HashMap<>();
+  private final Map<String, Route> routesByPath = new HashMap<>();
+  private final Map<String, Route> routesByPrefix = new HashMap<>();
+  private final Map<String, Tenant> tenantsByKeyHash = new HashMap<>();
+  private final Map<String, Service> servicesByName = new HashMap<>();
 
   public Configuration(
       long revision,
@@ -258,13 +260,14 @@
     this.services = List.copyOf(services);
     this.routes = List.copyOf(routes);
     this.tenants = List.copyOf(tenants);
-    for (Service s : services) byName.put(s.name, s);
-    for (Route m : routes) (m.prefix ? byPrefix : byPath).put(m.host + m.path, m);
-    for (Tenant t : tenants) for (String k : t.keys) byKey.put(k, t);
+    for (Service s : services) servicesByName.put(s.name, s);
+    for (Route m : routes)
+      (m.matchesPrefix ? routesByPrefix : routesByPath).put(m.host + m.path, m);
+    for (Tenant t : tenants) for (String k : t.keyHashes) tenantsByKeyHash.put(k, t);
   }
 
   /** Whoever calls a route that is open to all without a key. */
-  public static final Tenant ANYBODY =
+  public static final Tenant ANONYMOUS =
       new Tenant(
           -1,
           "anybody",
@@ -273,7 +276,7 @@
           new QuotaShare("anybody", "anybody", 1, 9, 0, List.of(), List.of()));
 
   public static final Configuration EMPTY =
-      new Configuration(0, List.of(), List.of(), List.of(), Limits.USUAL);
+      new Configuration(0, List.of(), List.of(), List.of(), Limits.DEFAULT);
 
   public Route route(String path) {
     return route("", path);
@@ -284,32 +287,32 @@
    * null.
    */
   public Route route(String host, String path) {
-    Route r = byPath.get(host + path);
+    Route r = routesByPath.get(host + path);
     for (int i = path.length() - 1; r == null && i >= 0; i--)
-      if (path.charAt(i) == '/') r = byPrefix.get(host + path.substring(0, i + 1));
+      if (path.charAt(i) == '/') r = routesByPrefix.get(host + path.substring(0, i + 1));
     return r != null || host.isEmpty() ? r : route("", path);
   }
 
   public Service service(String name) {
-    return byName.get(name);
+    return servicesByName.get(name);
   }
 
-  public Tenant tenantOfHash(String hash) {
-    return byKey.get(hash);
+  public Tenant tenantByKeyHash(String hash) {
+    return tenantsByKeyHash.get(hash);
   }
 
-  public static String hashOf(String key) {
+  public static String hashKey(String key) {
     return Digest.hex(key);
   }
 
   /** Where in the tree a request of this tenant by this route stands: the leaf's path. */
-  public static String leaf(Tenant t, Route m) {
-    QuotaShare share = t.share.leaf(m.name);
-    return share == null ? t.share.path() : share.path();
+  public static String leafPath(Tenant t, Route m) {
+    QuotaShare share = t.rootShare.findLeaf(m.name);
+    return share == null ? t.rootShare.path() : share.path();
   }
 
   public static Result<Configuration> parse(String json) {
-    return LocatedJson.parse(json).then(Configuration::read);
+    return LocatedJson.parse(json).flatMap(Configuration::read);
   }
 
   public static Result<Configuration> read(LocatedJson d) {
@@ -317,21 +320,21 @@
     LocatedJson.Fields f = d.fields(findings);
     Map<String, Service> sn = new HashMap<>();
     List<Service> ss = new ArrayList<>();
-    for (LocatedJson x : f.list("services", true)) ss.add(service(x, ss.size(), sn, findings));
+    for (LocatedJson x : f.list("services", true)) ss.add(readService(x, ss.size(), sn, findings));
     List<Route> ms = new ArrayList<>();
     Set<String> mn = new HashSet<>(), mp = new HashSet<>();
     for (LocatedJson x : f.list("mappings", true))
-      ms.add(route(x, ms.size(), sn, mn, mp, findings));
+      ms.add(readRoute(x, ms.size(), sn, mn, mp, findings));
     List<Tenant> ts = new ArrayList<>();
     Set<String> tn = new HashSet<>();
     Map<String, String> keys = new HashMap<>();
     for (LocatedJson x : f.list("tenants", true))
-      ts.add(tenant(x, ts.size(), tn, keys, mn, findings));
-    f.done();
-    return Result.of(findings, () -> new Configuration(0, ss, ms, ts, Limits.USUAL));
+      ts.add(readTenant(x, ts.size(), tn, keys, mn, findings));
+    f.reportUnknownFields();
+    return Result.of(findings, () -> new Configuration(0, ss, ms, ts, Limits.DEFAULT));
   }
 
-  private static Service service(
+  private static Service readService(
       LocatedJson json, int i, Map<String, Service> names, Findings findings) {
     LocatedJson.Fields f = json.fields(findings);
     String name = f.text("name");
@@ -351,14 +354,14 @@
         for (Finding y : ((Result.Bad<AllowedEndpoint>) r).findings())
           findings.add(y.place(), y.what());
     }
-    f.done();
+    f.reportUnknownFields();
     Service s = new Service(i, name, kind, List.copyOf(as), 256, Engine.UNKNOWN, null, "");
     if (names.putIfAbsent(name, s) != null)
       findings.add(f.place("name"), "two services are named " + name);
     return s;
   }
 
-  private static Route route(
+  private static Route readRoute(
       LocatedJson json,
       int i,
       Map<String, Service> sn,
@@ -380,17 +383,17 @@
     if (!paths.add(path)) findings.add(f.place("path"), "two mappings have the path " + path);
     Route m =
         Route.named(name)
-            .at("", path, false)
-            .to(s == null ? -1 : s.index, 1)
-            .times((int) f.integer("expiryMs", 10_000, 50, 600_000), 0, 0)
-            .tries(f.flag("repeatable", false), (int) f.integer("attempts", 6, 1, 16))
-            .body((int) f.integer("maxBodyBytes", 262_144, 64, 16_777_216))
+            .matching("", path, false)
+            .addService(s == null ? -1 : s.index, 1)
+            .timings((int) f.integer("expiryMs", 10_000, 50, 600_000), 0, 0)
+            .attempts(f.flag("repeatable", false), (int) f.integer("attempts", 6, 1, 16))
+            .maxBodyBytes((int) f.integer("maxBodyBytes", 262_144, 64, 16_777_216))
             .build(i);
-    f.done();
+    f.reportUnknownFields();
     return m;
   }
 
-  private static Tenant tenant(
+  private static Tenant readTenant(
       LocatedJson x,
       int i,
       Set<String> names,
@@ -426,9 +429,9 @@
             List.of(),
             below);
     for (QuotaShare share : below)
-      QuotaShare.above(share, root.limit(), f.place("shares"), findings);
+      QuotaShare.checkLimit(share, root.limit(), f.place("shares"), findings);
     Tenant t = new Tenant(i, name, List.copyOf(ks), f.flag("isolated", false), root);
-    f.done();
+    f.reportUnknownFields();
     if (name.contains("/")) findings.add(f.place("name"), "must not hold a slash");
     if (!names.add(name)) findings.add(f.place("name"), "two tenants are named " + name);
     return t;
--- a/common/src/main/java/gladelug/common/configuration/CoreMemberList.java
+++ b/common/src/main/java/gladelug/common/configuration/CoreMemberList.java
@@ -13,25 +13,25 @@
  * The core's members as data-plane processes receive them: names and addresses, with the generation
  * as number.
  */
-public record CoreMemberList(List<Member> all) {
-  public record Member(String name, Address records, Address operator) {}
+public record CoreMemberList(List<Member> members) {
+  public record Member(String name, Address recordsAddress, Address operatorAddress) {}
 
   public static final CoreMemberList NONE = new CoreMemberList(List.of());
 
-  public String json() {
+  public String toJson() {
     JsonArray array = new JsonArray();
-    for (Member m : all)
+    for (Member m : members)
       array.add(
           Json.object()
               .add("name", m.name)
-              .add("records", m.records.toString())
-              .add("operator", m.operator.toString()));
+              .add("records", m.recordsAddress.toString())
+              .add("operator", m.operatorAddress.toString()));
     return Json.object().add("members", array).toString();
   }
 
   public static Result<CoreMemberList> parse(String text) {
     return LocatedJson.parse(text)
-        .then(
+        .flatMap(
             d -> {
               Findings findings = new Findings();
               LocatedJson.Fields f = d.fields(findings);
@@ -43,9 +43,9 @@
                         g.text("name"),
                         Address.read(g, "records", findings),
                         Address.read(g, "operator", findings)));
-                g.done();
+                g.reportUnknownFields();
               }
-              f.done();
+              f.reportUnknownFields();
               return Result.of(findings, () -> new CoreMemberList(List.copyOf(l)));
             });
   }
--- a/common/src/main/java/gladelug/common/configuration/PrefixSharing.java
+++ b/common/src/main/java/gladelug/common/configuration/PrefixSharing.java
@@ -27,8 +27,8 @@
  * configured as isolated has not shared since then; one that is configured otherwise may have; of
  * all others {@link #mayHaveShared} tells.
  *
- * @param since the number of the configuration with which sharing began anew; 0 where it never did,
- *     below 0 where a value of an earlier release has no record of it
+ * @param effectiveSince the number of the configuration with which sharing began anew; 0 where it
+ *     never did, below 0 where a value of an earlier release has no record of it
  * @param formerTenants fingerprints of the names of tenants that shared since then and are not
  *     configured any more
  * @param complete whether formerTenants lacks none of them
@@ -46,10 +46,10 @@
    */
   public static final int MAX_FORMER_TENANTS = 512;
 
-  private static final int FORMAT = 1;
+  private static final int FORMAT_VERSION = 1;
 
   /** Sharing begins with the configuration that has this number. */
-  public static PrefixSharing beginningWith(long number) {
+  public static PrefixSharing startingAt(long number) {
     return new PrefixSharing(number, Set.of(), true);
   }
 
@@ -71,19 +71,19 @@
    */
   public PrefixSharing next(Configuration before, long beforeNumber, Configuration after) {
     if (beforeNumber == 0) return FIRST;
-    if (!isRecorded()) return nextOfUnrecorded(before, beforeNumber, after);
-    return isolatesOneThatShared(before, after)
-        ? beginningWith(beforeNumber + 1)
-        : withFormerTenants(sharingNames(before), allNames(after));
+    if (!isRecorded()) return nextFromUnrecorded(before, beforeNumber, after);
+    return isolatesFormerSharer(before, after)
+        ? startingAt(beforeNumber + 1)
+        : addingFormerTenants(sharingNames(before), allNames(after));
   }
 
   /** Stays unrecorded while nobody is isolated, so that the release before can read the value. */
-  private static PrefixSharing nextOfUnrecorded(
+  private static PrefixSharing nextFromUnrecorded(
       Configuration before, long beforeNumber, Configuration after) {
     boolean isolatedBefore = !isolatedNames(before).isEmpty();
     if (!isolatedBefore && isolatedNames(after).isEmpty()) return UNRECORDED;
     PrefixSharing assumed =
-        isolatedBefore ? beginningWith(beforeNumber) : new PrefixSharing(0, Set.of(), false);
+        isolatedBefore ? startingAt(beforeNumber) : new PrefixSharing(0, Set.of(), false);
     return assumed.next(before, beforeNumber, after);
   }
 
@@ -93,7 +93,7 @@
    * @param recorded what came with the configuration, below 0 where nothing did: then some tenant
    *     may have shared before it became isolated, unless none is
    */
-  public static long since(long recorded, Configuration configuration, long number) {
+  public static long effectiveSince(long recorded, Configuration configuration, long number) {
     if (recorded >= 0) return recorded;
     return isolatedNames(configuration).isEmpty() ? 0 : number;
   }
@@ -103,7 +103,7 @@
     return !complete || formerTenants.contains(fingerprint(absentTenant));
   }
 
-  private boolean isolatesOneThatShared(Configuration before, Configuration after) {
+  private boolean isolatesFormerSharer(Configuration before, Configuration after) {
     Set<String> shared = sharingNames(before);
     Set<String> known = allNames(before);
     for (String name : isolatedNames(after))
@@ -111,7 +111,7 @@
     return false;
   }
 
-  private PrefixSharing withFormerTenants(Set<String> shared, Set<String> configured) {
+  private PrefixSharing addingFormerTenants(Set<String> shared, Set<String> configured) {
     Set<Long> former = new HashSet<>(formerTenants);
     boolean all = complete;
     for (String name : shared)
@@ -151,21 +151,21 @@
   /** Writes it as it ends a value on the wire and on disk; nothing where it isn't recorded. */
   public void write(DataOutputStream out) throws IOException {
     if (!isRecorded()) return;
-    out.writeByte(FORMAT);
+    out.writeByte(FORMAT_VERSION);
     out.writeLong(since);
     out.writeBoolean(complete);
-    WireRecord.list(
+    WireRecord.writeList(
         out, new TreeSet<>(formerTenants).stream().toList(), DataOutputStream::writeLong);
   }
 
   /** Reads what {@link #write} wrote; an IOException where that is no such thing. */
   public static PrefixSharing read(DataInputStream in) throws IOException {
     int format = in.readUnsignedByte();
-    if (format != FORMAT)
+    if (format != FORMAT_VERSION)
       throw new IOException("sharing in format " + format + ", as of a newer release");
     long since = in.readLong();
     boolean complete = in.readBoolean();
-    Set<Long> former = new HashSet<>(WireRecord.list(in, DataInputStream::readLong));
+    Set<Long> former = new HashSet<>(WireRecord.readList(in, DataInputStream::readLong));
     if (since < 0 || former.size() > MAX_FORMER_TENANTS)
       throw new IOException("no record of shared prefixes: since " + since);
     return new PrefixSharing(since, former, complete);
--- a/common/src/main/java/gladelug/common/configuration/QuotaShare.java
+++ b/common/src/main/java/gladelug/common/configuration/QuotaShare.java
@@ -20,7 +20,7 @@
     int limit,
     List<String> routes,
     List<QuotaShare> shares) {
-  static final int DEEPEST = 6;
+  static final int MAX_DEPTH = 6;
 
   static QuotaShare read(
       LocatedJson json, String under, int depth, Set<String> taken, Findings findings) {
@@ -36,9 +36,9 @@
             (int) f.integer("limit", 0, 0, 1_000_000),
             List.copyOf(f.texts("mappings", false)),
             readAll(f.list("shares", false), path, depth + 1, taken, findings));
-    f.done();
+    f.reportUnknownFields();
     if (name.contains("/")) findings.add(f.place("name"), "must not hold a slash");
-    for (QuotaShare c : s.shares) above(c, s.limit, f.place("shares"), findings);
+    for (QuotaShare c : s.shares) checkLimit(c, s.limit, f.place("shares"), findings);
     if (!s.shares.isEmpty() && !s.routes.isEmpty())
       findings.add(
           f.place("mappings"), "belong to shares at the leaves; this one has shares below it");
@@ -50,8 +50,8 @@
 
   static List<QuotaShare> readAll(
       List<LocatedJson> ds, String under, int depth, Set<String> taken, Findings findings) {
-    if (depth > DEEPEST && !ds.isEmpty()) {
-      findings.add(ds.get(0).place(), "shares are nested deeper than " + DEEPEST);
+    if (depth > MAX_DEPTH && !ds.isEmpty()) {
+      findings.add(ds.get(0).place(), "shares are nested deeper than " + MAX_DEPTH);
       return List.of();
     }
     List<QuotaShare> out = new ArrayList<>();
@@ -66,7 +66,7 @@
   }
 
   /** A share can't have more than what it is a share of. */
-  static void above(QuotaShare share, int limit, String place, Findings findings) {
+  static void checkLimit(QuotaShare share, int limit, String place, Findings findings) {
     if (limit > 0 && share.limit > limit)
       findings.add(
           place,
@@ -79,10 +79,10 @@
   }
 
   /** The leaf below here that takes the route, or null. */
-  QuotaShare leaf(String route) {
+  QuotaShare findLeaf(String route) {
     if (routes.contains(route)) return this;
     for (QuotaShare s : shares) {
-      QuotaShare l = s.leaf(route);
+      QuotaShare l = s.findLeaf(route);
       if (l != null) return l;
     }
     return null;
--- a/common/src/main/java/gladelug/common/configuration/Replicas.java
+++ b/common/src/main/java/gladelug/common/configuration/Replicas.java
@@ -28,9 +28,9 @@
       String zone,
       boolean ready,
       int slots,
-      Map<String, String> weights) {
+      Map<String, String> weightsByModel) {
     public Replica {
-      weights = Map.copyOf(weights);
+      weightsByModel = Map.copyOf(weightsByModel);
     }
 
     public Replica(String service, String instance, Address address, String zone, boolean ready) {
@@ -54,7 +54,7 @@
 
   public static Result<Replicas> parse(String json) {
     return LocatedJson.parse(json)
-        .then(
+        .flatMap(
             d -> {
               Findings findings = new Findings();
               LocatedJson.Fields f = d.fields(findings);
@@ -77,14 +77,14 @@
                         st.equals("ready"),
                         (int) g.integer("slots", 0, 0, 1 << 20),
                         ws));
-                g.done();
+                g.reportUnknownFields();
               }
-              f.done();
+              f.reportUnknownFields();
               return Result.of(findings, () -> new Replicas(out));
             });
   }
 
-  public String json() {
+  public String toJson() {
     StringBuilder builder = new StringBuilder("{\"replicas\":[");
     for (Replica r : all) {
       if (builder.charAt(builder.length() - 1) == '}') builder.append(',');
@@ -96,9 +96,9 @@
               .add("domain", r.zone)
               .add("state", r.ready ? "ready" : "leaving");
       if (r.slots > 0) o.add("slots", r.slots);
-      if (!r.weights.isEmpty()) {
+      if (!r.weightsByModel.isEmpty()) {
         JsonObject w = Json.object();
-        new TreeMap<>(r.weights).forEach(w::add);
+        new TreeMap<>(r.weightsByModel).forEach(w::add);
         o.add("weights", w);
       }
       builder.append(o);
--- a/common/src/main/java/gladelug/common/configuration/RolloutPlan.java
+++ b/common/src/main/java/gladelug/common/configuration/RolloutPlan.java
@@ -11,7 +11,7 @@
  * <p>leadMs: from the naming to the first part's turn; rollMs: what all parts' turns take; parts:
  * how many there are.
  */
-public record RolloutPlan(long leadMs, long rollMs, int parts) {
+public record RolloutPlan(long delayMs, long durationMs, int parts) {
   /** The product's own: thirds, the first at once. */
   public static RolloutPlan thirds(long rollMs) {
     return new RolloutPlan(0, rollMs, 3);
@@ -21,19 +21,19 @@
    * Of which part an instance is, from 0; all: the instances of the service that take the weights,
    * it among them.
    */
-  public int part(String instance, Collection<String> all) {
+  public int partOf(String instance, Collection<String> all) {
     int before = 0;
     for (String x : all) if (x.compareTo(instance) < 0) before++;
-    return before / size(all.size());
+    return before / partSize(all.size());
   }
 
   /** How many replicas go in one part. */
-  public int size(int all) {
+  public int partSize(int all) {
     return Math.max(1, (all + parts - 1) / parts);
   }
 
   /** When a part goes at the latest, in ms after the naming. */
-  public long due(int part) {
-    return leadMs + part * rollMs / parts;
+  public long dueMs(int part) {
+    return delayMs + part * durationMs / parts;
   }
 }
--- a/common/src/main/java/gladelug/common/configuration/Weights.java
+++ b/common/src/main/java/gladelug/common/configuration/Weights.java
@@ -14,30 +14,31 @@
  * for it are refused.
  */
 public final class Weights {
-  public record Named(String now, String before, long sequence) {}
+  public record Assignment(String current, String previous, long sequence) {}
 
   public static final Weights NONE = new Weights(TreePMap.empty());
-  private final PSortedMap<String, Named> byService;
+  private final PSortedMap<String, Assignment> byService;
 
-  private Weights(PSortedMap<String, Named> m) {
+  private Weights(PSortedMap<String, Assignment> m) {
     byService = m;
   }
 
-  public Named of(String service) {
+  public Assignment of(String service) {
     return byService.get(service);
   }
 
-  public Weights naming(String service, String weights, long nr) {
-    Named old = byService.get(service);
-    return new Weights(byService.plus(service, new Named(weights, old == null ? "" : old.now, nr)));
+  public Weights withAssignment(String service, String weights, long nr) {
+    Assignment old = byService.get(service);
+    return new Weights(
+        byService.plus(service, new Assignment(weights, old == null ? "" : old.current, nr)));
   }
 
   public static Result<Weights> parse(String json) {
     return LocatedJson.parse(json)
-        .then(
+        .flatMap(
             d -> {
               Findings findings = new Findings();
-              PSortedMap<String, Named> m = TreePMap.empty();
+              PSortedMap<String, Assignment> m = TreePMap.empty();
               LocatedJson.Fields f = d.fields(findings);
               for (String text : d.members.keySet()) {
                 LocatedJson o = f.object(text, true);
@@ -46,7 +47,7 @@
                 m =
                     m.plus(
                         text,
-                        new Named(
+                        new Assignment(
                             g.text("now"),
                             g.text("before", ""),
                             g.integer("nr", 0, Long.MAX_VALUE)));
@@ -56,13 +57,16 @@
             });
   }
 
-  public String json() {
+  public String toJson() {
     JsonObject json = Json.object();
     byService.forEach(
         (text, n) ->
             json.add(
                 text,
-                Json.object().add("now", n.now).add("before", n.before).add("nr", n.sequence)));
+                Json.object()
+                    .add("now", n.current)
+                    .add("before", n.previous)
+                    .add("nr", n.sequence)));
     return json.toString();
   }
 }
--- a/common/src/main/java/gladelug/common/connection/BindAddress.java
+++ b/common/src/main/java/gladelug/common/connection/BindAddress.java
@@ -14,25 +14,25 @@
   public static BindAddress of(Settings settings, Address records) {
     String b = settings.text("bind", "");
     Findings findings = settings.findings;
-    if (wild(records.host()))
+    if (isWildcard(records.host()))
       findings.add("--records", "is what others call, so it can't be " + records.host());
     if (b.isEmpty()) return new BindAddress(records.host());
-    if (Address.number(b) < 0)
+    if (Address.ipv4ToLong(b) < 0)
       findings.add("--bind", "must be an IP number without a port, not " + b);
     return new BindAddress(b);
   }
 
-  private static boolean wild(String host) {
+  private static boolean isWildcard(String host) {
     return host.equals("0.0.0.0");
   }
 
   /** Where to listen for what is advertised as this. */
-  public Address at(Address advertised) {
+  public Address listenAddress(Address advertised) {
     return new Address(ip, advertised.port());
   }
 
   public <T extends ClientOptionsBase> T withLocalAddress(T options) {
-    if (!wild(ip)) options.setLocalAddress(ip);
+    if (!isWildcard(ip)) options.setLocalAddress(ip);
     return options;
   }
 }
--- a/common/src/main/java/gladelug/common/connection/BoundedHttpCalls.java
+++ b/common/src/main/java/gladelug/common/connection/BoundedHttpClient.java
@@ -19,7 +19,7 @@
  * time by which it has ended, and its bytes are reserved before they are kept. One that is larger,
  * late or finds no memory is given up, and its connection is closed. All on one event loop.
  */
-public final class BoundedHttpCalls implements AutoCloseable {
+public final class BoundedHttpClient implements AutoCloseable {
   private final Vertx vertx;
   private final Context context;
   private final HttpClient client;
@@ -30,7 +30,7 @@
    *
    * @param budget of the bytes of all answers that are held
    */
-  public BoundedHttpCalls(Vertx vertx, HttpClientOptions options, MemoryBudget budget) {
+  public BoundedHttpClient(Vertx vertx, HttpClientOptions options, MemoryBudget budget) {
     this.vertx = vertx;
     this.context = vertx.getOrCreateContext();
     this.client = vertx.createHttpClient(options);
@@ -40,11 +40,11 @@
   /**
    * Sends a request without a body.
    *
-   * @param mostBytes of the answer's body
+   * @param maxBytes of the answer's body
    * @param withinMs by when the answer has ended, from now
    * @return the answer, which is to be closed; fails with a {@link HttpCallException}
    */
-  public Uni<HttpAnswer> send(RequestOptions target, long mostBytes, long withinMs) {
+  public Uni<BufferedHttpResponse> send(RequestOptions target, long mostBytes, long withinMs) {
     return Uni.createFrom()
         .emitter(
             emitter -> {
@@ -53,7 +53,7 @@
                   .future()
                   .onSuccess(emitter::complete)
                   .onFailure(failure -> emitter.fail(failure));
-              context.runOnContext(ignored -> call.begin(target, withinMs));
+              context.runOnContext(ignored -> call.start(target, withinMs));
             });
   }
 
@@ -64,18 +64,18 @@
 
   /** One call, from its request to the end of its answer. */
   private final class Call {
-    final Promise<HttpAnswer> promise = Promise.promise();
-    private final long mostBytes;
+    final Promise<BufferedHttpResponse> promise = Promise.promise();
+    private final long maxBytes;
     private final Buffer body = Buffer.buffer();
     private long timer;
     private HttpClientRequest request;
-    private boolean over;
+    private boolean finished;
 
     Call(long mostBytes) {
-      this.mostBytes = mostBytes;
+      this.maxBytes = mostBytes;
     }
 
-    void begin(RequestOptions target, long withinMs) {
+    void start(RequestOptions target, long withinMs) {
       timer = vertx.setTimer(withinMs, id -> fail(Reason.TIMED_OUT, "no whole answer in time"));
       client.request(target).onComplete(this::onConnection);
     }
@@ -86,36 +86,36 @@
         return;
       }
       request = connected.result();
-      if (over) request.reset();
-      else request.send().onComplete(this::onHead);
+      if (finished) request.reset();
+      else request.send().onComplete(this::onResponse);
     }
 
-    private void onHead(AsyncResult<HttpClientResponse> answered) {
-      if (over) return;
+    private void onResponse(AsyncResult<HttpClientResponse> answered) {
+      if (finished) return;
       if (answered.failed()) {
         fail(Reason.BROKEN, answered.cause().toString());
         return;
       }
       HttpClientResponse answer = answered.result();
-      answer.handler(this::take);
+      answer.handler(this::onChunk);
       answer.exceptionHandler(failure -> fail(Reason.BROKEN, failure.toString()));
-      answer.endHandler(ignored -> end(answer));
+      answer.endHandler(ignored -> onEnd(answer));
     }
 
-    private void take(Buffer bytes) {
-      if (over) return;
-      if (body.length() + bytes.length() > mostBytes)
-        fail(Reason.TOO_LARGE, "an answer of more than " + mostBytes + " bytes");
+    private void onChunk(Buffer bytes) {
+      if (finished) return;
+      if (body.length() + bytes.length() > maxBytes)
+        fail(Reason.TOO_LARGE, "an answer of more than " + maxBytes + " bytes");
       else if (!budget.reserve(bytes.length()))
         fail(Reason.NO_MEMORY, "other answers take the memory");
       else body.appendBuffer(bytes);
     }
 
-    private void end(HttpClientResponse answer) {
+    private void onEnd(HttpClientResponse answer) {
       if (!finish()) return;
       int length = body.length();
       promise.complete(
-          new HttpAnswer(
+          new BufferedHttpResponse(
               answer.statusCode(), answer.headers(), body, () -> budget.release(length)));
     }
 
@@ -127,8 +127,8 @@
     }
 
     private boolean finish() {
-      if (over) return false;
-      over = true;
+      if (finished) return false;
+      finished = true;
       vertx.cancelTimer(timer);
       return true;
     }
--- a/common/src/main/java/gladelug/common/connection/HttpAnswer.java
+++ b/common/src/main/java/gladelug/common/connection/BufferedHttpResponse.java
@@ -8,7 +8,7 @@
  *
  * @param body never null
  */
-public record HttpAnswer(int status, MultiMap headers, Buffer body, Runnable release)
+public record BufferedHttpResponse(int status, MultiMap headers, Buffer body, Runnable release)
     implements AutoCloseable {
   /** A header's value, or null. */
   public String header(String name) {
--- a/common/src/main/java/gladelug/common/connection/Connection.java
+++ b/common/src/main/java/gladelug/common/connection/Connection.java
@@ -31,12 +31,12 @@
     default void closed() {}
   }
 
-  private static final int FULL = 64 << 20;
+  private static final int MAX_QUEUED_BYTES = 64 << 20;
   private static final int ANSWER_REQUESTED = 1 << 31;
   private static final int HEADER_BYTES = 4;
 
   /** How long a close may wait for what is still to be sent, ms. */
-  private static final long CLOSE_WITHIN = 1000;
+  private static final long CLOSE_TIMEOUT_MS = 1000;
 
   private final NetSocket socket;
   public final String peer;
@@ -48,8 +48,8 @@
   private final AtomicBoolean suspected = new AtomicBoolean();
   private Receiver receiver;
   private Buffer unread = Buffer.buffer();
-  private volatile Future<?> resetLater;
-  private volatile long lastReceived;
+  private volatile Future<?> pendingReset;
+  private volatile long lastReceivedAtMs;
   private volatile boolean closed;
 
   Connection(NetSocket socket, String peer, Clock clock, ReadTimeoutDetector detector) {
@@ -57,29 +57,29 @@
     this.peer = peer;
     this.clock = clock;
     this.detector = detector;
-    this.lastReceived = clock.now();
-    if (detector != null) detector.connected();
-    socket.getDelegate().setWriteQueueMaxSize(FULL);
-    socket.getDelegate().handler(this::bytes);
-    socket.getDelegate().closeHandler(v -> end());
+    this.lastReceivedAtMs = clock.now();
+    if (detector != null) detector.onConnected();
+    socket.getDelegate().setWriteQueueMaxSize(MAX_QUEUED_BYTES);
+    socket.getDelegate().handler(this::onBytes);
+    socket.getDelegate().closeHandler(v -> onClosed());
     socket
         .getDelegate()
         .exceptionHandler(
             failure -> Log.fine("connection-problem", "peer", peer, "what", failure.toString()));
   }
 
-  void receiver(Receiver r) {
+  void setReceiver(Receiver r) {
     receiver = r;
   }
 
   public boolean send(WireRecord message) {
-    return send(WireRecord.bytes(message));
+    return send(WireRecord.encode(message));
   }
 
   public boolean send(byte[] record) {
     closeIfSilent();
     if (closed || socket.getDelegate().writeQueueFull()) return false;
-    write(record, detector != null && detector.sending(record.length + HEADER_BYTES));
+    write(record, detector != null && detector.onSending(record.length + HEADER_BYTES));
     return true;
   }
 
@@ -91,13 +91,13 @@
   }
 
   /** Asks the other side for a sign of life and sends nothing else. */
-  void askForAnswer() {
+  void requestAnswer() {
     if (!closed && !socket.getDelegate().writeQueueFull()) write(new byte[0], true);
   }
 
   /** When bytes were last received, by this process's clock. */
-  long lastReceived() {
-    return lastReceived;
+  long lastReceivedAtMs() {
+    return lastReceivedAtMs;
   }
 
   /**
@@ -105,29 +105,30 @@
    * what may have arrived while this process itself was late.
    */
   void closeIfSilent() {
-    if (closed || detector == null || !detector.silent() || !suspected.compareAndSet(false, true))
+    if (closed || detector == null || !detector.isSilent() || !suspected.compareAndSet(false, true))
       return;
     channel()
         .eventLoop()
         .schedule(
             () -> {
               suspected.set(false);
-              if (closed || !detector.silent()) return;
+              if (closed || !detector.isSilent()) return;
               Log.event("connection-silent", "peer", peer);
               reset();
             },
-            Liveness.GRACE,
+            Liveness.GRACE_MS,
             TimeUnit.MILLISECONDS);
   }
 
-  public boolean open() {
+  public boolean isOpen() {
     return !closed;
   }
 
   /** Closes once all is sent, or resets soon where the other side doesn't read. */
   public void close() {
     if (closed) return;
-    resetLater = channel().eventLoop().schedule(this::reset, CLOSE_WITHIN, TimeUnit.MILLISECONDS);
+    pendingReset =
+        channel().eventLoop().schedule(this::reset, CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     socket.getDelegate().close();
   }
 
@@ -147,9 +148,9 @@
     return ((NetSocketInternal) socket.getDelegate()).channelHandlerContext().channel();
   }
 
-  private void bytes(Buffer buffer) {
-    lastReceived = clock.now();
-    if (detector != null) detector.received();
+  private void onBytes(Buffer buffer) {
+    lastReceivedAtMs = clock.now();
+    if (detector != null) detector.onReceived();
     unread = unread.length() == 0 ? buffer : unread.appendBuffer(buffer);
     int at = 0;
     try {
@@ -172,10 +173,10 @@
     }
   }
 
-  private void end() {
+  private void onClosed() {
     if (closed) return;
     closed = true;
-    if (resetLater != null) resetLater.cancel(false);
+    if (pendingReset != null) pendingReset.cancel(false);
     if (receiver != null) receiver.closed();
   }
 }
--- a/common/src/main/java/gladelug/common/connection/ConnectionAcceptor.java
+++ b/common/src/main/java/gladelug/common/connection/ConnectionAcceptor.java
@@ -30,30 +30,30 @@
  */
 public final class ConnectionAcceptor implements ServiceRegistry.Service {
   /** How often accepted connections are looked at, ms. */
-  private static final long SWEEP = 10_000;
+  private static final long SWEEP_INTERVAL_MS = 10_000;
 
   /** Silence after which a peer is asked for a sign of life, which it has until the next look. */
-  private static final long IDLE = 15_000;
+  private static final long IDLE_TIMEOUT_MS = 15_000;
 
   private final Clock clock = Clock.monotonic();
   private final Vertx vertx;
   private final Address address;
-  public final BindAddress local;
+  public final BindAddress bindAddress;
   private final String name;
   private final Map<String, BiFunction<Hello, Connection, Connection.Receiver>> receiverFactories =
       new ConcurrentHashMap<>();
-  private final Set<Connection> open = ConcurrentHashMap.newKeySet();
+  private final Set<Connection> openConnections = ConcurrentHashMap.newKeySet();
 
   /** By accepted connection: when its silent peer was asked for a sign of life, or 0. */
-  private final Map<Connection, Long> accepted = new ConcurrentHashMap<>();
+  private final Map<Connection, Long> probedAtMs = new ConcurrentHashMap<>();
 
   /** By how long an attempt to connect may take, ms. */
-  private final Map<Integer, NetClient> clients = new ConcurrentHashMap<>();
+  private final Map<Integer, NetClient> clientsByConnectTimeoutMs = new ConcurrentHashMap<>();
 
   private NetServer server;
 
   public ConnectionAcceptor(Vertx vertx, Address address, BindAddress local, String name) {
-    this.local = local;
+    this.bindAddress = local;
     this.vertx = vertx;
     this.address = address;
     this.name = name;
@@ -75,49 +75,49 @@
                     new Connection(
                         new NetSocket(socket), socket.remoteAddress().toString(), clock, null)));
     try {
-      server.listen(address.port(), local.ip()).await().atMost(Duration.ofSeconds(10));
+      server.listen(address.port(), bindAddress.ip()).await().atMost(Duration.ofSeconds(10));
     } catch (RuntimeException e) {
       throw new ServiceRegistry.StartupException(
-          "cannot listen for records on " + address + ": " + reason(e), e);
+          "cannot listen for records on " + address + ": " + rootCauseMessage(e), e);
     }
-    vertx.setPeriodic(SWEEP, i -> closeSilentConnections());
+    vertx.setPeriodic(SWEEP_INTERVAL_MS, i -> closeSilentConnections());
     Log.event("peer-listener-started", "address", address);
   }
 
   private NetClient client(int connectTimeout) {
-    return clients.computeIfAbsent(
+    return clientsByConnectTimeoutMs.computeIfAbsent(
         connectTimeout,
         t ->
             vertx.createNetClient(
-                local.withLocalAddress(
+                bindAddress.withLocalAddress(
                     new NetClientOptions().setConnectTimeout(t).setTcpNoDelay(true))));
   }
 
   private void closeSilentConnections() {
-    accepted.replaceAll((connection, asked) -> probeIfIdle(connection, asked, clock.now()));
+    probedAtMs.replaceAll((connection, asked) -> probeIfIdle(connection, asked, clock.now()));
   }
 
   /** Returns when the peer was asked for a sign of life that hasn't come yet, or 0. */
   private static long probeIfIdle(Connection connection, long asked, long now) {
-    if (asked > 0 && connection.lastReceived() < asked) {
+    if (asked > 0 && connection.lastReceivedAtMs() < asked) {
       connection.reset();
       return asked;
     }
-    if (now - connection.lastReceived() < IDLE) return 0;
-    connection.askForAnswer();
+    if (now - connection.lastReceivedAtMs() < IDLE_TIMEOUT_MS) return 0;
+    connection.requestAnswer();
     return now;
   }
 
-  public static String reason(Throwable e) {
+  public static String rootCauseMessage(Throwable e) {
     Throwable t = e;
     while (t.getCause() != null) t = t.getCause();
     return t.getMessage() == null ? t.getClass().getSimpleName() : t.getMessage();
   }
 
   private void accept(Connection connection) {
-    open.add(connection);
-    accepted.put(connection, 0L);
-    connection.receiver(
+    openConnections.add(connection);
+    probedAtMs.put(connection, 0L);
+    connection.setReceiver(
         new Connection.Receiver() {
           private Connection.Receiver inner;
 
@@ -127,7 +127,7 @@
               inner.record(record);
               return;
             }
-            Hello hello = WireRecord.read(record, Hello::read);
+            Hello hello = WireRecord.decode(record, Hello::read);
             var t = receiverFactories.get(hello.protocol());
             if (t == null) throw new IOException("unknown protocol " + hello.protocol());
             inner = t.apply(hello, connection);
@@ -135,8 +135,8 @@
 
           @Override
           public void closed() {
-            open.remove(connection);
-            accepted.remove(connection);
+            openConnections.remove(connection);
+            probedAtMs.remove(connection);
             if (inner != null) inner.closed();
           }
         });
@@ -145,7 +145,7 @@
   /** A new connection to another process, its Hello already sent. Fails where nobody answers. */
   public Uni<Connection> connect(
       Address address, String protocol, Function<Connection, Connection.Receiver> receiver) {
-    return connect(address, protocol, Liveness.DATA.connectTimeout(), null, receiver);
+    return connect(address, protocol, Liveness.DATA_PLANE.connectTimeoutMs(), null, receiver);
   }
 
   Uni<Connection> connect(
@@ -159,9 +159,9 @@
         .map(
             socket -> {
               Connection connection = new Connection(socket, address.toString(), clock, detector);
-              open.add(connection);
+              openConnections.add(connection);
               Connection.Receiver r = receiver.apply(connection);
-              connection.receiver(
+              connection.setReceiver(
                   new Connection.Receiver() {
                     @Override
                     public void record(byte[] bytes) throws IOException {
@@ -170,7 +170,7 @@
 
                     @Override
                     public void closed() {
-                      open.remove(connection);
+                      openConnections.remove(connection);
                       r.closed();
                     }
                   });
@@ -181,8 +181,8 @@
 
   @Override
   public void stop() {
-    for (Connection connection : open) connection.close();
+    for (Connection connection : openConnections) connection.close();
     if (server != null) server.closeAndForget();
-    clients.values().forEach(NetClient::closeAndForget);
+    clientsByConnectTimeoutMs.values().forEach(NetClient::closeAndForget);
   }
 }
--- a/common/src/main/java/gladelug/common/connection/Liveness.java
+++ b/common/src/main/java/gladelug/common/connection/Liveness.java
@@ -24,30 +24,31 @@
  *
  * <p>Times in ms.
  *
- * @param askAfter how long nothing was received before a record asks for an answer
- * @param patience how long that answer may take
- * @param connectTimeout how long an attempt to connect may take
- * @param pause between the end of a connection, or of an attempt, and the next attempt
+ * @param probeAfterMs how long nothing was received before a record asks for an answer
+ * @param answerTimeoutMs how long that answer may take
+ * @param connectTimeoutMs how long an attempt to connect may take
+ * @param reconnectDelayMs between the end of a connection, or of an attempt, and the next attempt
  */
-public record Liveness(long askAfter, long patience, int connectTimeout, long pause) {
+public record Liveness(
+    long probeAfterMs, long answerTimeoutMs, int connectTimeoutMs, long reconnectDelayMs) {
   /** Time for what has arrived meanwhile to be read, where this process itself was late. */
-  public static final long GRACE = 50;
+  public static final long GRACE_MS = 50;
 
   /** The slowest link that is allowed for. */
-  static final long BYTES_PER_MS = 1000;
+  static final long MIN_LINK_BYTES_PER_MS = 1000;
 
   /** How many times the usual patience a slow or silent peer may be given. */
-  static final long SLOWEST = 4;
+  static final long MAX_TIMEOUT_FACTOR = 4;
 
   /**
    * For connections of the data plane. Relays ask every 800 ms at the most and have leases of
    * seconds, so an unanswered question is found out when the next is asked, 1.65 s after the last
    * byte; the connect timeout is above the round trip between far regions.
    */
-  public static final Liveness DATA = new Liveness(700, 700, 500, 200);
+  public static final Liveness DATA_PLANE = new Liveness(700, 700, 500, 200);
 
   public Liveness {
-    if (askAfter <= 0 || patience <= 0 || connectTimeout <= 0 || pause <= 0)
+    if (probeAfterMs <= 0 || answerTimeoutMs <= 0 || connectTimeoutMs <= 0 || reconnectDelayMs <= 0)
       throw new IllegalArgumentException("every time must be above 0");
   }
 
@@ -57,7 +58,7 @@
    * its last byte and begun anew within dead / 2 + alive / 2 ms, so one machine's short cut is over
    * before the member counts as dead, or soon after the cut ends.
    */
-  public static Liveness within(int alive, int dead) {
+  public static Liveness forMembers(int alive, int dead) {
     return new Liveness(
         Math.max(1, alive / 2), dead / 2, Math.max(1, dead / 2), Math.max(1, alive / 2));
   }
--- a/common/src/main/java/gladelug/common/connection/PersistentConnection.java
+++ b/common/src/main/java/gladelug/common/connection/PersistentConnection.java
@@ -18,10 +18,10 @@
   }
 
   private final Vertx vertx;
-  private final ConnectionAcceptor doors;
-  public final Address remote;
+  private final ConnectionAcceptor acceptor;
+  public final Address remoteAddress;
   private final String protocol;
-  private final RecordHandler handler;
+  private final RecordHandler recordHandler;
   private final Consumer<PersistentConnection> onConnected;
   private final Liveness liveness;
   private final ReadTimeoutDetector detector;
@@ -35,7 +35,7 @@
       String protocol,
       RecordHandler records,
       Consumer<PersistentConnection> opened) {
-    this(vertx, doors, address, protocol, Liveness.DATA, records, opened);
+    this(vertx, doors, address, protocol, Liveness.DATA_PLANE, records, opened);
   }
 
   /** opened is told of each new connection, once records may be sent. */
@@ -50,27 +50,27 @@
     this.liveness = liveness;
     this.detector = new ReadTimeoutDetector(liveness, Clock.monotonic());
     this.vertx = vertx;
-    this.doors = doors;
-    this.remote = address;
+    this.acceptor = doors;
+    this.remoteAddress = address;
     this.protocol = protocol;
-    this.handler = records;
+    this.recordHandler = records;
     this.onConnected = opened;
     connect();
   }
 
   private void connect() {
     if (closed) return;
-    doors
+    acceptor
         .connect(
-            remote,
+            remoteAddress,
             protocol,
-            liveness.connectTimeout(),
+            liveness.connectTimeoutMs(),
             detector,
             c ->
                 new Connection.Receiver() {
                   @Override
                   public void record(byte[] record) throws IOException {
-                    handler.record(PersistentConnection.this, record);
+                    recordHandler.record(PersistentConnection.this, record);
                   }
 
                   @Override
@@ -83,14 +83,14 @@
         .with(
             c -> {
               connection = c;
-              if (closed || !c.open()) c.close();
+              if (closed || !c.isOpen()) c.close();
               else onConnected.accept(this);
             },
             failure -> reconnectLater());
   }
 
   private void reconnectLater() {
-    if (!closed) vertx.setTimer(liveness.pause(), i -> connect());
+    if (!closed) vertx.setTimer(liveness.reconnectDelayMs(), i -> connect());
   }
 
   public boolean send(WireRecord message) {
@@ -107,9 +107,9 @@
     if (c != null) c.closeIfSilent();
   }
 
-  public boolean open() {
+  public boolean isOpen() {
     Connection c = connection;
-    return c != null && c.open();
+    return c != null && c.isOpen();
   }
 
   public void close() {
--- a/common/src/main/java/gladelug/common/connection/ReadTimeoutDetector.java
+++ b/common/src/main/java/gladelug/common/connection/ReadTimeoutDetector.java
@@ -9,18 +9,18 @@
  */
 public final class ReadTimeoutDetector {
   private static final long NEVER = Long.MIN_VALUE / 2;
-  private static final int MOST_DOUBLINGS = 2;
+  private static final int MAX_DOUBLINGS = 2;
 
   private final Liveness bounds;
   private final Clock clock;
-  private long lastReceived = NEVER;
-  private long askedAt = NEVER;
-  private long allowed;
+  private long lastReceivedAtMs = NEVER;
+  private long probedAtMs = NEVER;
+  private long allowedMs;
   private long bytesSinceReceived;
-  private long slowestAnswer;
+  private long slowestAnswerMs;
 
   /** Connections in turn that were accepted and then never answered. */
-  private int unanswered;
+  private int unansweredConnections;
 
   public ReadTimeoutDetector(Liveness bounds, Clock clock) {
     this.bounds = bounds;
@@ -28,41 +28,43 @@
   }
 
   /** A new connection stands; nothing was received on it yet. */
-  public synchronized void connected() {
-    if (askedAt != NEVER && lastReceived == NEVER)
-      unanswered = Math.min(unanswered + 1, MOST_DOUBLINGS);
-    lastReceived = NEVER;
-    askedAt = NEVER;
+  public synchronized void onConnected() {
+    if (probedAtMs != NEVER && lastReceivedAtMs == NEVER)
+      unansweredConnections = Math.min(unansweredConnections + 1, MAX_DOUBLINGS);
+    lastReceivedAtMs = NEVER;
+    probedAtMs = NEVER;
     bytesSinceReceived = 0;
   }
 
   /** A record of this length is being sent: whether it should ask for an answer. */
-  public synchronized boolean sending(int bytes) {
+  public synchronized boolean onSending(int bytes) {
     bytesSinceReceived += bytes;
     long now = clock.now();
-    if (askedAt != NEVER || now - lastReceived < bounds.askAfter()) return false;
-    askedAt = now;
-    allowed = patience() + bytesSinceReceived / Liveness.BYTES_PER_MS;
+    if (probedAtMs != NEVER || now - lastReceivedAtMs < bounds.probeAfterMs()) return false;
+    probedAtMs = now;
+    allowedMs = answerTimeoutMs() + bytesSinceReceived / Liveness.MIN_LINK_BYTES_PER_MS;
     return true;
   }
 
-  private long patience() {
-    long slow = Math.min(2 * slowestAnswer, Liveness.SLOWEST * bounds.patience());
-    return Math.max(bounds.patience() << unanswered, slow);
+  private long answerTimeoutMs() {
+    long slow =
+        Math.min(2 * slowestAnswerMs, Liveness.MAX_TIMEOUT_FACTOR * bounds.answerTimeoutMs());
+    return Math.max(bounds.answerTimeoutMs() << unansweredConnections, slow);
   }
 
   /** Bytes have arrived, whatever they are. */
-  public synchronized void received() {
-    lastReceived = clock.now();
+  public synchronized void onReceived() {
+    lastReceivedAtMs = clock.now();
     bytesSinceReceived = 0;
-    unanswered = 0;
-    if (askedAt == NEVER) return;
-    slowestAnswer = Math.max(lastReceived - askedAt, slowestAnswer - slowestAnswer / 8);
-    askedAt = NEVER;
+    unansweredConnections = 0;
+    if (probedAtMs == NEVER) return;
+    slowestAnswerMs =
+        Math.max(lastReceivedAtMs - probedAtMs, slowestAnswerMs - slowestAnswerMs / 8);
+    probedAtMs = NEVER;
   }
 
   /** Whether an answer is overdue. */
-  public synchronized boolean silent() {
-    return askedAt != NEVER && clock.now() - askedAt >= allowed;
+  public synchronized boolean isSilent() {
+    return probedAtMs != NEVER && clock.now() - probedAtMs >= allowedMs;
   }
 }
--- a/common/src/main/java/gladelug/common/disk/DataFolder.java
+++ b/common/src/main/java/gladelug/common/disk/DataFolder.java
@@ -20,18 +20,18 @@
  * the ring's files, preallocated so that a full disk shows at start-up and not later.
  */
 public final class DataFolder implements Storage, AutoCloseable {
-  private static final int FILES = 4, CHUNK = 1 << 20;
-  private static final String IDENTITY = "identity.json";
-  private final Path dir;
-  private int size;
+  private static final int FILE_COUNT = 4, CHUNK_BYTES = 1 << 20;
+  private static final String IDENTITY_FILE = "identity.json";
+  private final Path directory;
+  private int ringFileBytes;
   private final FileChannel lockFile;
   private final FileLock lock;
-  private final FileChannel[] files = new FileChannel[FILES];
+  private final FileChannel[] files = new FileChannel[FILE_COUNT];
 
   /** size: of each of the ring's files in bytes, where the folder is made now. */
   public DataFolder(Path dir, int size) {
-    this.dir = dir;
-    this.size = size;
+    this.directory = dir;
+    this.ringFileBytes = size;
     try {
       Files.createDirectories(dir);
       lockFile =
@@ -52,26 +52,26 @@
           "data folder " + dir + " is in use by another process");
   }
 
-  public Path dir() {
-    return dir;
+  public Path directory() {
+    return directory;
   }
 
   /** The text of identity.json, or null where there is none. */
-  public String identity() {
-    Path file = dir.resolve(IDENTITY);
+  public String readIdentity() {
+    Path file = directory.resolve(IDENTITY_FILE);
     if (!Files.exists(file)) return null;
     try {
       return Files.readString(file);
     } catch (IOException e) {
       throw new ServiceRegistry.StartupException(
-          IDENTITY + " in " + dir + " cannot be read: " + e, e);
+          IDENTITY_FILE + " in " + directory + " cannot be read: " + e, e);
     }
   }
 
   /** Replaced whole: written aside, synced, renamed, folder synced. */
-  public void identity(String text) {
+  public void writeIdentity(String text) {
     try {
-      Path aside = dir.resolve(IDENTITY + ".new");
+      Path aside = directory.resolve(IDENTITY_FILE + ".new");
       try (FileChannel channel =
           FileChannel.open(
               aside,
@@ -81,16 +81,16 @@
         channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
         channel.force(true);
       }
-      Files.move(aside, dir.resolve(IDENTITY), StandardCopyOption.ATOMIC_MOVE);
-      syncDir();
+      Files.move(aside, directory.resolve(IDENTITY_FILE), StandardCopyOption.ATOMIC_MOVE);
+      syncDirectory();
     } catch (IOException e) {
       throw new ServiceRegistry.StartupException(
-          "data folder " + dir + " cannot be written: " + e, e);
+          "data folder " + directory + " cannot be written: " + e, e);
     }
   }
 
-  private void syncDir() throws IOException {
-    try (FileChannel c = FileChannel.open(dir, StandardOpenOption.READ)) {
+  private void syncDirectory() throws IOException {
+    try (FileChannel c = FileChannel.open(directory, StandardOpenOption.READ)) {
       c.force(true);
     }
   }
@@ -100,47 +100,48 @@
    * left unfinished is made whole; a file that holds anything is left as it is. True where none
    * holds anything.
    */
-  public boolean create() {
+  public boolean createRingFiles() {
     boolean blank = true;
     try {
-      for (int i = 0; i < FILES; i++) {
+      for (int i = 0; i < FILE_COUNT; i++) {
         Path file = ringFile(i);
-        boolean whole = Files.exists(file) && Files.size(file) == size;
-        if (whole) blank &= holdsNothing(file);
-        else fill(file);
+        boolean whole = Files.exists(file) && Files.size(file) == ringFileBytes;
+        if (whole) blank &= isZeroFilled(file);
+        else preallocate(file);
         files[i] = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
       }
-      syncDir();
+      syncDirectory();
     } catch (IOException e) {
       throw new ServiceRegistry.StartupException(
-          "data folder " + dir + " cannot hold the ring: " + e, e);
+          "data folder " + directory + " cannot hold the ring: " + e, e);
     }
     return blank;
   }
 
-  private void fill(Path file) throws IOException {
-    if (Files.exists(file) && !holdsNothing(file))
+  private void preallocate(Path file) throws IOException {
+    if (Files.exists(file) && !isZeroFilled(file))
       throw new ServiceRegistry.StartupException(
           "ring file "
               + file
               + " holds state but has "
               + Files.size(file)
               + " bytes and there is no "
-              + IDENTITY
+              + IDENTITY_FILE
               + " to say how many it should have");
-    byte[] zeros = new byte[CHUNK];
+    byte[] zeros = new byte[CHUNK_BYTES];
     try (RandomAccessFile out = new RandomAccessFile(file.toFile(), "rw")) {
       out.setLength(0);
-      for (long at = 0; at < size; at += CHUNK)
-        out.write(zeros, 0, (int) Math.min(CHUNK, size - at));
+      for (long at = 0; at < ringFileBytes; at += CHUNK_BYTES)
+        out.write(zeros, 0, (int) Math.min(CHUNK_BYTES, ringFileBytes - at));
       out.getFD().sync();
     }
   }
 
-  private static boolean holdsNothing(Path file) throws IOException {
+  private static boolean isZeroFilled(Path file) throws IOException {
     try (InputStream in = Files.newInputStream(file)) {
-      for (byte[] part = in.readNBytes(CHUNK); part.length > 0; part = in.readNBytes(CHUNK))
-        for (byte b : part) if (b != 0) return false;
+      for (byte[] part = in.readNBytes(CHUNK_BYTES);
+          part.length > 0;
+          part = in.readNBytes(CHUNK_BYTES)) for (byte b : part) if (b != 0) return false;
     }
     return true;
   }
@@ -149,41 +150,46 @@
    * Opens the ring's files in a folder that has an identity, of the size that it names. They were
    * all there before it was written, so one that is missing or has another size is damage.
    */
-  public void open(int ringFile) {
-    size = ringFile;
+  public void openRingFiles(int ringFile) {
+    ringFileBytes = ringFile;
     try {
-      for (int i = 0; i < FILES; i++) {
+      for (int i = 0; i < FILE_COUNT; i++) {
         Path file = ringFile(i);
         if (!Files.exists(file))
           throw new ServiceRegistry.StartupException("ring file " + file + " is missing");
-        if (Files.size(file) != size)
+        if (Files.size(file) != ringFileBytes)
           throw new ServiceRegistry.StartupException(
-              "ring file " + file + " has " + Files.size(file) + " bytes and should have " + size);
+              "ring file "
+                  + file
+                  + " has "
+                  + Files.size(file)
+                  + " bytes and should have "
+                  + ringFileBytes);
         files[i] = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
       }
     } catch (IOException e) {
       throw new ServiceRegistry.StartupException(
-          "data folder " + dir + " cannot be opened: " + e, e);
+          "data folder " + directory + " cannot be opened: " + e, e);
     }
   }
 
   private Path ringFile(int number) {
-    return dir.resolve("ring-" + number);
+    return directory.resolve("ring-" + number);
   }
 
   @Override
-  public int files() {
-    return FILES;
+  public int fileCount() {
+    return FILE_COUNT;
   }
 
   @Override
-  public int size() {
-    return size;
+  public int fileBytes() {
+    return ringFileBytes;
   }
 
   @Override
   public byte[] read(int file) throws IOException {
-    ByteBuffer b = ByteBuffer.allocate(size);
+    ByteBuffer b = ByteBuffer.allocate(ringFileBytes);
     while (b.hasRemaining() && files[file].read(b, b.position()) >= 0) {
       // until all of it is read
     }
--- a/common/src/main/java/gladelug/common/disk/RecordRing.java
+++ b/common/src/main/java/gladelug/common/disk/RecordRing.java
@@ -38,17 +38,17 @@
     }
   }
 
-  private static final int MAGIC = 0x676c6164, HEAD = 21, STEP = 512;
-  private static final byte SNAPSHOT = 1, MORE = 2;
+  private static final int MAGIC = 0x676c6164, HEADER_BYTES = 21, ALIGNMENT_BYTES = 512;
+  private static final byte SNAPSHOT = 1, UPDATE = 2;
 
-  private final Storage medium;
+  private final Storage storage;
   private final Map<String, byte[]> live = new HashMap<>();
-  private int file;
-  private int at;
-  private long seq;
+  private int currentFile;
+  private int writeOffset;
+  private long sequence;
 
   private RecordRing(Storage m) {
-    medium = m;
+    storage = m;
   }
 
   public Map<String, byte[]> live() {
@@ -56,22 +56,22 @@
   }
 
   /** How many bytes one file holds, and so the whole live state at the most. */
-  public int fileSize() {
-    return medium.size();
+  public int fileBytes() {
+    return storage.fileBytes();
   }
 
   /** Whether nothing was ever written. */
-  public boolean unwritten() {
-    return seq == 0;
+  public boolean isUnwritten() {
+    return sequence == 0;
   }
 
-  private record Frame(long seq, byte type, List<Entry> entries, int end) {}
+  private record Frame(long sequence, byte type, List<Entry> entries, int endOffset) {}
 
   /** A ring over files that are known to hold nothing, which are not read. */
-  public static RecordRing blank(Storage medium) {
+  public static RecordRing createBlank(Storage medium) {
     RecordRing ring = new RecordRing(medium);
-    ring.file = medium.files() - 1;
-    ring.at = medium.size();
+    ring.currentFile = medium.fileCount() - 1;
+    ring.writeOffset = medium.fileBytes();
     return ring;
   }
 
@@ -79,81 +79,81 @@
   public static RecordRing open(Storage m) throws IOException {
     int newest = -1;
     long best = 0;
-    byte[][] all = new byte[m.files()][];
-    for (int i = 0; i < m.files(); i++) {
+    byte[][] all = new byte[m.fileCount()][];
+    for (int i = 0; i < m.fileCount(); i++) {
       all[i] = m.read(i);
-      Frame f = frame(all[i], 0);
-      if (f != null && f.type == SNAPSHOT && f.seq > best) {
-        best = f.seq;
+      Frame f = parseFrame(all[i], 0);
+      if (f != null && f.type == SNAPSHOT && f.sequence > best) {
+        best = f.sequence;
         newest = i;
       }
     }
     if (newest < 0) {
-      for (int i = 0; i < m.files(); i++)
-        if (behind(all[i], 0, 0))
+      for (int i = 0; i < m.fileCount(); i++)
+        if (hasLaterFrame(all[i], 0, 0))
           throw new DamagedRingException("no snapshot in any file but frames behind one");
-      return blank(m);
+      return createBlank(m);
     }
     RecordRing r = new RecordRing(m);
-    r.file = newest;
+    r.currentFile = newest;
     byte[] b = all[newest];
     Frame f;
-    while (r.at < b.length
-        && (f = frame(b, r.at)) != null
-        && f.seq > r.seq
-        && (r.seq == 0 || f.seq == r.seq + 1)) {
-      if (f.type != SNAPSHOT && f.type != MORE)
+    while (r.writeOffset < b.length
+        && (f = parseFrame(b, r.writeOffset)) != null
+        && f.sequence > r.sequence
+        && (r.sequence == 0 || f.sequence == r.sequence + 1)) {
+      if (f.type != SNAPSHOT && f.type != UPDATE)
         throw new DamagedRingException(
-            "frame " + f.seq + " in file " + newest + " is of the unknown kind " + f.type);
+            "frame " + f.sequence + " in file " + newest + " is of the unknown kind " + f.type);
       for (Entry e : f.entries) if (!e.key.isEmpty()) r.live.put(e.key, e.state);
-      r.seq = f.seq;
-      r.at = f.end;
+      r.sequence = f.sequence;
+      r.writeOffset = f.endOffset;
     }
-    if (behind(b, r.at, r.seq))
+    if (hasLaterFrame(b, r.writeOffset, r.sequence))
       throw new DamagedRingException(
-          "bad frame " + (r.seq + 1) + " with later ones behind it in file " + newest);
-    int next = (newest + 1) % m.files();
-    if (behind(all[next], 0, r.seq))
+          "bad frame " + (r.sequence + 1) + " with later ones behind it in file " + newest);
+    int next = (newest + 1) % m.fileCount();
+    if (hasLaterFrame(all[next], 0, r.sequence))
       throw new DamagedRingException(
           "bad snapshot in file " + next + " with later frames behind it");
     return r;
   }
 
-  private static boolean behind(byte[] b, int from, long seq) {
-    for (int i = from; i < b.length; i += STEP) {
-      Frame f = frame(b, i);
-      if (f != null && f.seq > seq) return true;
+  private static boolean hasLaterFrame(byte[] b, int from, long seq) {
+    for (int i = from; i < b.length; i += ALIGNMENT_BYTES) {
+      Frame f = parseFrame(b, i);
+      if (f != null && f.sequence > seq) return true;
     }
     return false;
   }
 
-  private static Frame frame(byte[] b, int at) {
-    if (at + HEAD > b.length) return null;
+  private static Frame parseFrame(byte[] b, int at) {
+    if (at + HEADER_BYTES > b.length) return null;
     ByteBuffer x = ByteBuffer.wrap(b, at, b.length - at);
     if (x.getInt() != MAGIC) return null;
     int crc = x.getInt(), len = x.getInt();
-    if (len < 0 || len > b.length - at - HEAD) return null;
+    if (len < 0 || len > b.length - at - HEADER_BYTES) return null;
     CRC32C c = new CRC32C();
-    c.update(b, at + 8, HEAD - 8 + len);
+    c.update(b, at + 8, HEADER_BYTES - 8 + len);
     if ((int) c.getValue() != crc) return null;
     long seq = x.getLong();
     byte type = x.get();
     try {
-      DataInputStream in = new DataInputStream(new ByteArrayInputStream(b, at + HEAD, len));
+      DataInputStream in = new DataInputStream(new ByteArrayInputStream(b, at + HEADER_BYTES, len));
       int n = in.readInt();
       List<Entry> l = new ArrayList<>();
       for (int i = 0; i < n; i++) l.add(new Entry(in.readUTF(), in.readNBytes(in.readInt())));
-      return new Frame(seq, type, l, at + padded(HEAD + len));
+      return new Frame(seq, type, l, at + paddedLength(HEADER_BYTES + len));
     } catch (IOException | IllegalArgumentException e) {
       return null;
     }
   }
 
-  private static int padded(int n) {
-    return (n + STEP - 1) / STEP * STEP;
+  private static int paddedLength(int n) {
+    return (n + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES;
   }
 
-  private byte[] frameBytes(byte type, List<Entry> es) throws IOException {
+  private byte[] encodeFrame(byte type, List<Entry> es) throws IOException {
     ByteArrayOutputStream p = new ByteArrayOutputStream();
     DataOutputStream o = new DataOutputStream(p);
     o.writeInt(es.size());
@@ -162,17 +162,17 @@
       o.writeInt(e.state.length);
       o.write(e.state);
     }
-    byte[] q = p.toByteArray(), b = new byte[padded(HEAD + q.length)];
+    byte[] q = p.toByteArray(), b = new byte[paddedLength(HEADER_BYTES + q.length)];
     ByteBuffer x =
         ByteBuffer.wrap(b)
             .putInt(MAGIC)
             .putInt(0)
             .putInt(q.length)
-            .putLong(seq + 1)
+            .putLong(sequence + 1)
             .put(type)
             .put(q);
     CRC32C c = new CRC32C();
-    c.update(b, 8, HEAD - 8 + q.length);
+    c.update(b, 8, HEADER_BYTES - 8 + q.length);
     x.putInt(4, (int) c.getValue());
     return b;
   }
@@ -184,26 +184,26 @@
    */
   public void write(List<Entry> es) throws IOException {
     for (Entry e : es) if (!e.key.isEmpty()) live.put(e.key, e.state);
-    byte[] b = frameBytes(MORE, es);
-    int to = file, from = at;
-    if (from + b.length > medium.size()) {
+    byte[] b = encodeFrame(UPDATE, es);
+    int to = currentFile, from = writeOffset;
+    if (from + b.length > storage.fileBytes()) {
       List<Entry> all = new ArrayList<>();
       live.forEach((k, v) -> all.add(new Entry(k, v)));
-      b = frameBytes(SNAPSHOT, all);
-      if (b.length > medium.size())
+      b = encodeFrame(SNAPSHOT, all);
+      if (b.length > storage.fileBytes())
         throw new IOException(
             "the live state of " + b.length + " bytes is larger than a ring file");
-      to = (file + 1) % medium.files();
+      to = (currentFile + 1) % storage.fileCount();
       from = 0;
     }
     try {
-      medium.write(to, from, b);
+      storage.write(to, from, b);
     } catch (IOException e) {
       throw new WriteRefusedException(e);
     }
-    medium.sync(to);
-    file = to;
-    at = from + b.length;
-    seq++;
+    storage.sync(to);
+    currentFile = to;
+    writeOffset = from + b.length;
+    sequence++;
   }
 }
--- a/common/src/main/java/gladelug/common/disk/Storage.java
+++ b/common/src/main/java/gladelug/common/disk/Storage.java
@@ -7,9 +7,9 @@
  * file is synced. Tests put a medium here that tears, loses, stalls and fails.
  */
 public interface Storage {
-  int files();
+  int fileCount();
 
-  int size();
+  int fileBytes();
 
   byte[] read(int file) throws IOException;
 
--- a/common/src/main/java/gladelug/common/message/DecisionRecords.java
+++ b/common/src/main/java/gladelug/common/message/DecisionRecords.java
@@ -18,10 +18,10 @@
       String relay,
       String incarnation,
       long sequence,
-      long low,
-      long high,
-      long skipped,
-      byte[] packed)
+      long firstNumber,
+      long lastNumber,
+      long skippedCount,
+      byte[] deflated)
       implements DecisionRecords {
     @Override
     public int type() {
@@ -33,15 +33,15 @@
       out.writeUTF(relay);
       out.writeUTF(incarnation);
       out.writeLong(sequence);
-      out.writeLong(low);
-      out.writeLong(high);
-      out.writeLong(skipped);
-      WireRecord.blob(out, packed);
+      out.writeLong(firstNumber);
+      out.writeLong(lastNumber);
+      out.writeLong(skippedCount);
+      WireRecord.writeBlob(out, deflated);
     }
   }
 
   static DecisionRecords read(int type, DataInputStream in) throws IOException {
-    if (type != 1) throw WireRecord.unknown(type);
+    if (type != 1) throw WireRecord.unknownType(type);
     return new Batch(
         in.readUTF(),
         in.readUTF(),
@@ -49,6 +49,6 @@
         in.readLong(),
         in.readLong(),
         in.readLong(),
-        WireRecord.blob(in));
+        WireRecord.readBlob(in));
   }
 }
--- a/common/src/main/java/gladelug/common/message/Hello.java
+++ b/common/src/main/java/gladelug/common/message/Hello.java
@@ -7,10 +7,10 @@
 /** The first record on every connection: which protocol follows and who is calling. */
 public record Hello(String protocol, String name) implements WireRecord {
   public static final String CORE = "core/1",
-      NEWS = "news/1",
+      STATE_UPDATES = "news/1",
       SHUFFLE = "shuffle/1",
       LOOKUP = "lookup/1",
-      REASONS = "reasons/1";
+      DECISION_RECORDS = "reasons/1";
 
   @Override
   public int type() {
@@ -24,7 +24,7 @@
   }
 
   public static Hello read(int type, DataInputStream in) throws IOException {
-    if (type != 1) throw WireRecord.unknown(type);
+    if (type != 1) throw WireRecord.unknownType(type);
     return new Hello(in.readUTF(), in.readUTF());
   }
 }
--- a/common/src/main/java/gladelug/common/message/Lookup.java
+++ b/common/src/main/java/gladelug/common/message/Lookup.java
@@ -16,16 +16,17 @@
    * What one holder keeps of a prompt's chain, a hint only.
    *
    * @param holder the holder's instance
-   * @param blocks leading blocks, counted whole
-   * @param units units (tokens) kept of the block after those where it is kept in part, else 0
+   * @param readBlocks leading blocks, counted whole
+   * @param partialUnits units (tokens) kept of the block after those where it is kept in part, else
+   *     0
    */
-  record Match(String holder, int blocks, int units) {
+  record Match(String holder, int blocks, int partialUnits) {
     public Match(String holder, int blocks) {
       this(holder, blocks, 0);
     }
   }
 
-  record Question(long sequence, long[] blocks) implements Lookup {
+  record Query(long sequence, long[] blocks) implements Lookup {
     @Override
     public int type() {
       return 1;
@@ -44,19 +45,19 @@
    *
    * @param holder the replica's instance
    * @param busyMs how long prompts that it was given keep it busy from now
-   * @param running requests that it should have now
-   * @param units what those take of its memory
+   * @param runningRequests requests that it should have now
+   * @param partialUnits what those take of its memory
    */
-  record Load(String holder, int busyMs, int running, int units) {}
+  record Load(String holder, int busyMs, int runningRequests, int memoryUnits) {}
 
   /**
    * What a request is expected to ask of its replica.
    *
    * @param prefillMs until its prompt is computed or pulled
-   * @param replyMs from then to its last event
-   * @param units what it takes of the replica's memory
+   * @param decodeMs from then to its last event
+   * @param partialUnits what it takes of the replica's memory
    */
-  record Work(int prefillMs, int replyMs, int units) {
+  record Work(int prefillMs, int decodeMs, int memoryUnits) {
     public static final Work UNKNOWN = new Work(0, 0, 0);
   }
 
@@ -64,40 +65,42 @@
    * What the index knows of the fleet beside a prompt: who is busy, and how scarce memory is.
    *
    * @param loads replicas that are busy; one that isn't named is not, or was left out for length
-   * @param evictedShare of the blocks stored lately at all holders, how many drove another out: 0
+   * @param evictionRatio of the blocks stored lately at all holders, how many drove another out: 0
    *     with plenty of memory, about 1 where every holder is full
    */
-  record Fleet(List<Load> loads, double evictedShare) {
-    public static final Fleet UNKNOWN = new Fleet(List.of(), 0);
+  record FleetLoad(List<Load> loads, double evictionRatio) {
+    public static final FleetLoad UNKNOWN = new FleetLoad(List.of(), 0);
 
-    private static final int THOUSANDTHS = 1000;
+    private static final int PER_MILLE = 1000;
 
     private void write(DataOutputStream out) throws IOException {
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           loads,
           (o, load) -> {
             o.writeUTF(load.holder);
             o.writeInt(load.busyMs);
-            o.writeInt(load.running);
-            o.writeInt(load.units);
+            o.writeInt(load.runningRequests);
+            o.writeInt(load.memoryUnits);
           });
-      out.writeShort((int) (evictedShare * THOUSANDTHS));
+      out.writeShort((int) (evictionRatio * PER_MILLE));
     }
 
-    private static Fleet read(DataInputStream in) throws IOException {
-      return new Fleet(
-          WireRecord.list(in, i -> new Load(i.readUTF(), i.readInt(), i.readInt(), i.readInt())),
-          in.readUnsignedShort() / (double) THOUSANDTHS);
+    private static FleetLoad read(DataInputStream in) throws IOException {
+      return new FleetLoad(
+          WireRecord.readList(
+              in, i -> new Load(i.readUTF(), i.readInt(), i.readInt(), i.readInt())),
+          in.readUnsignedShort() / (double) PER_MILLE);
     }
   }
 
   /**
    * fleet follows the matches only where there is something to say, as earlier releases read it.
    */
-  record Answer(long sequence, boolean warm, List<Match> matches, Fleet fleet) implements Lookup {
-    public Answer(long sequence, boolean warm, List<Match> matches) {
-      this(sequence, warm, matches, Fleet.UNKNOWN);
+  record Response(long sequence, boolean warm, List<Match> matches, FleetLoad fleetLoad)
+      implements Lookup {
+    public Response(long sequence, boolean warm, List<Match> matches) {
+      this(sequence, warm, matches, FleetLoad.UNKNOWN);
     }
 
     @Override
@@ -109,15 +112,15 @@
     public void write(DataOutputStream o) throws IOException {
       o.writeLong(sequence);
       o.writeBoolean(warm);
-      WireRecord.list(
+      WireRecord.writeList(
           o,
           matches,
           (p, m) -> {
             p.writeUTF(m.holder);
             p.writeInt(m.blocks);
-            p.writeInt(m.units);
+            p.writeInt(m.partialUnits);
           });
-      if (!fleet.equals(Fleet.UNKNOWN)) fleet.write(o);
+      if (!fleetLoad.equals(FleetLoad.UNKNOWN)) fleetLoad.write(o);
     }
   }
 
@@ -125,8 +128,8 @@
    * A relay sent a prompt of these blocks to a holder, which will keep them though no event told of
    * it yet, and has so much work with it; earlier releases don't tell that.
    */
-  record Placed(String holder, long[] blocks, Work work) implements Lookup {
-    public Placed(String holder, long[] blocks) {
+  record Placement(String holder, long[] blocks, Work work) implements Lookup {
+    public Placement(String holder, long[] blocks) {
       this(holder, blocks, Work.UNKNOWN);
     }
 
@@ -142,12 +145,12 @@
       for (long b : blocks) out.writeLong(b);
       if (work.equals(Work.UNKNOWN)) return;
       out.writeInt(work.prefillMs);
-      out.writeInt(work.replyMs);
-      out.writeInt(work.units);
+      out.writeInt(work.decodeMs);
+      out.writeInt(work.memoryUnits);
     }
   }
 
-  private static long[] blocks(DataInputStream in) throws IOException {
+  private static long[] readBlocks(DataInputStream in) throws IOException {
     int n = in.readInt();
     if (n < 0 || n > in.available() / 8) throw new IOException("impossible number of blocks " + n);
     long[] b = new long[n];
@@ -155,26 +158,27 @@
     return b;
   }
 
-  private static Work work(DataInputStream in) throws IOException {
+  private static Work readWork(DataInputStream in) throws IOException {
     return new Work(in.readInt(), in.readInt(), in.readInt());
   }
 
   static Lookup read(int type, DataInputStream in) throws IOException {
     switch (type) {
       case 1 -> {
-        return new Question(in.readLong(), blocks(in));
+        return new Query(in.readLong(), readBlocks(in));
       }
       case 2 -> {
-        return new Answer(
+        return new Response(
             in.readLong(),
             in.readBoolean(),
-            WireRecord.list(in, i -> new Match(i.readUTF(), i.readInt(), i.readInt())),
-            in.available() > 0 ? Fleet.read(in) : Fleet.UNKNOWN);
+            WireRecord.readList(in, i -> new Match(i.readUTF(), i.readInt(), i.readInt())),
+            in.available() > 0 ? FleetLoad.read(in) : FleetLoad.UNKNOWN);
       }
       case 3 -> {
-        return new Placed(in.readUTF(), blocks(in), in.available() > 0 ? work(in) : Work.UNKNOWN);
+        return new Placement(
+            in.readUTF(), readBlocks(in), in.available() > 0 ? readWork(in) : Work.UNKNOWN);
       }
-      default -> throw WireRecord.unknown(type);
+      default -> throw WireRecord.unknownType(type);
     }
   }
 }
--- a/common/src/main/java/gladelug/common/message/Shuffle.java
+++ b/common/src/main/java/gladelug/common/message/Shuffle.java
@@ -13,17 +13,18 @@
   record Descriptor(
       String name,
       String role,
-      String records,
-      String operator,
+      String recordsAddress,
+      String operatorAddress,
       String zone,
       long generation,
-      int age) {
-    public Descriptor older() {
-      return new Descriptor(name, role, records, operator, zone, generation, age + 1);
+      int ageRounds) {
+    public Descriptor aged() {
+      return new Descriptor(
+          name, role, recordsAddress, operatorAddress, zone, generation, ageRounds + 1);
     }
   }
 
-  record Request(List<Descriptor> some) implements Shuffle {
+  record Request(List<Descriptor> descriptors) implements Shuffle {
     @Override
     public int type() {
       return 1;
@@ -31,11 +32,11 @@
 
     @Override
     public void write(DataOutputStream out) throws IOException {
-      WireRecord.list(out, some, Shuffle::put);
+      WireRecord.writeList(out, descriptors, Shuffle::writeDescriptor);
     }
   }
 
-  record Answer(List<Descriptor> some) implements Shuffle {
+  record Response(List<Descriptor> descriptors) implements Shuffle {
     @Override
     public int type() {
       return 2;
@@ -43,21 +44,21 @@
 
     @Override
     public void write(DataOutputStream out) throws IOException {
-      WireRecord.list(out, some, Shuffle::put);
+      WireRecord.writeList(out, descriptors, Shuffle::writeDescriptor);
     }
   }
 
-  private static void put(DataOutputStream out, Descriptor d) throws IOException {
+  private static void writeDescriptor(DataOutputStream out, Descriptor d) throws IOException {
     out.writeUTF(d.name);
     out.writeUTF(d.role);
-    out.writeUTF(d.records);
-    out.writeUTF(d.operator);
+    out.writeUTF(d.recordsAddress);
+    out.writeUTF(d.operatorAddress);
     out.writeUTF(d.zone);
     out.writeLong(d.generation);
-    out.writeInt(d.age);
+    out.writeInt(d.ageRounds);
   }
 
-  private static Descriptor get(DataInputStream in) throws IOException {
+  private static Descriptor readDescriptor(DataInputStream in) throws IOException {
     return new Descriptor(
         in.readUTF(),
         in.readUTF(),
@@ -70,9 +71,9 @@
 
   static Shuffle read(int type, DataInputStream in) throws IOException {
     return switch (type) {
-      case 1 -> new Request(WireRecord.list(in, Shuffle::get));
-      case 2 -> new Answer(WireRecord.list(in, Shuffle::get));
-      default -> throw WireRecord.unknown(type);
+      case 1 -> new Request(WireRecord.readList(in, Shuffle::readDescriptor));
+      case 2 -> new Response(WireRecord.readList(in, Shuffle::readDescriptor));
+      default -> throw WireRecord.unknownType(type);
     };
   }
 }
--- a/common/src/main/java/gladelug/common/message/StateUpdate.java
+++ b/common/src/main/java/gladelug/common/message/StateUpdate.java
@@ -24,7 +24,7 @@
    * What one relay has of a leaf of a service's share tree: requests waiting and requests using a
    * place.
    */
-  record QuotaDemand(String service, String leaf, int waiting, int using) {}
+  record QuotaDemand(String service, String leaf, int waiting, int inUse) {}
 
   /** Places a relay sees at the replicas of a service. */
   record ServiceCapacity(String service, int slots) {}
@@ -40,10 +40,10 @@
       String name,
       long incarnation,
       String role,
-      String records,
-      String operator,
+      String recordsAddress,
+      String operatorAddress,
       String zone,
-      List<KnownVersion> known,
+      List<KnownVersion> knownVersions,
       List<QuotaDemand> demands,
       List<ServiceCapacity> capacities)
       implements StateUpdate {
@@ -58,27 +58,27 @@
       o.writeUTF(name);
       o.writeLong(incarnation);
       o.writeUTF(role);
-      o.writeUTF(records);
-      o.writeUTF(operator);
+      o.writeUTF(recordsAddress);
+      o.writeUTF(operatorAddress);
       o.writeUTF(zone);
-      WireRecord.list(
+      WireRecord.writeList(
           o,
-          known,
+          knownVersions,
           (p, h) -> {
             p.writeUTF(h.key);
             p.writeLong(h.epoch);
             p.writeLong(h.number);
           });
-      WireRecord.list(
+      WireRecord.writeList(
           o,
           demands,
           (p, d) -> {
             p.writeUTF(d.service);
             p.writeUTF(d.leaf);
             p.writeInt(d.waiting);
-            p.writeInt(d.using);
+            p.writeInt(d.inUse);
           });
-      WireRecord.list(
+      WireRecord.writeList(
           o,
           capacities,
           (p, x) -> {
@@ -92,7 +92,7 @@
    * relays: how many relays the teller heard lately, among which what the fleet may do is shared
    * out.
    */
-  record LeaseGrants(long requestSentAtMs, List<LeaseGrant> grants, int relays)
+  record LeaseGrants(long requestSentAtMs, List<LeaseGrant> grants, int relayCount)
       implements StateUpdate {
     @Override
     public int type() {
@@ -102,7 +102,7 @@
     @Override
     public void write(DataOutputStream o) throws IOException {
       o.writeLong(requestSentAtMs);
-      WireRecord.list(
+      WireRecord.writeList(
           o,
           grants,
           (p, g) -> {
@@ -112,7 +112,7 @@
             p.writeInt(g.remainingMs);
             p.writeInt(g.cutoffRemainingMs);
           });
-      o.writeInt(relays);
+      o.writeInt(relayCount);
     }
   }
 
@@ -126,21 +126,21 @@
       String key,
       long epoch,
       long number,
-      long base,
+      long baseNumber,
       String digest,
       byte[] value,
       long sharingSince)
       implements StateUpdate {
-    private static final long NOT_TOLD = -1;
+    private static final long SHARING_NOT_SENT = -1;
 
     /** A push that tells nothing of shared prefixes. */
     public ValuePush(String key, long epoch, long number, long base, String digest, byte[] value) {
-      this(key, epoch, number, base, digest, value, NOT_TOLD);
+      this(key, epoch, number, base, digest, value, SHARING_NOT_SENT);
     }
 
     /** The same as releases can read it that know nothing of shared prefixes. */
     public ValuePush withoutSharing() {
-      return new ValuePush(key, epoch, number, base, digest, value);
+      return new ValuePush(key, epoch, number, baseNumber, digest, value);
     }
 
     @Override
@@ -153,9 +153,9 @@
       out.writeUTF(key);
       out.writeLong(epoch);
       out.writeLong(number);
-      out.writeLong(base);
+      out.writeLong(baseNumber);
       out.writeUTF(digest);
-      WireRecord.blob(out, value);
+      WireRecord.writeBlob(out, value);
       if (sharingSince >= 0) out.writeLong(sharingSince);
     }
   }
@@ -177,7 +177,7 @@
    * The fleet-wide division of one service's places for one relay, under the epoch of who divides.
    * Not full: no bounds.
    */
-  record CapacityGrant(long epoch, String service, boolean full, List<QuotaAllotment> allotments)
+  record CapacityGrant(long epoch, String service, boolean limited, List<QuotaAllotment> allotments)
       implements StateUpdate {
     @Override
     public int type() {
@@ -188,8 +188,8 @@
     public void write(DataOutputStream o) throws IOException {
       o.writeLong(epoch);
       o.writeUTF(service);
-      o.writeBoolean(full);
-      WireRecord.list(
+      o.writeBoolean(limited);
+      WireRecord.writeList(
           o,
           allotments,
           (p, x) -> {
@@ -210,14 +210,15 @@
               in.readUTF(),
               in.readUTF(),
               in.readUTF(),
-              WireRecord.list(in, i -> new KnownVersion(i.readUTF(), i.readLong(), i.readLong())),
-              WireRecord.list(
+              WireRecord.readList(
+                  in, i -> new KnownVersion(i.readUTF(), i.readLong(), i.readLong())),
+              WireRecord.readList(
                   in, i -> new QuotaDemand(i.readUTF(), i.readUTF(), i.readInt(), i.readInt())),
-              WireRecord.list(in, i -> new ServiceCapacity(i.readUTF(), i.readInt())));
+              WireRecord.readList(in, i -> new ServiceCapacity(i.readUTF(), i.readInt())));
       case 2 ->
           new LeaseGrants(
               in.readLong(),
-              WireRecord.list(
+              WireRecord.readList(
                   in,
                   i ->
                       new LeaseGrant(
@@ -230,7 +231,7 @@
               in.readLong(),
               in.readLong(),
               in.readUTF(),
-              WireRecord.blob(in));
+              WireRecord.readBlob(in));
       case 6 ->
           new ValuePush(
               in.readUTF(),
@@ -238,7 +239,7 @@
               in.readLong(),
               in.readLong(),
               in.readUTF(),
-              WireRecord.blob(in),
+              WireRecord.readBlob(in),
               in.readLong());
       case 4 -> new FullValueRequest(in.readUTF());
       case 5 ->
@@ -246,8 +247,8 @@
               in.readLong(),
               in.readUTF(),
               in.readBoolean(),
-              WireRecord.list(in, i -> new QuotaAllotment(i.readUTF(), i.readInt())));
-      default -> throw WireRecord.unknown(type);
+              WireRecord.readList(in, i -> new QuotaAllotment(i.readUTF(), i.readInt())));
+      default -> throw WireRecord.unknownType(type);
     };
   }
 }
--- a/common/src/main/java/gladelug/common/message/WireRecord.java
+++ b/common/src/main/java/gladelug/common/message/WireRecord.java
@@ -33,7 +33,7 @@
     void write(DataOutputStream out, T t) throws IOException;
   }
 
-  static byte[] bytes(WireRecord message) {
+  static byte[] encode(WireRecord message) {
     ByteArrayOutputStream b = new ByteArrayOutputStream(128);
     try (DataOutputStream out = new DataOutputStream(b)) {
       out.writeByte(message.type());
@@ -44,7 +44,7 @@
     return b.toByteArray();
   }
 
-  static <T> T read(byte[] bytes, Reader<T> r) throws IOException {
+  static <T> T decode(byte[] bytes, Reader<T> r) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     T t;
     try {
@@ -56,12 +56,12 @@
     return t;
   }
 
-  static <T> void list(DataOutputStream out, List<T> l, ItemWriter<T> w) throws IOException {
+  static <T> void writeList(DataOutputStream out, List<T> l, ItemWriter<T> w) throws IOException {
     out.writeInt(l.size());
     for (T t : l) w.write(out, t);
   }
 
-  static <T> List<T> list(DataInputStream in, ItemReader<T> r) throws IOException {
+  static <T> List<T> readList(DataInputStream in, ItemReader<T> r) throws IOException {
     int n = in.readInt();
     if (n < 0 || n > in.available()) throw new IOException("list of impossible length " + n);
     List<T> l = new ArrayList<>(n);
@@ -69,27 +69,27 @@
     return List.copyOf(l);
   }
 
-  static void blob(DataOutputStream out, byte[] bytes) throws IOException {
+  static void writeBlob(DataOutputStream out, byte[] bytes) throws IOException {
     out.writeInt(bytes.length);
     out.write(bytes);
   }
 
-  static byte[] blob(DataInputStream in) throws IOException {
+  static byte[] readBlob(DataInputStream in) throws IOException {
     int n = in.readInt();
     if (n < 0 || n > in.available()) throw new IOException("blob of impossible length " + n);
     return in.readNBytes(n);
   }
 
   /** A text of any length; writeUTF stops at 65535 bytes. */
-  static void text(DataOutputStream out, String text) throws IOException {
-    blob(out, text.getBytes(StandardCharsets.UTF_8));
+  static void writeText(DataOutputStream out, String text) throws IOException {
+    writeBlob(out, text.getBytes(StandardCharsets.UTF_8));
   }
 
-  static String text(DataInputStream in) throws IOException {
-    return new String(blob(in), StandardCharsets.UTF_8);
+  static String readText(DataInputStream in) throws IOException {
+    return new String(readBlob(in), StandardCharsets.UTF_8);
   }
 
-  static IOException unknown(int type) {
+  static IOException unknownType(int type) {
     return new IOException("unknown record type " + type);
   }
 }
--- a/common/src/main/java/gladelug/common/view/PartialView.java
+++ b/common/src/main/java/gladelug/common/view/PartialView.java
@@ -20,13 +20,13 @@
  */
 public final class PartialView {
   /** Descriptors in the sample at most. */
-  private static final int SIZE = 16;
+  private static final int SAMPLE_SIZE = 16;
 
   /** Descriptors of the sample, our own among them, that an exchange brings. */
-  private static final int SHARED = 6;
+  private static final int MAX_SENT_FROM_SAMPLE = 6;
 
   /** After how many rounds without fresh word of it a process leaves the sample. */
-  private static final int FORGET = 120;
+  private static final int SAMPLE_MAX_AGE_ROUNDS = 120;
 
   /** Of which roles all processes are known, as everybody calls them and they are few. */
   private static final Set<String> DIRECTORY_ROLES = Set.of("index");
@@ -34,16 +34,16 @@
   private static final int DIRECTORY_SIZE = 64;
 
   /** How many of the directory an exchange brings at most. */
-  static final int DIRECTORY_SHARED = 16;
+  static final int MAX_SENT_FROM_DIRECTORY = 16;
 
   /** After how many rounds without fresh word of it a process leaves the directory. */
-  static final int DIRECTORY_FORGET = 20;
+  static final int DIRECTORY_MAX_AGE_ROUNDS = 20;
 
   private final Descriptor self;
   private final LongUnaryOperator random;
-  private final Map<String, Descriptor> view = new LinkedHashMap<>();
+  private final Map<String, Descriptor> sampled = new LinkedHashMap<>();
   private final Map<String, Descriptor> directory = new LinkedHashMap<>();
-  private List<String> given = List.of();
+  private List<String> sentNames = List.of();
   private long generation;
 
   public PartialView(Descriptor self, LongUnaryOperator random) {
@@ -51,52 +51,58 @@
     this.random = random;
   }
 
-  public void generation(long g) {
+  public void advanceGeneration(long g) {
     generation = Math.max(generation, g);
   }
 
   /** The sample, and all of the directory. */
   public List<Descriptor> all() {
-    Map<String, Descriptor> all = new LinkedHashMap<>(view);
+    Map<String, Descriptor> all = new LinkedHashMap<>(sampled);
     all.putAll(directory);
     return new ArrayList<>(all.values());
   }
 
-  Descriptor me() {
+  Descriptor selfDescriptor() {
     return new Descriptor(
-        self.name(), self.role(), self.records(), self.operator(), self.zone(), generation, 0);
+        self.name(),
+        self.role(),
+        self.recordsAddress(),
+        self.operatorAddress(),
+        self.zone(),
+        generation,
+        0);
   }
 
   /** Whom to shuffle with now and what to say, or null where the view is empty. */
   public Map.Entry<Descriptor, Shuffle.Request> nextShuffle() {
-    view.replaceAll((n, d) -> d.older());
-    view.values().removeIf(PartialView::forgotten);
-    directory.replaceAll((n, d) -> d.older());
-    directory.values().removeIf(PartialView::forgotten);
+    sampled.replaceAll((n, d) -> d.aged());
+    sampled.values().removeIf(PartialView::isExpired);
+    directory.replaceAll((n, d) -> d.aged());
+    directory.values().removeIf(PartialView::isExpired);
     Descriptor q =
-        view.values().stream().max(Comparator.comparingInt(Descriptor::age)).orElse(null);
+        sampled.values().stream().max(Comparator.comparingInt(Descriptor::ageRounds)).orElse(null);
     if (q == null) return null;
-    view.remove(q.name());
-    return Map.entry(q, start());
+    sampled.remove(q.name());
+    return Map.entry(q, createRequest());
   }
 
   /** What to say to a seed, of which only the address is known. */
-  public Shuffle.Request start() {
-    List<Descriptor> l = sample(view, SHARED - 1);
-    given = l.stream().map(Descriptor::name).toList();
-    return new Shuffle.Request(withDirectory(l));
+  public Shuffle.Request createRequest() {
+    List<Descriptor> l = drawSample(sampled, MAX_SENT_FROM_SAMPLE - 1);
+    sentNames = l.stream().map(Descriptor::name).toList();
+    return new Shuffle.Request(composeExchange(l));
   }
 
-  public Shuffle.Answer onRequest(Shuffle.Request r) {
-    List<Descriptor> l = sample(view, SHARED - 1);
+  public Shuffle.Response onRequest(Shuffle.Request r) {
+    List<Descriptor> l = drawSample(sampled, MAX_SENT_FROM_SAMPLE - 1);
     List<String> names = l.stream().map(Descriptor::name).toList();
-    Shuffle.Answer answer = new Shuffle.Answer(withDirectory(l));
-    merge(r.some(), names);
+    Shuffle.Response answer = new Shuffle.Response(composeExchange(l));
+    merge(r.descriptors(), names);
     return answer;
   }
 
-  public void onAnswer(Shuffle.Answer a) {
-    merge(a.some(), given);
+  public void onResponse(Shuffle.Response a) {
+    merge(a.descriptors(), sentNames);
   }
 
   /**
@@ -104,23 +110,23 @@
    * directory age by being passed on as well, so that those of the dead don't stay young by going
    * from hand to hand.
    */
-  private List<Descriptor> withDirectory(List<Descriptor> sampled) {
+  private List<Descriptor> composeExchange(List<Descriptor> sampled) {
     Map<String, Descriptor> out = new LinkedHashMap<>();
-    for (Descriptor d : sample(directory, DIRECTORY_SHARED)) out.put(d.name(), d.older());
-    for (Descriptor d : sampled) out.putIfAbsent(d.name(), inDirectory(d) ? d.older() : d);
-    out.put(self.name(), me());
+    for (Descriptor d : drawSample(directory, MAX_SENT_FROM_DIRECTORY)) out.put(d.name(), d.aged());
+    for (Descriptor d : sampled) out.putIfAbsent(d.name(), belongsToDirectory(d) ? d.aged() : d);
+    out.put(self.name(), selfDescriptor());
     return List.copyOf(out.values());
   }
 
-  private static boolean inDirectory(Descriptor d) {
+  private static boolean belongsToDirectory(Descriptor d) {
     return DIRECTORY_ROLES.contains(d.role());
   }
 
   private static Descriptor fresher(Descriptor a, Descriptor b) {
-    return b.age() <= a.age() ? b : a;
+    return b.ageRounds() <= a.ageRounds() ? b : a;
   }
 
-  private List<Descriptor> sample(Map<String, Descriptor> from, int n) {
+  private List<Descriptor> drawSample(Map<String, Descriptor> from, int n) {
     List<Descriptor> l = new ArrayList<>(from.values());
     List<Descriptor> out = new ArrayList<>();
     while (!l.isEmpty() && out.size() < n) out.add(l.remove((int) random.applyAsLong(l.size())));
@@ -130,23 +136,24 @@
   private void merge(List<Descriptor> got, List<String> mayGo) {
     List<String> go = new ArrayList<>(mayGo);
     for (Descriptor d : got) {
-      if (d.name().equals(self.name()) || forgotten(d)) continue;
-      if (inDirectory(d)) note(d);
-      Descriptor old = view.get(d.name());
+      if (d.name().equals(self.name()) || isExpired(d)) continue;
+      if (belongsToDirectory(d)) updateDirectory(d);
+      Descriptor old = sampled.get(d.name());
       if (old != null) {
-        if (d.age() <= old.age()) view.put(d.name(), d);
+        if (d.ageRounds() <= old.ageRounds()) sampled.put(d.name(), d);
         continue;
       }
-      while (view.size() >= SIZE && !go.isEmpty()) view.remove(go.remove(0));
-      if (view.size() < SIZE) view.put(d.name(), d);
+      while (sampled.size() >= SAMPLE_SIZE && !go.isEmpty()) sampled.remove(go.remove(0));
+      if (sampled.size() < SAMPLE_SIZE) sampled.put(d.name(), d);
     }
   }
 
-  private static boolean forgotten(Descriptor d) {
-    return d.age() > (inDirectory(d) ? DIRECTORY_FORGET : FORGET);
+  private static boolean isExpired(Descriptor d) {
+    return d.ageRounds()
+        > (belongsToDirectory(d) ? DIRECTORY_MAX_AGE_ROUNDS : SAMPLE_MAX_AGE_ROUNDS);
   }
 
-  private void note(Descriptor d) {
+  private void updateDirectory(Descriptor d) {
     if (directory.containsKey(d.name()) || directory.size() < DIRECTORY_SIZE)
       directory.merge(d.name(), d, PartialView::fresher);
   }
--- a/common/src/main/java/gladelug/common/view/PartialViewService.java
+++ b/common/src/main/java/gladelug/common/view/PartialViewService.java
@@ -21,71 +21,74 @@
  */
 public final class PartialViewService implements ServiceRegistry.Service {
   /** Rounds are quick while a process is new, then slower; ms. */
-  private static final long ROUND = 1000, LATER = 3000, ANSWER = 900;
+  private static final long FAST_INTERVAL_MS = 1000,
+      SLOW_INTERVAL_MS = 3000,
+      RESPONSE_TIMEOUT_MS = 900;
 
-  private static final int NEW = 15;
+  private static final int FAST_ROUNDS = 15;
   private final Vertx vertx;
   private final Address self;
   private final List<Address> seeds;
-  private final PartialView views;
-  private final SingleThreadWorker duty;
+  private final PartialView view;
+  private final SingleThreadWorker worker;
   private volatile List<Shuffle.Descriptor> snapshot = List.of();
-  private ConnectionAcceptor doors;
-  private int next;
-  private int rounds;
+  private ConnectionAcceptor acceptor;
+  private int nextSeed;
+  private int roundCount;
 
   public PartialViewService(Vertx vertx, Shuffle.Descriptor self, List<Address> seeds) {
     this.vertx = vertx;
-    this.self = Address.of(self.records());
+    this.self = Address.of(self.recordsAddress());
     this.seeds = seeds;
-    this.views = new PartialView(self, b -> ThreadLocalRandom.current().nextLong(b));
-    this.duty = new SingleThreadWorker("views", 1024, Clock.monotonic());
+    this.view = new PartialView(self, b -> ThreadLocalRandom.current().nextLong(b));
+    this.worker = new SingleThreadWorker("views", 1024, Clock.monotonic());
   }
 
   public List<Shuffle.Descriptor> all() {
     return snapshot;
   }
 
-  public void generation(long g) {
-    duty.offer(() -> views.generation(g));
+  public void advanceGeneration(long g) {
+    worker.offer(() -> view.advanceGeneration(g));
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    doors = registry.find("doors", ConnectionAcceptor.class);
-    doors.register(
+    acceptor = registry.find("doors", ConnectionAcceptor.class);
+    acceptor.register(
         Hello.SHUFFLE,
         (hello, connection) ->
             record -> {
-              if (!(WireRecord.read(record, Shuffle::read) instanceof Shuffle.Request q))
+              if (!(WireRecord.decode(record, Shuffle::read) instanceof Shuffle.Request q))
                 throw new IOException("an answer nobody asked for");
-              duty.offer(
+              worker.offer(
                   () -> {
-                    connection.send(views.onRequest(q));
-                    snapshot = views.all();
+                    connection.send(view.onRequest(q));
+                    snapshot = view.all();
                   });
             });
-    duty.offer(this::again);
+    worker.offer(this::runAndReschedule);
   }
 
-  private void again() {
-    round();
-    duty.scheduleAfter(rounds++ < NEW ? ROUND : LATER, this::again);
+  private void runAndReschedule() {
+    runRound();
+    worker.scheduleAfter(
+        roundCount++ < FAST_ROUNDS ? FAST_INTERVAL_MS : SLOW_INTERVAL_MS, this::runAndReschedule);
   }
 
-  private void round() {
-    Map.Entry<Shuffle.Descriptor, Shuffle.Request> r = views.nextShuffle();
-    snapshot = views.all();
-    if (r != null) shuffle(Address.of(r.getKey().records()), r.getValue());
+  private void runRound() {
+    Map.Entry<Shuffle.Descriptor, Shuffle.Request> r = view.nextShuffle();
+    snapshot = view.all();
+    if (r != null) shuffle(Address.of(r.getKey().recordsAddress()), r.getValue());
     if (r == null || snapshot.size() < 3) {
       if (seeds.isEmpty()) return;
-      Address address = seeds.get(next++ % seeds.size());
-      if (!address.equals(self)) shuffle(address, views.start());
+      Address address = seeds.get(nextSeed++ % seeds.size());
+      if (!address.equals(self)) shuffle(address, view.createRequest());
     }
   }
 
   private void shuffle(Address address, Shuffle.Request q) {
-    doors
+    acceptor
         .connect(
             address,
             Hello.SHUFFLE,
@@ -93,12 +96,12 @@
                 new Connection.Receiver() {
                   @Override
                   public void record(byte[] record) throws IOException {
-                    if (!(WireRecord.read(record, Shuffle::read) instanceof Shuffle.Answer a))
+                    if (!(WireRecord.decode(record, Shuffle::read) instanceof Shuffle.Response a))
                       throw new IOException("a request where an answer was due");
-                    duty.offer(
+                    worker.offer(
                         () -> {
-                          views.onAnswer(a);
-                          snapshot = views.all();
+                          view.onResponse(a);
+                          snapshot = view.all();
                         });
                     connection.close();
                   }
@@ -107,13 +110,13 @@
         .with(
             connection -> {
               connection.send(q);
-              vertx.setTimer(ANSWER, i -> connection.close());
+              vertx.setTimer(RESPONSE_TIMEOUT_MS, i -> connection.close());
             },
             failure -> {});
   }
 
   @Override
   public void stop() {
-    duty.close();
+    worker.close();
   }
 }
--- a/common/src/test/java/gladelug/common/LocatedJsonTest.java
+++ b/common/src/test/java/gladelug/common/LocatedJsonTest.java
@@ -18,7 +18,7 @@
     f.text("a");
     f.texts("b", true);
     f.integer("c", 1, 5);
-    f.done();
+    f.reportUnknownFields();
     Assertions.assertEquals(
         """
             line 1, column 7 (a): must be a text
--- a/common/src/test/java/gladelug/common/MemoryBudgetTest.java
+++ b/common/src/test/java/gladelug/common/MemoryBudgetTest.java
@@ -13,23 +13,23 @@
     Assertions.assertTrue(budget.reserve(40));
     budget.release(60);
     Assertions.assertTrue(budget.reserve(60));
-    Assertions.assertEquals(100, budget.reserved());
-    Assertions.assertEquals(100, budget.peak());
-    Assertions.assertEquals(1, budget.refused());
+    Assertions.assertEquals(100, budget.reservedBytes());
+    Assertions.assertEquals(100, budget.peakBytes());
+    Assertions.assertEquals(1, budget.refusedCount());
   }
 
   @Test
   void theLargestValueFollowsFromTheHeapAndTenThousandRoutesAlwaysFit() {
-    Assertions.assertEquals(2 << 20, MemoryBudget.largestValueBytes(16 << 20));
-    Assertions.assertEquals((160 << 20) / 44, MemoryBudget.largestValueBytes(160 << 20));
-    Assertions.assertEquals(6 << 20, MemoryBudget.largestValueBytes(4L << 30));
+    Assertions.assertEquals(2 << 20, MemoryBudget.maxValueBytes(16 << 20));
+    Assertions.assertEquals((160 << 20) / 44, MemoryBudget.maxValueBytes(160 << 20));
+    Assertions.assertEquals(6 << 20, MemoryBudget.maxValueBytes(4L << 30));
   }
 
   /** Guards against a process whose clients each hold as much as all of them may. */
   @Test
   void allClientsOfAProcessTakeTheirAnswersFromOneBudget() {
-    MemoryBudget lists = MemoryBudget.ofAnswers();
-    MemoryBudget reports = MemoryBudget.ofAnswers();
+    MemoryBudget lists = MemoryBudget.forResponses();
+    MemoryBudget reports = MemoryBudget.forResponses();
     long all = Runtime.getRuntime().maxMemory() / 8;
     Assertions.assertTrue(lists.reserve(all));
     Assertions.assertFalse(reports.reserve(1));
--- a/common/src/test/java/gladelug/common/SingleThreadWorkerTest.java
+++ b/common/src/test/java/gladelug/common/SingleThreadWorkerTest.java
@@ -89,7 +89,7 @@
     try {
       Assertions.assertTrue(process.waitFor(WAIT_S, TimeUnit.SECONDS), "it went on as a shell");
       String lines = Files.readString(log);
-      Assertions.assertEquals(Program.FAILED, process.exitValue(), lines);
+      Assertions.assertEquals(Program.EXIT_FAILED, process.exitValue(), lines);
       Assertions.assertTrue(lines.contains("failed in thread core"), lines);
     } finally {
       process.destroyForcibly();
--- a/common/src/test/java/gladelug/common/StallDetectorTest.java
+++ b/common/src/test/java/gladelug/common/StallDetectorTest.java
@@ -22,7 +22,7 @@
           STALLED_MS,
           ENDS_MS,
           (thread, task, cause) -> ended.add(thread + " " + task));
-  private final StallDetector.Watched watched = detector.watch("core", tasks::add);
+  private final StallDetector.WatchedThread watched = detector.watch("core", tasks::add);
 
   private void pass(int seconds) {
     for (int i = 0; i < seconds; i++) {
@@ -42,7 +42,7 @@
       nowMs += 20;
       runTasks();
     }
-    Assertions.assertEquals("", detector.stalled());
+    Assertions.assertEquals("", detector.stalledThread());
     Assertions.assertEquals(List.of(), ended);
     Assertions.assertEquals(Map.of("core", 20L), detector.longestWaitsMs());
   }
@@ -50,9 +50,9 @@
   @Test
   void oneThatStandsStillIsNamedAndThenEndsTheProcess() {
     pass(1 + 2);
-    Assertions.assertEquals("", detector.stalled());
+    Assertions.assertEquals("", detector.stalledThread());
     pass(1);
-    Assertions.assertEquals("core", detector.stalled());
+    Assertions.assertEquals("core", detector.stalledThread());
     pass(6);
     Assertions.assertEquals(List.of(), ended);
     pass(1);
@@ -62,10 +62,10 @@
   @Test
   void oneThatGoesOnIsWellAgain() {
     pass(6);
-    Assertions.assertEquals("core", detector.stalled());
+    Assertions.assertEquals("core", detector.stalledThread());
     runTasks();
     pass(1);
-    Assertions.assertEquals("", detector.stalled());
+    Assertions.assertEquals("", detector.stalledThread());
     Assertions.assertEquals(Map.of("core", 5000L), detector.longestWaitsMs());
   }
 
@@ -75,7 +75,7 @@
     pass(1);
     nowMs += 3_600_000;
     detector.check();
-    Assertions.assertEquals("", detector.stalled());
+    Assertions.assertEquals("", detector.stalledThread());
     Assertions.assertEquals(List.of(), ended);
   }
 
@@ -88,7 +88,7 @@
       pass(1);
       runTasks();
     }
-    Assertions.assertEquals("", detector.stalled());
+    Assertions.assertEquals("", detector.stalledThread());
     full[0] = false;
     pass(12);
     Assertions.assertTrue(ended.contains("index stands still"), "once it took a task: " + ended);
@@ -100,6 +100,6 @@
     watched.close();
     pass(60);
     Assertions.assertEquals(List.of(), ended);
-    Assertions.assertEquals("", detector.stalled());
+    Assertions.assertEquals("", detector.stalledThread());
   }
 }
--- a/common/src/test/java/gladelug/common/configuration/ConfigurationTest.java
+++ b/common/src/test/java/gladelug/common/configuration/ConfigurationTest.java
@@ -1,7 +1,7 @@
 package gladelug.common.configuration;
 
-import static gladelug.common.configuration.Configuration.hashOf;
-import static gladelug.common.configuration.Configuration.leaf;
+import static gladelug.common.configuration.Configuration.hashKey;
+import static gladelug.common.configuration.Configuration.leafPath;
 import static gladelug.common.configuration.Configuration.parse;
 
 import gladelug.common.Result;
@@ -13,7 +13,7 @@
 final class ConfigurationTest {
   @Test
   void aGoodConfigurationIsIndexed() {
-    String h = hashOf("k1");
+    String h = hashKey("k1");
     Configuration configuration =
         ((Result.Good<Configuration>)
                 parse(
@@ -24,9 +24,9 @@
                  "tenants": [{"name": "t", "keys": ["sha256:%s"], "shares": [{"name": "x", "mappings": ["a"]}]}]}"""
                         .formatted(h)))
             .value();
-    Tenant t = configuration.tenantOfHash(h);
-    Assertions.assertEquals("t/x", leaf(t, configuration.route("/a")));
-    Assertions.assertEquals("t", leaf(t, configuration.route("/b")));
+    Tenant t = configuration.tenantByKeyHash(h);
+    Assertions.assertEquals("t/x", leafPath(t, configuration.route("/a")));
+    Assertions.assertEquals("t", leafPath(t, configuration.route("/b")));
     Assertions.assertTrue(configuration.route("/b").repeatable());
   }
 
--- a/common/src/test/java/gladelug/common/configuration/PrefixSharingTest.java
+++ b/common/src/test/java/gladelug/common/configuration/PrefixSharingTest.java
@@ -41,7 +41,7 @@
       Configuration next = configuration(tenants);
       sharing = sharing.next(newest, number, next);
       newest = next;
-      return PrefixSharing.since(sharing.since(), next, ++number);
+      return PrefixSharing.effectiveSince(sharing.since(), next, ++number);
     }
   }
 
@@ -55,7 +55,7 @@
               List.of(),
               !name.equals(name.toLowerCase(Locale.ROOT)),
               null));
-    return new Configuration(0, List.of(), List.of(), list, Configuration.Limits.USUAL);
+    return new Configuration(0, List.of(), List.of(), list, Configuration.Limits.DEFAULT);
   }
 
   @Test
@@ -119,8 +119,8 @@
   void ofAnEarlierReleasesValueWhoeverIsIsolatedMayHaveShared() {
     Configuration before = configuration("A", "b"), none = configuration("a", "b");
     PrefixSharing unrecorded = PrefixSharing.UNRECORDED;
-    Assertions.assertEquals(7, PrefixSharing.since(unrecorded.since(), before, 7));
-    Assertions.assertEquals(0, PrefixSharing.since(unrecorded.since(), none, 7));
+    Assertions.assertEquals(7, PrefixSharing.effectiveSince(unrecorded.since(), before, 7));
+    Assertions.assertEquals(0, PrefixSharing.effectiveSince(unrecorded.since(), none, 7));
     Assertions.assertEquals(7, unrecorded.next(before, 7, before).since(), "not once more");
     Assertions.assertEquals(8, unrecorded.next(none, 7, before).since());
     Assertions.assertEquals(
--- a/common/src/test/java/gladelug/common/configuration/PublishedNamesTest.java
+++ b/common/src/test/java/gladelug/common/configuration/PublishedNamesTest.java
@@ -41,9 +41,10 @@
 
   @Test
   void weightsHaveTheseFields() {
-    String written = Weights.NONE.naming("s", "w1", 1).naming("s", "w2", 2).json();
+    String written =
+        Weights.NONE.withAssignment("s", "w1", 1).withAssignment("s", "w2", 2).toJson();
     Assertions.assertEquals(WEIGHTS_2, written);
-    Assertions.assertEquals(WEIGHTS_2, good(Weights.parse(WEIGHTS_2)).json());
+    Assertions.assertEquals(WEIGHTS_2, good(Weights.parse(WEIGHTS_2)).toJson());
   }
 
   @Test
@@ -58,7 +59,7 @@
             + "\"domain\":\"z\",\"state\":\"ready\",\"slots\":4,\"weights\":{\"m\":\"3\"}},"
             + "{\"service\":\"s\",\"instance\":\"j\",\"address\":\"10.0.0.1:80\","
             + "\"domain\":\"z\",\"state\":\"leaving\"}]}";
-    Assertions.assertEquals(text, new Replicas(all).json());
+    Assertions.assertEquals(text, new Replicas(all).toJson());
     Assertions.assertEquals(all, good(Replicas.parse(text)).all);
   }
 
@@ -71,7 +72,7 @@
                     "a", Address.of("10.0.0.1:1"), Address.of("10.0.0.1:2"))));
     String text =
         "{\"members\":[{\"name\":\"a\",\"records\":\"10.0.0.1:1\",\"operator\":\"10.0.0.1:2\"}]}";
-    Assertions.assertEquals(text, list.json());
+    Assertions.assertEquals(text, list.toJson());
     Assertions.assertEquals(list, good(CoreMemberList.parse(text)));
   }
 
@@ -97,7 +98,8 @@
             .formatted("ab".repeat(32));
     eachFieldIsRead(
         document,
-        text -> Configuration.parse(text).then(configuration -> Result.good(told(configuration))));
+        text ->
+            Configuration.parse(text).flatMap(configuration -> Result.good(told(configuration))));
     for (String kind : List.of("model", "application"))
       good(Configuration.parse(document.replace("application", kind)));
   }
--- a/common/src/test/java/gladelug/common/connection/BoundedHttpCallsTest.java
+++ b/common/src/test/java/gladelug/common/connection/BoundedHttpCallsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tests of BoundedHttpCalls against a server that answers as no server should. */
+/** Tests of BoundedHttpClient against a server that answers as no server should. */
 @Timeout(60)
 final class BoundedHttpCallsTest {
   private static final String HOST = "127.9.3.1";
@@ -27,8 +27,8 @@
 
   private final Vertx vertx = Vertx.vertx();
   private final MemoryBudget budget = new MemoryBudget(3 * MOST);
-  private final BoundedHttpCalls calls =
-      new BoundedHttpCalls(vertx, new HttpClientOptions().setMaxPoolSize(1), budget);
+  private final BoundedHttpClient calls =
+      new BoundedHttpClient(vertx, new HttpClientOptions().setMaxPoolSize(1), budget);
   private Consumer<HttpServerRequest> answers = request -> request.response().end();
   private final CompletableFuture<Void> connectionEnded = new CompletableFuture<>();
   private HttpServer server;
@@ -52,7 +52,7 @@
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
-  private HttpAnswer call(long withinMs) {
+  private BufferedHttpResponse call(long withinMs) {
     RequestOptions target =
         new RequestOptions().setHost(HOST).setPort(server.actualPort()).setURI("/x");
     return calls.send(target, MOST, withinMs).await().atMost(Duration.ofSeconds(30));
@@ -62,7 +62,7 @@
     HttpCallException failure =
         Assertions.assertThrows(HttpCallException.class, () -> call(withinMs));
     Assertions.assertEquals(reason, failure.reason(), failure.getMessage());
-    Assertions.assertEquals(0, budget.reserved());
+    Assertions.assertEquals(0, budget.reservedBytes());
   }
 
   private static void endless(HttpServerResponse answer) {
@@ -73,13 +73,13 @@
   @Test
   void anAnswerIsTakenWholeAndItsBytesAreReservedUntilItIsClosed() {
     answers = request -> request.response().setStatusCode(418).putHeader("A", "b").end("hello");
-    HttpAnswer answer = call(IN_TIME_MS);
+    BufferedHttpResponse answer = call(IN_TIME_MS);
     Assertions.assertEquals(418, answer.status());
     Assertions.assertEquals("b", answer.header("A"));
     Assertions.assertEquals("hello", answer.body().toString());
-    Assertions.assertEquals(5, budget.reserved());
+    Assertions.assertEquals(5, budget.reservedBytes());
     answer.close();
-    Assertions.assertEquals(0, budget.reserved());
+    Assertions.assertEquals(0, budget.reservedBytes());
   }
 
   /** Guards against a page without an end that fills the heap (soak, seed 600). */
@@ -108,7 +108,7 @@
     HttpCallException failure =
         Assertions.assertThrows(HttpCallException.class, () -> call(IN_TIME_MS));
     Assertions.assertEquals(Reason.NO_MEMORY, failure.reason());
-    Assertions.assertEquals(3 * MOST - 4, budget.reserved());
+    Assertions.assertEquals(3 * MOST - 4, budget.reservedBytes());
   }
 
   @Test
--- a/common/src/test/java/gladelug/common/connection/ReadTimeoutDetectorTest.java
+++ b/common/src/test/java/gladelug/common/connection/ReadTimeoutDetectorTest.java
@@ -16,96 +16,96 @@
   }
 
   private void provenConnection() {
-    detector.connected();
-    Assertions.assertTrue(detector.sending(SMALL), "the first record asks for an answer");
+    detector.onConnected();
+    Assertions.assertTrue(detector.onSending(SMALL), "the first record asks for an answer");
     at(10);
-    detector.received();
+    detector.onReceived();
   }
 
   @Test
   void aRecordAsksOnlyWhereNothingWasReceivedLately() {
     provenConnection();
     at(99);
-    Assertions.assertFalse(detector.sending(SMALL));
+    Assertions.assertFalse(detector.onSending(SMALL));
     at(1);
-    Assertions.assertTrue(detector.sending(SMALL));
+    Assertions.assertTrue(detector.onSending(SMALL));
     at(200);
-    Assertions.assertFalse(detector.sending(SMALL), "one question at a time");
+    Assertions.assertFalse(detector.onSending(SMALL), "one question at a time");
   }
 
   @Test
   void nothingSentIsNeverSilent() {
     provenConnection();
     at(3_600_000);
-    Assertions.assertFalse(detector.silent());
+    Assertions.assertFalse(detector.isSilent());
   }
 
   @Test
   void anAnswerThatIsOverdueMeansSilenceAndAnyBytesAreAnAnswer() {
     provenConnection();
     at(100);
-    detector.sending(SMALL);
+    detector.onSending(SMALL);
     at(399);
-    Assertions.assertFalse(detector.silent());
+    Assertions.assertFalse(detector.isSilent());
     at(1);
-    Assertions.assertTrue(detector.silent());
-    detector.received();
-    Assertions.assertFalse(detector.silent());
+    Assertions.assertTrue(detector.isSilent());
+    detector.onReceived();
+    Assertions.assertFalse(detector.isSilent());
   }
 
   @Test
   void aQuestionBehindALargeRecordHasTheTimeToPassIt() {
     provenConnection();
     at(10);
-    detector.sending(2_000_000);
+    detector.onSending(2_000_000);
     at(90);
-    Assertions.assertTrue(detector.sending(SMALL));
+    Assertions.assertTrue(detector.onSending(SMALL));
     at(2_300);
-    Assertions.assertFalse(detector.silent());
+    Assertions.assertFalse(detector.isSilent());
     at(100);
-    Assertions.assertTrue(detector.silent());
+    Assertions.assertTrue(detector.isSilent());
   }
 
   @Test
   void aPeerThatAnswersSlowlyIsGivenTwiceItsTimeWithinABound() {
     provenConnection();
     at(100);
-    detector.sending(SMALL);
+    detector.onSending(SMALL);
     at(390);
-    detector.received();
+    detector.onReceived();
     at(100);
-    detector.sending(SMALL);
+    detector.onSending(SMALL);
     at(779);
-    Assertions.assertFalse(detector.silent());
+    Assertions.assertFalse(detector.isSilent());
     at(1);
-    Assertions.assertTrue(detector.silent());
+    Assertions.assertTrue(detector.isSilent());
     at(60_000);
-    detector.received();
+    detector.onReceived();
     at(100);
-    detector.sending(SMALL);
-    at(Liveness.SLOWEST * BOUNDS.patience());
-    Assertions.assertTrue(detector.silent());
+    detector.onSending(SMALL);
+    at(Liveness.MAX_TIMEOUT_FACTOR * BOUNDS.answerTimeoutMs());
+    Assertions.assertTrue(detector.isSilent());
   }
 
   @Test
   void connectionsThatAreNeverAnsweredAreEachGivenLongerWithinABound() {
     long[] patience = {400, 800, 1600, 1600};
     for (long p : patience) {
-      detector.connected();
-      detector.sending(SMALL);
+      detector.onConnected();
+      detector.onSending(SMALL);
       at(p - 1);
-      Assertions.assertFalse(detector.silent());
+      Assertions.assertFalse(detector.isSilent());
       at(1);
-      Assertions.assertTrue(detector.silent());
+      Assertions.assertTrue(detector.isSilent());
     }
-    detector.connected();
-    detector.sending(SMALL);
+    detector.onConnected();
+    detector.onSending(SMALL);
     at(10);
-    detector.received();
+    detector.onReceived();
     at(100);
-    detector.sending(SMALL);
+    detector.onSending(SMALL);
     at(400);
-    Assertions.assertTrue(detector.silent(), "an answer makes up for it");
+    Assertions.assertTrue(detector.isSilent(), "an answer makes up for it");
   }
 
   @Test
@@ -114,12 +114,12 @@
     for (int[] x : aliveAndDead) {
       int alive = x[0];
       int dead = x[1];
-      Liveness l = Liveness.within(alive, dead);
+      Liveness l = Liveness.forMembers(alive, dead);
       long check = alive / 4;
-      long closed = alive + l.patience() + check + Liveness.GRACE;
-      Assertions.assertTrue(l.askAfter() < alive, "each sign of life asks");
+      long closed = alive + l.answerTimeoutMs() + check + Liveness.GRACE_MS;
+      Assertions.assertTrue(l.probeAfterMs() < alive, "each sign of life asks");
       Assertions.assertTrue(closed < dead, closed + " of " + dead);
-      Assertions.assertTrue(l.connectTimeout() + l.pause() < dead);
+      Assertions.assertTrue(l.connectTimeoutMs() + l.reconnectDelayMs() < dead);
     }
   }
 }
--- a/common/src/test/java/gladelug/common/disk/RecordRingTest.java
+++ b/common/src/test/java/gladelug/common/disk/RecordRingTest.java
@@ -17,12 +17,12 @@
     final byte[][] f = new byte[4][4096];
 
     @Override
-    public int files() {
+    public int fileCount() {
       return 4;
     }
 
     @Override
-    public int size() {
+    public int fileBytes() {
       return 4096;
     }
 
--- a/common/src/test/java/gladelug/common/message/PublishedNamesTest.java
+++ b/common/src/test/java/gladelug/common/message/PublishedNamesTest.java
@@ -47,15 +47,15 @@
         "news allot",
         new StateUpdate.CapacityGrant(
             1, "s", true, List.of(new StateUpdate.QuotaAllotment("t/x", 1500))));
-    examples.put("lookup question", new Lookup.Question(1, new long[] {2, -3}));
+    examples.put("lookup question", new Lookup.Query(1, new long[] {2, -3}));
     examples.put(
-        "lookup answer", new Lookup.Answer(1, true, List.of(new Lookup.Match("i-1", 2, 3))));
-    examples.put("lookup placed", new Lookup.Placed("i-1", new long[] {2, -3}));
+        "lookup answer", new Lookup.Response(1, true, List.of(new Lookup.Match("i-1", 2, 3))));
+    examples.put("lookup placed", new Lookup.Placement("i-1", new long[] {2, -3}));
     examples.put("reasons batch", new DecisionRecords.Batch("r1", "run", 1, 2, 3, 4, BLOB));
     List<Shuffle.Descriptor> some =
         List.of(new Shuffle.Descriptor("r1", "relay", "127.0.0.1:1", "127.0.0.1:2", "z", 5, 6));
     examples.put("shuffle request", new Shuffle.Request(some));
-    examples.put("shuffle answer", new Shuffle.Answer(some));
+    examples.put("shuffle answer", new Shuffle.Response(some));
     return examples;
   }
 
@@ -102,17 +102,17 @@
     Map<String, String> now = new LinkedHashMap<>();
     examples()
         .forEach(
-            (name, record) -> now.put(name, HexFormat.of().formatHex(WireRecord.bytes(record))));
+            (name, record) -> now.put(name, HexFormat.of().formatHex(WireRecord.encode(record))));
     Assertions.assertEquals(BYTES, now);
   }
 
   static WireRecord read(String name, byte[] bytes) throws IOException {
     return switch (name.split(" ")[0]) {
-      case "hello" -> WireRecord.read(bytes, Hello::read);
-      case "news" -> WireRecord.read(bytes, StateUpdate::read);
-      case "lookup" -> WireRecord.read(bytes, Lookup::read);
-      case "reasons" -> WireRecord.read(bytes, DecisionRecords::read);
-      case "shuffle" -> WireRecord.read(bytes, Shuffle::read);
+      case "hello" -> WireRecord.decode(bytes, Hello::read);
+      case "news" -> WireRecord.decode(bytes, StateUpdate::read);
+      case "lookup" -> WireRecord.decode(bytes, Lookup::read);
+      case "reasons" -> WireRecord.decode(bytes, DecisionRecords::read);
+      case "shuffle" -> WireRecord.decode(bytes, Shuffle::read);
       default -> throw new AssertionError(name);
     };
   }
@@ -122,7 +122,8 @@
     for (Map.Entry<String, String> entry : BYTES.entrySet()) {
       WireRecord record = read(entry.getKey(), HexFormat.of().parseHex(entry.getValue()));
       Assertions.assertEquals(examples().get(entry.getKey()).getClass(), record.getClass());
-      Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.bytes(record)));
+      Assertions.assertEquals(
+          entry.getValue(), HexFormat.of().formatHex(WireRecord.encode(record)));
     }
   }
 
@@ -140,7 +141,8 @@
   void theProtocolsAndTheKeysHaveTheirNames() {
     Assertions.assertEquals(
         List.of("core/1", "news/1", "shuffle/1", "lookup/1", "reasons/1"),
-        List.of(Hello.CORE, Hello.NEWS, Hello.SHUFFLE, Hello.LOOKUP, Hello.REASONS));
+        List.of(
+            Hello.CORE, Hello.STATE_UPDATES, Hello.SHUFFLE, Hello.LOOKUP, Hello.DECISION_RECORDS));
     Assertions.assertEquals(
         List.of("policy", "weights", "replicas", "core", "shares", "commander/"),
         List.of(
--- a/common/src/test/java/gladelug/common/message/StateUpdateTest.java
+++ b/common/src/test/java/gladelug/common/message/StateUpdateTest.java
@@ -26,13 +26,13 @@
             List.of(new KnownVersion("policy", 1, 2)),
             List.of(new QuotaDemand("s", "t/x", 1, 2)),
             List.of(new ServiceCapacity("s", 9)));
-    byte[] bytes = WireRecord.bytes(a);
-    Assertions.assertEquals(a, WireRecord.read(bytes, StateUpdate::read));
+    byte[] bytes = WireRecord.encode(a);
+    Assertions.assertEquals(a, WireRecord.decode(bytes, StateUpdate::read));
     for (int n = 0; n < bytes.length; n++) {
       byte[] cut = Arrays.copyOf(bytes, n);
-      Assertions.assertThrows(IOException.class, () -> WireRecord.read(cut, StateUpdate::read));
+      Assertions.assertThrows(IOException.class, () -> WireRecord.decode(cut, StateUpdate::read));
     }
     byte[] more = Arrays.copyOf(bytes, bytes.length + 1);
-    Assertions.assertThrows(IOException.class, () -> WireRecord.read(more, StateUpdate::read));
+    Assertions.assertThrows(IOException.class, () -> WireRecord.decode(more, StateUpdate::read));
   }
 }
--- a/common/src/test/java/gladelug/common/message/WireRecordFuzzTest.java
+++ b/common/src/test/java/gladelug/common/message/WireRecordFuzzTest.java
@@ -64,7 +64,7 @@
   @Property(tries = 5000, seed = SEED)
   void aDamagedRecordIsReadOrRefused(
       @ForAll("names") String name, @ForAll("damages") List<Damage> damages) {
-    byte[] bytes = WireRecord.bytes(PublishedNamesTest.examples().get(name));
+    byte[] bytes = WireRecord.encode(PublishedNamesTest.examples().get(name));
     for (Damage damage : damages) bytes = damage.applyTo(bytes);
     readOrRefuse(name, bytes);
   }
--- a/common/src/test/java/gladelug/common/view/PartialViewTest.java
+++ b/common/src/test/java/gladelug/common/view/PartialViewTest.java
@@ -31,9 +31,9 @@
       for (Map.Entry<String, PartialView> e : all.entrySet()) {
         if (dead.contains(e.getKey())) continue;
         Map.Entry<Descriptor, Shuffle.Request> r = e.getValue().nextShuffle();
-        if (r == null) r = Map.entry(all.get("n0").me(), e.getValue().start());
+        if (r == null) r = Map.entry(all.get("n0").selfDescriptor(), e.getValue().createRequest());
         if (!dead.contains(r.getKey().name()) && all.get(r.getKey().name()) != e.getValue())
-          e.getValue().onAnswer(all.get(r.getKey().name()).onRequest(r.getValue()));
+          e.getValue().onResponse(all.get(r.getKey().name()).onRequest(r.getValue()));
       }
     }
     Set<String> reach = new HashSet<>(List.of("n39"));
@@ -61,10 +61,11 @@
     for (Map.Entry<String, PartialView> each : all.entrySet()) {
       if (dead.contains(each.getKey())) continue;
       Map.Entry<Descriptor, Shuffle.Request> next = each.getValue().nextShuffle();
-      if (next == null) next = Map.entry(all.get("n0").me(), each.getValue().start());
+      if (next == null)
+        next = Map.entry(all.get("n0").selfDescriptor(), each.getValue().createRequest());
       PartialView neighbour = all.get(next.getKey().name());
       if (!dead.contains(next.getKey().name()) && neighbour != each.getValue())
-        each.getValue().onAnswer(neighbour.onRequest(next.getValue()));
+        each.getValue().onResponse(neighbour.onRequest(next.getValue()));
     }
   }
 
--- a/control-plane/src/main/java/gladelug/control/ChangeSummary.java
+++ b/control-plane/src/main/java/gladelug/control/ChangeSummary.java
@@ -21,7 +21,7 @@
   private ChangeSummary() {}
 
   /** In place of no difference at all. */
-  private static final String NOTHING_NAMED = "nothing that has a name";
+  private static final String NO_NAMED_DIFFERENCE = "nothing that has a name";
 
   /**
    * Summarizes a change of the named weights.
@@ -30,11 +30,11 @@
    * @param after the value after, JSON
    * @return one line, empty where the values aren't such JSON
    */
-  public static String ofWeights(byte[] before, byte[] after) {
+  public static String summarizeWeights(byte[] before, byte[] after) {
     try {
       List<String> differences = new ArrayList<>();
       addWeightDifferences(parseObject(before), parseObject(after), differences);
-      return line(differences);
+      return join(differences);
     } catch (RuntimeException unreadable) {
       // whatever stands there and however it fails to be read: a change isn't lost for its summary
       return "";
@@ -47,76 +47,78 @@
    * @param before the one before, EMPTY where there was none
    * @return one line
    */
-  public static String ofConfiguration(Configuration before, Configuration after) {
+  public static String summarizeConfiguration(Configuration before, Configuration after) {
     List<String> differences = new ArrayList<>();
-    addDifferences("services", services(before), services(after), differences);
-    addDifferences("mappings", routes(before), routes(after), differences);
-    addDifferences("tenants", tenants(before), tenants(after), differences);
-    return line(differences);
+    addDifferences("services", servicesByName(before), servicesByName(after), differences);
+    addDifferences("mappings", routesByName(before), routesByName(after), differences);
+    addDifferences("tenants", tenantsByName(before), tenantsByName(after), differences);
+    return join(differences);
   }
 
-  private static String line(List<String> differences) {
-    return differences.isEmpty() ? NOTHING_NAMED : String.join("; ", differences);
+  private static String join(List<String> differences) {
+    return differences.isEmpty() ? NO_NAMED_DIFFERENCE : String.join("; ", differences);
   }
 
   /** By name, what makes a service what it is beside its place in the list. */
-  private static Map<String, Object> services(Configuration configuration) {
+  private static Map<String, Object> servicesByName(Configuration configuration) {
     Map<String, Object> services = new LinkedHashMap<>();
     for (Configuration.Service s : configuration.services)
       services.put(
           s.name(),
           List.of(
               s.kind(),
-              s.allow(),
-              s.connections(),
+              s.allowedEndpoints(),
+              s.maxConnections(),
               s.engine(),
-              String.valueOf(s.store()),
+              String.valueOf(s.storeAddress()),
               s.zone()));
     return services;
   }
 
   /** By name, what makes a route what it is; services by their names, not their places. */
-  private static Map<String, Object> routes(Configuration configuration) {
+  private static Map<String, Object> routesByName(Configuration configuration) {
     Map<String, Object> routes = new LinkedHashMap<>();
     for (Configuration.Route route : configuration.routes)
       routes.put(
-          route.name(), new NamedRoute(route.withoutPlaces(), targets(configuration, route)));
+          route.name(),
+          new NamedRoute(route.withoutIndices(), describeTargets(configuration, route)));
     return routes;
   }
 
   /** A route without places in lists, and the names of services with their parts. */
   private record NamedRoute(Configuration.Route route, String targets) {}
 
-  private static String targets(Configuration configuration, Configuration.Route route) {
+  private static String describeTargets(Configuration configuration, Configuration.Route route) {
     StringBuilder targets = new StringBuilder();
-    for (Configuration.Weighted part : route.split())
+    for (Configuration.WeightedService part : route.trafficSplit())
       targets
-          .append(configuration.services.get(part.service()).name())
+          .append(configuration.services.get(part.serviceIndex()).name())
           .append(' ')
           .append(part.weight())
           .append(' ');
     return targets.toString();
   }
 
-  private static Map<String, Object> tenants(Configuration configuration) {
+  private static Map<String, Object> tenantsByName(Configuration configuration) {
     Map<String, Object> tenants = new LinkedHashMap<>();
     for (Configuration.Tenant tenant : configuration.tenants)
-      tenants.put(tenant.name(), List.of(tenant.keys(), tenant.isolated(), tenant.share()));
+      tenants.put(
+          tenant.name(), List.of(tenant.keyHashes(), tenant.isolated(), tenant.rootShare()));
     return tenants;
   }
 
   private static void addWeightDifferences(
       JsonObject before, JsonObject after, List<String> differences) {
     for (JsonObject.Member model : after) {
-      String newWeights = namedWeights(model.getValue());
+      String newWeights = currentWeights(model.getValue());
       JsonValue old = before.get(model.getName());
-      String oldWeights = old == null ? "nothing" : namedWeights(old);
+      String oldWeights = old == null ? "nothing" : currentWeights(old);
       if (!newWeights.equals(oldWeights))
         differences.add(model.getName() + " from " + oldWeights + " to " + newWeights);
     }
   }
 
-  private static String namedWeights(JsonValue model) {
+  private static String currentWeights(JsonValue model) {
     return model.asObject().getString("now", "?");
   }
 
--- a/control-plane/src/main/java/gladelug/control/ControlOwnerTasks.java
+++ b/control-plane/src/main/java/gladelug/control/ControlOwnerTasks.java
@@ -23,19 +23,20 @@
   private final Function<String, Result<Configuration>> configurationParser;
 
   /** The one that was read last: with a change under way the next, else the newest. */
-  private ReadConfiguration lastRead = NOTHING_READ;
+  private ParsedConfiguration lastParsed = NOTHING_PARSED;
 
   /** The one that was read before it, while a change is under way. */
-  private ReadConfiguration readBeforeIt = NOTHING_READ;
+  private ParsedConfiguration previouslyParsed = NOTHING_PARSED;
 
   /**
    * A configuration by the array that holds its text.
    *
    * @param configuration null where the text can't be read
    */
-  private record ReadConfiguration(byte[] body, Configuration configuration) {}
+  private record ParsedConfiguration(byte[] body, Configuration configuration) {}
 
-  private static final ReadConfiguration NOTHING_READ = new ReadConfiguration(new byte[0], null);
+  private static final ParsedConfiguration NOTHING_PARSED =
+      new ParsedConfiguration(new byte[0], null);
 
   /**
    * Tasks that read the configuration so.
@@ -49,8 +50,8 @@
   @Override
   public Map<String, List<StateUpdate.CapacityGrant>> allocateCapacity(
       long epoch, List<SubscriberStatus> relays, byte[] body) {
-    Configuration configuration = read(body);
-    readBeforeIt = NOTHING_READ;
+    Configuration configuration = parse(body);
+    previouslyParsed = NOTHING_PARSED;
     return CapacityAllocation.allocate(
         epoch, relays, configuration == null ? Configuration.EMPTY : configuration);
   }
@@ -60,34 +61,34 @@
   public PrefixSharing prefixSharing(String key, VersionedValue before, byte[] after) {
     if (!key.equals(StateKeys.CONFIGURATION)) return PrefixSharing.UNRECORDED;
     if (before.number() == 0) return PrefixSharing.FIRST;
-    Configuration readBefore = read(before.body());
-    Configuration readAfter = read(after);
+    Configuration readBefore = parse(before.body());
+    Configuration readAfter = parse(after);
     return readBefore == null || readAfter == null
-        ? PrefixSharing.beginningWith(before.number() + 1)
+        ? PrefixSharing.startingAt(before.number() + 1)
         : before.sharing().next(readBefore, before.number(), readAfter);
   }
 
-  private Configuration read(byte[] body) {
-    if (body == lastRead.body()) return lastRead.configuration();
-    if (body == readBeforeIt.body()) return readBeforeIt.configuration();
+  private Configuration parse(byte[] body) {
+    if (body == lastParsed.body()) return lastParsed.configuration();
+    if (body == previouslyParsed.body()) return previouslyParsed.configuration();
     Result<Configuration> parsed =
         configurationParser.apply(new String(body, StandardCharsets.UTF_8));
     Configuration configuration =
         parsed instanceof Result.Good<Configuration> good ? good.value() : null;
-    readBeforeIt = lastRead;
-    lastRead = new ReadConfiguration(body, configuration);
+    previouslyParsed = lastParsed;
+    lastParsed = new ParsedConfiguration(body, configuration);
     return configuration;
   }
 
   @Override
   public String summarizeChange(String key, byte[] before, byte[] after) {
-    if (key.equals(StateKeys.WEIGHTS)) return ChangeSummary.ofWeights(before, after);
+    if (key.equals(StateKeys.WEIGHTS)) return ChangeSummary.summarizeWeights(before, after);
     if (!key.equals(StateKeys.CONFIGURATION)) return "";
-    Configuration readBefore = before.length == 0 ? Configuration.EMPTY : read(before);
-    Configuration readAfter = read(after);
-    readBeforeIt = NOTHING_READ;
+    Configuration readBefore = before.length == 0 ? Configuration.EMPTY : parse(before);
+    Configuration readAfter = parse(after);
+    previouslyParsed = NOTHING_PARSED;
     return readBefore == null || readAfter == null
         ? ""
-        : ChangeSummary.ofConfiguration(readBefore, readAfter);
+        : ChangeSummary.summarizeConfiguration(readBefore, readAfter);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/ControlPlane.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlane.java
@@ -51,22 +51,22 @@
 
   /** Parses the command line, then bootstraps or serves; ends the process on what is wrong. */
   public static void main(String[] args) {
-    Namespace arguments = Program.parse(argumentParser(), args);
+    Namespace arguments = Program.parseArguments(argumentParser(), args);
     String command = arguments.getString("command");
     if (command.equals(FORMER_BOOTSTRAP))
-      notice(ControlPlaneSettings.renamed("command " + FORMER_BOOTSTRAP, BOOTSTRAP));
-    ControlPlaneSettings settings = Program.orExit(PROGRAM, settings(arguments));
-    Log.setUp(settings.name(), Program.level(settings.log()), System.out);
+      printNotice(ControlPlaneSettings.renameNotice("command " + FORMER_BOOTSTRAP, BOOTSTRAP));
+    ControlPlaneSettings settings = Program.valueOrExit(PROGRAM, parseSettings(arguments));
+    Log.setUp(settings.name(), Program.parseLogLevel(settings.logLevel()), System.out);
     try {
       if (command.equals(RUN)) run(settings);
       else bootstrap(settings);
     } catch (ServiceRegistry.StartupException e) {
       System.err.println(PROGRAM + ": " + e.getMessage());
-      System.exit(Program.CANNOT);
+      System.exit(Program.EXIT_CANNOT_START);
     }
   }
 
-  private static void notice(String line) {
+  private static void printNotice(String line) {
     System.err.println(PROGRAM + ": " + line);
   }
 
@@ -88,7 +88,7 @@
             .addArgument(Settings.flag(name))
             .dest(name)
             .metavar("VALUE")
-            .help(ControlPlaneSettings.help(name));
+            .help(ControlPlaneSettings.helpText(name));
     }
     return parser;
   }
@@ -101,18 +101,19 @@
     };
   }
 
-  private static Result<ControlPlaneSettings> settings(Namespace arguments) {
+  private static Result<ControlPlaneSettings> parseSettings(Namespace arguments) {
     Map<String, String> flags = new HashMap<>();
     for (String name : ControlPlaneSettings.NAMES) flags.put(name, arguments.getString(name));
-    return ControlPlaneSettings.parse(arguments.getString("settings"), flags, ControlPlane::notice);
+    return ControlPlaneSettings.parse(
+        arguments.getString("settings"), flags, ControlPlane::printNotice);
   }
 
   /** Prepares the data folder of a first member; nothing is changed where it is in use already. */
   static void bootstrap(ControlPlaneSettings settings) {
     checkBootstrapMembers(settings);
-    String data = settings.data();
+    String data = settings.dataFolder();
     try (DataFolder folder = new DataFolder(Path.of(data), settings.ringFileMb() << 20)) {
-      String identity = folder.identity();
+      String identity = folder.readIdentity();
       if (identity != null)
         throw new ServiceRegistry.StartupException(
             "data folder "
@@ -146,25 +147,30 @@
   /** Opens the data folder, wires the services and starts them; returns while they serve. */
   static void run(ControlPlaneSettings settings) {
     CoreDataFolder disk =
-        CoreDataFolder.open(settings.name(), settings.data(), settings.ringFileMb(), List.of());
+        CoreDataFolder.open(
+            settings.name(), settings.dataFolder(), settings.ringFileMb(), List.of());
     Vertx vertx = Vertx.vertx();
     vertx.getDelegate().exceptionHandler(FatalFailure::onUncaught);
-    Program.run(PROGRAM, services(vertx, settings, disk), STOP_TIMEOUT_MS);
+    Program.run(PROGRAM, createServices(vertx, settings, disk), STOP_TIMEOUT_MS);
   }
 
   /** All services of a control machine in the order in which they start. */
-  private static ServiceRegistry services(
+  private static ServiceRegistry createServices(
       Vertx vertx, ControlPlaneSettings settings, CoreDataFolder disk) {
     return new ServiceRegistry()
         .add(
             "doors",
-            new ConnectionAcceptor(vertx, settings.records(), settings.local(), settings.name()))
-        .add("views", new PartialViewService(vertx, descriptor(settings), settings.seeds()))
-        .add("core", core(vertx, settings, disk))
+            new ConnectionAcceptor(
+                vertx, settings.recordsAddress(), settings.bindAddress(), settings.name()))
+        .add(
+            "views",
+            new PartialViewService(vertx, createDescriptor(settings), settings.seedAddresses()))
+        .add("core", createCore(vertx, settings, disk))
         .add(
             "platform-watch",
             new InstanceListWatcher(
-                vertx, local -> new HttpInstanceListSource(vertx, local, settings.platform())))
+                vertx,
+                local -> new HttpInstanceListSource(vertx, local, settings.platformAddress())))
         .add(
             "commander",
             new ReplicaController(
@@ -172,36 +178,38 @@
                 settings.name(),
                 new WeightRollout(settings.cutoffMs()),
                 local -> new HttpReplicaCommands(vertx, local)))
-        .add("operator-endpoint", new OperatorEndpoint(vertx, settings.operator()));
+        .add("operator-endpoint", new OperatorEndpoint(vertx, settings.operatorAddress()));
   }
 
-  private static Shuffle.Descriptor descriptor(ControlPlaneSettings settings) {
+  private static Shuffle.Descriptor createDescriptor(ControlPlaneSettings settings) {
     return new Shuffle.Descriptor(
         settings.name(),
         "control",
-        settings.records().toString(),
-        settings.operator().toString(),
+        settings.recordsAddress().toString(),
+        settings.operatorAddress().toString(),
         settings.zone(),
         0,
         0);
   }
 
-  private static CoreService core(Vertx vertx, ControlPlaneSettings settings, CoreDataFolder disk) {
+  private static CoreService createCore(
+      Vertx vertx, ControlPlaneSettings settings, CoreDataFolder disk) {
     return new CoreService(
         vertx,
         disk.ring(),
         QuorumConfig.DEFAULT,
-        new MemberSet.Member(settings.name(), disk.id(), settings.records(), settings.operator()),
-        settings.seeds(),
+        new MemberSet.Member(
+            settings.name(), disk.diskId(), settings.recordsAddress(), settings.operatorAddress()),
+        settings.seedAddresses(),
         settings.cutoffMs(),
-        disk.founders().isEmpty() ? null : new BootstrapMembers(disk.founders()),
+        disk.bootstrapMembers().isEmpty() ? null : new BootstrapMembers(disk.bootstrapMembers()),
         new ControlOwnerTasks(Configuration::parse),
-        ControlPlane::halt);
+        ControlPlane::haltAfterDiskFailure);
   }
 
   /** A disk that failed may hold less than was promised on it: no more is done, not even a stop. */
-  private static void halt(String what) {
+  private static void haltAfterDiskFailure(String what) {
     System.err.println(PROGRAM + ": the disk failed and this member stops: " + what);
-    Runtime.getRuntime().halt(Program.CANNOT);
+    Runtime.getRuntime().halt(Program.EXIT_CANNOT_START);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
+++ b/control-plane/src/main/java/gladelug/control/ControlPlaneSettings.java
@@ -16,28 +16,28 @@
  *
  * @param name this machine's name in the core
  * @param zone the domain it stands in; may be empty
- * @param records advertised address for connections between processes
- * @param operator advertised address for operators and the platform
- * @param local the number that is listened on and called from
- * @param platform where the platform lists replicas
- * @param seeds records addresses of other processes
- * @param bootstrapMembers first members of a new fleet; needed by `bootstrap` only
- * @param data the data folder
- * @param log fine, info or warning
+ * @param recordsAddress advertised address for connections between processes
+ * @param operatorAddress advertised address for operators and the platform
+ * @param bindAddress the number that is listened on and called from
+ * @param platformAddress where the platform lists replicas
+ * @param seedAddresses records addresses of other processes
+ * @param parseBootstrapMembers first members of a new fleet; needed by `bootstrap` only
+ * @param dataFolder the data folder
+ * @param logLevel fine, info or warning
  * @param cutoffMs after new weights, for how long requests may begin on the old ones, ms
  * @param ringFileMb size of each of the four ring files, MiB
  */
 record ControlPlaneSettings(
     String name,
     String zone,
-    Address records,
-    Address operator,
-    BindAddress local,
-    Address platform,
-    List<Address> seeds,
+    Address recordsAddress,
+    Address operatorAddress,
+    BindAddress bindAddress,
+    Address platformAddress,
+    List<Address> seedAddresses,
     List<MemberSet.Member> bootstrapMembers,
-    String data,
-    String log,
+    String dataFolder,
+    String logLevel,
     int cutoffMs,
     int ringFileMb) {
 
@@ -74,7 +74,7 @@
   static Result<ControlPlaneSettings> parse(
       String file, Map<String, String> flags, Consumer<String> notices) {
     return Settings.open(file, withCurrentNames(flags, notices))
-        .then(settings -> parse(settings, notices));
+        .flatMap(settings -> parse(settings, notices));
   }
 
   /** The flags with the former name replaced, so that a flag of either name precedes the file. */
@@ -82,7 +82,7 @@
       Map<String, String> flags, Consumer<String> notices) {
     if (flags.get(FORMER_BOOTSTRAP_MEMBERS) == null) return flags;
     notices.accept(
-        renamed(Settings.flag(FORMER_BOOTSTRAP_MEMBERS), Settings.flag(BOOTSTRAP_MEMBERS)));
+        renameNotice(Settings.flag(FORMER_BOOTSTRAP_MEMBERS), Settings.flag(BOOTSTRAP_MEMBERS)));
     Map<String, String> current = new HashMap<>(flags);
     String members = current.remove(FORMER_BOOTSTRAP_MEMBERS);
     if (current.get(BOOTSTRAP_MEMBERS) == null) current.put(BOOTSTRAP_MEMBERS, members);
@@ -90,12 +90,12 @@
   }
 
   /** The notice that a name in use is the former one. */
-  static String renamed(String former, String current) {
+  static String renameNotice(String former, String current) {
     return former + " is now " + current + "; the former name goes away with the next release";
   }
 
   private static Result<ControlPlaneSettings> parse(Settings settings, Consumer<String> notices) {
-    List<MemberSet.Member> bootstrapMembers = bootstrapMembers(settings, notices);
+    List<MemberSet.Member> bootstrapMembers = parseBootstrapMembers(settings, notices);
     Address records = settings.address("records");
     ControlPlaneSettings parsed =
         new ControlPlaneSettings(
@@ -111,16 +111,16 @@
             settings.text("log", "info"),
             (int) settings.integer("cutoffMs", 15_000, 1000, 20_000),
             (int) settings.integer("ringFileMb", 16, 16, 1024));
-    return settings.done(() -> parsed);
+    return settings.build(() -> parsed);
   }
 
-  private static List<MemberSet.Member> bootstrapMembers(
+  private static List<MemberSet.Member> parseBootstrapMembers(
       Settings settings, Consumer<String> notices) {
     // both names are read in any case: a field that nobody read is reported as unknown
     List<String> current = settings.texts(BOOTSTRAP_MEMBERS);
     List<String> former = settings.texts(FORMER_BOOTSTRAP_MEMBERS);
     boolean formerInFile = settings.has(FORMER_BOOTSTRAP_MEMBERS);
-    if (formerInFile) notices.accept(renamed(FORMER_BOOTSTRAP_MEMBERS, BOOTSTRAP_MEMBERS));
+    if (formerInFile) notices.accept(renameNotice(FORMER_BOOTSTRAP_MEMBERS, BOOTSTRAP_MEMBERS));
     boolean useFormer = formerInFile && !settings.has(BOOTSTRAP_MEMBERS);
     String setting = useFormer ? FORMER_BOOTSTRAP_MEMBERS : BOOTSTRAP_MEMBERS;
     List<MemberSet.Member> members = new ArrayList<>();
@@ -141,7 +141,7 @@
   }
 
   /** What a setting means, for the programs' help. */
-  static String help(String name) {
+  static String helpText(String name) {
     return switch (name) {
       case "name" -> "this machine's name in the core";
       case "domain" -> "the domain (zone) it stands in";
--- a/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
+++ b/control-plane/src/main/java/gladelug/control/CoreDataFolder.java
@@ -24,9 +24,9 @@
  * folder: where it is; closing lets another process open it.
  */
 public record CoreDataFolder(
-    String id, RecordRing ring, List<MemberSet.Member> founders, DataFolder folder)
+    String diskId, RecordRing ring, List<MemberSet.Member> bootstrapMembers, DataFolder folder)
     implements AutoCloseable {
-  private static final String EMPTY_IT = "empty it and this machine joins anew";
+  private static final String RECOVERY_HINT = "empty it and this machine joins anew";
 
   /**
    * founders: those of a fleet that starts for the first time, this one too; they count for an
@@ -36,38 +36,38 @@
       String name, String data, int ringFileMb, List<MemberSet.Member> founders) {
     DataFolder folder = new DataFolder(Path.of(data), ringFileMb << 20);
     try {
-      String identity = folder.identity();
+      String identity = folder.readIdentity();
       return identity == null ? create(folder, name, founders) : reopen(folder, name, identity);
     } catch (RuntimeException e) {
       folder.close();
       throw e;
     } catch (IOException e) {
       folder.close();
-      throw damaged(data, e.getMessage());
+      throw damagedFolder(data, e.getMessage());
     }
   }
 
   /** Makes a folder that holds nothing yet. Its ring gets a first frame before it gets an id. */
   static CoreDataFolder create(DataFolder folder, String name, List<MemberSet.Member> founders)
       throws IOException {
-    boolean blank = folder.create();
-    RecordRing ring = blank ? RecordRing.blank(folder) : RecordRing.open(folder);
+    boolean blank = folder.createRingFiles();
+    RecordRing ring = blank ? RecordRing.createBlank(folder) : RecordRing.open(folder);
     if (!ring.live().isEmpty())
       throw new ServiceRegistry.StartupException(
           "data folder "
-              + folder.dir()
+              + folder.directory()
               + " holds state but no identity.json, so it is not known whose; put that back, or "
-              + EMPTY_IT);
+              + RECOVERY_HINT);
     ring.write(List.of(new RecordRing.Entry("", new byte[0])));
-    DiskIdentity identity = DiskIdentity.create(name, folder.size(), founders);
-    folder.identity(identity.json());
+    DiskIdentity identity = DiskIdentity.create(name, folder.fileBytes(), founders);
+    folder.writeIdentity(identity.toJson());
     Log.event(
         founders.isEmpty() ? "empty-disk-joins" : "empty-disk-bootstraps",
         "name",
         name,
         "data",
-        folder.dir());
-    return new CoreDataFolder(identity.disk(), ring, identity.founders(), folder);
+        folder.directory());
+    return new CoreDataFolder(identity.diskId(), ring, identity.bootstrapMembers(), folder);
   }
 
   private static CoreDataFolder reopen(DataFolder folder, String name, String text)
@@ -75,26 +75,34 @@
     Result<DiskIdentity> read = DiskIdentity.read(text);
     if (read instanceof Result.Bad<DiskIdentity> bad)
       throw new ServiceRegistry.StartupException(
-          "identity.json in " + folder.dir() + " cannot be used: " + told(bad.findings()));
+          "identity.json in "
+              + folder.directory()
+              + " cannot be used: "
+              + describe(bad.findings()));
     DiskIdentity identity = ((Result.Good<DiskIdentity>) read).value();
     if (!identity.name().equals(name))
       throw new ServiceRegistry.StartupException(
-          "data folder " + folder.dir() + " belongs to " + identity.name() + ", not to " + name);
-    folder.open(identity.ringFile());
+          "data folder "
+              + folder.directory()
+              + " belongs to "
+              + identity.name()
+              + ", not to "
+              + name);
+    folder.openRingFiles(identity.ringFileBytes());
     RecordRing ring = RecordRing.open(folder);
-    if (ring.unwritten() && identity.format() > 0)
-      throw damaged(folder.dir().toString(), "no file of the ring holds a frame");
-    List<Finding> findings = DurableState.findings(ring.live(), name, identity.disk());
-    if (!findings.isEmpty()) throw damaged(folder.dir().toString(), told(findings));
-    return new CoreDataFolder(identity.disk(), ring, identity.founders(), folder);
+    if (ring.isUnwritten() && identity.format() > 0)
+      throw damagedFolder(folder.directory().toString(), "no file of the ring holds a frame");
+    List<Finding> findings = DurableState.validate(ring.live(), name, identity.diskId());
+    if (!findings.isEmpty()) throw damagedFolder(folder.directory().toString(), describe(findings));
+    return new CoreDataFolder(identity.diskId(), ring, identity.bootstrapMembers(), folder);
   }
 
-  private static ServiceRegistry.StartupException damaged(String folder, String what) {
+  private static ServiceRegistry.StartupException damagedFolder(String folder, String what) {
     return new ServiceRegistry.StartupException(
-        "data folder " + folder + " is damaged: " + what + "; " + EMPTY_IT);
+        "data folder " + folder + " is damaged: " + what + "; " + RECOVERY_HINT);
   }
 
-  private static String told(List<Finding> findings) {
+  private static String describe(List<Finding> findings) {
     return findings.stream().map(Finding::toString).collect(Collectors.joining("; "));
   }
 
--- a/control-plane/src/main/java/gladelug/control/DiskIdentity.java
+++ b/control-plane/src/main/java/gladelug/control/DiskIdentity.java
@@ -22,21 +22,25 @@
  * joins; format: of the whole folder, 0 where none is written, as releases before formats did.
  */
 record DiskIdentity(
-    String name, String disk, int ringFile, List<MemberSet.Member> founders, int format) {
+    String name,
+    String diskId,
+    int ringFileBytes,
+    List<MemberSet.Member> bootstrapMembers,
+    int format) {
   /** The folder's format that this release writes, and the newest that it reads. */
   static final int FORMAT = 1;
 
-  private static final int ID_BYTES = 12;
+  private static final int DISK_ID_BYTES = 12;
 
   static DiskIdentity create(String name, int ringFile, List<MemberSet.Member> founders) {
-    byte[] id = new byte[ID_BYTES];
+    byte[] id = new byte[DISK_ID_BYTES];
     new SecureRandom().nextBytes(id);
     return new DiskIdentity(name, HexFormat.of().formatHex(id), ringFile, founders, FORMAT);
   }
 
   /** A folder of a newer release is a finding of its own, whatever else may be in it. */
   static Result<DiskIdentity> read(String text) {
-    return LocatedJson.parse(text).then(DiskIdentity::read);
+    return LocatedJson.parse(text).flatMap(DiskIdentity::read);
   }
 
   private static Result<DiskIdentity> read(LocatedJson document) {
@@ -52,11 +56,11 @@
     int ringFile = (int) fields.integer("ringFile", 1, Integer.MAX_VALUE);
     List<MemberSet.Member> founders = new ArrayList<>();
     for (LocatedJson founder : fields.list("founders", false))
-      founders.add(founder(founder, findings));
+      founders.add(readMember(founder, findings));
     return Result.of(findings, () -> new DiskIdentity(name, disk, ringFile, founders, format));
   }
 
-  private static MemberSet.Member founder(LocatedJson document, Findings findings) {
+  private static MemberSet.Member readMember(LocatedJson document, Findings findings) {
     LocatedJson.Fields fields = document.fields(findings);
     return new MemberSet.Member(
         fields.text("name"),
@@ -65,21 +69,21 @@
         Address.read(fields, "operator", findings));
   }
 
-  String json() {
+  String toJson() {
     JsonObject json =
         Json.object()
             .add("format", format)
             .add("name", name)
-            .add("disk", disk)
-            .add("ringFile", ringFile);
-    if (founders.isEmpty()) return json.toString();
+            .add("disk", diskId)
+            .add("ringFile", ringFileBytes);
+    if (bootstrapMembers.isEmpty()) return json.toString();
     JsonArray list = Json.array();
-    for (MemberSet.Member founder : founders)
+    for (MemberSet.Member founder : bootstrapMembers)
       list.add(
           Json.object()
               .add("name", founder.name())
-              .add("records", founder.records().toString())
-              .add("operator", founder.operator().toString()));
+              .add("records", founder.recordsAddress().toString())
+              .add("operator", founder.operatorAddress().toString()));
     return json.add("founders", list).toString();
   }
 }
--- a/control-plane/src/main/java/gladelug/control/capacity/CapacityAllocation.java
+++ b/control-plane/src/main/java/gladelug/control/capacity/CapacityAllocation.java
@@ -98,7 +98,7 @@
     /** One relay's part of a leaf's places, in thousandths of a place. */
     private int milliPlaces(QuotaDemand demand) {
       double leafDemand = demandByLeaf.get(demand.leaf());
-      double relayDemand = demand.waiting() + demand.using();
+      double relayDemand = demand.waiting() + demand.inUse();
       double relayPart = leafDemand == 0 ? 0 : relayDemand / leafDemand;
       double leafPlaces = placesByLeaf.getOrDefault(demand.leaf(), 0.0);
       return (int) Math.round(MILLI_PLACES * leafPlaces * relayPart);
@@ -146,7 +146,7 @@
       for (QuotaDemand demand : relay.demands())
         if (demand.service().equals(service))
           demandByLeaf.merge(
-              demand.leaf(), (double) demand.waiting() + demand.using(), Double::sum);
+              demand.leaf(), (double) demand.waiting() + demand.inUse(), Double::sum);
     return demandByLeaf;
   }
 
@@ -155,7 +155,7 @@
     QuotaNode root = new QuotaNode("", 1, 0, 0);
     Map<String, Double> unassigned = new HashMap<>(demandByLeaf);
     for (Configuration.Tenant tenant : configuration.tenants)
-      root.children.add(quotaNode(tenant.share(), unassigned));
+      root.children.add(quotaNode(tenant.rootShare(), unassigned));
     // leaves of an older configuration still have requests somewhere
     for (String path : new TreeSet<>(unassigned.keySet()))
       root.children.add(QuotaNode.unconfiguredLeaf(path, unassigned.get(path)));
--- a/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
+++ b/control-plane/src/main/java/gladelug/control/core/Bootstrap.java
@@ -60,7 +60,7 @@
   }
 
   /** The set is on disk now. */
-  void storedSet(MemberSet set) {
+  void onSetStored(MemberSet set) {
     storedSet = set;
     storedSets.put(self, set);
   }
@@ -77,18 +77,18 @@
   void onJoinRequest(MemberSet.Member joining) {
     if (joining.name().equals(self)
         || members.find(joining.name()) == null
-        || bootstrapDisks.contains(joining.disk())) return;
-    joiningByDisk.put(joining.disk(), joining);
-    disksByName.put(joining.name(), joining.disk());
+        || bootstrapDisks.contains(joining.diskId())) return;
+    joiningByDisk.put(joining.diskId(), joining);
+    disksByName.put(joining.name(), joining.diskId());
     storedSets.put(joining.name(), MemberSet.NONE);
   }
 
   private boolean hasSameDisk(MemberSet set, String name) {
     MemberSet.Member member = set.find(name);
-    return member != null && member.disk().equals(disksByName.get(name));
+    return member != null && member.diskId().equals(disksByName.get(name));
   }
 
-  private boolean isPossible(MemberSet set) {
+  private boolean isAcceptable(MemberSet set) {
     return set.generation() == 1
         && set.all().size() == members.all().size()
         && set.all().stream().allMatch(member -> members.find(member.name()) != null)
@@ -96,9 +96,9 @@
   }
 
   /** The first by name, of those that can have stored anything. */
-  private String proposer(MemberSet set) {
+  private String proposerOf(MemberSet set) {
     for (MemberSet.Member member : set.all())
-      if (!joiningByDisk.containsKey(member.disk())) return member.name();
+      if (!joiningByDisk.containsKey(member.diskId())) return member.name();
     return set.all().get(0).name();
   }
 
@@ -115,7 +115,8 @@
     for (MemberSet.Member member : members.all()) {
       String disk = disksByName.get(member.name());
       MemberSet.Member bootstrapping =
-          new MemberSet.Member(member.name(), disk, member.records(), member.operator());
+          new MemberSet.Member(
+              member.name(), disk, member.recordsAddress(), member.operatorAddress());
       proposed.add(joiningByDisk.getOrDefault(disk, bootstrapping));
     }
     return new MemberSet(1, proposed);
@@ -126,7 +127,7 @@
    *
    * @param mayPropose whether it is time to propose a set, if that is this member's part
    */
-  MemberSet nextToStore(boolean mayPropose) {
+  MemberSet nextSetToStore(boolean mayPropose) {
     if (members.find(self) == null) return null;
     List<MemberSet> candidates = new ArrayList<>();
     boolean nothingStored = true;
@@ -136,9 +137,9 @@
               ? MemberSet.NONE
               : storedSets.getOrDefault(member.name(), MemberSet.NONE);
       nothingStored &= stored.generation() == 0;
-      if (stored.generation() == 0 || !isPossible(stored) || !hasSameDisk(stored, member.name()))
+      if (stored.generation() == 0 || !isAcceptable(stored) || !hasSameDisk(stored, member.name()))
         continue;
-      if (hasSameDisk(stored, proposer(stored))) candidates.add(0, stored);
+      if (hasSameDisk(stored, proposerOf(stored))) candidates.add(0, stored);
       else candidates.add(stored);
     }
     if (storedSet.generation() == 0) {
@@ -149,30 +150,30 @@
           || disksByName.size() < members.all().size()) return null;
       return proposedSet();
     }
-    if (!disksByName.containsKey(proposer(storedSet))
-        || hasSameDisk(storedSet, proposer(storedSet))) return null;
+    if (!disksByName.containsKey(proposerOf(storedSet))
+        || hasSameDisk(storedSet, proposerOf(storedSet))) return null;
     for (MemberSet.Member member : members.all()) {
       MemberSet stored = storedSets.getOrDefault(member.name(), MemberSet.NONE);
       if (stored.generation() > 0
           && !stored.equals(storedSet)
           && hasSameDisk(storedSet, member.name())
-          && isPossible(stored)
-          && hasSameDisk(stored, proposer(stored))) return stored;
+          && isAcceptable(stored)
+          && hasSameDisk(stored, proposerOf(stored))) return stored;
     }
     return null;
   }
 
   /** The first members, once they are in force; or null. */
-  MemberSet agreed() {
+  MemberSet agreedSet() {
     if (storedSet.generation() == 0) return null;
     int stored = 0, lost = 0;
     for (MemberSet.Member member : storedSet.all()) {
       if (!disksByName.containsKey(member.name())) continue;
-      if (joiningByDisk.containsKey(member.disk()) || !hasSameDisk(storedSet, member.name()))
+      if (joiningByDisk.containsKey(member.diskId()) || !hasSameDisk(storedSet, member.name()))
         lost++;
       else if (storedSet.equals(this.storedSets.get(member.name()))) stored++;
     }
-    return stored + lost == storedSet.all().size() && stored >= storedSet.majority()
+    return stored + lost == storedSet.all().size() && stored >= storedSet.majoritySize()
         ? storedSet
         : null;
   }
--- a/control-plane/src/main/java/gladelug/control/core/ChangeHistory.java
+++ b/control-plane/src/main/java/gladelug/control/core/ChangeHistory.java
@@ -16,7 +16,7 @@
  */
 final class ChangeHistory {
   /** Numbers of a key that are remembered, the newest. */
-  private static final int MAX_NUMBERS = 32;
+  private static final int MAX_NUMBERS_PER_KEY = 32;
 
   /** Stands among the processes' names for the acknowledgement; no process is named so. */
   private static final String ACKNOWLEDGED = "";
@@ -24,7 +24,7 @@
   private final CoreHost host;
 
   /** By key and number: when each process first held it. */
-  private final Map<String, TreeMap<Long, Map<String, Long>>> firstSeenAt = new HashMap<>();
+  private final Map<String, TreeMap<Long, Map<String, Long>>> firstSeenAtMs = new HashMap<>();
 
   ChangeHistory(CoreHost host) {
     this.host = host;
@@ -38,11 +38,11 @@
   /** A process says that it holds a number; only the first time counts. */
   void onSeen(String key, long number, String subscriber) {
     TreeMap<Long, Map<String, Long>> numbers =
-        firstSeenAt.computeIfAbsent(key, newKey -> new TreeMap<>());
+        firstSeenAtMs.computeIfAbsent(key, newKey -> new TreeMap<>());
     numbers
         .computeIfAbsent(number, newNumber -> new LinkedHashMap<>())
-        .putIfAbsent(subscriber, host.wall());
-    if (numbers.size() > MAX_NUMBERS) numbers.pollFirstEntry();
+        .putIfAbsent(subscriber, host.wallClockMs());
+    if (numbers.size() > MAX_NUMBERS_PER_KEY) numbers.pollFirstEntry();
   }
 
   /** The changes that a value's own history tells of, with what was seen of them here. */
@@ -51,7 +51,7 @@
     for (HistoryEntry entry : value.history()) {
       Map<String, Long> firstSeen =
           new LinkedHashMap<>(
-              firstSeenAt
+              firstSeenAtMs
                   .getOrDefault(key, new TreeMap<>())
                   .getOrDefault(entry.number(), Map.of()));
       Long acknowledgedAt = firstSeen.remove(ACKNOWLEDGED);
@@ -59,8 +59,8 @@
           new ChangeRecord(
               entry.number(),
               entry.digest(),
-              entry.takenAt(),
-              entry.takenBy(),
+              entry.appliedAtMs(),
+              entry.appliedBy(),
               entry.summary(),
               acknowledgedAt == null ? 0 : acknowledgedAt,
               firstSeen));
--- a/control-plane/src/main/java/gladelug/control/core/CommandLease.java
+++ b/control-plane/src/main/java/gladelug/control/core/CommandLease.java
@@ -5,14 +5,14 @@
  * monotonic clock.
  *
  * @param fence the epoch of the key's owner
- * @param until the first moment at which nothing commanded may arrive any more
+ * @param untilMs the first moment at which nothing commanded may arrive any more
  */
-public record CommandLease(long fence, long until) {
+public record CommandLease(long fence, long untilMs) {
   /** No right at all. */
   public static final CommandLease NONE = new CommandLease(-1, Long.MIN_VALUE);
 
   /** Whether a command that leaves now and arrives within so many ms arrives under the right. */
   public boolean covers(long now, long ms) {
-    return !equals(NONE) && now + ms <= until;
+    return !equals(NONE) && now + ms <= untilMs;
   }
 }
