--- a/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
+++ b/control-plane/src/main/java/gladelug/control/core/ConfirmationRounds.java
@@ -29,14 +29,14 @@
 
   private static final class ConfirmationRound {
     final long number;
-    final long startedAt;
+    final long startedAtMs;
 
     /** By key: the members that confirmed its owner's epoch. */
     final Map<String, Set<String>> confirmedBy = new HashMap<>();
 
     ConfirmationRound(long number, long startedAt) {
       this.number = number;
-      this.startedAt = startedAt;
+      this.startedAtMs = startedAt;
     }
   }
 
@@ -45,7 +45,7 @@
   private final Supplier<MemberSet> members;
   private final Consumer<CoreMessage> sendToAll;
   private final List<ConfirmationRound> rounds = new ArrayList<>();
-  private long lastStartedAt = CoreHost.NEVER;
+  private long lastStartedAtMs = CoreHost.NEVER;
 
   ConfirmationRounds(
       QuorumConfig config,
@@ -64,19 +64,19 @@
   }
 
   /** The next tick starts a round. */
-  void startSoon() {
-    lastStartedAt = CoreHost.NEVER;
+  void startAtNextTick() {
+    lastStartedAtMs = CoreHost.NEVER;
   }
 
   /** Rounds that begin from now on have higher numbers. */
-  long latestRound() {
+  long latestRoundNumber() {
     return requestSequence.latest();
   }
 
   /** Starts a round for the keys that this member serves, once the interval is over. */
   void tick(Collection<KeyOwner> owners, long now) {
-    if (now - lastStartedAt < config.confirmIntervalMs()) return;
-    lastStartedAt = now;
+    if (now - lastStartedAtMs < config.confirmIntervalMs()) return;
+    lastStartedAtMs = now;
     List<KeyEpoch> keyEpochs = new ArrayList<>();
     for (KeyOwner owner : owners)
       if (owner.isServing()) keyEpochs.add(new KeyEpoch(owner.key, owner.epoch));
@@ -99,8 +99,8 @@
       Set<String> confirmedBy =
           round.confirmedBy.computeIfAbsent(status.key(), key -> new HashSet<>());
       confirmedBy.add(sender);
-      if (confirmedBy.size() >= members.get().majority())
-        owner.onRoundConfirmed(round.number, round.startedAt);
+      if (confirmedBy.size() >= members.get().majoritySize())
+        owner.onRoundConfirmed(round.number, round.startedAtMs);
     }
   }
 
--- a/control-plane/src/main/java/gladelug/control/core/CoreHost.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreHost.java
@@ -20,13 +20,13 @@
   long NEVER = Long.MIN_VALUE / 2;
 
   /** A monotonic clock, ms; its origin means nothing. */
-  long now();
+  long nowMs();
 
   /** A random number from 0 up to, not including, `below`. */
   long random(long below);
 
   /** The clock on the wall, ms since 1970, which may jump: only for stamps that people read. */
-  long wall();
+  long wallClockMs();
 
   /**
    * Sends to a member by name; to oneself as well. May be lost; what arrives of one connection
@@ -41,21 +41,21 @@
   void sendTo(Address address, CoreMessage.Envelope message);
 
   /** Where other processes may be found by one that knows no members yet; without repeats. */
-  List<Address> contacts();
+  List<Address> contactAddresses();
 
   /**
    * Pushes an update to a data-plane process by its name. May be lost; what arrives of one
    * connection arrives in order.
    */
-  void news(String subscriber, StateUpdate update);
+  void pushUpdate(String subscriber, StateUpdate update);
 
   /** The members changed or became known: connections to them follow. */
-  void members(MemberSet members);
+  void onMembersChanged(MemberSet members);
 
   /**
    * Tells of an event, for the log.
    *
    * @param pairs names and values in turn
    */
-  void event(String name, Object... pairs);
+  void logEvent(String name, Object... pairs);
 }
--- a/control-plane/src/main/java/gladelug/control/core/CoreMember.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreMember.java
@@ -50,7 +50,7 @@
  * everything it does goes through its host. Times are of the host's monotonic clock, in ms.
  */
 public final class CoreMember {
-  static final int MAX_VALUE_BYTES = MemoryBudget.largestValueBytes();
+  static final int MAX_VALUE_BYTES = MemoryBudget.maxValueBytes();
 
   /** Between two allocations of the replicas' slots among relays, ms. */
   private static final long ALLOCATION_INTERVAL_MS = 200;
@@ -67,7 +67,7 @@
   final QuorumConfig config;
   final String self;
   final String disk;
-  final long startedAt;
+  final long startedAtMs;
   final long incarnation;
   private final int weightsAgeCutoffMs;
   private final OwnerTasks ownerTasks;
@@ -88,10 +88,10 @@
   /** Asked to stop, and since when. */
   private boolean draining;
 
-  private long drainingSince;
+  private long drainingSinceMs;
 
-  private long lastHeartbeatAt = CoreHost.NEVER;
-  private long lastAllocationAt = CoreHost.NEVER;
+  private long lastHeartbeatAtMs = CoreHost.NEVER;
+  private long lastAllocationAtMs = CoreHost.NEVER;
 
   public CoreMember(
       CoreHost host,
@@ -105,18 +105,19 @@
     this.config = config;
     this.membership = new Membership(this, me, founding);
     this.self = me.name();
-    this.disk = me.disk();
+    this.disk = me.diskId();
     this.weightsAgeCutoffMs = cutoff;
     this.ownerTasks = duties;
-    this.startedAt = host.now();
+    this.startedAtMs = host.nowMs();
     this.incarnation = host.random(1L << 40) << 20;
     this.requestSequence = new RequestSequence(incarnation);
     this.confirmationRounds =
         new ConfirmationRounds(config, requestSequence, this::members, this::sendToAll);
     this.forwardedChanges = new ForwardedChanges(config.changeResponseTimeoutMs());
     this.failureDetector =
-        new FailureDetector(self, host, config, this::members, startedAt, incarnation);
-    this.elections = new Elections(self, config, failureDetector, new ElectionContext(), startedAt);
+        new FailureDetector(self, host, config, this::members, startedAtMs, incarnation);
+    this.elections =
+        new Elections(self, config, failureDetector, new ElectionContext(), startedAtMs);
     this.registers = new RegisterStore(host, durable);
     this.acceptor = new RegisterAcceptor(self, host, registers, new AcceptorContext());
     this.changeHistory = new ChangeHistory(host);
@@ -135,8 +136,8 @@
   }
 
   /** Whether this member knows a generation: it was bootstrapped or let in. */
-  public boolean settled() {
-    return membership.initialized();
+  public boolean isInitialized() {
+    return membership.isInitialized();
   }
 
   int weightsAgeCutoffMs() {
@@ -152,7 +153,8 @@
    * every member would end on it.
    */
   long maxValueBytes(String key) {
-    long room = host.mostState() - registers.sizeWithout(key) - RegisterStore.BESIDE_BODY;
+    long room =
+        host.maxStateBytes() - registers.bytesOfOtherKeys(key) - RegisterStore.MAX_METADATA_BYTES;
     return Math.max(0, Math.min(MAX_VALUE_BYTES, room));
   }
 
@@ -169,7 +171,7 @@
   }
 
   void stepDownAll(StepDownReason reason) {
-    for (KeyOwner owner : owners.values()) owner.stepDown(reason, host.now());
+    for (KeyOwner owner : owners.values()) owner.stepDown(reason, host.nowMs());
   }
 
   /** A generation begins here: nothing of the one before it counts. */
@@ -178,8 +180,8 @@
     failureDetector.onGenerationStarted(before, members);
     elections.onGenerationStarted();
     confirmationRounds.clear();
-    host.members(members);
-    host.event(
+    host.onMembersChanged(members);
+    host.logEvent(
         "generation-active",
         "generation",
         members.generation(),
@@ -188,8 +190,8 @@
   }
 
   /** The last contact with a member, both ways, ms. */
-  long lastRoundTripAt(String member) {
-    return failureDetector.lastRoundTripAt(member);
+  long lastRoundTripAtMs(String member) {
+    return failureDetector.lastRoundTripAtMs(member);
   }
 
   /** How long there was no contact with a member, ms. */
@@ -203,9 +205,9 @@
   }
 
   /** What the disk's watch says of the disk; an unhealthy one costs the member its keys. */
-  public void healthy(boolean nowHealthy) {
+  public void updateDiskHealth(boolean nowHealthy) {
     if (!failureDetector.updateHealthy(nowHealthy)) return;
-    host.event(nowHealthy ? "disk-healthy" : "disk-unhealthy");
+    host.logEvent(nowHealthy ? "disk-healthy" : "disk-unhealthy");
     if (!nowHealthy) stepDownAll(StepDownReason.DISK_UNHEALTHY);
   }
 
@@ -216,23 +218,23 @@
   public void startDraining() {
     if (draining) return;
     draining = true;
-    drainingSince = host.now();
-    host.event("draining", "generation", members().generation());
+    drainingSinceMs = host.nowMs();
+    host.logEvent("draining", "generation", members().generation());
   }
 
   /** Whether the process may end: it owns nothing, and the others can do without it. */
-  public boolean safeToStop() {
+  public boolean isSafeToStop() {
     return draining
         && owners.values().stream().noneMatch(KeyOwner::isServing)
-        && membership.safeToStop(host.now());
+        && membership.isSafeToStop(host.nowMs());
   }
 
-  private void releaseKeys(long now) {
-    boolean late = now - drainingSince >= DRAIN_TIMEOUT_MS;
+  private void stepDownForDraining(long now) {
+    boolean late = now - drainingSinceMs >= DRAIN_TIMEOUT_MS;
     for (KeyOwner owner : owners.values()) {
       if (!owner.isServing() || owner.hasPendingChanges() && !late) continue;
       owner.stepDown(StepDownReason.DRAINING, now);
-      lastHeartbeatAt = CoreHost.NEVER;
+      lastHeartbeatAtMs = CoreHost.NEVER;
     }
   }
 
@@ -245,7 +247,7 @@
   /** Whether commands may be sent in the key's name now; see {@link CommandLease}. */
   public boolean mayCommand(String key) {
     KeyOwner owner = owners.get(key);
-    return owner != null && owner.holdsCommandLease(host.now());
+    return owner != null && owner.holdsCommandLease(host.nowMs());
   }
 
   /** The right to command in a key's name now, with its end. */
@@ -264,30 +266,30 @@
 
   /** Time passes: expires, joins, drains, heartbeats, confirms and elects, in this order. */
   public void tick() {
-    long now = host.now();
+    long now = host.nowMs();
     expireForwarded(now);
-    if (!settled()) {
+    if (!isInitialized()) {
       membership.announceForBootstrap(now);
       membership.requestToJoin(now);
       return;
     }
     if (draining) membership.announceDraining(now);
-    else if (membership.retired() || membership.behind() || isolatedFromMajority(now))
+    else if (membership.isRetired() || membership.isBehind() || isIsolatedFromMajority(now))
       membership.requestToJoin(now);
     if (membership.mustCompleteReconfiguration()) membership.completeReconfiguration(now);
-    if (!membership.active()) return;
+    if (!membership.isActive()) return;
     membership.proposeMembershipChange(now);
-    if (draining) releaseKeys(now);
-    if (now - lastHeartbeatAt >= config.heartbeatMs()) {
-      lastHeartbeatAt = now;
-      List<OwnershipClaim> claims = claims(now);
+    if (draining) stepDownForDraining(now);
+    if (now - lastHeartbeatAtMs >= config.heartbeatMs()) {
+      lastHeartbeatAtMs = now;
+      List<OwnershipClaim> claims = ownershipClaims(now);
       for (MemberSet.Member member : members().all()) sendHeartbeat(member.name(), claims, now);
     }
     confirmationRounds.tick(owners.values(), now);
     for (KeyOwner owner : owners.values()) owner.tick(now);
     elections.tick(owners.values(), now);
-    if (owns(StateKeys.SHARES) && now - lastAllocationAt >= ALLOCATION_INTERVAL_MS) {
-      lastAllocationAt = now;
+    if (owns(StateKeys.SHARES) && now - lastAllocationAtMs >= ALLOCATION_INTERVAL_MS) {
+      lastAllocationAtMs = now;
       ownerTasks
           .allocateCapacity(
               epochOf(StateKeys.SHARES),
@@ -298,7 +300,7 @@
     subscribers.expire(now);
   }
 
-  private List<OwnershipClaim> claims(long now) {
+  private List<OwnershipClaim> ownershipClaims(long now) {
     List<OwnershipClaim> claims = new ArrayList<>();
     for (KeyOwner owner : owners.values())
       if (owner.isClaimable(now))
@@ -316,8 +318,8 @@
     send(
         receiver,
         new Heartbeat(
-            failureDetector.healthy() && !draining,
-            now - startedAt,
+            failureDetector.isHealthy() && !draining,
+            now - startedAtMs,
             claims,
             new SendTime(incarnation, now),
             failureDetector.lastSendTime(receiver)));
@@ -325,9 +327,9 @@
 
   /** A new connection to a member stands: a sign of life at once, for the time without one. */
   public void onPeerConnected(String member) {
-    long now = host.now();
-    if (membership.active() && members().find(member) != null)
-      sendHeartbeat(member, claims(now), now);
+    long now = host.nowMs();
+    if (membership.isActive() && members().find(member) != null)
+      sendHeartbeat(member, ownershipClaims(now), now);
   }
 
   /**
@@ -346,25 +348,25 @@
 
   /** Whether a member is alive and is to stay. */
   boolean isAliveAndStays(String member, long now) {
-    return isAlive(member, now) && !membership.draining(member, now);
+    return isAlive(member, now) && !membership.isDraining(member, now);
   }
 
   /** Whether there is no contact with a majority, though there could be. */
-  boolean isolatedFromMajority(long now) {
-    return failureDetector.isolatedFromMajority(now);
+  boolean isIsolatedFromMajority(long now) {
+    return failureDetector.isIsolatedFromMajority(now);
   }
 
   /** Whether no change or read can be served here or handed on before contact comes back. */
-  public boolean unavailable() {
-    long now = host.now();
-    if (membership.active()) return isolatedFromMajority(now);
-    return now - startedAt >= 2L * config.peerTimeoutMs()
+  public boolean isUnavailable() {
+    long now = host.nowMs();
+    if (membership.isActive()) return isIsolatedFromMajority(now);
+    return now - startedAtMs >= 2L * config.peerTimeoutMs()
         && membership.forwardingAddress(now) == null;
   }
 
   /** Who claims the key and was heard lately; a claim is kept up only while a majority confirms. */
   private String claimedOwner(String key, long now) {
-    return failureDetector.claimedOwner(key, register(key).promised(), now);
+    return failureDetector.claimedOwner(key, register(key).promisedEpoch(), now);
   }
 
   /** A claimant that what is handed on will reach, and whose answer will reach this member. */
@@ -374,28 +376,28 @@
   }
 
   /** Rounds of confirmation that begin from now on have higher numbers. */
-  long latestRound() {
-    return confirmationRounds.latestRound();
+  long latestRoundNumber() {
+    return confirmationRounds.latestRoundNumber();
   }
 
   /** The next tick starts a round of confirmation. */
-  void confirmSoon() {
-    confirmationRounds.startSoon();
+  void requestConfirmationRound() {
+    confirmationRounds.startAtNextTick();
   }
 
   /** A message of another member; one of another generation is answered with this one's at most. */
   public void onMessage(Envelope envelope) {
-    long now = host.now();
+    long now = host.nowMs();
     if (membership.onMembershipMessage(envelope, now)
-        || handledForStandby(envelope)
-        || !membership.active()) return;
+        || handleForStandby(envelope)
+        || !membership.isActive()) return;
     if (envelope.generation() != members().generation()) {
       if (envelope.generation() < members().generation())
         membership.sendGeneration(envelope.sender(), now);
       return;
     }
     MemberSet.Member member = members().find(envelope.sender());
-    if (member == null || !member.disk().equals(envelope.senderDisk())) return;
+    if (member == null || !member.diskId().equals(envelope.senderDisk())) return;
     dispatch(envelope.sender(), envelope.message(), now);
   }
 
@@ -414,7 +416,7 @@
     else if (message instanceof RelayedSubscriptionRequest relayed)
       subscribers.onRelayedRequest(relayed.request(), sender, now);
     else if (message instanceof RelayedStateUpdate relayed)
-      host.news(relayed.subscriber(), relayed.update());
+      host.pushUpdate(relayed.subscriber(), relayed.update());
     else if (message instanceof ForwardedChangeRequest change
         && forwardedChanges.isFirstDelivery(change.requestId()))
       onForwardedChange(change, sender, now);
@@ -427,7 +429,7 @@
   }
 
   private void onForwardedChange(ForwardedChangeRequest forwardedChange, String from, long now) {
-    if (isolatedFromMajority(now))
+    if (isIsolatedFromMajority(now))
       send(
           from,
           new ForwardedChangeResponse(forwardedChange.requestId(), new ChangeResult.NoOwner()));
@@ -451,9 +453,9 @@
    * What is said between a machine that stands by and the member it hands on to; true where that
    * was all.
    */
-  private boolean handledForStandby(Envelope envelope) {
+  private boolean handleForStandby(Envelope envelope) {
     CoreMessage message = envelope.message();
-    if (!membership.active()) {
+    if (!membership.isActive()) {
       onForwardedResponse(message);
       return true;
     }
@@ -480,7 +482,7 @@
 
   private void onHeartbeat(String from, Heartbeat heartbeat, long now) {
     boolean wasInContact = failureDetector.onHeartbeat(from, heartbeat, now);
-    if (!wasInContact) sendHeartbeat(from, claims(now), now);
+    if (!wasInContact) sendHeartbeat(from, ownershipClaims(now), now);
     for (OwnershipClaim claim : heartbeat.claims()) {
       owner(claim.key()).onEpochSeen(claim.epoch());
       valueAges.onClaim(claim, now);
@@ -488,7 +490,7 @@
   }
 
   /** The most the value of this number may be old by what its owners told, ms. */
-  long knownAge(String key, long number, long now) {
+  long knownAgeMs(String key, long number, long now) {
     return valueAges.ageMs(key, number, now);
   }
 
@@ -496,17 +498,17 @@
    * How long ago the value now kept was acknowledged, at the most; for duties whose key this is
    * not.
    */
-  public long knownAge(String key) {
+  public long knownAgeMs(String key) {
     KeyOwner owner = owners.get(key);
     return owner != null && owner.isServing()
-        ? owner.valueAgeMs(host.now())
-        : knownAge(key, register(key).value().number(), host.now());
+        ? owner.valueAgeMs(host.nowMs())
+        : knownAgeMs(key, register(key).value().number(), host.nowMs());
   }
 
   // ---- the member's side: durable before answered
 
   void store(String key, Register register, Runnable done) {
-    registers.keep(key, register, done);
+    registers.put(key, register, done);
   }
 
   private void onPrepareRequest(String from, PrepareRequest prepare) {
@@ -522,11 +524,13 @@
    */
   private boolean hasWorkingOwner(String key, String but) {
     if (but.equals(self)) return false;
-    long now = host.now();
+    long now = host.nowMs();
     if (owners.get(key).isClaimable(now)) return true;
     String owner = claimedOwner(key, now);
     long lately = (long) config.peerTimeoutMs() - 2L * config.heartbeatMs();
-    return owner != null && !owner.equals(but) && failureDetector.heardWithin(owner, lately, now);
+    return owner != null
+        && !owner.equals(but)
+        && failureDetector.wasHeardWithin(owner, lately, now);
   }
 
   /** Another is given the time to serve the key. */
@@ -538,19 +542,19 @@
 
   /** A change that isn't remembered; see the other. */
   public void change(String key, long match, byte[] body, Consumer<ChangeResult> answer) {
-    change(ChangeRequest.forgettable(key, match, body), answer);
+    change(ChangeRequest.withoutBase(key, match, body), answer);
   }
 
   /** Has a change taken by the key's owner, here or elsewhere, and answers what became of it. */
   public void change(ChangeRequest request, Consumer<ChangeResult> answer) {
     String key = request.key();
     KeyOwner owner = owner(key);
-    long now = host.now();
-    if (owner.isServing() && !isolatedFromMajority(now)) {
+    long now = host.nowMs();
+    if (owner.isServing() && !isIsolatedFromMajority(now)) {
       owner.propose(request, answer, now);
       return;
     }
-    String other = membership.active() ? reachableOwner(key, now) : null;
+    String other = membership.isActive() ? reachableOwner(key, now) : null;
     Address door = membership.forwardingAddress(now);
     if (other == null && door == null) {
       answer.accept(new ChangeResult.NoOwner());
@@ -558,12 +562,12 @@
     }
     long requestId = requestSequence.next();
     if (other == null) {
-      forwardedChanges.onForwarded(requestId, ANY_MEMBER, request.expectedNumber(), now, answer);
+      forwardedChanges.onForwarded(requestId, ANY_MEMBER, request.resultingNumber(), now, answer);
       sendToAddress(door, new ForwardedChangeRequest(requestId, request));
       return;
     }
-    boolean anyNumber = request.match() == ChangeRequest.ANY_NUMBER;
-    long expected = anyNumber ? register(key).value().number() + 1 : request.expectedNumber();
+    boolean anyNumber = request.requiredNumber() == ChangeRequest.ANY_NUMBER;
+    long expected = anyNumber ? register(key).value().number() + 1 : request.resultingNumber();
     forwardedChanges.onForwarded(requestId, other, expected, now, answer);
     send(other, new ForwardedChangeRequest(requestId, request));
   }
@@ -574,8 +578,8 @@
    * owner it answers that, within a second.
    */
   public void readNewest(String key, Consumer<ReadResult> answer) {
-    long now = host.now();
-    String other = membership.active() && !owns(key) ? reachableOwner(key, now) : null;
+    long now = host.nowMs();
+    String other = membership.isActive() && !owns(key) ? reachableOwner(key, now) : null;
     Address door = membership.forwardingAddress(now);
     if (other == null && door == null) {
       readHere(key, answer, now);
@@ -593,13 +597,13 @@
 
   private void readHere(String key, Consumer<ReadResult> answer, long now) {
     KeyOwner owner = owners.get(key);
-    if (owner == null || isolatedFromMajority(now)) answer.accept(ReadResult.NO_OWNER);
+    if (owner == null || isIsolatedFromMajority(now)) answer.accept(ReadResult.NO_OWNER);
     else owner.read(answer, now);
   }
 
-  void onValueServed(String key, VersionedValue value) {
+  void onValueCommitted(String key, VersionedValue value) {
     if (key.equals(StateKeys.CORE) && membership.pendingMembers(value.body()) != null)
-      membership.seal(membership.pendingMembers(value.body()), host.now());
+      membership.seal(membership.pendingMembers(value.body()), host.nowMs());
   }
 
   // ---- data-plane processes
@@ -609,11 +613,11 @@
    * a process cut off from the owner alone still has its lease, through the others.
    */
   public void onSubscriptionRequest(StateUpdate.SubscriptionRequest request) {
-    long now = host.now();
+    long now = host.nowMs();
     subscribers.onRequest(request, now);
-    if (!membership.active()) return;
+    if (!membership.isActive()) return;
     Set<String> owners = new HashSet<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       String o =
           version.key().equals(StateKeys.CORE) || owns(version.key())
               ? null
@@ -624,7 +628,7 @@
 
   /** A data-plane process couldn't use a change of a key and asks for the value whole. */
   public void onFullValueRequested(String name, String key) {
-    subscribers.onFullValueRequested(name, key, host.now());
+    subscribers.onFullValueRequested(name, key, host.nowMs());
   }
 
   /** The value of a pushed key changed: to all processes that ask here. */
@@ -668,23 +672,23 @@
   }
 
   /** Whether this member takes part, so that what it shows is the core's state. */
-  public boolean active() {
-    return membership.active();
+  public boolean isActive() {
+    return membership.isActive();
   }
 
   /** Whether the generation is sealed and the next not active yet. */
-  public boolean sealed() {
-    return membership.sealed();
+  public boolean isSealed() {
+    return membership.isSealed();
   }
 
   /** Whether a later generation is active without this member. */
-  public boolean retired() {
-    return membership.retired();
+  public boolean isRetired() {
+    return membership.isRetired();
   }
 
   /** Each key with its owner, as far as known here; for people. */
   public List<KeyStatus> keyStatuses() {
-    long now = host.now();
+    long now = host.nowMs();
     List<KeyStatus> out = new ArrayList<>();
     for (KeyOwner owner : owners.values()) {
       if (owner.isServing())
@@ -698,13 +702,13 @@
                 owner.activeLeases(now),
                 owner.sinceConfirmedMs(now)));
       else {
-        String other = settled() ? reachableOwner(owner.key, now) : null;
+        String other = isInitialized() ? reachableOwner(owner.key, now) : null;
         Register register = register(owner.key);
         out.add(
             new KeyStatus(
                 owner.key,
                 other == null ? "" : other,
-                register.epoch(),
+                register.acceptedEpoch(),
                 register.value().number(),
                 register.value().digest(),
                 -1,
@@ -720,8 +724,8 @@
   }
 
   /** By member: whether it is alive, as seen from here. */
-  public Map<String, Boolean> membersAlive() {
-    long now = host.now();
+  public Map<String, Boolean> memberLiveness() {
+    long now = host.nowMs();
     Map<String, Boolean> alive = new TreeMap<>();
     for (MemberSet.Member member : members().all())
       alive.put(member.name(), isAlive(member.name(), now));
@@ -738,8 +742,8 @@
 
   private final class SubscriberContext implements SubscriberRegistry.Context {
     @Override
-    public boolean settled() {
-      return CoreMember.this.settled();
+    public boolean isInitialized() {
+      return CoreMember.this.isInitialized();
     }
 
     @Override
@@ -776,7 +780,7 @@
 
     @Override
     public void onPromisedToOther(String key) {
-      deferElection(key, host.now());
+      deferElection(key, host.nowMs());
     }
   }
 
@@ -797,7 +801,7 @@
     }
 
     @Override
-    public boolean draining() {
+    public boolean isDraining() {
       return draining;
     }
   }
--- a/control-plane/src/main/java/gladelug/control/core/CoreService.java
+++ b/control-plane/src/main/java/gladelug/control/core/CoreService.java
@@ -74,7 +74,7 @@
   private final QuorumConfig config;
   private final MemberSet.Member self;
   private final List<Address> seeds;
-  private final int cutoffMs;
+  private final int weightsAgeCutoffMs;
   private final BootstrapMembers bootstrapMembers;
   private final OwnerTasks ownerTasks;
   private final Consumer<String> onDiskFailure;
@@ -99,7 +99,7 @@
    * @param ring what is durable, opened
    * @param self this member: name, id of its disk, addresses
    * @param seeds records addresses of other processes
-   * @param cutoffMs after new weights, for how long requests may begin on the old ones
+   * @param weightsAgeCutoffMs after new weights, for how long requests may begin on the old ones
    * @param bootstrapMembers first members of a new fleet, or null for a member that joins or knows
    *     its members
    * @param ownerTasks what the owner of a key does beside the protocol
@@ -120,7 +120,7 @@
     this.config = config;
     this.self = self;
     this.seeds = seeds;
-    this.cutoffMs = cutoffMs;
+    this.weightsAgeCutoffMs = cutoffMs;
     this.bootstrapMembers = bootstrapMembers;
     this.ownerTasks = ownerTasks;
     this.onDiskFailure = onDiskFailure;
@@ -132,29 +132,31 @@
     views = registry.find("views", PartialViewService.class);
     disk = new DiskWriter(ring, clock, completion -> worker.offer(completion), onDiskFailure);
     member =
-        new CoreMember(this, config, self, cutoffMs, ring.live(), bootstrapMembers, ownerTasks);
+        new CoreMember(
+            this, config, self, weightsAgeCutoffMs, ring.live(), bootstrapMembers, ownerTasks);
     acceptor.register(
         Hello.CORE,
         (hello, connection) ->
             bytes -> {
-              Envelope message = WireRecord.read(bytes, Envelope::read);
+              Envelope message = WireRecord.decode(bytes, Envelope::read);
               worker.offer(() -> member.onMessage(message));
             });
-    acceptor.register(Hello.NEWS, (hello, connection) -> new SubscriberReceiver(connection));
+    acceptor.register(
+        Hello.STATE_UPDATES, (hello, connection) -> new SubscriberReceiver(connection));
     worker.scheduleEvery(config.heartbeatMs() / 4, this::tick);
-    worker.scheduleEvery(DISK_PROBE_INTERVAL_MS, this::probe);
+    worker.scheduleEvery(DISK_PROBE_INTERVAL_MS, this::probeDisk);
   }
 
   private void tick() {
-    member.healthy(disk.stalled() < DISK_STALL_MS);
+    member.updateDiskHealth(disk.stalledMs() < DISK_STALL_MS);
     member.tick();
     peers.values().forEach(PersistentConnection::closeIfSilent);
   }
 
   /** An empty write shows whether the disk still answers while nothing changes. */
-  private void probe() {
-    disk.want("", new byte[0], () -> {});
-    unknownNodes.values().removeIf(connection -> connection.closeIfIdle(now()));
+  private void probeDisk() {
+    disk.enqueue("", new byte[0], () -> {});
+    unknownNodes.values().removeIf(connection -> connection.closeIfIdle(nowMs()));
   }
 
   /** What one data-plane process sends on its connection; runs on that connection's event loop. */
@@ -168,7 +170,7 @@
 
     @Override
     public void record(byte[] bytes) throws IOException {
-      StateUpdate message = WireRecord.read(bytes, StateUpdate::read);
+      StateUpdate message = WireRecord.decode(bytes, StateUpdate::read);
       if (message instanceof StateUpdate.SubscriptionRequest request) {
         name = request.name();
         subscribers.put(name, connection);
@@ -205,7 +207,7 @@
 
   /** A change that isn't remembered; see {@link #change(ChangeRequest)}. */
   public Uni<ChangeResult> change(String key, long match, byte[] body) {
-    return change(ChangeRequest.forgettable(key, match, body));
+    return change(ChangeRequest.withoutBase(key, match, body));
   }
 
   /**
@@ -217,7 +219,7 @@
     return retryWhileOwnerless(changeOnce(request), new ChangeResult.NoOwner())
         .ifNoItem()
         .after(Duration.ofMillis(config.changeResponseTimeoutMs()))
-        .recoverWithItem(new ChangeResult.Unknown(request.expectedNumber()));
+        .recoverWithItem(new ChangeResult.Unknown(request.resultingNumber()));
   }
 
   /**
@@ -254,7 +256,7 @@
             emitter -> {
               Consumer<ReadResult> answer =
                   result -> {
-                    if (result.owned() || member.unavailable()) emitter.complete(result);
+                    if (result.hasOwner() || member.isUnavailable()) emitter.complete(result);
                     else emitter.fail(new NoOwnerException());
                   };
               if (!worker.offer(() -> member.readNewest(key, answer)))
@@ -268,7 +270,7 @@
             emitter -> {
               Consumer<ChangeResult> answer =
                   result -> {
-                    if (result instanceof ChangeResult.NoOwner && !member.unavailable())
+                    if (result instanceof ChangeResult.NoOwner && !member.isUnavailable())
                       emitter.fail(new NoOwnerException());
                     else emitter.complete(result);
                   };
@@ -298,7 +300,7 @@
     worker.scheduleEvery(
         DRAIN_CHECK_INTERVAL_MS,
         () -> {
-          if (member.safeToStop()) drained.countDown();
+          if (member.isSafeToStop()) drained.countDown();
         });
     try {
       if (requested && !drained.await(config.drainTimeoutMs(), TimeUnit.MILLISECONDS))
@@ -311,7 +313,7 @@
   // ---- the protocol's host
 
   @Override
-  public long now() {
+  public long nowMs() {
     return clock.now();
   }
 
@@ -335,7 +337,7 @@
     unknownNodes
         .computeIfAbsent(
             address, remote -> new UnknownNodeConnection(connect(remote, connection -> {})))
-        .send(message, now());
+        .send(message, nowMs());
   }
 
   private PersistentConnection connect(Address remote, Consumer<PersistentConnection> onOpened) {
@@ -344,7 +346,7 @@
         acceptor,
         remote,
         Hello.CORE,
-        Liveness.within(config.heartbeatMs(), config.peerTimeoutMs()),
+        Liveness.forMembers(config.heartbeatMs(), config.peerTimeoutMs()),
         (connection, bytes) -> {
           throw new IOException("core connections carry one way");
         },
@@ -352,46 +354,47 @@
   }
 
   @Override
-  public long wall() {
+  public long wallClockMs() {
     return System.currentTimeMillis();
   }
 
   @Override
-  public List<Address> contacts() {
+  public List<Address> contactAddresses() {
     Set<Address> contacts = new LinkedHashSet<>(seeds);
     for (Shuffle.Descriptor process : views.all()) {
-      if (process.role().equals("control")) contacts.add(Address.of(process.records()));
-      else contacts.remove(Address.of(process.records()));
+      if (process.role().equals("control")) contacts.add(Address.of(process.recordsAddress()));
+      else contacts.remove(Address.of(process.recordsAddress()));
     }
     return new ArrayList<>(contacts);
   }
 
   @Override
   public void sync(String key, byte[] state, Runnable done) {
-    disk.want(key, state, done);
+    disk.enqueue(key, state, done);
   }
 
   /** Some of a ring file is left for frames and the members' own records. */
   @Override
-  public long mostState() {
-    return ring.fileSize() / 8 * 7L;
+  public long maxStateBytes() {
+    return ring.fileBytes() / 8 * 7L;
   }
 
   @Override
-  public void news(String subscriber, StateUpdate update) {
+  public void pushUpdate(String subscriber, StateUpdate update) {
     Connection connection = subscribers.get(subscriber);
     if (connection != null) connection.send(update);
   }
 
   @Override
-  public void members(MemberSet members) {
-    views.generation(members.generation());
+  public void onMembersChanged(MemberSet members) {
+    views.advanceGeneration(members.generation());
     peers
         .entrySet()
         .removeIf(
             peer -> {
               MemberSet.Member still = members.find(peer.getKey());
-              if (still != null && still.records().equals(peer.getValue().remote)) return false;
+              if (still != null && still.recordsAddress().equals(peer.getValue().remoteAddress))
+                return false;
               peer.getValue().close();
               return true;
             });
@@ -401,12 +404,12 @@
             other.name(),
             name ->
                 connect(
-                    other.records(),
+                    other.recordsAddress(),
                     connection -> worker.offer(() -> member.onPeerConnected(name))));
   }
 
   @Override
-  public void event(String name, Object... pairs) {
+  public void logEvent(String name, Object... pairs) {
     Log.event(name, pairs);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/Elections.java
+++ b/control-plane/src/main/java/gladelug/control/core/Elections.java
@@ -24,29 +24,29 @@
     boolean isAliveAndStays(String member, long now);
 
     /** Whether this member is to stop. */
-    boolean draining();
+    boolean isDraining();
   }
 
   private final String self;
   private final QuorumConfig config;
   private final FailureDetector failureDetector;
   private final Context context;
-  private final long startedAt;
+  private final long startedAtMs;
 
   /** By key: when another was last promised it, or was found to own it. */
-  private final Map<String, Long> deferredAt = new HashMap<>();
+  private final Map<String, Long> deferredAtMs = new HashMap<>();
 
   /** By key: since when no member claims it, while this one is in contact with a majority. */
-  private final Map<String, Long> withoutOwnerSince = new HashMap<>();
+  private final Map<String, Long> withoutOwnerSinceMs = new HashMap<>();
 
   /** By key: the order in which the members of this generation try for it. */
   private final Map<String, List<String>> candidateOrders = new HashMap<>();
 
   /** Since when this member has had contact with a majority, or NEVER while it has none. */
-  private long majoritySince = CoreHost.NEVER;
+  private long majoritySinceMs = CoreHost.NEVER;
 
   /**
-   * @param startedAt when the process started, ms
+   * @param startedAtMs when the process started, ms
    */
   Elections(
       String self,
@@ -58,49 +58,49 @@
     this.config = config;
     this.failureDetector = failureDetector;
     this.context = context;
-    this.startedAt = startedAt;
+    this.startedAtMs = startedAt;
   }
 
   /** A generation begins: its members have their own order. */
   void onGenerationStarted() {
-    withoutOwnerSince.clear();
+    withoutOwnerSinceMs.clear();
     candidateOrders.clear();
   }
 
   /** Another is given the time to serve the key. */
   void defer(String key, long now) {
-    deferredAt.put(key, now);
+    deferredAtMs.put(key, now);
   }
 
   /** Tries for the keys that nobody owns, or that this member is to own rather than another. */
   void tick(Collection<KeyOwner> owners, long now) {
     if (!failureDetector.reachesMajority(now)) {
-      majoritySince = CoreHost.NEVER;
-      withoutOwnerSince.clear();
+      majoritySinceMs = CoreHost.NEVER;
+      withoutOwnerSinceMs.clear();
       return;
     }
-    if (majoritySince == CoreHost.NEVER) majoritySince = now;
-    if (!failureDetector.healthy() || context.draining()) return;
-    for (KeyOwner owner : owners) if (!owner.isServing()) maybeStart(owner, now);
+    if (majoritySinceMs == CoreHost.NEVER) majoritySinceMs = now;
+    if (!failureDetector.isHealthy() || context.isDraining()) return;
+    for (KeyOwner owner : owners) if (!owner.isServing()) startIfDue(owner, now);
   }
 
-  private void maybeStart(KeyOwner owner, long now) {
+  private void startIfDue(KeyOwner owner, long now) {
     String other = context.claimedOwner(owner.key, now);
     List<String> order =
-        candidateOrders.computeIfAbsent(owner.key, key -> context.members().order(key));
+        candidateOrders.computeIfAbsent(owner.key, key -> context.members().preferenceOrder(key));
     int rank = rank(order, now);
     if (other == null) {
-      maybeStartWithoutOwner(owner, rank, now);
+      startWithoutOwnerIfDue(owner, rank, now);
       return;
     }
-    withoutOwnerSince.remove(owner.key);
+    withoutOwnerSinceMs.remove(owner.key);
     boolean preferred = rank == 0 && order.indexOf(self) < order.indexOf(other);
     // taken back without churn: not while the owner is at a change, whose result would then be
     // unknown to its sender
     if (preferred
-        && bothSettled(other, now)
+        && areBothStable(other, now)
         && failureDetector.isAlive(other, now)
-        && !failureDetector.changeInFlight(other, owner.key)) owner.startElection(true, now);
+        && !failureDetector.hasChangeInFlight(other, owner.key)) owner.startElection(true, now);
   }
 
   /** How many members that could take the key come before this one. */
@@ -114,24 +114,24 @@
   }
 
   /** Whether this member and the key's owner have been well for long enough to hand it over. */
-  private boolean bothSettled(String owner, long now) {
+  private boolean areBothStable(String owner, long now) {
     long uptimeMs = config.preferredOwnerUptimeMs();
-    return now - startedAt >= uptimeMs
-        && now - failureDetector.healthySince() >= uptimeMs
-        && now - failureDetector.aliveSince(owner) >= uptimeMs;
+    return now - startedAtMs >= uptimeMs
+        && now - failureDetector.healthySinceMs() >= uptimeMs
+        && now - failureDetector.aliveSinceMs(owner) >= uptimeMs;
   }
 
-  private void maybeStartWithoutOwner(KeyOwner owner, int rank, long now) {
-    long since = withoutOwnerSince.computeIfAbsent(owner.key, key -> now);
+  private void startWithoutOwnerIfDue(KeyOwner owner, int rank, long now) {
+    long since = withoutOwnerSinceMs.computeIfAbsent(owner.key, key -> now);
     // whoever was away first hears who owns what
     boolean wasAway =
-        failureDetector.newcomer()
-                && since - failureDetector.generationStartedAt() < config.peerTimeoutMs()
-            || since - majoritySince < config.heartbeatMs();
+        failureDetector.isNewcomer()
+                && since - failureDetector.generationStartedAtMs() < config.peerTimeoutMs()
+            || since - majoritySinceMs < config.heartbeatMs();
     long pauseMs = wasAway ? config.peerTimeoutMs() : 0;
     // whoever was promised the key a moment ago is given the time to serve it, else all oust one
     // another for ever
-    if (now - deferredAt.getOrDefault(owner.key, CoreHost.NEVER) < config.electionBackoffMs())
+    if (now - deferredAtMs.getOrDefault(owner.key, CoreHost.NEVER) < config.electionBackoffMs())
       return;
     if (now - since >= (long) rank * config.electionRankDelayMs() + pauseMs)
       owner.startElection(false, now);
--- a/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
+++ b/control-plane/src/main/java/gladelug/control/core/FailureDetector.java
@@ -28,18 +28,18 @@
   private final CoreHost host;
   private final QuorumConfig config;
   private final Supplier<MemberSet> members;
-  private final long startedAt;
+  private final long startedAtMs;
   private final long incarnation;
   private final Map<String, PeerStatus> peers = new HashMap<>();
 
   private boolean healthy = true;
-  private long healthySince = CoreHost.NEVER;
+  private long healthySinceMs = CoreHost.NEVER;
   private boolean newcomer = true;
-  private long generationStartedAt;
+  private long generationStartedAtMs;
 
   /**
    * @param members the members of the generation this member knows, asked anew each time
-   * @param startedAt when the process started, ms
+   * @param startedAtMs when the process started, ms
    * @param incarnation tells this run of the process from those before it
    */
   FailureDetector(
@@ -53,9 +53,9 @@
     this.host = host;
     this.config = config;
     this.members = members;
-    this.startedAt = startedAt;
+    this.startedAtMs = startedAt;
     this.incarnation = incarnation;
-    this.generationStartedAt = startedAt;
+    this.generationStartedAtMs = startedAt;
   }
 
   /**
@@ -63,13 +63,13 @@
    */
   void onGenerationStarted(MemberSet before, MemberSet members) {
     // who was away for a generation knows as little as a new one
-    newcomer = before.generation() + 1 != members.generation() || !members.stays(before, self);
-    generationStartedAt = host.now();
+    newcomer = before.generation() + 1 != members.generation() || !members.retains(before, self);
+    generationStartedAtMs = host.nowMs();
     // who was alive a moment ago still is, so that only the first live one takes a key
-    peers.keySet().removeIf(name -> newcomer || !members.stays(before, name));
+    peers.keySet().removeIf(name -> newcomer || !members.retains(before, name));
     for (PeerStatus peer : peers.values()) peer.claims = Map.of();
     for (MemberSet.Member member : members.all())
-      peers.computeIfAbsent(member.name(), name -> new PeerStatus(generationStartedAt));
+      peers.computeIfAbsent(member.name(), name -> new PeerStatus(generationStartedAtMs));
   }
 
   /**
@@ -79,13 +79,13 @@
    */
   boolean onHeartbeat(String sender, Heartbeat heartbeat, long now) {
     PeerStatus peer = peers.computeIfAbsent(sender, name -> new PeerStatus(now));
-    boolean wasInContact = inContact(sender, now);
-    if (!wasInContact || !peer.healthy) peer.aliveSince = now;
-    peer.lastHeartbeatAt = now;
+    boolean wasInContact = isInContact(sender, now);
+    if (!wasInContact || !peer.healthy) peer.aliveSinceMs = now;
+    peer.lastHeartbeatAtMs = now;
     peer.lastSendTime = heartbeat.sentAt();
     if (heartbeat.newestReceived().incarnation() == incarnation)
-      peer.newestDeliveredSentAt =
-          Math.max(peer.newestDeliveredSentAt, heartbeat.newestReceived().atMs());
+      peer.newestDeliveredSentAtMs =
+          Math.max(peer.newestDeliveredSentAtMs, heartbeat.newestReceived().atMs());
     peer.healthy = heartbeat.healthy();
     peer.claims = byKey(heartbeat.claims());
     return wasInContact;
@@ -101,28 +101,28 @@
   boolean updateHealthy(boolean nowHealthy) {
     if (healthy == nowHealthy) return false;
     healthy = nowHealthy;
-    healthySince = host.now();
+    healthySinceMs = host.nowMs();
     return true;
   }
 
   /** Whether this member's own disk accepts writes. */
-  boolean healthy() {
+  boolean isHealthy() {
     return healthy;
   }
 
   /** When the disk last began or ceased to accept writes; long ago where it never did. */
-  long healthySince() {
-    return healthySince;
+  long healthySinceMs() {
+    return healthySinceMs;
   }
 
   /** Not a member of the generation before: who owns what has to be heard first. */
-  boolean newcomer() {
+  boolean isNewcomer() {
     return newcomer;
   }
 
   /** When this generation began here. */
-  long generationStartedAt() {
-    return generationStartedAt;
+  long generationStartedAtMs() {
+    return generationStartedAtMs;
   }
 
   /** The send time in the member's last heartbeat, by its clock. */
@@ -135,32 +135,32 @@
    * The last contact with a member, both ways. What it has heard of this one comes with its next
    * heartbeat, so that direction may be older by the time between two.
    */
-  long lastRoundTripAt(String member) {
-    if (member.equals(self)) return host.now();
+  long lastRoundTripAtMs(String member) {
+    if (member.equals(self)) return host.nowMs();
     PeerStatus peer = peers.get(member);
     return peer == null
         ? CoreHost.NEVER
-        : Math.min(peer.lastHeartbeatAt, peer.newestDeliveredSentAt + config.heartbeatMs());
+        : Math.min(peer.lastHeartbeatAtMs, peer.newestDeliveredSentAtMs + config.heartbeatMs());
   }
 
-  private boolean inContact(String member, long now) {
-    return now - lastRoundTripAt(member) < config.peerTimeoutMs();
+  private boolean isInContact(String member, long now) {
+    return now - lastRoundTripAtMs(member) < config.peerTimeoutMs();
   }
 
   /** Contact with a majority of the members, this one counted. */
   boolean reachesMajority(long now) {
     int reached = 0;
     for (MemberSet.Member member : members.get().all())
-      if (inContact(member.name(), now)) reached++;
-    return reached >= members.get().majority();
+      if (isInContact(member.name(), now)) reached++;
+    return reached >= members.get().majoritySize();
   }
 
   /**
    * Has had no contact with a majority since it could have: perhaps because the fleet has moved on
    * without it, so it asks around.
    */
-  boolean isolatedFromMajority(long now) {
-    return now - Math.max(generationStartedAt, startedAt) >= 2L * config.peerTimeoutMs()
+  boolean isIsolatedFromMajority(long now) {
+    return now - Math.max(generationStartedAtMs, startedAtMs) >= 2L * config.peerTimeoutMs()
         && !reachesMajority(now);
   }
 
@@ -170,24 +170,24 @@
    */
   long silenceMs(String member, long now) {
     PeerStatus peer = peers.get(member);
-    return peer == null ? 0 : now - Math.max(lastRoundTripAt(member), peer.knownSince);
+    return peer == null ? 0 : now - Math.max(lastRoundTripAtMs(member), peer.knownSinceMs);
   }
 
   /** Whether a member is in contact and its disk accepts writes. */
   boolean isAlive(String member, long now) {
     if (member.equals(self)) return healthy;
     PeerStatus peer = peers.get(member);
-    return peer != null && peer.healthy && inContact(member, now);
+    return peer != null && peer.healthy && isInContact(member, now);
   }
 
   /** Since when another member that is known has been alive without a break. */
-  long aliveSince(String member) {
-    return peers.get(member).aliveSince;
+  long aliveSinceMs(String member) {
+    return peers.get(member).aliveSinceMs;
   }
 
   /** Whether a heartbeat of a known member came within this time, even if it doesn't hear us. */
-  boolean heardWithin(String member, long durationMs, long now) {
-    return now - peers.get(member).lastHeartbeatAt < durationMs;
+  boolean wasHeardWithin(String member, long durationMs, long now) {
+    return now - peers.get(member).lastHeartbeatAtMs < durationMs;
   }
 
   /**
@@ -202,7 +202,7 @@
       if (member.name().equals(self)
           || peer == null
           || !peer.healthy
-          || now - peer.lastHeartbeatAt >= config.peerTimeoutMs()) continue;
+          || now - peer.lastHeartbeatAtMs >= config.peerTimeoutMs()) continue;
       OwnershipClaim claim = peer.claims.get(key);
       if (claim != null && claim.epoch() >= promisedEpoch) return member.name();
     }
@@ -210,7 +210,7 @@
   }
 
   /** Whether a known member's last heartbeat told of a change of the key under way. */
-  boolean changeInFlight(String owner, String key) {
+  boolean hasChangeInFlight(String owner, String key) {
     OwnershipClaim claim = peers.get(owner).claims.get(key);
     return claim != null && claim.changeInFlight();
   }
--- a/control-plane/src/main/java/gladelug/control/core/ForwardedChanges.java
+++ b/control-plane/src/main/java/gladelug/control/core/ForwardedChanges.java
@@ -19,7 +19,7 @@
   private static final int MAX_DELIVERED_IDS = 4096;
 
   private record ForwardedChange(
-      String owner, long expectedNumber, long sentAt, Consumer<ChangeResult> onResult) {}
+      String owner, long expectedNumber, long sentAtMs, Consumer<ChangeResult> onResult) {}
 
   private final long responseTimeoutMs;
   private final Map<Long, ForwardedChange> pending = new HashMap<>();
@@ -59,7 +59,7 @@
   void tick(long now, Predicate<String> alive) {
     for (Map.Entry<Long, ForwardedChange> entry : new ArrayList<>(pending.entrySet())) {
       ForwardedChange change = entry.getValue();
-      if (now - change.sentAt < responseTimeoutMs && alive.test(change.owner)) continue;
+      if (now - change.sentAtMs < responseTimeoutMs && alive.test(change.owner)) continue;
       pending.remove(entry.getKey());
       change.onResult.accept(new ChangeResult.Unknown(change.expectedNumber));
     }
--- a/control-plane/src/main/java/gladelug/control/core/JoinCandidates.java
+++ b/control-plane/src/main/java/gladelug/control/core/JoinCandidates.java
@@ -32,7 +32,7 @@
     List<MemberSet.Member> recent = new ArrayList<>();
     for (MemberSet.Member candidate : candidates.values())
       if (now - requestedAtMs.get(candidate.name()) < withinMs
-          && members.all().stream().noneMatch(member -> member.disk().equals(candidate.disk())))
+          && members.all().stream().noneMatch(member -> member.diskId().equals(candidate.diskId())))
         recent.add(candidate);
     return recent;
   }
--- a/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
+++ b/control-plane/src/main/java/gladelug/control/core/KeyOwner.java
@@ -158,7 +158,7 @@
   boolean isClaimable(long now) {
     long withinMs = (long) context.config().peerTimeoutMs() + context.config().confirmIntervalMs();
     return isServing()
-        && !context.isIsolated(now)
+        && !context.isIsolatedFromMajority(now)
         && now - Math.max(confirmedAtMs, servingSinceMs) < withinMs;
   }
 
@@ -195,9 +195,9 @@
   private void transitionTo(Phase next, StepDownReason reason, long now) {
     Phase previous = phase;
     phase = next;
-    if (next == Phase.PREPARING) context.event("election-started", "key", key, "epoch", epoch);
+    if (next == Phase.PREPARING) context.logEvent("election-started", "key", key, "epoch", epoch);
     else if (next == Phase.SERVING)
-      context.event(
+      context.logEvent(
           "ownership-acquired",
           "key",
           key,
@@ -208,7 +208,7 @@
           "after",
           now - electionTimerFromMs);
     else if (next == Phase.IDLE && previous == Phase.SERVING)
-      context.event("ownership-lost", "key", key, "epoch", epoch, "reason", reason);
+      context.logEvent("ownership-lost", "key", key, "epoch", epoch, "reason", reason);
   }
 
   /**
@@ -233,7 +233,8 @@
     epoch =
         context
             .members()
-            .epoch(Math.max(highestEpochSeen, context.register(key).promised()), context.self());
+            .nextEpoch(
+                Math.max(highestEpochSeen, context.register(key).promisedEpoch()), context.self());
     highestEpochSeen = epoch;
     electionTimerFromMs = now;
     election = new Election();
@@ -247,7 +248,7 @@
   /** Asks this member itself, where its promise is all that a majority lacks. */
   private void prepareSelfLast() {
     if (!election.isPromisedBy(context.self())
-        && election.promiseCount() == context.members().majority() - 1)
+        && election.promiseCount() == context.members().majoritySize() - 1)
       context.send(context.self(), new PrepareRequest(key, epoch));
   }
 
@@ -261,7 +262,7 @@
       return;
     }
     if (election.onPromise(from, response)) prepareSelfLast();
-    if (election.promiseCount() < context.members().majority()) return;
+    if (election.promiseCount() < context.members().majoritySize()) return;
     preparedAtMs = now;
     value = election.newestValue();
     transitionTo(Phase.REWRITING, null, now);
@@ -271,7 +272,7 @@
   /** Where a majority can't be had any more, the owner that the others know is left in peace. */
   private void onElectionDeclined(String from, long now) {
     election.onDeclined(from);
-    int others = context.members().all().size() - context.members().majority();
+    int others = context.members().all().size() - context.members().majoritySize();
     if (election.declinedCount() <= others) return;
     transitionTo(Phase.IDLE, StepDownReason.ELECTION_DECLINED, now);
     electionTimerFromMs = now;
@@ -288,14 +289,14 @@
     }
     if (phase == Phase.REWRITING && response.number() == value.number()) {
       election.onAccepted(from);
-      if (election.acceptedCount() >= context.members().majority()) startServing(now);
+      if (election.acceptedCount() >= context.members().majoritySize()) startServing(now);
     } else if (phase == Phase.SERVING
         && currentChange != null
         && !currentChange.isDuplicate()
         && response.number() == currentChange.number()) {
       currentChange.onAcceptedBy(from);
       if (!currentChange.isCommitted()
-          && currentChange.acceptedCount() >= context.members().majority()) commit(now);
+          && currentChange.acceptedCount() >= context.members().majoritySize()) commit(now);
     }
   }
 
@@ -309,7 +310,7 @@
     changedAtMs = now - context.knownAgeMs(key, value.number(), now);
     transitionTo(Phase.SERVING, null, now);
     context.onCommitted(key, value);
-    context.confirmSoon();
+    context.requestConfirmationRound();
   }
 
   /** Gives the epoch up; what was under way is answered as unknown, what waits as without owner. */
@@ -352,9 +353,10 @@
   }
 
   /** Has one of the two run, sooner or later; false, and none runs, where too many wait already. */
-  private boolean whenConfirmed(Runnable onConfirmed, Runnable onAbandoned, long now) {
-    if (!pendingConfirmations.add(context.lastRound(), now, onConfirmed, onAbandoned)) return false;
-    context.confirmSoon();
+  private boolean queueForConfirmation(Runnable onConfirmed, Runnable onAbandoned, long now) {
+    if (!pendingConfirmations.add(context.latestRoundNumber(), now, onConfirmed, onAbandoned))
+      return false;
+    context.requestConfirmationRound();
     return true;
   }
 
@@ -366,7 +368,8 @@
   void read(Consumer<ReadResult> onResult, long now) {
     Runnable onNoOwner = () -> onResult.accept(ReadResult.NO_OWNER);
     boolean accepted =
-        isServing() && whenConfirmed(() -> onResult.accept(ReadResult.of(value)), onNoOwner, now);
+        isServing()
+            && queueForConfirmation(() -> onResult.accept(ReadResult.of(value)), onNoOwner, now);
     if (!accepted) onNoOwner.run();
   }
 
@@ -401,18 +404,19 @@
     }
     long appliedNumber = appliedNumber(change);
     boolean follows =
-        request.match() == ChangeRequest.ANY_NUMBER || request.match() == value.number();
+        request.requiredNumber() == ChangeRequest.ANY_NUMBER
+            || request.requiredNumber() == value.number();
     if (appliedNumber == 0 && follows) writeChange(change, now);
     else if (!change.isOwnershipConfirmed()) confirmThenRetry(change, now);
     else if (appliedNumber > 0) acknowledgeDuplicate(change, appliedNumber, now);
-    else if (value.fate(change.identity(), request.base()) == ChangeStatus.EXPIRED)
-      change.answer(new ChangeResult.Unknown(request.expectedNumber()));
+    else if (value.statusOf(change.identity(), request.base()) == ChangeStatus.EXPIRED)
+      change.answer(new ChangeResult.Unknown(request.resultingNumber()));
     else change.answer(new ChangeResult.Conflict(value.number()));
   }
 
   /** The number under which the same change, or the same value as the newest, was taken; or 0. */
   private long appliedNumber(PendingChange change) {
-    long applied = value.takenNumber(change.identity(), change.request().base());
+    long applied = value.appliedNumber(change.identity(), change.request().base());
     if (applied > 0) return applied;
     return change.digest().equals(value.digest()) ? value.number() : 0;
   }
@@ -426,11 +430,11 @@
             .next(
                 change.digest(),
                 body,
-                new VersionedValue.Sent(change.identity(), change.request().base()),
+                new VersionedValue.ChangeId(change.identity(), change.request().base()),
                 context.wallClockMs(),
                 context.self(),
                 summary(body, sharing))
-            .with(sharing);
+            .withSharing(sharing);
     change.write(next, now);
     context.broadcast(new AcceptRequest(key, epoch, next));
   }
@@ -439,7 +443,7 @@
     String summary = context.summarize(key, value.body(), body);
     long number = value.number() + 1;
     if (sharing.since() != number) return summary;
-    context.event("prefix-sharing-begins-anew", "key", key, "number", number);
+    context.logEvent("prefix-sharing-begins-anew", "key", key, "number", number);
     return summary + SHARING_BEGINS_ANEW;
   }
 
@@ -452,7 +456,7 @@
           startNextChange(context.nowMs());
         };
     Runnable onAbandoned = () -> change.answer(new ChangeResult.NoOwner());
-    if (!whenConfirmed(retry, onAbandoned, now)) change.answer(new ChangeResult.QueueFull());
+    if (!queueForConfirmation(retry, onAbandoned, now)) change.answer(new ChangeResult.QueueFull());
   }
 
   private void acknowledgeDuplicate(PendingChange change, long number, long now) {
@@ -468,7 +472,7 @@
     changedAtMs = now;
     currentChange.commit(now);
     context.onCommitted(key, value);
-    if (StateKeys.PUSHED.contains(key)) context.push(key, epoch, previous, value);
+    if (StateKeys.PUSHED.contains(key)) context.pushChange(key, epoch, previous, value);
     acknowledgeIfDue(now);
   }
 
@@ -503,14 +507,14 @@
 
   /** What no majority confirms in time, or can, is answered while its sender listens. */
   private void abandonUnconfirmed(long now) {
-    if (context.isIsolated(now)) pendingConfirmations.abandonAll();
+    if (context.isIsolatedFromMajority(now)) pendingConfirmations.abandonAll();
     else pendingConfirmations.abandonRequestedUntil(now - ForwardedReads.READ_TIMEOUT_MS);
   }
 
   /** Looks what is due by time alone. */
   void tick(long now) {
     if (!pendingConfirmations.isEmpty()) abandonUnconfirmed(now);
-    if (!queuedChanges.isEmpty() && context.isIsolated(now)) refuseQueuedChanges();
+    if (!queuedChanges.isEmpty() && context.isIsolatedFromMajority(now)) refuseQueuedChanges();
     if (isCandidate() && now - electionTimerFromMs > electionTimeoutMs())
       stepDown(StepDownReason.ELECTION_TIMED_OUT, now);
     if (isServing() && isUnconfirmed(now)) stepDown(StepDownReason.CONFIRMATION_TIMED_OUT, now);
@@ -558,7 +562,7 @@
     if (known.number() == value.number() && remainingMs > 0) {
       int cutoffMs =
           key.equals(StateKeys.WEIGHTS)
-              ? (int) Math.max(0, context.weightsCutoffMs() - valueAgeMs(now))
+              ? (int) Math.max(0, context.weightsAgeCutoffMs() - valueAgeMs(now))
               : 0;
       grant = new StateUpdate.LeaseGrant(key, epoch, value.number(), (int) remainingMs, cutoffMs);
       if (wantsLease && StateKeys.LEASED.contains(key))
--- a/control-plane/src/main/java/gladelug/control/core/MemberOwnership.java
+++ b/control-plane/src/main/java/gladelug/control/core/MemberOwnership.java
@@ -36,12 +36,12 @@
 
   @Override
   public long nowMs() {
-    return member.host.now();
+    return member.host.nowMs();
   }
 
   @Override
   public long wallClockMs() {
-    return member.host.wall();
+    return member.host.wallClockMs();
   }
 
   @Override
@@ -60,23 +60,23 @@
   }
 
   @Override
-  public void event(String name, Object... pairs) {
-    member.host.event(name, pairs);
+  public void logEvent(String name, Object... pairs) {
+    member.host.logEvent(name, pairs);
   }
 
   @Override
-  public boolean isIsolated(long now) {
-    return member.isolatedFromMajority(now);
+  public boolean isIsolatedFromMajority(long now) {
+    return member.isIsolatedFromMajority(now);
   }
 
   @Override
-  public long lastRound() {
-    return member.latestRound();
+  public long latestRoundNumber() {
+    return member.latestRoundNumber();
   }
 
   @Override
-  public void confirmSoon() {
-    member.confirmSoon();
+  public void requestConfirmationRound() {
+    member.requestConfirmationRound();
   }
 
   @Override
@@ -91,11 +91,11 @@
 
   @Override
   public long knownAgeMs(String key, long number, long now) {
-    return member.knownAge(key, number, now);
+    return member.knownAgeMs(key, number, now);
   }
 
   @Override
-  public int weightsCutoffMs() {
+  public int weightsAgeCutoffMs() {
     return member.weightsAgeCutoffMs();
   }
 
@@ -111,11 +111,11 @@
 
   @Override
   public void onCommitted(String key, VersionedValue value) {
-    member.onValueServed(key, value);
+    member.onValueCommitted(key, value);
   }
 
   @Override
-  public void push(String key, long epoch, VersionedValue previous, VersionedValue value) {
+  public void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value) {
     member.pushChange(key, epoch, previous, value);
   }
 
--- a/control-plane/src/main/java/gladelug/control/core/Membership.java
+++ b/control-plane/src/main/java/gladelug/control/core/Membership.java
@@ -104,7 +104,7 @@
     this.bootstrap =
         bootstrapMembers == null
             ? null
-            : new Bootstrap(self.name(), self.disk(), bootstrapMembers.members());
+            : new Bootstrap(self.name(), self.diskId(), bootstrapMembers.members());
   }
 
   /**
@@ -113,35 +113,35 @@
    */
   void recover(byte[] storedMembers, byte[] storedNextMembers, byte[] storedBootstrapSet) {
     if (storedBootstrapSet != null && bootstrap != null)
-      bootstrap.storedSet(MemberSet.of(storedBootstrapSet));
+      bootstrap.onSetStored(MemberSet.of(storedBootstrapSet));
     if (storedMembers != null) {
       activate(MemberSet.of(storedMembers));
       bootstrap = null;
     }
     if (storedNextMembers != null
         && MemberSet.of(storedNextMembers).generation() > members.generation())
-      reconfiguration.recover(MemberSet.of(storedNextMembers), context.host.now());
+      reconfiguration.recover(MemberSet.of(storedNextMembers), context.host.nowMs());
   }
 
   MemberSet members() {
     return members;
   }
 
-  boolean initialized() {
+  boolean isInitialized() {
     return members.generation() > 0;
   }
 
-  boolean sealed() {
+  boolean isSealed() {
     return reconfiguration.isSealed();
   }
 
-  boolean retired() {
+  boolean isRetired() {
     return retired;
   }
 
   /** Whether this member takes part in its generation. */
-  boolean active() {
-    return initialized() && !sealed() && !retired;
+  boolean isActive() {
+    return isInitialized() && !isSealed() && !retired;
   }
 
   private void activate(MemberSet next) {
@@ -154,50 +154,55 @@
     context.onGenerationStarted(before, next);
   }
 
-  Envelope envelope(CoreMessage message) {
+  Envelope newEnvelope(CoreMessage message) {
     return new Envelope(members.generation(), context.self, context.disk, message);
   }
 
   void announceForBootstrap(long now) {
     if (bootstrap == null || now - lastAnnouncedAtMs < ANNOUNCE_INTERVAL_MS) return;
     lastAnnouncedAtMs = now;
-    Set<Address> addresses = new HashSet<>(context.host.contacts());
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.remove(founder.records());
-    addresses.remove(self.records());
+    Set<Address> addresses = new HashSet<>(context.host.contactAddresses());
+    for (MemberSet.Member founder : bootstrap.members().all())
+      addresses.remove(founder.recordsAddress());
+    addresses.remove(self.recordsAddress());
     hasOtherContacts = !addresses.isEmpty();
-    for (MemberSet.Member founder : bootstrap.members().all()) addresses.add(founder.records());
-    addresses.remove(self.records());
+    for (MemberSet.Member founder : bootstrap.members().all())
+      addresses.add(founder.recordsAddress());
+    addresses.remove(self.recordsAddress());
     for (Address address : addresses)
       context.host.sendTo(
           address,
-          envelope(
+          newEnvelope(
               new BootstrapAnnouncement(
-                  self.records().toString(), self.operator().toString(), bootstrap.storedSet())));
+                  self.recordsAddress().toString(),
+                  self.operatorAddress().toString(),
+                  bootstrap.storedSet())));
     agreeOnBootstrapSet();
   }
 
   /** One set at a time is put on disk, and is said to the others only from there. */
   private void agreeOnBootstrapSet() {
-    if (initialized() || bootstrap == null) return;
+    if (isInitialized() || bootstrap == null) return;
     // who knows others than the founders gives them the time to say that there is a fleet already
     boolean mayPropose =
         !hasOtherContacts
-            || context.host.now() - context.startedAt >= 2L * context.config.peerTimeoutMs();
-    MemberSet toStore = bootstrapSetBeingStored == null ? bootstrap.nextToStore(mayPropose) : null;
+            || context.host.nowMs() - context.startedAtMs >= 2L * context.config.peerTimeoutMs();
+    MemberSet toStore =
+        bootstrapSetBeingStored == null ? bootstrap.nextSetToStore(mayPropose) : null;
     if (toStore != null) {
       bootstrapSetBeingStored = toStore;
       context.host.sync(
           DurableState.BOOTSTRAP_SET,
-          toStore.bytes(),
+          toStore.toBytes(),
           () -> {
             bootstrapSetBeingStored = null;
             if (bootstrap == null) return;
-            bootstrap.storedSet(toStore);
+            bootstrap.onSetStored(toStore);
             lastAnnouncedAtMs = CoreHost.NEVER;
             agreeOnBootstrapSet();
           });
     }
-    MemberSet agreed = bootstrap.agreed();
+    MemberSet agreed = bootstrap.agreedSet();
     if (agreed != null) installGeneration(agreed, List.of());
   }
 
@@ -208,18 +213,20 @@
   void requestToJoin(long now) {
     if (bootstrap != null || now - lastAnnouncedAtMs < JOIN_INTERVAL_MS) return;
     lastAnnouncedAtMs = now;
-    Set<Address> addresses = new HashSet<>(context.host.contacts());
-    for (MemberSet.Member member : newestKnown.all()) addresses.add(member.records());
-    for (MemberSet.Member member : members.all()) addresses.add(member.records());
-    addresses.remove(self.records());
+    Set<Address> addresses = new HashSet<>(context.host.contactAddresses());
+    for (MemberSet.Member member : newestKnown.all()) addresses.add(member.recordsAddress());
+    for (MemberSet.Member member : members.all()) addresses.add(member.recordsAddress());
+    addresses.remove(self.recordsAddress());
     for (Address address : addresses)
       context.host.sendTo(
           address,
-          envelope(new JoinRequest(self.records().toString(), self.operator().toString())));
+          newEnvelope(
+              new JoinRequest(
+                  self.recordsAddress().toString(), self.operatorAddress().toString())));
   }
 
   /** Whether a later generation than this member's is in force somewhere. */
-  boolean behind() {
+  boolean isBehind() {
     return newestGenerationHeard > members.generation();
   }
 
@@ -245,15 +252,16 @@
 
   private void onBootstrapAnnouncement(
       Envelope envelope, BootstrapAnnouncement announcement, long now) {
-    if (initialized()) {
+    if (isInitialized()) {
       MemberSet.Member member = members.find(envelope.sender());
-      if (member != null && member.disk().equals(envelope.senderDisk()))
+      if (member != null && member.diskId().equals(envelope.senderDisk()))
         sendGeneration(envelope.sender(), now);
       else {
         // it founds what was founded already, with another disk or long after: it shall join
-        context.host.event("unknown-node-at-bootstrap", "name", envelope.sender());
+        context.host.logEvent("unknown-node-at-bootstrap", "name", envelope.sender());
         context.host.sendTo(
-            Address.of(announcement.records()), envelope(new Activate(members, List.of())));
+            Address.of(announcement.recordsAddress()),
+            newEnvelope(new Activate(members, List.of())));
       }
       return;
     }
@@ -272,14 +280,14 @@
   void sendGeneration(String name, long now) {
     MemberSet.Member member = members.find(name);
     if (now < resendGenerationAtMs.getOrDefault(name, Long.MIN_VALUE)) return;
-    List<RegisterRecord> registers = member == null ? List.of() : context.registers.all();
+    List<RegisterRecord> registers = member == null ? List.of() : context.registers.records();
     resendGenerationAtMs.put(
         name, now + RESEND_GENERATION_INTERVAL_MS + Reconfiguration.transferTimeMs(registers));
     if (member != null)
-      context.host.sendTo(member.records(), envelope(new Activate(members, registers)));
+      context.host.sendTo(member.recordsAddress(), newEnvelope(new Activate(members, registers)));
     else if (formerMembers.containsKey(name))
       context.host.sendTo(
-          formerMembers.get(name).records(), envelope(new Activate(members, List.of())));
+          formerMembers.get(name).recordsAddress(), newEnvelope(new Activate(members, List.of())));
   }
 
   private void onActivate(Activate activation) {
@@ -287,15 +295,16 @@
     if (received.generation() > newestKnown.generation()) newestKnown = received;
     if (received.generation() <= members.generation()) return;
     MemberSet.Member ownEntry = received.find(context.self);
-    if (ownEntry == null || !ownEntry.disk().equals(context.disk)) {
-      if (!initialized() && bootstrap != null) {
+    if (ownEntry == null || !ownEntry.diskId().equals(context.disk)) {
+      if (!isInitialized() && bootstrap != null) {
         bootstrap = null;
-        context.host.event("bootstrapped-without-this-disk", "generation", received.generation());
+        context.host.logEvent(
+            "bootstrapped-without-this-disk", "generation", received.generation());
       }
-      if (initialized() && !retired) {
+      if (isInitialized() && !retired) {
         retired = true;
         context.stepDownAll(StepDownReason.MEMBER_REMOVED);
-        context.host.event("member-removed", "generation", received.generation());
+        context.host.logEvent("member-removed", "generation", received.generation());
       }
       return;
     }
@@ -314,7 +323,7 @@
           () -> {});
     context.host.sync(
         DurableState.ACTIVE_MEMBERS,
-        received.bytes(),
+        received.toBytes(),
         () -> {
           if (received.generation() > members.generation()) {
             bootstrap = null;
@@ -328,23 +337,23 @@
         new MemberSet.Member(
             envelope.sender(),
             envelope.senderDisk(),
-            Address.of(request.records()),
-            Address.of(request.operator()));
-    if (!initialized() && bootstrap != null) {
+            Address.of(request.recordsAddress()),
+            Address.of(request.operatorAddress()));
+    if (!isInitialized() && bootstrap != null) {
       bootstrap.onJoinRequest(candidate);
       agreeOnBootstrapSet();
     }
-    if (!initialized() || retired) return;
+    if (!isInitialized() || retired) return;
     MemberSet.Member member = members.find(envelope.sender());
-    if (member != null && member.disk().equals(envelope.senderDisk())) {
+    if (member != null && member.diskId().equals(envelope.senderDisk())) {
       if (envelope.generation() < members.generation()) sendGeneration(envelope.sender(), now);
       return;
     }
-    if (sealed()) return;
+    if (isSealed()) return;
     if (joinCandidates.onRequest(candidate, now))
-      context.host.event(
-          "join-requested", "name", candidate.name(), "records", candidate.records());
-    context.host.sendTo(candidate.records(), envelope(new Activate(members, List.of())));
+      context.host.logEvent(
+          "join-requested", "name", candidate.name(), "records", candidate.recordsAddress());
+    context.host.sendTo(candidate.recordsAddress(), newEnvelope(new Activate(members, List.of())));
   }
 
   private void onDrainNotice(Envelope envelope, long now) {
@@ -353,11 +362,11 @@
       return;
     }
     MemberSet.Member member = members.find(envelope.sender());
-    if (member != null && member.disk().equals(envelope.senderDisk()))
+    if (member != null && member.diskId().equals(envelope.senderDisk()))
       drainNoticeReceivedAtMs.put(member.name(), now);
   }
 
-  boolean draining(String name, long now) {
+  boolean isDraining(String name, long now) {
     Long receivedAtMs = drainNoticeReceivedAtMs.get(name);
     return receivedAtMs != null && now - receivedAtMs < context.config.peerTimeoutMs();
   }
@@ -371,7 +380,7 @@
     context.sendToAll(new DrainNotice());
     for (MemberSet.Member member : newestKnown.all())
       if (!member.equals(members.find(member.name())))
-        context.host.sendTo(member.records(), envelope(new DrainNotice()));
+        context.host.sendTo(member.recordsAddress(), newEnvelope(new DrainNotice()));
   }
 
   /**
@@ -379,15 +388,15 @@
    * member, or its successor's generation is in force at a majority, or nobody stands by to succeed
    * it and a majority lives without it.
    */
-  boolean safeToStop(long now) {
-    if (!initialized()) return true;
-    if (retired) return countActive(newestKnown) >= newestKnown.majority();
-    if (sealed() || hasStandbySuccessor()) return false;
+  boolean isSafeToStop(long now) {
+    if (!isInitialized()) return true;
+    if (retired) return countActive(newestKnown) >= newestKnown.majoritySize();
+    if (isSealed() || hasStandbySuccessor()) return false;
     int others = 0;
     for (MemberSet.Member member : members.all())
       if (!member.name().equals(context.self) && context.isAliveAndStays(member.name(), now))
         others++;
-    return others >= Math.min(members.majority(), members.all().size() - 1);
+    return others >= Math.min(members.majoritySize(), members.all().size() - 1);
   }
 
   private int countActive(MemberSet generation) {
@@ -407,27 +416,27 @@
    * Where a machine that stands by hands on what operators send it: the member heard last, or null.
    */
   Address forwardingAddress(long now) {
-    if (initialized() && !retired) return null;
+    if (isInitialized() && !retired) return null;
     MemberSet.Member latest = null;
     for (MemberSet.Member member : newestKnown.all()) {
       Long receivedAtMs = generationReceivedAtMs.get(member.name());
       if (receivedAtMs == null
           || now - receivedAtMs >= 2L * context.config.peerTimeoutMs()
-          || member.records().equals(self.records())) continue;
+          || member.recordsAddress().equals(self.recordsAddress())) continue;
       if (latest == null || receivedAtMs > generationReceivedAtMs.get(latest.name()))
         latest = member;
     }
-    return latest == null ? null : latest.records();
+    return latest == null ? null : latest.recordsAddress();
   }
 
   /** Where whoever stands by is answered; null for all others and where this member can't help. */
   Address standbyAddress(Envelope envelope) {
-    MemberSet.Member candidate = active() ? joinCandidates.find(envelope.sender()) : null;
+    MemberSet.Member candidate = isActive() ? joinCandidates.find(envelope.sender()) : null;
     return candidate == null
-            || !candidate.disk().equals(envelope.senderDisk())
+            || !candidate.diskId().equals(envelope.senderDisk())
             || members.find(envelope.sender()) != null
         ? null
-        : candidate.records();
+        : candidate.recordsAddress();
   }
 
   /** What an operator may let in: machines that ask to join, lately heard. */
@@ -436,7 +445,7 @@
   }
 
   private List<MemberSet.Member> joinCandidates(long withinMs) {
-    return joinCandidates.recent(withinMs, members, context.host.now());
+    return joinCandidates.recent(withinMs, members, context.host.nowMs());
   }
 
   /**
@@ -460,7 +469,9 @@
     MembershipPlan.MembershipChange change =
         plan(now)
             .nextChange(
-                name -> context.silenceMs(name, now), name -> draining(name, now), context.config);
+                name -> context.silenceMs(name, now),
+                name -> isDraining(name, now),
+                context.config);
     if (change != null) writeMembershipChange(change, result -> {});
   }
 
@@ -471,19 +482,19 @@
   private void writeMembershipChange(
       MembershipPlan.MembershipChange change, Consumer<ChangeResult> answer) {
     KeyOwner owner = context.owner(StateKeys.CORE);
-    context.host.event(
+    context.host.logEvent(
         "membership-change",
         "reason",
         change.reason(),
         "out",
         change.removed(),
         "in",
-        change.added().stream().map(member -> member.name() + "/" + member.disk()).toList(),
+        change.added().stream().map(member -> member.name() + "/" + member.diskId()).toList(),
         "generation",
         change.next().generation());
     ChangeRequest request =
-        ChangeRequest.forgettable(StateKeys.CORE, owner.value().number(), change.next().bytes());
-    owner.propose(request, answer, context.host.now());
+        ChangeRequest.withoutBase(StateKeys.CORE, owner.value().number(), change.next().toBytes());
+    owner.propose(request, answer, context.host.nowMs());
   }
 
   /**
@@ -513,7 +524,7 @@
     if (pendingMembers(context.owner(StateKeys.CORE).value().body()) != null)
       return "another replacement is under way";
     MembershipPlan.MembershipChange change =
-        plan(context.host.now())
+        plan(context.host.nowMs())
             .change(MembershipChangeReason.OPERATOR_REQUEST, List.of(leaver), List.of(candidate));
     if (change == null) return "fewer than a majority of the members would be alive then";
     writeMembershipChange(change, answer);
@@ -532,7 +543,7 @@
    * may be the only copy beside one that may still be lost.
    */
   boolean mustCompleteReconfiguration() {
-    return sealed() && !(retired && countActive(newestKnown) >= newestKnown.majority());
+    return isSealed() && !(retired && countActive(newestKnown) >= newestKnown.majoritySize());
   }
 
   /** The generation is refused from now on, durably; these are to be the next members. */
--- a/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
+++ b/control-plane/src/main/java/gladelug/control/core/MembershipPlan.java
@@ -25,20 +25,20 @@
 
   private final MemberSet current;
   private final List<MemberSet.Member> joinCandidates;
-  private final Predicate<String> alive;
+  private final Predicate<String> isAlive;
 
   /**
    * Makes a plan from what is known now.
    *
    * @param current the members in force
    * @param joinCandidates who asked lately to be let in, with disks that no member has
-   * @param alive whether a member is alive and to stay, by name
+   * @param isAlive whether a member is alive and to stay, by name
    */
   MembershipPlan(
       MemberSet current, List<MemberSet.Member> joinCandidates, Predicate<String> alive) {
     this.current = current;
     this.joinCandidates = joinCandidates;
-    this.alive = alive;
+    this.isAlive = alive;
   }
 
   /**
@@ -75,7 +75,7 @@
     for (MemberSet.Member candidate : joinCandidates) {
       MemberSet.Member member = current.find(candidate.name());
       if (member != null
-          && !alive.test(member.name())
+          && !isAlive.test(member.name())
           && silentMs.applyAsLong(member.name()) > 2L * config.peerTimeoutMs()) back.add(candidate);
     }
     if (back.isEmpty()) return null;
@@ -90,7 +90,7 @@
     List<String> dead = new ArrayList<>();
     if (config.replaceDeadAfterMs() == 0) return dead;
     for (MemberSet.Member member : current.all())
-      if (!alive.test(member.name())
+      if (!isAlive.test(member.name())
           && silentMs.applyAsLong(member.name()) >= config.replaceDeadAfterMs())
         dead.add(member.name());
     dead.sort(Comparator.comparingLong(silentMs).reversed());
@@ -112,8 +112,8 @@
     MemberSet next = new MemberSet(current.generation() + 1, members);
     int aliveCount = 0;
     for (MemberSet.Member member : next.all())
-      if (added.contains(member) || alive.test(member.name())) aliveCount++;
-    return aliveCount < next.majority()
+      if (added.contains(member) || isAlive.test(member.name())) aliveCount++;
+    return aliveCount < next.majoritySize()
         ? null
         : new MembershipChange(reason, List.copyOf(removed), List.copyOf(added), next);
   }
--- a/control-plane/src/main/java/gladelug/control/core/OwnershipContext.java
+++ b/control-plane/src/main/java/gladelug/control/core/OwnershipContext.java
@@ -36,18 +36,18 @@
   void broadcast(CoreMessage message);
 
   /** Logs an event with its key and value pairs. */
-  void event(String name, Object... pairs);
+  void logEvent(String name, Object... pairs);
 
   /** Whether contact with a majority has been missing for so long that nothing can be served. */
-  boolean isIsolated(long now);
+  boolean isIsolatedFromMajority(long now);
 
   /**
    * The number of the newest confirmation round; rounds that begin from now on have higher ones.
    */
-  long lastRound();
+  long latestRoundNumber();
 
   /** Begins the next confirmation round at the next tick. */
-  void confirmSoon();
+  void requestConfirmationRound();
 
   /** Lets another member be elected for a key before this one tries again. */
   void deferElection(String key, long now);
@@ -59,7 +59,7 @@
   long knownAgeMs(String key, long number, long now);
 
   /** How old weights may be at a data-plane process, ms. */
-  int weightsCutoffMs();
+  int weightsAgeCutoffMs();
 
   /** What a change of a key's body does, in a line for operators. */
   String summarize(String key, byte[] oldBody, byte[] newBody);
@@ -74,7 +74,7 @@
   void onCommitted(String key, VersionedValue value);
 
   /** Pushes a new value to the data-plane processes that subscribe to its key. */
-  void push(String key, long epoch, VersionedValue previous, VersionedValue value);
+  void pushChange(String key, long epoch, VersionedValue previous, VersionedValue value);
 
   /** The change with this number was acknowledged to its sender. */
   void onAcknowledged(String key, long number);
--- a/control-plane/src/main/java/gladelug/control/core/PeerStatus.java
+++ b/control-plane/src/main/java/gladelug/control/core/PeerStatus.java
@@ -10,19 +10,19 @@
  */
 final class PeerStatus {
   /** Since when the other is a member that this one knows. */
-  final long knownSince;
+  final long knownSinceMs;
 
   /** When its last heartbeat arrived. */
-  long lastHeartbeatAt = CoreHost.NEVER;
+  long lastHeartbeatAtMs = CoreHost.NEVER;
 
   /** What it sent last, by its own clock. */
   SendTime lastSendTime = SendTime.NONE;
 
   /** When the newest of this member's heartbeats that reached it was sent, by this clock. */
-  long newestDeliveredSentAt = CoreHost.NEVER;
+  long newestDeliveredSentAtMs = CoreHost.NEVER;
 
   /** Since when it has been in contact and healthy without a break. */
-  long aliveSince;
+  long aliveSinceMs;
 
   /** Whether its disk accepts writes and it isn't draining, by its last heartbeat. */
   boolean healthy;
@@ -31,6 +31,6 @@
   Map<String, OwnershipClaim> claims = Map.of();
 
   PeerStatus(long knownSince) {
-    this.knownSince = knownSince;
+    this.knownSinceMs = knownSince;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/PendingConfirmations.java
+++ b/control-plane/src/main/java/gladelug/control/core/PendingConfirmations.java
@@ -11,12 +11,12 @@
  */
 final class PendingConfirmations {
   /**
-   * @param lastRoundBefore number of the newest round when it was asked for; only a later one
+   * @param latestRoundAtRequest number of the newest round when it was asked for; only a later one
    *     counts
    * @param requestedAtMs when it was asked for
    */
   private record PendingConfirmation(
-      long lastRoundBefore, long requestedAtMs, Runnable onConfirmed, Runnable onAbandoned) {}
+      long latestRoundAtRequest, long requestedAtMs, Runnable onConfirmed, Runnable onAbandoned) {}
 
   private final int capacity;
   private final List<PendingConfirmation> pending = new ArrayList<>();
@@ -45,22 +45,22 @@
 
   /** A majority confirmed the owner in this round: what waited for it or an earlier one goes on. */
   void onRoundConfirmed(long round) {
-    removeIf(confirmation -> confirmation.lastRoundBefore < round)
+    removeMatching(confirmation -> confirmation.latestRoundAtRequest < round)
         .forEach(confirmation -> confirmation.onConfirmed.run());
   }
 
   /** Gives up what was asked for at this time or before. */
   void abandonRequestedUntil(long timeMs) {
-    removeIf(confirmation -> confirmation.requestedAtMs <= timeMs)
+    removeMatching(confirmation -> confirmation.requestedAtMs <= timeMs)
         .forEach(confirmation -> confirmation.onAbandoned.run());
   }
 
   void abandonAll() {
-    removeIf(confirmation -> true).forEach(confirmation -> confirmation.onAbandoned.run());
+    removeMatching(confirmation -> true).forEach(confirmation -> confirmation.onAbandoned.run());
   }
 
   /** Takes these out before any callback runs, as a callback may add another. */
-  private List<PendingConfirmation> removeIf(Predicate<PendingConfirmation> condition) {
+  private List<PendingConfirmation> removeMatching(Predicate<PendingConfirmation> condition) {
     if (pending.isEmpty()) return List.of();
     List<PendingConfirmation> removed = pending.stream().filter(condition).toList();
     pending.removeAll(removed);
--- a/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
+++ b/control-plane/src/main/java/gladelug/control/core/Reconfiguration.java
@@ -25,7 +25,7 @@
  */
 final class Reconfiguration {
   /** Of the links between members, in bytes a ms. */
-  private static final long SLOWEST_LINK_BYTES_PER_MS = 2000;
+  private static final long MIN_LINK_BYTES_PER_MS = 2000;
 
   private final CoreMember context;
   private final Membership membership;
@@ -71,7 +71,7 @@
   /** Another member asks to refuse the present generation; answered once that is durable. */
   void onSealRequest(Envelope envelope, SealRequest request, long now) {
     MemberSet next = request.next();
-    if (!membership.initialized()) return;
+    if (!membership.isInitialized()) return;
     if (next.generation() <= membership.members().generation()) {
       membership.sendGeneration(envelope.sender(), now);
       return;
@@ -81,28 +81,28 @@
     if (nextMembers == null) seal(next, now);
     context.host.sync(
         DurableState.SEALED_FOR,
-        next.bytes(),
+        next.toBytes(),
         () -> {
           if (nextMembers != null)
             context.host.sendTo(
                 envelope.sender().equals(context.self)
-                    ? self.records()
+                    ? self.recordsAddress()
                     : addressOf(envelope.sender()),
-                membership.envelope(sealResponse(next, request)));
+                membership.newEnvelope(newSealResponse(next, request)));
         });
   }
 
-  private SealResponse sealResponse(MemberSet next, SealRequest request) {
+  private SealResponse newSealResponse(MemberSet next, SealRequest request) {
     return new SealResponse(
         next.generation(),
         request.incarnation(),
-        context.registers.besides(request.versions()),
+        context.registers.recordsWithoutKnownValues(request.versions()),
         context.registers.versions());
   }
 
   private Address addressOf(String name) {
     MemberSet.Member member = membership.members().find(name);
-    return member == null ? self.records() : member.records();
+    return member == null ? self.recordsAddress() : member.recordsAddress();
   }
 
   /** Refuses the generation from now on, durably; its owners step down. */
@@ -112,13 +112,13 @@
     sealResponses.clear();
     resendActivationAtMs.clear();
     context.stepDownAll(StepDownReason.GENERATION_SEALED);
-    context.host.event(
+    context.host.logEvent(
         "generation-sealed",
         "generation",
         membership.members().generation(),
         "next",
         next.generation());
-    context.host.sync(DurableState.SEALED_FOR, next.bytes(), () -> {});
+    context.host.sync(DurableState.SEALED_FOR, next.toBytes(), () -> {});
   }
 
   /**
@@ -127,18 +127,18 @@
    */
   void complete(long now) {
     int rank = 0;
-    for (String member : membership.members().order(StateKeys.CORE)) {
+    for (String member : membership.members().preferenceOrder(StateKeys.CORE)) {
       if (member.equals(context.self)) break;
-      if (sealedAtMs - context.lastRoundTripAt(member) < context.config.peerTimeoutMs()) rank++;
+      if (sealedAtMs - context.lastRoundTripAtMs(member) < context.config.peerTimeoutMs()) rank++;
     }
     if (now - sealedAtMs < (long) rank * context.config.electionRankDelayMs()
         || now - lastCompletionAttemptAtMs < context.config.confirmIntervalMs()) return;
     lastCompletionAttemptAtMs = now;
-    if (sealResponses.size() < membership.members().majority()) {
+    if (sealResponses.size() < membership.members().majoritySize()) {
       SealRequest request =
           new SealRequest(nextMembers, context.incarnation, context.registers.versions());
       for (MemberSet.Member member : membership.members().all())
-        context.host.sendTo(member.records(), membership.envelope(request));
+        context.host.sendTo(member.recordsAddress(), membership.newEnvelope(request));
       return;
     }
     Map<String, Register> merged = mergedRegisters();
@@ -153,18 +153,18 @@
             ? sealResponses.get(recipient.name())
             : null;
     List<RegisterVersion> stored = response == null ? List.of() : response.versions();
-    List<RegisterRecord> registers = RegisterStore.besides(merged, stored);
+    List<RegisterRecord> registers = RegisterStore.recordsWithoutKnownValues(merged, stored);
     resendActivationAtMs.put(
         recipient.name(), now + context.config.confirmIntervalMs() + transferTimeMs(registers));
     context.host.sendTo(
-        recipient.records(), membership.envelope(new Activate(nextMembers, registers)));
+        recipient.recordsAddress(), membership.newEnvelope(new Activate(nextMembers, registers)));
   }
 
   /** How long registers may take on the slowest link that members are to have, ms. */
   static long transferTimeMs(List<RegisterRecord> registers) {
     long bytes = 0;
     for (RegisterRecord register : registers) bytes += register.register().length;
-    return bytes / SLOWEST_LINK_BYTES_PER_MS;
+    return bytes / MIN_LINK_BYTES_PER_MS;
   }
 
   /** Another member refuses the generation and says what it stores. */
@@ -174,7 +174,7 @@
         || response.requesterIncarnation() != context.incarnation) return;
     if (membership.members().find(sender) == null) return;
     sealResponses.put(sender, response);
-    if (sealResponses.size() >= membership.members().majority())
+    if (sealResponses.size() >= membership.members().majoritySize())
       lastCompletionAttemptAtMs = CoreHost.NEVER;
   }
 
@@ -183,7 +183,7 @@
    * whose values the others didn't send again.
    */
   private Map<String, Register> mergedRegisters() {
-    Map<String, Register> registers = context.registers.copy();
+    Map<String, Register> registers = context.registers.snapshot();
     for (SealResponse response : sealResponses.values())
       for (RegisterRecord register : response.registers())
         registers.merge(register.key(), Register.of(register.register()), Register::merge);
--- a/control-plane/src/main/java/gladelug/control/core/RegisterAcceptor.java
+++ b/control-plane/src/main/java/gladelug/control/core/RegisterAcceptor.java
@@ -49,19 +49,19 @@
     String key = prepare.key();
     long epoch = prepare.epoch();
     Register register = registers.get(key);
-    if (epoch <= register.promised()
+    if (epoch <= register.promisedEpoch()
         || !prepare.handover() && context.hasWorkingOwner(key, sender)) {
       context.send(
           sender,
-          new PrepareResponse(key, epoch, false, register.promised(), 0, VersionedValue.NONE));
+          new PrepareResponse(key, epoch, false, register.promisedEpoch(), 0, VersionedValue.NONE));
       return;
     }
     if (!sender.equals(self)) context.onPromisedToOther(key);
     PrepareResponse granted =
-        new PrepareResponse(key, epoch, true, epoch, register.epoch(), register.value());
-    registers.keep(
+        new PrepareResponse(key, epoch, true, epoch, register.acceptedEpoch(), register.value());
+    registers.put(
         key,
-        new Register(epoch, register.epoch(), register.value()),
+        new Register(epoch, register.acceptedEpoch(), register.value()),
         () -> context.send(sender, granted));
   }
 
@@ -70,16 +70,16 @@
     String key = accept.key();
     long number = accept.value().number();
     Register register = registers.get(key);
-    if (accept.epoch() < register.promised()) {
+    if (accept.epoch() < register.promisedEpoch()) {
       context.send(
-          sender, new AcceptResponse(key, accept.epoch(), number, false, register.promised()));
+          sender, new AcceptResponse(key, accept.epoch(), number, false, register.promisedEpoch()));
       return;
     }
     Register stored =
         register.isReplacedBy(accept.epoch(), number)
             ? new Register(accept.epoch(), accept.epoch(), accept.value())
             : register;
-    registers.keep(
+    registers.put(
         key,
         stored,
         () ->
@@ -98,10 +98,10 @@
       String key = keyEpoch.key();
       long epoch = keyEpoch.epoch();
       Register register = registers.get(key);
-      boolean granted = epoch >= register.promised();
-      if (epoch > register.promised()) {
-        register = new Register(epoch, register.epoch(), register.value());
-        registers.keep(key, register, () -> {});
+      boolean granted = epoch >= register.promisedEpoch();
+      if (epoch > register.promisedEpoch()) {
+        register = new Register(epoch, register.acceptedEpoch(), register.value());
+        registers.put(key, register, () -> {});
         raised = true;
       }
       statuses.add(
@@ -109,8 +109,8 @@
               key,
               epoch,
               granted,
-              register.promised(),
-              register.epoch(),
+              register.promisedEpoch(),
+              register.acceptedEpoch(),
               register.value().number()));
     }
     ConfirmResponse response = new ConfirmResponse(confirm.round(), statuses);
--- a/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
+++ b/control-plane/src/main/java/gladelug/control/core/StateDecoder.java
@@ -18,16 +18,16 @@
  */
 public final class StateDecoder {
   /** The durable entry that holds the members of the generation a member takes part in. */
-  public static final String MEMBERS = DurableState.ACTIVE_MEMBERS;
+  public static final String MEMBERS_ENTRY = DurableState.ACTIVE_MEMBERS;
 
   /** The durable entry that holds the next members a member has sealed its generation for. */
-  public static final String SEALED = DurableState.SEALED_FOR;
+  public static final String SEALED_ENTRY = DurableState.SEALED_FOR;
 
   private StateDecoder() {}
 
   /** A numbered value, with the digests of the numbers before it that it remembers. */
   public record NumberedValue(
-      long number, String digest, byte[] body, Map<Long, String> remembered) {}
+      long number, String digest, byte[] body, Map<Long, String> rememberedDigests) {}
 
   /** What one member keeps for one key. */
   public record DecodedRegister(long promised, long epoch, NumberedValue value) {}
@@ -42,34 +42,34 @@
   }
 
   /** What all durable entries of a disk together say of a key that has one. */
-  public static DecodedRegister cell(Map<String, byte[]> durable, String key) {
+  public static DecodedRegister decodeRegister(Map<String, byte[]> durable, String key) {
     Register c = RegisterStore.read(durable, key);
-    return new DecodedRegister(c.promised(), c.epoch(), value(c.value()));
+    return new DecodedRegister(c.promisedEpoch(), c.acceptedEpoch(), decodeValue(c.value()));
   }
 
   /** The value an owner asks the members to accept. */
-  public static NumberedValue value(AcceptRequest accept) {
-    return value(accept.value());
+  public static NumberedValue decodeValue(AcceptRequest accept) {
+    return decodeValue(accept.value());
   }
 
-  private static NumberedValue value(VersionedValue v) {
+  private static NumberedValue decodeValue(VersionedValue v) {
     Map<Long, String> remembered = new LinkedHashMap<>();
     for (HistoryEntry m : v.history()) remembered.put(m.number(), m.digest());
     return new NumberedValue(v.number(), v.digest(), v.body(), remembered);
   }
 
   /** Decodes a set of members: a durable entry, or a value of the key core. */
-  public static MemberSet members(byte[] encoded) {
+  public static MemberSet decodeMembers(byte[] encoded) {
     return encoded == null || encoded.length == 0 ? MemberSet.NONE : MemberSet.of(encoded);
   }
 
   /** Encodes a set of members as it is kept on disk. */
-  public static byte[] bytes(MemberSet members) {
-    return members.bytes();
+  public static byte[] encodeMembers(MemberSet members) {
+    return members.toBytes();
   }
 
   /** The generation an epoch belongs to. */
-  public static long generation(long epoch) {
+  public static long generationOf(long epoch) {
     return epoch >> 40;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberRegistry.java
@@ -27,7 +27,7 @@
   private static final String DIRECT = "";
 
   /** Says in a push that it is the value whole, not a change of an earlier number. */
-  private static final int NO_BASE = -1;
+  private static final int FULL_VALUE = -1;
 
   /** A relay that has not asked for this long gets no share: three asks missed. */
   private static final long RELAY_TIMEOUT_MS = 2400;
@@ -47,12 +47,12 @@
   /** Unasked, the same value is not pushed whole to the same process again before this. */
   private static final long PUSH_INTERVAL_MS = 300;
 
-  private static final int MAX_PUSHES_REMEMBERED = 4096;
+  private static final int MAX_REMEMBERED_PUSHES = 4096;
 
   /** What the registry needs of the member it is part of. */
   interface Context {
     /** Whether the members are known here. */
-    boolean settled();
+    boolean isInitialized();
 
     /** The members of the generation. */
     MemberSet members();
@@ -72,10 +72,10 @@
   private final Map<String, SubscriberStatus> subscribers = new LinkedHashMap<>();
 
   /** By process, key and number: when it was pushed last. */
-  private final Map<String, Long> pushedAt = new HashMap<>();
+  private final Map<String, Long> pushedAtMs = new HashMap<>();
 
   private int relayCount;
-  private long relaysCountedAt = CoreHost.NEVER;
+  private long relaysCountedAtMs = CoreHost.NEVER;
 
   SubscriberRegistry(CoreHost host, Context context) {
     this.host = host;
@@ -91,7 +91,7 @@
   List<SubscriberStatus> activeRelays(long now) {
     List<SubscriberStatus> relays = new ArrayList<>();
     for (SubscriberStatus subscriber : subscribers.values())
-      if (isRelay(subscriber) && now - subscriber.lastRequestAt() < RELAY_TIMEOUT_MS)
+      if (isRelay(subscriber) && now - subscriber.lastRequestAtMs() < RELAY_TIMEOUT_MS)
         relays.add(subscriber);
     return relays;
   }
@@ -104,7 +104,7 @@
   void expire(long now) {
     subscribers
         .values()
-        .removeIf(subscriber -> now - subscriber.lastRequestAt() > SUBSCRIBER_EXPIRY_MS);
+        .removeIf(subscriber -> now - subscriber.lastRequestAtMs() > SUBSCRIBER_EXPIRY_MS);
   }
 
   /** To a process that is known, on the way it last asked by; directly where it did so lately. */
@@ -123,7 +123,7 @@
   }
 
   private void send(SubscriberStatus subscriber, StateUpdate update) {
-    if (subscriber.relayedBy().isEmpty()) host.news(subscriber.name(), update);
+    if (subscriber.relayedBy().isEmpty()) host.pushUpdate(subscriber.name(), update);
     else context.send(subscriber.relayedBy(), new RelayedStateUpdate(subscriber.name(), update));
   }
 
@@ -142,11 +142,11 @@
     if (!relayedBy.isEmpty()
         && old != null
         && old.relayedBy().isEmpty()
-        && now - old.lastRequestAt() < DIRECT_PREFERRED_MS) return;
-    SubscriberStatus subscriber = status(request, old, relayedBy, now);
+        && now - old.lastRequestAtMs() < DIRECT_PREFERRED_MS) return;
+    SubscriberStatus subscriber = newStatus(request, old, relayedBy, now);
     subscribers.put(request.name(), subscriber);
     List<StateUpdate.LeaseGrant> grants = new ArrayList<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       if (version.key().equals(StateKeys.CORE)) {
         pushMembers(subscriber, version);
         continue;
@@ -165,10 +165,10 @@
   }
 
   /** What the request says, with the times since which the process holds its versions. */
-  private SubscriberStatus status(
+  private SubscriberStatus newStatus(
       StateUpdate.SubscriptionRequest request, SubscriberStatus old, String relayedBy, long now) {
     Map<String, Long> versionSince = new HashMap<>();
-    for (StateUpdate.KnownVersion version : request.known()) {
+    for (StateUpdate.KnownVersion version : request.knownVersions()) {
       boolean same =
           old != null
               && old.incarnation() == request.incarnation()
@@ -179,17 +179,17 @@
       if (!same && version.number() > 0)
         context.onNumberSeen(version.key(), version.number(), request.name());
       versionSince.put(
-          version.key(), same ? old.versionSince().getOrDefault(version.key(), now) : now);
+          version.key(), same ? old.versionSinceMs().getOrDefault(version.key(), now) : now);
     }
     return new SubscriberStatus(
         request.name(),
         request.incarnation(),
         request.role(),
-        request.records(),
-        request.operator(),
+        request.recordsAddress(),
+        request.operatorAddress(),
         request.zone(),
         now,
-        request.known(),
+        request.knownVersions(),
         versionSince,
         request.demands(),
         request.capacities(),
@@ -198,7 +198,7 @@
 
   /** The members themselves, to a process that knows an earlier generation; no key's owner does. */
   private void pushMembers(SubscriberStatus subscriber, StateUpdate.KnownVersion version) {
-    if (!context.settled() || version.number() >= context.members().generation()) return;
+    if (!context.isInitialized() || version.number() >= context.members().generation()) return;
     long generation = context.members().generation();
     send(
         subscriber,
@@ -206,21 +206,21 @@
             StateKeys.CORE,
             generation,
             generation,
-            NO_BASE,
+            FULL_VALUE,
             "",
-            context.members().coreMemberListJson()));
+            context.members().toCoreMemberListJson()));
   }
 
   private int relayCount(long now) {
-    if (now - relaysCountedAt > RELAY_COUNT_INTERVAL_MS) {
-      relaysCountedAt = now;
+    if (now - relaysCountedAtMs > RELAY_COUNT_INTERVAL_MS) {
+      relaysCountedAtMs = now;
       relayCount =
           (int)
               subscribers.values().stream()
                   .filter(
                       subscriber ->
                           isRelay(subscriber)
-                              && now - subscriber.lastRequestAt() < RELAY_COUNTED_FOR_MS)
+                              && now - subscriber.lastRequestAtMs() < RELAY_COUNTED_FOR_MS)
                   .count();
     }
     return relayCount;
@@ -237,17 +237,17 @@
       SubscriberStatus subscriber, KeyOwner owner, long now, boolean requested) {
     VersionedValue value = owner.value();
     String push = subscriber.name() + " " + owner.key + " " + value.number();
-    Long last = pushedAt.get(push);
+    Long last = pushedAtMs.get(push);
     if (!requested && last != null && now - last < PUSH_INTERVAL_MS) return;
-    if (pushedAt.size() > MAX_PUSHES_REMEMBERED) pushedAt.clear();
-    pushedAt.put(push, now);
+    if (pushedAtMs.size() > MAX_REMEMBERED_PUSHES) pushedAtMs.clear();
+    pushedAtMs.put(push, now);
     push(
         subscriber,
         new StateUpdate.ValuePush(
             owner.key,
             owner.epoch,
             value.number(),
-            NO_BASE,
+            FULL_VALUE,
             value.digest(),
             value.body(),
             value.sharing().since()));
@@ -261,7 +261,7 @@
             key,
             epoch,
             after.number(),
-            NO_BASE,
+            FULL_VALUE,
             after.digest(),
             after.body(),
             after.sharing().since());
@@ -281,7 +281,7 @@
           subscriber.versions().stream()
               .anyMatch(
                   version -> version.key().equals(key) && version.number() == before.number());
-      pushedAt.put(subscriber.name() + " " + key + " " + after.number(), host.now());
+      pushedAtMs.put(subscriber.name() + " " + key + " " + after.number(), host.nowMs());
       push(subscriber, holdsBefore ? change : whole);
     }
   }
--- a/control-plane/src/main/java/gladelug/control/core/SubscriberStatus.java
+++ b/control-plane/src/main/java/gladelug/control/core/SubscriberStatus.java
@@ -13,9 +13,9 @@
  * @param peerAddress where other processes reach it
  * @param operatorAddress where operators reach it
  * @param zone where it runs
- * @param lastRequestAt when it asked, ms of the member's monotonic clock
+ * @param lastRequestAtMs when it asked, ms of the member's monotonic clock
  * @param versions the versions of the keys that it holds
- * @param versionSince by key: since when it holds that version, ms of the same clock
+ * @param versionSinceMs by key: since when it holds that version, ms of the same clock
  * @param demands its demand for each quota
  * @param capacities the capacity of services as it sees it
  * @param relayedBy the member that passed its request on; empty where it asked directly
@@ -27,9 +27,9 @@
     String peerAddress,
     String operatorAddress,
     String zone,
-    long lastRequestAt,
+    long lastRequestAtMs,
     List<StateUpdate.KnownVersion> versions,
-    Map<String, Long> versionSince,
+    Map<String, Long> versionSinceMs,
     List<StateUpdate.QuotaDemand> demands,
     List<StateUpdate.ServiceCapacity> capacities,
     String relayedBy) {}
--- a/control-plane/src/main/java/gladelug/control/core/UnknownNodeConnection.java
+++ b/control-plane/src/main/java/gladelug/control/core/UnknownNodeConnection.java
@@ -11,7 +11,7 @@
   private static final long IDLE_TIMEOUT_MS = 30_000;
 
   private final PersistentConnection connection;
-  private long lastSentMs;
+  private long lastSentAtMs;
 
   UnknownNodeConnection(PersistentConnection connection) {
     this.connection = connection;
@@ -19,13 +19,13 @@
 
   /** Sends a message; may be lost. */
   void send(Envelope message, long nowMs) {
-    lastSentMs = nowMs;
+    lastSentAtMs = nowMs;
     connection.send(message);
   }
 
   /** Closes the connection if it is idle; whether it did. */
   boolean closeIfIdle(long nowMs) {
-    if (nowMs - lastSentMs < IDLE_TIMEOUT_MS) return false;
+    if (nowMs - lastSentAtMs < IDLE_TIMEOUT_MS) return false;
     connection.close();
     return true;
   }
--- a/control-plane/src/main/java/gladelug/control/core/ValueAges.java
+++ b/control-plane/src/main/java/gladelug/control/core/ValueAges.java
@@ -12,7 +12,7 @@
   /** The age of a key that no owner told of. */
   private static final long UNKNOWN_AGE_MS = Integer.MAX_VALUE;
 
-  private record ValueAge(long number, long receivedAt, long ageMs) {}
+  private record ValueAge(long number, long receivedAtMs, long ageMs) {}
 
   private final Map<String, ValueAge> ages = new HashMap<>();
 
@@ -30,6 +30,8 @@
   long ageMs(String key, long number, long now) {
     ValueAge known = ages.get(key);
     if (known == null) return UNKNOWN_AGE_MS;
-    return known.number == number ? known.ageMs + now - known.receivedAt : now - known.receivedAt;
+    return known.number == number
+        ? known.ageMs + now - known.receivedAtMs
+        : now - known.receivedAtMs;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
+++ b/control-plane/src/main/java/gladelug/control/core/config/MemberSet.java
@@ -20,7 +20,8 @@
  * the generation, a counter and the member's slot, so no two members ever try with the same.
  */
 public record MemberSet(long generation, List<Member> all) {
-  public record Member(String name, String disk, Address records, Address operator) {}
+  public record Member(
+      String name, String diskId, Address recordsAddress, Address operatorAddress) {}
 
   public static final MemberSet NONE = new MemberSet(0, List.of());
 
@@ -38,24 +39,24 @@
   }
 
   /** Whether the machine of this name was in that generation too, with the same disk. */
-  public boolean stays(MemberSet before, String name) {
+  public boolean retains(MemberSet before, String name) {
     Member now = find(name), then = before.find(name);
-    return now != null && then != null && now.disk.equals(then.disk);
+    return now != null && then != null && now.diskId.equals(then.diskId);
   }
 
   /** The place of a member in the order of names, from 0; -1 where there is none of that name. */
-  public int slot(String name) {
+  public int slotOf(String name) {
     for (int slot = 0; slot < all.size(); slot++) if (all.get(slot).name.equals(name)) return slot;
     return -1;
   }
 
   /** How many members are a majority of all. */
-  public int majority() {
+  public int majoritySize() {
     return all.size() / 2 + 1;
   }
 
   /** The agreed order for a key: by name, rotated by the key so that duties spread. */
-  public List<String> order(String key) {
+  public List<String> preferenceOrder(String key) {
     List<String> names = new ArrayList<>();
     int size = all.size(),
         first = Math.floorMod(key.hashCode() * 0x9E3779B1 >>> 7, Math.max(1, size));
@@ -67,23 +68,23 @@
    * The next epoch of this generation for the member of this name that is higher than the given
    * one.
    */
-  public long epoch(long above, String name) {
+  public long nextEpoch(long above, String name) {
     long first = generation << 40;
     long counter = above >= first ? (above - first >> 8) + 1 : 1;
-    return first | counter << 8 | slot(name);
+    return first | counter << 8 | slotOf(name);
   }
 
   /** Writes it as messages and entries on disk hold it. */
   public void write(DataOutputStream out) throws IOException {
     out.writeLong(generation);
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         all,
         (fields, member) -> {
           fields.writeUTF(member.name);
-          fields.writeUTF(member.disk);
-          fields.writeUTF(member.records.toString());
-          fields.writeUTF(member.operator.toString());
+          fields.writeUTF(member.diskId);
+          fields.writeUTF(member.recordsAddress.toString());
+          fields.writeUTF(member.operatorAddress.toString());
         });
   }
 
@@ -91,7 +92,7 @@
   public static MemberSet read(DataInputStream in) throws IOException {
     return new MemberSet(
         in.readLong(),
-        WireRecord.list(
+        WireRecord.readList(
             in,
             fields ->
                 new Member(
@@ -102,7 +103,7 @@
   }
 
   /** The entry that holds the set on disk, and the value of the key core. */
-  public byte[] bytes() {
+  public byte[] toBytes() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       write(out);
@@ -113,14 +114,15 @@
   }
 
   /** As data-plane processes are told. */
-  public byte[] coreMemberListJson() {
+  public byte[] toCoreMemberListJson() {
     return new CoreMemberList(
             all.stream()
                 .map(
                     member ->
-                        new CoreMemberList.Member(member.name, member.records, member.operator))
+                        new CoreMemberList.Member(
+                            member.name, member.recordsAddress, member.operatorAddress))
                 .toList())
-        .json()
+        .toJson()
         .getBytes(StandardCharsets.UTF_8);
   }
 
--- a/control-plane/src/main/java/gladelug/control/core/message/ChangeResult.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/ChangeResult.java
@@ -104,7 +104,7 @@
       case Tag.QUEUE_FULL -> new QueueFull();
       case Tag.NO_OWNER -> new NoOwner();
       case Tag.TOO_LARGE -> new TooLarge(in.readLong(), in.readLong());
-      default -> throw WireRecord.unknown(tag);
+      default -> throw WireRecord.unknownType(tag);
     };
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/CoreMessage.java
@@ -77,7 +77,7 @@
   record SendTime(long incarnation, long atMs) {
     public static final SendTime NONE = new SendTime(0, 0);
 
-    private void put(DataOutputStream out) throws IOException {
+    private void write(DataOutputStream out) throws IOException {
       out.writeLong(incarnation);
       out.writeLong(atMs);
     }
@@ -113,7 +113,7 @@
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeBoolean(healthy);
       out.writeLong(uptimeMs);
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           claims,
           (target, w) -> {
@@ -123,8 +123,8 @@
             target.writeLong(w.valueAgeMs);
             target.writeBoolean(w.changeInFlight);
           });
-      sentAt.put(out);
-      newestReceived.put(out);
+      sentAt.write(out);
+      newestReceived.write(out);
     }
   }
 
@@ -223,7 +223,7 @@
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeLong(round);
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           epochs,
           (target, c) -> {
@@ -250,7 +250,7 @@
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeLong(round);
-      WireRecord.list(
+      WireRecord.writeList(
           out,
           statuses,
           (target, s) -> {
@@ -275,8 +275,8 @@
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeLong(requestId);
       out.writeUTF(request.key());
-      out.writeLong(request.match());
-      WireRecord.blob(out, request.body());
+      out.writeLong(request.requiredNumber());
+      WireRecord.writeBlob(out, request.body());
       out.writeLong(request.base());
       if (!request.sentDigest().isEmpty()) out.writeUTF(request.sentDigest());
     }
@@ -296,7 +296,8 @@
   }
 
   /** A founder looks for the others; pinned: the first members it has on its disk, NONE before. */
-  record BootstrapAnnouncement(String records, String operator, MemberSet storedBootstrapSet)
+  record BootstrapAnnouncement(
+      String recordsAddress, String operatorAddress, MemberSet storedBootstrapSet)
       implements CoreMessage {
     @Override
     public int tag() {
@@ -305,8 +306,8 @@
 
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
-      out.writeUTF(records);
-      out.writeUTF(operator);
+      out.writeUTF(recordsAddress);
+      out.writeUTF(operatorAddress);
       storedBootstrapSet.write(out);
     }
   }
@@ -329,7 +330,7 @@
   }
 
   /** A machine with an empty disk would like to be a member. */
-  record JoinRequest(String records, String operator) implements CoreMessage {
+  record JoinRequest(String recordsAddress, String operatorAddress) implements CoreMessage {
     @Override
     public int tag() {
       return Tag.JOIN_REQUEST;
@@ -337,8 +338,8 @@
 
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
-      out.writeUTF(records);
-      out.writeUTF(operator);
+      out.writeUTF(recordsAddress);
+      out.writeUTF(operatorAddress);
     }
   }
 
@@ -395,7 +396,7 @@
 
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
-      WireRecord.blob(out, WireRecord.bytes(request));
+      WireRecord.writeBlob(out, WireRecord.encode(request));
     }
   }
 
@@ -409,7 +410,7 @@
     @Override
     public void writeBody(DataOutputStream out) throws IOException {
       out.writeUTF(subscriber);
-      WireRecord.blob(out, WireRecord.bytes(update));
+      WireRecord.writeBlob(out, WireRecord.encode(update));
     }
   }
 
@@ -441,10 +442,10 @@
     }
   }
 
-  private static ChangeRequest changeRequest(DataInputStream in) throws IOException {
+  private static ChangeRequest readChangeRequest(DataInputStream in) throws IOException {
     String key = in.readUTF();
     long match = in.readLong();
-    byte[] body = WireRecord.blob(in);
+    byte[] body = WireRecord.readBlob(in);
     long base = in.readLong();
     // written only where it isn't the body's own digest, so that earlier releases are understood
     String sentDigest = in.available() > 0 ? in.readUTF() : "";
@@ -465,8 +466,9 @@
     public void writeBody(DataOutputStream out) {}
   }
 
-  private static RelayedSubscriptionRequest carry(DataInputStream in) throws IOException {
-    if (WireRecord.read(WireRecord.blob(in), StateUpdate::read)
+  private static RelayedSubscriptionRequest readRelayedSubscriptionRequest(DataInputStream in)
+      throws IOException {
+    if (WireRecord.decode(WireRecord.readBlob(in), StateUpdate::read)
         instanceof StateUpdate.SubscriptionRequest a) return new RelayedSubscriptionRequest(a);
     throw new IOException("only questions are handed on");
   }
@@ -478,7 +480,7 @@
           new Heartbeat(
               in.readBoolean(),
               in.readLong(),
-              WireRecord.list(
+              WireRecord.readList(
                   in,
                   item ->
                       new OwnershipClaim(
@@ -506,11 +508,11 @@
       case Tag.CONFIRM_REQUEST ->
           new ConfirmRequest(
               in.readLong(),
-              WireRecord.list(in, item -> new KeyEpoch(item.readUTF(), item.readLong())));
+              WireRecord.readList(in, item -> new KeyEpoch(item.readUTF(), item.readLong())));
       case Tag.CONFIRM_RESPONSE ->
           new ConfirmResponse(
               in.readLong(),
-              WireRecord.list(
+              WireRecord.readList(
                   in,
                   item ->
                       new EpochStatus(
@@ -521,7 +523,7 @@
                           item.readLong(),
                           item.readLong())));
       case Tag.FORWARDED_CHANGE_REQUEST ->
-          new ForwardedChangeRequest(in.readLong(), changeRequest(in));
+          new ForwardedChangeRequest(in.readLong(), readChangeRequest(in));
       case Tag.FORWARDED_CHANGE_RESPONSE ->
           new ForwardedChangeResponse(in.readLong(), ChangeResult.read(in));
       case Tag.BOOTSTRAP_ANNOUNCEMENT ->
@@ -530,10 +532,10 @@
       case Tag.JOIN_REQUEST -> new JoinRequest(in.readUTF(), in.readUTF());
       case Tag.SEAL_REQUEST ->
           new SealRequest(MemberSet.read(in), in.readLong(), RegisterVersion.readList(in));
-      case Tag.RELAYED_SUBSCRIPTION_REQUEST -> carry(in);
+      case Tag.RELAYED_SUBSCRIPTION_REQUEST -> readRelayedSubscriptionRequest(in);
       case Tag.RELAYED_STATE_UPDATE ->
           new RelayedStateUpdate(
-              in.readUTF(), WireRecord.read(WireRecord.blob(in), StateUpdate::read));
+              in.readUTF(), WireRecord.decode(WireRecord.readBlob(in), StateUpdate::read));
       case Tag.SEAL_RESPONSE ->
           new SealResponse(
               in.readLong(),
@@ -544,7 +546,7 @@
       case Tag.FORWARDED_READ_RESPONSE ->
           new ForwardedReadResponse(in.readLong(), ReadResult.read(in));
       case Tag.DRAIN_NOTICE -> new DrainNotice();
-      default -> throw WireRecord.unknown(tag);
+      default -> throw WireRecord.unknownType(tag);
     };
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/message/ReadResult.java
+++ b/control-plane/src/main/java/gladelug/control/core/message/ReadResult.java
@@ -17,11 +17,11 @@
   /** Nobody owns the key at the moment. */
   public static final ReadResult NO_OWNER = new ReadResult(false, VersionedValue.NONE);
 
-  private final boolean owned;
+  private final boolean hasOwner;
   private final VersionedValue value;
 
   private ReadResult(boolean owned, VersionedValue value) {
-    this.owned = owned;
+    this.hasOwner = owned;
     this.value = value;
   }
 
@@ -31,8 +31,8 @@
   }
 
   /** Whether a member owns the key, so that the value is known. */
-  public boolean owned() {
-    return owned;
+  public boolean hasOwner() {
+    return hasOwner;
   }
 
   /** 0 is "never written". */
@@ -51,18 +51,18 @@
   }
 
   /** What is known of a change with this digest, sent on this base. */
-  public ChangeStatus fate(String digest, long base) {
-    return value.fate(digest, base);
+  public ChangeStatus statusOf(String digest, long base) {
+    return value.statusOf(digest, base);
   }
 
   /** What became of a number, for the sender of a change with this digest. */
-  public NumberStatus fateOfNumber(long number, String digest) {
-    return value.fateOfNumber(number, digest);
+  public NumberStatus statusOfNumber(long number, String digest) {
+    return value.statusOfNumber(number, digest);
   }
 
   /** Writes it as messages and entries on disk hold it. */
   public void write(DataOutputStream out) throws IOException {
-    out.writeBoolean(owned);
+    out.writeBoolean(hasOwner);
     value.write(out);
   }
 
--- a/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/AppliedChanges.java
@@ -20,7 +20,7 @@
  * fall from one taken change to the next, so a change on a base above forgottenBase that isn't
  * listed was never taken.
  */
-public record AppliedChanges(PVector<AppliedChange> entries, long forgottenBase) {
+public record AppliedChanges(PVector<AppliedChange> entries, long highestDroppedBase) {
   /** The sender names no base: the change is not remembered and never recognised. */
   public static final long NO_BASE = -1;
 
@@ -29,7 +29,7 @@
    * is forgotten only after more than a usual day's changes followed it; one of those is answered
    * as unknown, never as refused. Each takes 48 bytes beside the value: 24 KiB in all.
    */
-  public static final int REMEMBERED = 512;
+  public static final int MAX_ENTRIES = 512;
 
   public static final AppliedChanges NONE = new AppliedChanges(TreePVector.empty(), NO_BASE);
 
@@ -42,9 +42,9 @@
   public AppliedChanges plus(long number, String digest, long base) {
     if (base == NO_BASE) return this;
     PVector<AppliedChange> longer = entries.plus(new AppliedChange(number, digest, base));
-    if (longer.size() <= REMEMBERED) return new AppliedChanges(longer, forgottenBase);
+    if (longer.size() <= MAX_ENTRIES) return new AppliedChanges(longer, highestDroppedBase);
     long oldestBase = longer.get(0).base();
-    return new AppliedChanges(longer.minus(0), Math.max(forgottenBase, oldestBase));
+    return new AppliedChanges(longer.minus(0), Math.max(highestDroppedBase, oldestBase));
   }
 
   /** The number under which this change was taken; 0 where it isn't listed. */
@@ -63,16 +63,16 @@
   }
 
   /** What is known of a change with this digest, sent on this base. */
-  public ChangeStatus fate(String digest, long base) {
+  public ChangeStatus statusOf(String digest, long base) {
     if (numberOf(digest, base) > 0) return ChangeStatus.APPLIED;
-    boolean tooOld = base != NO_BASE && base <= forgottenBase;
+    boolean tooOld = base != NO_BASE && base <= highestDroppedBase;
     return tooOld ? ChangeStatus.EXPIRED : ChangeStatus.NOT_APPLIED;
   }
 
   /** Writes it as messages and entries on disk hold it. */
   public void write(DataOutputStream out) throws IOException {
-    out.writeLong(forgottenBase);
-    WireRecord.list(
+    out.writeLong(highestDroppedBase);
+    WireRecord.writeList(
         out,
         entries,
         (o, taken) -> {
@@ -86,7 +86,7 @@
   public static AppliedChanges read(DataInputStream in) throws IOException {
     long forgottenBase = in.readLong();
     return new AppliedChanges(
-        TreePVector.from(WireRecord.list(in, AppliedChanges::readEntry)), forgottenBase);
+        TreePVector.from(WireRecord.readList(in, AppliedChanges::readEntry)), forgottenBase);
   }
 
   private static AppliedChange readEntry(DataInputStream in) throws IOException {
--- a/control-plane/src/main/java/gladelug/control/core/register/DiskWriter.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/DiskWriter.java
@@ -20,86 +20,91 @@
  * stalled() lets the protocol see it.
  */
 public final class DiskWriter implements AutoCloseable {
-  private static final long AGAIN = 100;
+  private static final long RETRY_INTERVAL_MS = 100;
 
-  private record PendingWrite(RecordRing.Entry entry, Runnable done, long since) {}
+  private record PendingWrite(RecordRing.Entry entry, Runnable onDurable, long enqueuedAtMs) {}
 
   private final RecordRing ring;
   private final Clock clock;
-  private final Consumer<Runnable> back;
-  private final Consumer<String> failed;
-  private final ArrayBlockingQueue<PendingWrite> wants = new ArrayBlockingQueue<>(4096);
+  private final Consumer<Runnable> completionExecutor;
+  private final Consumer<String> onFailure;
+  private final ArrayBlockingQueue<PendingWrite> pendingWrites = new ArrayBlockingQueue<>(4096);
   private final Thread thread;
-  private volatile long busySince = -1;
-  private volatile boolean broken;
-  private volatile boolean closing;
-  private boolean refused;
+  private volatile long busySinceMs = -1;
+  private volatile boolean hasFailed;
+  private volatile boolean isClosing;
+  private boolean isRefusingWrites;
 
   /**
    * Starts the disk's thread.
    *
-   * @param back where the completions of durable writes are run: the protocol's thread
-   * @param failed is told why, on the disk's thread, when the disk failed and nothing more is
+   * @param completionExecutor where the completions of durable writes are run: the protocol's
+   *     thread
+   * @param onFailure is told why, on the disk's thread, when the disk failed and nothing more is
    *     written
    */
   public DiskWriter(
       RecordRing ring, Clock clock, Consumer<Runnable> back, Consumer<String> failed) {
     this.ring = ring;
     this.clock = clock;
-    this.back = back;
-    this.failed = failed;
-    thread = new Thread(this::work, "disk");
+    this.completionExecutor = back;
+    this.onFailure = failed;
+    thread = new Thread(this::runWriteLoop, "disk");
     thread.setDaemon(true);
     thread.start();
   }
 
   /** False where the ring of waiting writes is full: then nothing will be answered, as if lost. */
-  public boolean want(String key, byte[] state, Runnable done) {
-    return !broken
-        && wants.offer(new PendingWrite(new RecordRing.Entry(key, state), done, clock.now()));
+  public boolean enqueue(String key, byte[] state, Runnable done) {
+    return !hasFailed
+        && pendingWrites.offer(
+            new PendingWrite(new RecordRing.Entry(key, state), done, clock.now()));
   }
 
   /** How long the disk has been at the present sync, in ms; 0 when idle. */
-  public long stalled() {
-    long b = busySince;
+  public long stalledMs() {
+    long b = busySinceMs;
     return b < 0 ? 0 : clock.now() - b;
   }
 
-  private void work() {
+  private void runWriteLoop() {
     List<PendingWrite> batch = new ArrayList<>();
-    while (!broken && !closing) {
+    while (!hasFailed && !isClosing) {
       try {
         // what a disk refused is written again with what has come since
-        PendingWrite w = batch.isEmpty() ? wants.take() : wants.poll(AGAIN, TimeUnit.MILLISECONDS);
+        PendingWrite w =
+            batch.isEmpty()
+                ? pendingWrites.take()
+                : pendingWrites.poll(RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (w != null) batch.add(w);
       } catch (InterruptedException e) {
         return;
       }
-      wants.drainTo(batch);
+      pendingWrites.drainTo(batch);
       batch.removeIf(w -> w.entry == null);
       if (batch.isEmpty()) continue;
-      if (busySince < 0) busySince = clock.now();
+      if (busySinceMs < 0) busySinceMs = clock.now();
       Map<String, RecordRing.Entry> last = new LinkedHashMap<>();
       for (PendingWrite w : batch) last.put(w.entry.key(), w.entry);
       try {
         ring.write(new ArrayList<>(last.values()));
       } catch (RecordRing.WriteRefusedException e) {
-        if (!refused) Log.warn("disk-refuses-writes", "what", e.toString());
-        refused = true;
+        if (!isRefusingWrites) Log.warn("disk-refuses-writes", "what", e.toString());
+        isRefusingWrites = true;
         continue;
       } catch (IOException | RuntimeException e) {
-        broken = true;
+        hasFailed = true;
         Log.warn("disk-failed", "what", e.toString());
-        failed.accept(e.toString());
+        onFailure.accept(e.toString());
         return;
       } catch (Error e) {
         FatalFailure.endProcess(thread.getName(), "ring.write", e);
         return;
       }
-      busySince = -1;
-      if (refused) Log.event("disk-accepts-writes");
-      refused = false;
-      for (PendingWrite w : batch) back.accept(w.done);
+      busySinceMs = -1;
+      if (isRefusingWrites) Log.event("disk-accepts-writes");
+      isRefusingWrites = false;
+      for (PendingWrite w : batch) completionExecutor.accept(w.onDurable);
       batch.clear();
     }
   }
@@ -110,7 +115,7 @@
    */
   @Override
   public void close() {
-    closing = true;
-    wants.offer(new PendingWrite(null, () -> {}, clock.now()));
+    isClosing = true;
+    pendingWrites.offer(new PendingWrite(null, () -> {}, clock.now()));
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/DurableState.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/DurableState.java
@@ -35,22 +35,23 @@
    * What can't be used of a member's state, each with the name under which it is kept; name and
    * disk are the member's. A name that this release doesn't know is reported and kept as it is.
    */
-  public static List<Finding> findings(Map<String, byte[]> durable, String name, String disk) {
+  public static List<Finding> validate(Map<String, byte[]> durable, String name, String disk) {
     List<Finding> findings = new ArrayList<>();
     new TreeMap<>(durable)
         .forEach(
             (key, bytes) -> {
-              String problem = problem(key, bytes, name, disk);
+              String problem = findProblem(key, bytes, name, disk);
               if (!problem.isEmpty()) findings.add(new Finding(key, problem));
             });
     return findings;
   }
 
-  private static String problem(String key, byte[] bytes, String name, String disk) {
+  private static String findProblem(String key, byte[] bytes, String name, String disk) {
     try {
       if (key.startsWith(REGISTER_PREFIX)) Register.parse(bytes);
-      else if (key.startsWith(EPOCHS_PREFIX)) RegisterStore.checkEpochs(bytes);
-      else if (key.equals(ACTIVE_MEMBERS)) return otherDisk(MemberSet.parse(bytes), name, disk);
+      else if (key.startsWith(EPOCHS_PREFIX)) RegisterStore.validateEpochs(bytes);
+      else if (key.equals(ACTIVE_MEMBERS))
+        return findDiskMismatch(MemberSet.parse(bytes), name, disk);
       else if (key.equals(SEALED_FOR) || key.equals(BOOTSTRAP_SET)) MemberSet.parse(bytes);
       else Log.warn("unknown-state-kept", "key", key, "bytes", bytes.length);
       return "";
@@ -60,10 +61,10 @@
   }
 
   /** A member is only ever let in with the disk it has; another's state was copied here. */
-  private static String otherDisk(MemberSet members, String name, String disk) {
+  private static String findDiskMismatch(MemberSet members, String name, String disk) {
     MemberSet.Member self = members.find(name);
-    return self == null || self.disk().equals(disk)
+    return self == null || self.diskId().equals(disk)
         ? ""
-        : "is that of disk " + self.disk() + ", not of this one, " + disk;
+        : "is that of disk " + self.diskId() + ", not of this one, " + disk;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/DurableStorage.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/DurableStorage.java
@@ -12,7 +12,7 @@
   void sync(String key, byte[] state, Runnable done);
 
   /** How many bytes of state the disk can hold, all entries together. */
-  default long mostState() {
+  default long maxStateBytes() {
     return Long.MAX_VALUE;
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/EpochRecord.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/EpochRecord.java
@@ -8,28 +8,28 @@
 import java.io.UncheckedIOException;
 
 /** The epochs of a cell whose value is in the whole record; number and digest say which value. */
-public record EpochRecord(long promised, long accepted, long number, String digest) {
+public record EpochRecord(long promisedEpoch, long acceptedEpoch, long number, String digest) {
   /** The epochs of a register, for one whose value is on disk already. */
   public static EpochRecord of(Register cell) {
     return new EpochRecord(
-        cell.promised(), cell.epoch(), cell.value().number(), cell.value().digest());
+        cell.promisedEpoch(), cell.acceptedEpoch(), cell.value().number(), cell.value().digest());
   }
 
   /** Epochs only rise, so the higher ones are the later; a whole record may be the later one. */
-  public Register after(Register whole) {
+  public Register applyTo(Register whole) {
     boolean sameValue = whole.value().number() == number && whole.value().digest().equals(digest);
     return new Register(
-        Math.max(whole.promised(), promised),
-        sameValue ? Math.max(whole.epoch(), accepted) : whole.epoch(),
+        Math.max(whole.promisedEpoch(), promisedEpoch),
+        sameValue ? Math.max(whole.acceptedEpoch(), acceptedEpoch) : whole.acceptedEpoch(),
         whole.value());
   }
 
   /** The entry as it is on disk. */
-  public byte[] bytes() {
+  public byte[] toBytes() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeLong(promised);
-      out.writeLong(accepted);
+      out.writeLong(promisedEpoch);
+      out.writeLong(acceptedEpoch);
       out.writeLong(number);
       out.writeUTF(digest);
     } catch (IOException e) {
--- a/control-plane/src/main/java/gladelug/control/core/register/HistoryEntry.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/HistoryEntry.java
@@ -8,12 +8,12 @@
  * summary what it changed. Nothing is decided by these three.
  */
 public record HistoryEntry(
-    long number, String digest, long takenAt, String takenBy, String summary) {
-  static HistoryEntry readIdentity(DataInputStream in) throws IOException {
+    long number, String digest, long appliedAtMs, String appliedBy, String summary) {
+  static HistoryEntry readNumberAndDigest(DataInputStream in) throws IOException {
     return new HistoryEntry(in.readLong(), in.readUTF(), 0, "", "");
   }
 
-  HistoryEntry readRemarks(DataInputStream in) throws IOException {
+  HistoryEntry readMetadata(DataInputStream in) throws IOException {
     return new HistoryEntry(number, digest, in.readLong(), in.readUTF(), in.readUTF());
   }
 }
--- a/control-plane/src/main/java/gladelug/control/core/register/Register.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/Register.java
@@ -13,26 +13,28 @@
  * number be told. Numbers only rise; a number whose write reached a majority never means anything
  * else.
  */
-public record Register(long promised, long epoch, VersionedValue value) {
+public record Register(long promisedEpoch, long acceptedEpoch, VersionedValue value) {
   public static final Register EMPTY = new Register(0, 0, VersionedValue.NONE);
 
   /** Whether a write under this epoch and number is at least as new as what is kept. */
   public boolean isReplacedBy(long otherEpoch, long otherNumber) {
-    return otherEpoch > epoch || otherEpoch == epoch && otherNumber >= value.number();
+    return otherEpoch > acceptedEpoch
+        || otherEpoch == acceptedEpoch && otherNumber >= value.number();
   }
 
   /** The newer value and the higher promise of two members' cells for one key. */
   public static Register merge(Register own, Register other) {
-    Register newer = own.isReplacedBy(other.epoch, other.value.number()) ? other : own;
-    return new Register(Math.max(own.promised, other.promised), newer.epoch, newer.value);
+    Register newer = own.isReplacedBy(other.acceptedEpoch, other.value.number()) ? other : own;
+    return new Register(
+        Math.max(own.promisedEpoch, other.promisedEpoch), newer.acceptedEpoch, newer.value);
   }
 
   /** The register as it is on disk and in messages. */
-  public byte[] bytes() {
+  public byte[] toBytes() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeLong(promised);
-      out.writeLong(epoch);
+      out.writeLong(promisedEpoch);
+      out.writeLong(acceptedEpoch);
       value.write(out);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/control-plane/src/main/java/gladelug/control/core/register/RegisterRecord.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/RegisterRecord.java
@@ -11,23 +11,23 @@
   /** Writes records as a message between members carries them. */
   public static void writeList(DataOutputStream out, List<RegisterRecord> records)
       throws IOException {
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         records,
         (target, record) -> {
           target.writeUTF(record.key);
-          WireRecord.blob(target, record.register);
+          WireRecord.writeBlob(target, record.register);
         });
   }
 
   /** Reads what {@link #writeList} wrote. */
   public static List<RegisterRecord> readList(DataInputStream in) throws IOException {
-    return WireRecord.list(in, RegisterRecord::read);
+    return WireRecord.readList(in, RegisterRecord::read);
   }
 
   /** A register that can't be read is no record: it never gets as far as a disk. */
   private static RegisterRecord read(DataInputStream in) throws IOException {
-    RegisterRecord record = new RegisterRecord(in.readUTF(), WireRecord.blob(in));
+    RegisterRecord record = new RegisterRecord(in.readUTF(), WireRecord.readBlob(in));
     Register.parse(record.register);
     return record;
   }
--- a/control-plane/src/main/java/gladelug/control/core/register/RegisterVersion.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/RegisterVersion.java
@@ -11,7 +11,7 @@
   /** Writes versions as a message between members carries them. */
   public static void writeList(DataOutputStream out, List<RegisterVersion> versions)
       throws IOException {
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         versions,
         (target, version) -> {
@@ -23,7 +23,7 @@
 
   /** Reads what {@link #writeList} wrote. */
   public static List<RegisterVersion> readList(DataInputStream in) throws IOException {
-    return WireRecord.list(in, RegisterVersion::read);
+    return WireRecord.readList(in, RegisterVersion::read);
   }
 
   private static RegisterVersion read(DataInputStream in) throws IOException {
--- a/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
+++ b/control-plane/src/main/java/gladelug/control/core/register/VersionedValue.java
@@ -21,14 +21,14 @@
     String digest,
     PVector<HistoryEntry> history,
     byte[] body,
-    AppliedChanges takenChanges,
+    AppliedChanges appliedChanges,
     PrefixSharing sharing) {
   public static final VersionedValue NONE =
       new VersionedValue(
           0, "", TreePVector.empty(), new byte[0], AppliedChanges.NONE, PrefixSharing.UNRECORDED);
 
   /** How many numbers are kept for people to look at. */
-  private static final int HISTORY_LENGTH = 32;
+  private static final int MAX_HISTORY_ENTRIES = 32;
 
   /** The value that follows this one, of a change that is not remembered and has no remarks. */
   public VersionedValue next(String nextDigest, byte[] nextBody) {
@@ -39,52 +39,57 @@
    * A change as its sender knows it. digest: of what was sent, in hex. base: what it builds on, as
    * the sender counts; see {@link AppliedChanges}.
    */
-  public record Sent(String digest, long base) {}
+  public record ChangeId(String digest, long base) {}
 
   /** The value that follows this one; base as its sender counts, who sent the value itself. */
   public VersionedValue next(
       String nextDigest, byte[] nextBody, long base, long takenAt, String takenBy, String summary) {
-    return next(nextDigest, nextBody, new Sent(nextDigest, base), takenAt, takenBy, summary);
+    return next(nextDigest, nextBody, new ChangeId(nextDigest, base), takenAt, takenBy, summary);
   }
 
   /** The value that follows this one; sent is by what the change is recognised later. */
   public VersionedValue next(
-      String nextDigest, byte[] nextBody, Sent sent, long takenAt, String takenBy, String summary) {
+      String nextDigest,
+      byte[] nextBody,
+      ChangeId sent,
+      long takenAt,
+      String takenBy,
+      String summary) {
     HistoryEntry entry = new HistoryEntry(number + 1, nextDigest, takenAt, takenBy, summary);
     PVector<HistoryEntry> longer = history.plus(entry);
     return new VersionedValue(
         number + 1,
         nextDigest,
-        longer.size() > HISTORY_LENGTH ? longer.minus(0) : longer,
+        longer.size() > MAX_HISTORY_ENTRIES ? longer.minus(0) : longer,
         nextBody,
-        takenChanges.plus(number + 1, sent.digest(), sent.base()),
+        appliedChanges.plus(number + 1, sent.digest(), sent.base()),
         PrefixSharing.UNRECORDED);
   }
 
   /** The same with a record of the prefixes that its tenants share. */
-  public VersionedValue with(PrefixSharing prefixSharing) {
-    return new VersionedValue(number, digest, history, body, takenChanges, prefixSharing);
+  public VersionedValue withSharing(PrefixSharing prefixSharing) {
+    return new VersionedValue(number, digest, history, body, appliedChanges, prefixSharing);
   }
 
   /** What is known of a change with this digest, sent on this base. */
-  public ChangeStatus fate(String otherDigest, long base) {
-    return takenNumber(otherDigest, base) > 0
+  public ChangeStatus statusOf(String otherDigest, long base) {
+    return appliedNumber(otherDigest, base) > 0
         ? ChangeStatus.APPLIED
-        : takenChanges.fate(otherDigest, base);
+        : appliedChanges.statusOf(otherDigest, base);
   }
 
   /**
    * The number under which such a change was taken, 0 for none. A newest value that isn't listed
    * was taken without a base, or before bases were kept: it is recognised by its digest alone.
    */
-  public long takenNumber(String otherDigest, long base) {
-    boolean newestIsListed = takenChanges.endsWith(number);
+  public long appliedNumber(String otherDigest, long base) {
+    boolean newestIsListed = appliedChanges.endsWith(number);
     if (number > 0 && !newestIsListed && digest.equals(otherDigest)) return number;
-    return takenChanges.numberOf(otherDigest, base);
+    return appliedChanges.numberOf(otherDigest, base);
   }
 
   /** What became of a number, for the sender of a change with this digest. */
-  public NumberStatus fateOfNumber(long asked, String otherDigest) {
+  public NumberStatus statusOfNumber(long asked, String otherDigest) {
     if (asked > number) return NumberStatus.NOT_ASSIGNED;
     String known = digestOf(asked);
     if (known.isEmpty()) return NumberStatus.EXPIRED;
@@ -93,7 +98,7 @@
 
   private String digestOf(long asked) {
     for (HistoryEntry entry : history) if (entry.number() == asked) return entry.digest();
-    for (AppliedChanges.AppliedChange taken : takenChanges.entries())
+    for (AppliedChanges.AppliedChange taken : appliedChanges.entries())
       if (taken.number() == asked) return taken.digest();
     return "";
   }
@@ -102,20 +107,20 @@
   public void write(DataOutputStream out) throws IOException {
     out.writeLong(number);
     out.writeUTF(digest);
-    WireRecord.list(
+    WireRecord.writeList(
         out,
         history,
         (o, entry) -> {
           o.writeLong(entry.number());
           o.writeUTF(entry.digest());
         });
-    WireRecord.blob(out, body);
+    WireRecord.writeBlob(out, body);
     for (HistoryEntry entry : history) {
-      out.writeLong(entry.takenAt());
-      out.writeUTF(entry.takenBy());
+      out.writeLong(entry.appliedAtMs());
+      out.writeUTF(entry.appliedBy());
       out.writeUTF(entry.summary());
     }
-    takenChanges.write(out);
+    appliedChanges.write(out);
     sharing.write(out);
   }
 
@@ -126,12 +131,12 @@
   public static VersionedValue read(DataInputStream in) throws IOException {
     long number = in.readLong();
     String digest = in.readUTF();
-    List<HistoryEntry> entries = WireRecord.list(in, HistoryEntry::readIdentity);
-    byte[] body = WireRecord.blob(in);
+    List<HistoryEntry> entries = WireRecord.readList(in, HistoryEntry::readNumberAndDigest);
+    byte[] body = WireRecord.readBlob(in);
     boolean hasRemarks = in.available() > 0;
     PVector<HistoryEntry> history = TreePVector.empty();
     for (HistoryEntry entry : entries)
-      history = history.plus(hasRemarks ? entry.readRemarks(in) : entry);
+      history = history.plus(hasRemarks ? entry.readMetadata(in) : entry);
     boolean hasTakenChanges = in.available() > 0;
     AppliedChanges taken = hasTakenChanges ? AppliedChanges.read(in) : AppliedChanges.NONE;
     PrefixSharing sharing = in.available() > 0 ? PrefixSharing.read(in) : PrefixSharing.UNRECORDED;
--- a/control-plane/src/main/java/gladelug/control/instances/HttpInstanceListSource.java
+++ b/control-plane/src/main/java/gladelug/control/instances/HttpInstanceListSource.java
@@ -5,8 +5,8 @@
 import gladelug.common.Result;
 import gladelug.common.configuration.Replicas;
 import gladelug.common.connection.BindAddress;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.RequestOptions;
@@ -20,10 +20,10 @@
   private static final long POLL_INTERVAL_MS = 250;
 
   /** The list as a whole: some hundred bytes for each replica. */
-  private static final int LIST_BYTES = 4 << 20;
+  private static final int MAX_LIST_BYTES = 4 << 20;
 
-  private final BoundedHttpCalls calls;
-  private final Address platform;
+  private final BoundedHttpClient calls;
+  private final Address platformAddress;
 
   /**
    * Opens no connection yet.
@@ -31,22 +31,25 @@
    * @param local the address that connections are opened from
    */
   public HttpInstanceListSource(Vertx vertx, BindAddress local, Address platform) {
-    this.platform = platform;
+    this.platformAddress = platform;
     calls =
-        new BoundedHttpCalls(
+        new BoundedHttpClient(
             vertx.getDelegate(),
             local.withLocalAddress(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS)),
-            MemoryBudget.ofAnswers());
+            MemoryBudget.forResponses());
   }
 
   @Override
-  public Uni<Result<Replicas>> list() {
+  public Uni<Result<Replicas>> fetchList() {
     RequestOptions target =
-        new RequestOptions().setHost(platform.host()).setPort(platform.port()).setURI("/replicas");
-    return calls.send(target, LIST_BYTES, LIST_TIMEOUT_MS).map(HttpInstanceListSource::parse);
+        new RequestOptions()
+            .setHost(platformAddress.host())
+            .setPort(platformAddress.port())
+            .setURI("/replicas");
+    return calls.send(target, MAX_LIST_BYTES, LIST_TIMEOUT_MS).map(HttpInstanceListSource::parse);
   }
 
-  private static Result<Replicas> parse(HttpAnswer answer) {
+  private static Result<Replicas> parse(BufferedHttpResponse answer) {
     try (answer) {
       return answer.status() == HTTP_OK
           ? Replicas.parse(answer.body().toString())
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListPoll.java
@@ -34,7 +34,7 @@
   /** Where lists are stored. */
   interface Store {
     /** Proposes a list on top of that number. */
-    Uni<ChangeResult> change(long number, byte[] list);
+    Uni<ChangeResult> propose(long number, byte[] list);
 
     /** A list that differs from the one stored under this number is about to be proposed. */
     void onListChanged(StoredList base, Replicas list);
@@ -51,10 +51,10 @@
    */
   static Uni<Result<Optional<ChangeResult>>> poll(
       StoredList base, Store store, Supplier<Uni<Result<Replicas>>> source) {
-    return source.get().flatMap(answer -> onAnswer(store, base, answer));
+    return source.get().flatMap(answer -> onPolled(store, base, answer));
   }
 
-  private static Uni<Result<Optional<ChangeResult>>> onAnswer(
+  private static Uni<Result<Optional<ChangeResult>>> onPolled(
       Store store, StoredList base, Result<Replicas> answer) {
     if (answer instanceof Result.Good<Replicas> good)
       return proposeIfChanged(store, base, good.value()).map(Result::good);
@@ -64,11 +64,11 @@
 
   private static Uni<Optional<ChangeResult>> proposeIfChanged(
       Store store, StoredList base, Replicas list) {
-    byte[] json = list.json().getBytes(StandardCharsets.UTF_8);
+    byte[] json = list.toJson().getBytes(StandardCharsets.UTF_8);
     if (base.exists() && Arrays.equals(base.list, json))
       return Uni.createFrom().item(Optional.empty());
     if (base.exists()) store.onListChanged(base, list);
-    return store.change(base.number, json).map(Optional::of);
+    return store.propose(base.number, json).map(Optional::of);
   }
 
   /**
@@ -78,14 +78,14 @@
    *
    * @return JSON, as it would be stored
    */
-  static byte[] narrowed(byte[] stored, Replicas polled) {
+  static byte[] retainListed(byte[] stored, Replicas polled) {
     List<Replica> remaining = new ArrayList<>();
     for (Replica replica : parse(stored)) {
       Replica latest = polled.find(replica.instance());
       if (latest != null && isSameEndpoint(replica, latest))
         remaining.add(withReadiness(replica, replica.ready() && latest.ready()));
     }
-    return new Replicas(remaining).json().getBytes(StandardCharsets.UTF_8);
+    return new Replicas(remaining).toJson().getBytes(StandardCharsets.UTF_8);
   }
 
   private static List<Replica> parse(byte[] stored) {
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListSource.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListSource.java
@@ -10,7 +10,7 @@
    * Asks for the whole list. Fails where the platform doesn't answer; an answer that makes no sense
    * is findings. May complete on any thread.
    */
-  Uni<Result<Replicas>> list();
+  Uni<Result<Replicas>> fetchList();
 
   /** How often it is asked, in ms. */
   long pollIntervalMs();
--- a/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
+++ b/control-plane/src/main/java/gladelug/control/instances/InstanceListWatcher.java
@@ -31,10 +31,10 @@
   private final Function<BindAddress, InstanceListSource> sourceFactory;
   private InstanceListSource source;
   private CoreService core;
-  private final PendingObservation pending = new PendingObservation();
+  private final PendingObservation pendingObservation = new PendingObservation();
   private final InstanceListPoll.Store store = new CoreStore();
-  private boolean pollInProgress;
-  private boolean platformFailing;
+  private boolean isPolling;
+  private boolean isPlatformFailing;
   private long timerId;
 
   /**
@@ -50,7 +50,7 @@
   @Override
   public void start(ServiceRegistry services) {
     core = services.find("core", CoreService.class);
-    source = sourceFactory.apply(services.find("doors", ConnectionAcceptor.class).local);
+    source = sourceFactory.apply(services.find("doors", ConnectionAcceptor.class).bindAddress);
     vertx
         .getOrCreateContext()
         .runOnContext(
@@ -58,15 +58,15 @@
   }
 
   private void poll() {
-    if (pollInProgress) return;
-    pollInProgress = true;
+    if (isPolling) return;
+    isPolling = true;
     core.ask(InstanceListWatcher::storedListIfOwner)
-        .flatMap(stored -> stored.isPresent() ? pollPlatform(stored.get()) : offerPending())
+        .flatMap(stored -> stored.isPresent() ? pollPlatform(stored.get()) : proposePending())
         .ifNoItem()
         .after(POLL_TIMEOUT)
         .fail()
         .subscribe()
-        .with(ignored -> pollInProgress = false, this::onPollFailed);
+        .with(ignored -> isPolling = false, this::onPollFailed);
   }
 
   /** The list as this member stores it, where it owns the key. On the core's thread. */
@@ -77,51 +77,51 @@
   }
 
   private Uni<?> pollPlatform(StoredList stored) {
-    return InstanceListPoll.poll(stored, store, source::list)
+    return InstanceListPoll.poll(stored, store, source::fetchList)
         .invoke(this::onPolled)
         .onFailure()
-        .call(failure -> offerPending());
+        .call(failure -> proposePending());
   }
 
   /** Offers the owner of the key what this member observed and nobody accepted. */
-  private Uni<?> offerPending() {
-    Optional<PendingObservation.Offer> offer = pending.offer(core.now());
+  private Uni<?> proposePending() {
+    Optional<PendingObservation.Proposal> offer = pendingObservation.findProposal(core.nowMs());
     if (offer.isEmpty()) return Uni.createFrom().nullItem();
     return core.change(StateKeys.REPLICAS, offer.get().baseNumber(), offer.get().value())
-        .invoke(pending::onChangeResult);
+        .invoke(pendingObservation::onChangeResult);
   }
 
   private void onPolled(Result<Optional<ChangeResult>> outcome) {
     if (outcome instanceof Result.Bad<Optional<ChangeResult>> bad) {
-      if (!platformFailing) Log.warn("platform-list-refused", "findings", bad.toString());
-      platformFailing = true;
+      if (!isPlatformFailing) Log.warn("platform-list-refused", "findings", bad.toString());
+      isPlatformFailing = true;
       return;
     }
-    if (platformFailing) Log.event("platform-back");
-    platformFailing = false;
+    if (isPlatformFailing) Log.event("platform-back");
+    isPlatformFailing = false;
   }
 
   /** A failure of any kind: the platform, or the core, is asked again at the next poll. */
   private void onPollFailed(Throwable failure) {
-    pollInProgress = false;
-    if (!platformFailing) Log.warn("platform-silent", "what", failure.toString());
-    platformFailing = true;
+    isPolling = false;
+    if (!isPlatformFailing) Log.warn("platform-silent", "what", failure.toString());
+    isPlatformFailing = true;
   }
 
   private final class CoreStore implements InstanceListPoll.Store {
     @Override
     public void onListChanged(StoredList base, Replicas list) {
-      byte[] narrowed = InstanceListPoll.narrowed(base.list(), list);
-      pending.observe(base.number(), narrowed, core.now());
+      byte[] narrowed = InstanceListPoll.retainListed(base.list(), list);
+      pendingObservation.observe(base.number(), narrowed, core.nowMs());
     }
 
     @Override
-    public Uni<ChangeResult> change(long number, byte[] list) {
+    public Uni<ChangeResult> propose(long number, byte[] list) {
       return core.change(StateKeys.REPLICAS, number, list).invoke(this::onChangeResult);
     }
 
     private void onChangeResult(ChangeResult result) {
-      pending.onChangeResult(result);
+      pendingObservation.onChangeResult(result);
       if (result instanceof ChangeResult.Acknowledged acknowledged) logAcknowledged(acknowledged);
       else Log.event("replicas-not-listed", "answer", result);
     }
--- a/control-plane/src/main/java/gladelug/control/instances/PendingObservation.java
+++ b/control-plane/src/main/java/gladelug/control/instances/PendingObservation.java
@@ -19,19 +19,19 @@
    * @param baseNumber the version of the key's value that it was based on
    * @param value the observed value
    */
-  public record Offer(long baseNumber, byte[] value) {}
+  public record Proposal(long baseNumber, byte[] value) {}
 
-  private Optional<Offer> pending = Optional.empty();
+  private Optional<Proposal> pending = Optional.empty();
   private long observedAtMs;
 
   /** Something newer was observed, on this version of the key's value. */
   public void observe(long baseNumber, byte[] value, long nowMs) {
-    pending = Optional.of(new Offer(baseNumber, value));
+    pending = Optional.of(new Proposal(baseNumber, value));
     observedAtMs = nowMs;
   }
 
   /** What is to be offered again, empty where nothing is pending. */
-  public Optional<Offer> offer(long nowMs) {
+  public Optional<Proposal> findProposal(long nowMs) {
     if (nowMs - observedAtMs > MAX_AGE_MS) pending = Optional.empty();
     return pending;
   }
--- a/control-plane/src/main/java/gladelug/control/operator/ChangeHistoryHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/ChangeHistoryHandler.java
@@ -26,37 +26,37 @@
         .with(
             changes -> {
               JsonArray array = new JsonArray();
-              for (ChangeRecord change : changes) array.add(json(change));
+              for (ChangeRecord change : changes) array.add(toJson(change));
               JsonResponses.send(context, 200, Json.object().add("key", key).add("numbers", array));
             },
             failure -> context.fail(500, failure));
   }
 
-  private static JsonObject json(ChangeRecord change) {
+  private static JsonObject toJson(ChangeRecord change) {
     JsonObject firstSeenAt = Json.object();
-    change.firstSeenAt().forEach((name, atMs) -> firstSeenAt.add(name, stamp(atMs)));
+    change.firstSeenAt().forEach((name, atMs) -> firstSeenAt.add(name, formatTime(atMs)));
     return Json.object()
         .add("number", change.number())
         .add("digest", change.digest())
-        .add("taken", stampOrEmpty(change.appliedAt()))
+        .add("taken", formatTimeOrEmpty(change.appliedAt()))
         .add("by", change.appliedBy())
         .add("changed", change.summary())
-        .add("acknowledged", stampOrEmpty(change.acknowledgedAt()))
+        .add("acknowledged", formatTimeOrEmpty(change.acknowledgedAt()))
         .add("firstSeenAt", firstSeenAt);
   }
 
-  private static String stampOrEmpty(long atMs) {
-    return atMs == 0 ? "" : stamp(atMs);
+  private static String formatTimeOrEmpty(long atMs) {
+    return atMs == 0 ? "" : formatTime(atMs);
   }
 
-  private static String stamp(long atMs) {
+  private static String formatTime(long atMs) {
     return Instant.ofEpochMilli(atMs).toString();
   }
 
   /** What became of a change that was sent under a number, by the digest of its bytes. */
   void showOutcome(RoutingContext context, String key) {
     String digest = context.request().getParam("digest");
-    long number = positive(context.pathParam("number"));
+    long number = parsePositive(context.pathParam("number"));
     if (number == 0 || digest == null) {
       JsonResponses.sendFindings(
           context,
@@ -69,12 +69,12 @@
     core.readNewest(key)
         .subscribe()
         .with(
-            newest -> JsonResponses.send(context, 200, outcome(newest, number, digest)),
+            newest -> JsonResponses.send(context, 200, outcomeJson(newest, number, digest)),
             failure -> context.fail(500, failure));
   }
 
   /** A number from 1, or 0 for anything else. */
-  private static long positive(String text) {
+  private static long parsePositive(String text) {
     try {
       return Math.max(0, Long.parseLong(text));
     } catch (NumberFormatException e) {
@@ -82,11 +82,11 @@
     }
   }
 
-  private static JsonObject outcome(ReadResult newest, long number, String digest) {
+  private static JsonObject outcomeJson(ReadResult newest, long number, String digest) {
     String fate =
-        !newest.owned()
+        !newest.hasOwner()
             ? "unknown"
-            : switch (newest.fateOfNumber(number, digest)) {
+            : switch (newest.statusOfNumber(number, digest)) {
               case APPLIED -> "taken";
               case OTHER_CHANGE -> "other";
               case NOT_ASSIGNED -> "not-yet";
--- a/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/ConfigurationHandler.java
@@ -22,7 +22,7 @@
 
   /** Replaces the configuration by the one that was sent, if that is valid. */
   void replace(RoutingContext context) {
-    IfMatch ifMatch = IfMatch.of(context);
+    IfMatch ifMatch = IfMatch.parse(context);
     if (ifMatch.kind() == IfMatch.Kind.ABSENT) {
       JsonResponses.sendNotApplied(
           context,
@@ -35,12 +35,12 @@
     Result<Configuration> parsed =
         ifMatch.kind() == IfMatch.Kind.INVALID
             ? Result.bad(IfMatch.INVALID_FINDING.place(), IfMatch.INVALID_FINDING.what())
-            : LocatedJson.text(body).then(Configuration::parse);
+            : LocatedJson.decodeUtf8(body).flatMap(Configuration::parse);
     if (parsed instanceof Result.Bad<Configuration> bad) {
       JsonResponses.sendFindings(context, bad.findings());
       return;
     }
-    core.change(ChangeRequest.onNumber(StateKeys.CONFIGURATION, ifMatch.number(), body))
+    core.change(ChangeRequest.basedOnNumber(StateKeys.CONFIGURATION, ifMatch.number(), body))
         .ifNoItem()
         .after(CHANGE_TIMEOUT)
         .recoverWithItem(
@@ -58,7 +58,7 @@
         .subscribe()
         .with(
             newest -> {
-              if (newest.owned()) JsonResponses.sendValue(context, newest);
+              if (newest.hasOwner()) JsonResponses.sendValue(context, newest);
               else JsonResponses.sendNoOwner(context);
             },
             failure -> context.fail(500, failure));
--- a/control-plane/src/main/java/gladelug/control/operator/IfMatch.java
+++ b/control-plane/src/main/java/gladelug/control/operator/IfMatch.java
@@ -32,7 +32,7 @@
 
   private static final Pattern NUMBER = Pattern.compile("\"(\\d{1,18})\"|(\\d{1,18})");
 
-  static IfMatch of(RoutingContext context) {
+  static IfMatch parse(RoutingContext context) {
     String header = context.request().getHeader("If-Match");
     if (header == null) return new IfMatch(Kind.ABSENT, ANY_NUMBER);
     if (header.trim().equals("*")) return new IfMatch(Kind.ANY, ANY_NUMBER);
--- a/control-plane/src/main/java/gladelug/control/operator/JsonResponses.java
+++ b/control-plane/src/main/java/gladelug/control/operator/JsonResponses.java
@@ -37,7 +37,7 @@
 
   /** Nothing was changed, for this reason. */
   static void sendNotApplied(RoutingContext context, int status, String reason) {
-    send(context, status, notApplied().add("reason", reason));
+    send(context, status, notAppliedBody().add("reason", reason));
   }
 
   /** Whether it was applied isn't known. */
@@ -60,14 +60,14 @@
     JsonArray array = new JsonArray();
     for (Finding finding : findings)
       array.add(Json.object().add("place", finding.place()).add("what", finding.what()));
-    send(context, 400, notApplied().add("findings", array));
+    send(context, 400, notAppliedBody().add("findings", array));
   }
 
   /** A key's newest value with its number; without a value where there never was one. */
   static void sendValue(RoutingContext context, ReadResult newest) {
     context.response().putHeader("ETag", entityTag(newest.number()));
     JsonObject body = Json.object().add("number", newest.number());
-    if (newest.number() > 0) body.add("value", Json.parse(text(newest)));
+    if (newest.number() > 0) body.add("value", Json.parse(bodyText(newest)));
     send(context, 200, body);
   }
 
@@ -80,7 +80,7 @@
       send(
           context,
           412,
-          notApplied()
+          notAppliedBody()
               .add("reason", "it was based on another number")
               .add("current", conflict.current()));
     else if (result instanceof ChangeResult.Unknown unknown)
@@ -115,7 +115,7 @@
             .add("waitedMs", acknowledged.waited()));
   }
 
-  private static JsonObject notApplied() {
+  private static JsonObject notAppliedBody() {
     return Json.object().add("outcome", "not-taken");
   }
 
@@ -124,7 +124,7 @@
   }
 
   /** The value that was read, as text. */
-  static String text(ReadResult newest) {
+  static String bodyText(ReadResult newest) {
     return new String(newest.body(), StandardCharsets.UTF_8);
   }
 }
--- a/control-plane/src/main/java/gladelug/control/operator/MemberReplacementHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/MemberReplacementHandler.java
@@ -16,15 +16,16 @@
     this.core = core;
   }
 
-  private record Replacement(String out, String in) {
-    static Result<Replacement> parse(String body) {
+  private record ReplacementRequest(String out, String in) {
+    static Result<ReplacementRequest> parse(String body) {
       return LocatedJson.parse(body == null ? "" : body)
-          .then(
+          .flatMap(
               json -> {
                 Findings findings = new Findings();
                 LocatedJson.Fields fields = json.fields(findings);
-                Replacement replacement = new Replacement(fields.text("out"), fields.text("in"));
-                fields.done();
+                ReplacementRequest replacement =
+                    new ReplacementRequest(fields.text("out"), fields.text("in"));
+                fields.reportUnknownFields();
                 return Result.of(findings, () -> replacement);
               });
     }
@@ -32,12 +33,12 @@
 
   /** Begins the replacement; answers before it is through. */
   void replace(RoutingContext context) {
-    Result<Replacement> body = Replacement.parse(context.body().asString());
-    if (body instanceof Result.Bad<Replacement> bad) {
+    Result<ReplacementRequest> body = ReplacementRequest.parse(context.body().asString());
+    if (body instanceof Result.Bad<ReplacementRequest> bad) {
       JsonResponses.sendFindings(context, bad.findings());
       return;
     }
-    Replacement replacement = ((Result.Good<Replacement>) body).value();
+    ReplacementRequest replacement = ((Result.Good<ReplacementRequest>) body).value();
     core.ask(
             member ->
                 member.replaceMember(
--- a/control-plane/src/main/java/gladelug/control/operator/OperatorEndpoint.java
+++ b/control-plane/src/main/java/gladelug/control/operator/OperatorEndpoint.java
@@ -38,7 +38,7 @@
   private final Vertx vertx;
   private final Address address;
   private HttpServer server;
-  private StatusHandler status;
+  private StatusHandler statusHandler;
 
   private record Route(HttpMethod method, String path, Consumer<RoutingContext> handler) {}
 
@@ -55,7 +55,7 @@
   @Override
   public void start(ServiceRegistry registry) {
     CoreService core = registry.find("core", CoreService.class);
-    BindAddress local = registry.find("doors", ConnectionAcceptor.class).local;
+    BindAddress local = registry.find("doors", ConnectionAcceptor.class).bindAddress;
     WebClient client =
         WebClient.create(
             vertx,
@@ -63,20 +63,20 @@
                 new WebClientOptions()
                     .setConnectTimeout(CONNECT_TIMEOUT_MS)
                     .setFollowRedirects(false)));
-    status = new StatusHandler(core);
+    statusHandler = new StatusHandler(core);
     Router router = Router.router(vertx);
     router.route().handler(BodyHandler.create(false).setBodyLimit(JsonResponses.MAX_BODY_BYTES));
     OwnerForwarding forwarding = new OwnerForwarding(core, client);
     ConfigurationHandler configuration = new ConfigurationHandler(core);
     ChangeHistoryHandler history = new ChangeHistoryHandler(core);
     for (String path : CONFIGURATION_PATHS)
-      add(router, configurationRoutes(path, configuration, history, forwarding));
-    add(router, routes(core, client, configuration, history, forwarding));
+      addRoutes(router, configurationRoutes(path, configuration, history, forwarding));
+    addRoutes(router, routes(core, client, configuration, history, forwarding));
     addErrorHandlers(router);
     listen(router, local);
   }
 
-  private static void add(Router router, List<Route> routes) {
+  private static void addRoutes(Router router, List<Route> routes) {
     for (Route route : routes) router.route(route.method, route.path).handler(route.handler);
   }
 
@@ -89,9 +89,9 @@
     WeightNamingHandler weights = new WeightNamingHandler(core, client);
     MemberReplacementHandler replacement = new MemberReplacementHandler(core);
     return List.of(
-        new Route(HttpMethod.GET, "/ready", status::showReadiness),
-        new Route(HttpMethod.GET, "/v1/status", status::showStatus),
-        new Route(HttpMethod.POST, "/v1/weights", weights::name),
+        new Route(HttpMethod.GET, "/ready", statusHandler::showReadiness),
+        new Route(HttpMethod.GET, "/v1/status", statusHandler::showStatus),
+        new Route(HttpMethod.POST, "/v1/weights", weights::nameWeights),
         new Route(
             HttpMethod.GET,
             "/v1/weights",
@@ -99,7 +99,7 @@
         new Route(
             HttpMethod.GET,
             "/v1/weights/numbers",
-            context -> showChanges(context, StateKeys.WEIGHTS, history, forwarding)),
+            context -> showChangesAtOwner(context, StateKeys.WEIGHTS, history, forwarding)),
         new Route(
             HttpMethod.GET,
             "/v1/replicas",
@@ -107,7 +107,7 @@
         new Route(
             HttpMethod.POST,
             "/v1/core/swap",
-            context -> forwarding.atOwner(context, StateKeys.CORE, replacement::replace)));
+            context -> forwarding.handleAtOwner(context, StateKeys.CORE, replacement::replace)));
   }
 
   private static List<Route> configurationRoutes(
@@ -122,19 +122,19 @@
         new Route(
             HttpMethod.GET,
             path + "/numbers",
-            context -> showChanges(context, key, history, forwarding)),
+            context -> showChangesAtOwner(context, key, history, forwarding)),
         new Route(
             HttpMethod.GET,
             path + "/numbers/:number",
             context -> history.showOutcome(context, key)));
   }
 
-  private static void showChanges(
+  private static void showChangesAtOwner(
       RoutingContext context,
       String key,
       ChangeHistoryHandler history,
       OwnerForwarding forwarding) {
-    forwarding.atConfirmedOwner(context, key, owned -> history.showChanges(owned, key));
+    forwarding.handleAtConfirmedOwner(context, key, owned -> history.showChanges(owned, key));
   }
 
   private static void addErrorHandlers(Router router) {
@@ -168,13 +168,17 @@
     } catch (RuntimeException e) {
       // whatever keeps the port from being opened is a fault of the machine or its settings
       throw new ServiceRegistry.StartupException(
-          "cannot listen for operators on " + address + ": " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for operators on "
+              + address
+              + ": "
+              + ConnectionAcceptor.rootCauseMessage(e),
+          e);
     }
   }
 
   @Override
   public void stop() {
-    status.stopping();
+    statusHandler.markStopping();
     server.closeAndForget();
   }
 }
--- a/control-plane/src/main/java/gladelug/control/operator/OwnerForwarding.java
+++ b/control-plane/src/main/java/gladelug/control/operator/OwnerForwarding.java
@@ -21,7 +21,7 @@
   private static final long TIMEOUT_MS = 5000;
 
   /** Where the owner is: this member; what no address can be: not known. */
-  private static final String HERE = "", NOT_KNOWN = "none";
+  private static final String THIS_MEMBER = "", UNKNOWN_OWNER = "none";
 
   private final CoreService core;
   private final WebClient client;
@@ -32,16 +32,17 @@
   }
 
   /**
-   * As {@link #atOwner}, once a majority has confirmed after the question that the owner still is
-   * one; an owner that is cut off has not yet learned of its successor.
+   * As {@link #handleAtOwner}, once a majority has confirmed after the question that the owner
+   * still is one; an owner that is cut off has not yet learned of its successor.
    */
-  void atConfirmedOwner(RoutingContext context, String key, Consumer<RoutingContext> handler) {
-    atOwner(
+  void handleAtConfirmedOwner(
+      RoutingContext context, String key, Consumer<RoutingContext> handler) {
+    handleAtOwner(
         context,
         key,
         owned ->
             core.readNewest(key)
-                .flatMap(newest -> core.ask(member -> newest.owned() && member.owns(key)))
+                .flatMap(newest -> core.ask(member -> newest.hasOwner() && member.owns(key)))
                 .subscribe()
                 .with(
                     confirmed -> {
@@ -52,21 +53,21 @@
   }
 
   /** Runs the handler where this member owns the key, else answers as the owner does. */
-  void atOwner(RoutingContext context, String key, Consumer<RoutingContext> handler) {
-    core.ask(member -> ownerOf(member, key))
+  void handleAtOwner(RoutingContext context, String key, Consumer<RoutingContext> handler) {
+    core.ask(member -> findOwner(member, key))
         .subscribe()
         .with(
             owner -> {
               boolean forwarded = context.request().getHeader(FORWARDED_HEADER) != null;
-              if (owner.equals(HERE)) handler.accept(context);
-              else if (owner.equals(NOT_KNOWN) || forwarded) JsonResponses.sendNoOwner(context);
+              if (owner.equals(THIS_MEMBER)) handler.accept(context);
+              else if (owner.equals(UNKNOWN_OWNER) || forwarded) JsonResponses.sendNoOwner(context);
               else forward(context, owner);
             },
             failure -> context.fail(500, failure));
   }
 
-  private static String ownerOf(CoreMember member, String key) {
-    if (member.owns(key)) return HERE;
+  private static String findOwner(CoreMember member, String key) {
+    if (member.owns(key)) return THIS_MEMBER;
     String name =
         member.keyStatuses().stream()
             .filter(status -> status.key().equals(key))
@@ -74,7 +75,7 @@
             .findFirst()
             .orElse("");
     MemberSet.Member owner = member.members().find(name);
-    return owner == null ? NOT_KNOWN : owner.operator().toString();
+    return owner == null ? UNKNOWN_OWNER : owner.operatorAddress().toString();
   }
 
   private void forward(RoutingContext context, String owner) {
@@ -89,13 +90,13 @@
     (body == null ? request.send() : request.sendBuffer(body))
         .subscribe()
         .with(
-            response -> passOn(context, response),
+            response -> copyResponse(context, response),
             failure ->
                 JsonResponses.sendUnknown(
                     context, 504, "the owner at " + owner + " did not answer"));
   }
 
-  private static void passOn(RoutingContext context, HttpResponse<Buffer> response) {
+  private static void copyResponse(RoutingContext context, HttpResponse<Buffer> response) {
     if (response.getHeader("ETag") != null)
       context.response().putHeader("ETag", response.getHeader("ETag"));
     context
--- a/control-plane/src/main/java/gladelug/control/operator/StatusHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/StatusHandler.java
@@ -15,15 +15,15 @@
 /** This member's view of members, keys and subscribers, and whether it is ready to serve. */
 final class StatusHandler {
   private final CoreService core;
-  private volatile boolean stopping;
+  private volatile boolean isStopping;
 
   StatusHandler(CoreService core) {
     this.core = core;
   }
 
   /** From now on this machine is not ready. */
-  void stopping() {
-    stopping = true;
+  void markStopping() {
+    isStopping = true;
   }
 
   /** 200 while this member knows the members and a majority of them is in reach, else 503. */
@@ -32,9 +32,9 @@
         .subscribe()
         .with(
             majority -> {
-              boolean ready = majority && !stopping;
+              boolean ready = majority && !isStopping;
               String reason =
-                  stopping ? "stopping" : majority ? "" : "no majority of the core is in reach";
+                  isStopping ? "stopping" : majority ? "" : "no majority of the core is in reach";
               JsonResponses.send(
                   context,
                   ready ? 200 : 503,
@@ -44,14 +44,14 @@
   }
 
   private static boolean reachesMajority(CoreMember member) {
-    return member.settled()
-        && member.membersAlive().values().stream().filter(alive -> alive).count()
+    return member.isInitialized()
+        && member.memberLiveness().values().stream().filter(alive -> alive).count()
             > member.members().all().size() / 2;
   }
 
   /** All this member knows, in one answer; 503 where it takes no part in the core. */
   void showStatus(RoutingContext context) {
-    core.ask(this::status)
+    core.ask(this::statusJson)
         .subscribe()
         .with(
             status ->
@@ -59,32 +59,32 @@
             failure -> context.fail(500, failure));
   }
 
-  private JsonObject status(CoreMember member) {
+  private JsonObject statusJson(CoreMember member) {
     return Json.object()
         .add("generation", member.members().generation())
-        .add("members", members(member))
-        .add("keys", keys(member))
-        .add("wouldJoin", joiners(member))
-        .add("sealed", member.sealed())
-        .add("retired", member.retired())
-        .add("active", member.active())
-        .add("nodes", subscribers(member));
+        .add("members", membersJson(member))
+        .add("keys", keysJson(member))
+        .add("wouldJoin", joinCandidatesJson(member))
+        .add("sealed", member.isSealed())
+        .add("retired", member.isRetired())
+        .add("active", member.isActive())
+        .add("nodes", subscribersJson(member));
   }
 
-  private static JsonArray members(CoreMember member) {
-    Map<String, Boolean> alive = member.membersAlive();
+  private static JsonArray membersJson(CoreMember member) {
+    Map<String, Boolean> alive = member.memberLiveness();
     JsonArray array = new JsonArray();
     for (MemberSet.Member other : member.members().all())
       array.add(
           Json.object()
               .add("name", other.name())
-              .add("records", other.records().toString())
-              .add("operator", other.operator().toString())
+              .add("records", other.recordsAddress().toString())
+              .add("operator", other.operatorAddress().toString())
               .add("alive", alive.getOrDefault(other.name(), false)));
     return array;
   }
 
-  private static JsonArray keys(CoreMember member) {
+  private static JsonArray keysJson(CoreMember member) {
     JsonArray array = new JsonArray();
     for (KeyStatus key : member.keyStatuses())
       array.add(
@@ -99,15 +99,17 @@
     return array;
   }
 
-  private static JsonArray joiners(CoreMember member) {
+  private static JsonArray joinCandidatesJson(CoreMember member) {
     JsonArray array = new JsonArray();
     for (MemberSet.Member joiner : member.joinCandidates())
       array.add(
-          Json.object().add("name", joiner.name()).add("records", joiner.records().toString()));
+          Json.object()
+              .add("name", joiner.name())
+              .add("records", joiner.recordsAddress().toString()));
     return array;
   }
 
-  private JsonArray subscribers(CoreMember member) {
+  private JsonArray subscribersJson(CoreMember member) {
     JsonArray array = new JsonArray();
     for (SubscriberStatus subscriber : member.subscribers()) {
       JsonObject versions = Json.object();
@@ -118,15 +120,15 @@
                 .add("number", version.number())
                 .add(
                     "forMs",
-                    core.now()
-                        - subscriber.versionSince().getOrDefault(version.key(), core.now())));
+                    core.nowMs()
+                        - subscriber.versionSinceMs().getOrDefault(version.key(), core.nowMs())));
       array.add(
           Json.object()
               .add("name", subscriber.name())
               .add("role", subscriber.role())
               .add("domain", subscriber.zone())
               .add("operator", subscriber.operatorAddress())
-              .add("askedMsAgo", core.now() - subscriber.lastRequestAt())
+              .add("askedMsAgo", core.nowMs() - subscriber.lastRequestAtMs())
               .add("holds", versions));
     }
     return array;
--- a/control-plane/src/main/java/gladelug/control/operator/WeightNamingHandler.java
+++ b/control-plane/src/main/java/gladelug/control/operator/WeightNamingHandler.java
@@ -35,81 +35,84 @@
     this.client = client;
   }
 
-  private record Naming(String service, String weights) {
-    static Result<Naming> parse(String body) {
+  private record NamingRequest(String service, String weights) {
+    static Result<NamingRequest> parse(String body) {
       return LocatedJson.parse(body == null ? "" : body)
-          .then(
+          .flatMap(
               json -> {
                 Findings findings = new Findings();
                 LocatedJson.Fields fields = json.fields(findings);
-                Naming naming = new Naming(fields.text("service"), fields.text("weights"));
-                fields.done();
+                NamingRequest naming =
+                    new NamingRequest(fields.text("service"), fields.text("weights"));
+                fields.reportUnknownFields();
                 return Result.of(findings, () -> naming);
               });
     }
   }
 
   /** Names weights; If-Match may hold the number of the weights it is based on. */
-  void name(RoutingContext context) {
-    Result<Naming> body = Naming.parse(context.body().asString());
-    IfMatch ifMatch = IfMatch.of(context);
-    if (body instanceof Result.Bad<Naming> bad) JsonResponses.sendFindings(context, bad.findings());
+  void nameWeights(RoutingContext context) {
+    Result<NamingRequest> body = NamingRequest.parse(context.body().asString());
+    IfMatch ifMatch = IfMatch.parse(context);
+    if (body instanceof Result.Bad<NamingRequest> bad)
+      JsonResponses.sendFindings(context, bad.findings());
     else if (ifMatch.kind() == IfMatch.Kind.INVALID)
       JsonResponses.sendFindings(context, List.of(IfMatch.INVALID_FINDING));
-    else checkAndName(context, ((Result.Good<Naming>) body).value(), ifMatch);
+    else checkAndName(context, ((Result.Good<NamingRequest>) body).value(), ifMatch);
   }
 
   /** Names weights that a replica offers, judged by what a majority confirms to be current. */
-  private void checkAndName(RoutingContext context, Naming naming, IfMatch ifMatch) {
+  private void checkAndName(RoutingContext context, NamingRequest naming, IfMatch ifMatch) {
     Uni.combine()
         .all()
         .unis(core.readNewest(StateKeys.CONFIGURATION), core.readNewest(StateKeys.REPLICAS))
         .asTuple()
         .flatMap(
             read -> {
-              if (!read.getItem1().owned() || !read.getItem2().owned()) {
+              if (!read.getItem1().hasOwner() || !read.getItem2().hasOwner()) {
                 JsonResponses.sendNoOwner(context);
                 return Uni.createFrom().<ChangeResult>nullItem();
               }
-              return check(naming, configuration(read.getItem1()), replicas(read.getItem2()))
-                  .flatMap(finding -> nameUnless(finding, context, naming, ifMatch));
+              return findProblem(
+                      naming, parseConfiguration(read.getItem1()), parseReplicas(read.getItem2()))
+                  .flatMap(finding -> nameIfValid(finding, context, naming, ifMatch));
             })
         .subscribe()
         .with(answer -> {}, failure -> context.fail(500, failure));
   }
 
-  private Uni<ChangeResult> nameUnless(
-      Optional<Finding> finding, RoutingContext context, Naming naming, IfMatch ifMatch) {
+  private Uni<ChangeResult> nameIfValid(
+      Optional<Finding> finding, RoutingContext context, NamingRequest naming, IfMatch ifMatch) {
     if (finding.isPresent()) {
       JsonResponses.sendFindings(context, List.of(finding.get()));
       return Uni.createFrom().nullItem();
     }
-    return write(naming, ifMatch, MAX_RETRIES)
+    return proposeNaming(naming, ifMatch, MAX_RETRIES)
         .invoke(result -> JsonResponses.sendChangeResult(context, result));
   }
 
-  private static Configuration configuration(ReadResult newest) {
-    return Configuration.parse(JsonResponses.text(newest))
+  private static Configuration parseConfiguration(ReadResult newest) {
+    return Configuration.parse(JsonResponses.bodyText(newest))
             instanceof Result.Good<Configuration> good
         ? good.value()
         : Configuration.EMPTY;
   }
 
-  private static Replicas replicas(ReadResult newest) {
-    return Replicas.parse(JsonResponses.text(newest)) instanceof Result.Good<Replicas> good
+  private static Replicas parseReplicas(ReadResult newest) {
+    return Replicas.parse(JsonResponses.bodyText(newest)) instanceof Result.Good<Replicas> good
         ? good.value()
         : Replicas.NONE;
   }
 
-  private static Weights weights(ReadResult newest) {
-    return Weights.parse(JsonResponses.text(newest)) instanceof Result.Good<Weights> good
+  private static Weights parseWeights(ReadResult newest) {
+    return Weights.parse(JsonResponses.bodyText(newest)) instanceof Result.Good<Weights> good
         ? good.value()
         : Weights.NONE;
   }
 
   /** What speaks against naming the weights. */
-  private Uni<Optional<Finding>> check(
-      Naming naming, Configuration configuration, Replicas replicas) {
+  private Uni<Optional<Finding>> findProblem(
+      NamingRequest naming, Configuration configuration, Replicas replicas) {
     Configuration.Service service = configuration.service(naming.service);
     if (service == null || service.kind() != Configuration.Kind.MODEL)
       return Uni.createFrom()
@@ -133,7 +136,7 @@
 
   /** Whether any listed replica says it could run these weights. */
   private Uni<Boolean> anyReplicaOffers(
-      Naming naming, Configuration.Service service, Replicas replicas) {
+      NamingRequest naming, Configuration.Service service, Replicas replicas) {
     List<Uni<Boolean>> calls = new ArrayList<>();
     for (Replicas.Replica replica : replicas.all)
       if (replica.service().equals(naming.service) && service.allows(replica.address()))
@@ -160,25 +163,25 @@
         .recoverWithItem(false);
   }
 
-  private Uni<ChangeResult> write(Naming naming, IfMatch ifMatch, int retries) {
+  private Uni<ChangeResult> proposeNaming(NamingRequest naming, IfMatch ifMatch, int retries) {
     return core.readNewest(StateKeys.WEIGHTS)
         .flatMap(
             newest -> {
-              if (!newest.owned()) return Uni.createFrom().item(new ChangeResult.NoOwner());
-              Weights current = weights(newest);
-              Weights.Named named = current.of(naming.service);
+              if (!newest.hasOwner()) return Uni.createFrom().item(new ChangeResult.NoOwner());
+              Weights current = parseWeights(newest);
+              Weights.Assignment named = current.of(naming.service);
               long base = ifMatch.hasNumber() ? ifMatch.number() : newest.number();
               Weights next =
-                  named != null && named.now().equals(naming.weights)
+                  named != null && named.current().equals(naming.weights)
                       ? current
-                      : current.naming(naming.service, naming.weights, base + 1);
+                      : current.withAssignment(naming.service, naming.weights, base + 1);
               return core.change(
-                  StateKeys.WEIGHTS, base, next.json().getBytes(StandardCharsets.UTF_8));
+                  StateKeys.WEIGHTS, base, next.toJson().getBytes(StandardCharsets.UTF_8));
             })
         .flatMap(
             result ->
                 result instanceof ChangeResult.Conflict && !ifMatch.hasNumber() && retries > 0
-                    ? write(naming, ifMatch, retries - 1)
+                    ? proposeNaming(naming, ifMatch, retries - 1)
                     : Uni.createFrom().item(result));
   }
 }
--- a/control-plane/src/main/java/gladelug/control/rollout/HttpReplicaCommands.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/HttpReplicaCommands.java
@@ -4,8 +4,8 @@
 import gladelug.common.MemoryBudget;
 import gladelug.common.configuration.Replicas.Replica;
 import gladelug.common.connection.BindAddress;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.RequestOptions;
@@ -24,10 +24,10 @@
   private static final int CONNECTIONS_PER_REPLICA = 2;
 
   /** What a replica says of itself is a few fields. */
-  private static final int STATE_BYTES = 1 << 16;
+  private static final int MAX_STATE_BYTES = 1 << 16;
 
-  private final BoundedHttpCalls calls;
-  private final ReplicaCommandCall commandCall;
+  private final BoundedHttpClient calls;
+  private final ReplicaCommandCall orderCall;
 
   /**
    * Opens no connection yet.
@@ -36,14 +36,14 @@
    */
   public HttpReplicaCommands(Vertx vertx, BindAddress local) {
     calls =
-        new BoundedHttpCalls(
+        new BoundedHttpClient(
             vertx.getDelegate(),
             local.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(CONNECT_TIMEOUT_MS)
                     .setMaxPoolSize(CONNECTIONS_PER_REPLICA)),
-            MemoryBudget.ofAnswers());
-    commandCall = new ReplicaCommandCall(vertx, local);
+            MemoryBudget.forResponses());
+    orderCall = new ReplicaCommandCall(vertx, local);
   }
 
   @Override
@@ -59,18 +59,17 @@
             .setPort(replica.address().port())
             .setURI("/identity");
     return calls
-        .send(target, STATE_BYTES, STATE_TIMEOUT_MS)
-        .map(answer -> reportedState(replica, answer));
+        .send(target, MAX_STATE_BYTES, STATE_TIMEOUT_MS)
+        .map(answer -> parseState(replica, answer));
   }
 
-  private static ReportedState reportedState(Replica replica, HttpAnswer answer) {
+  private static ReportedState parseState(Replica replica, BufferedHttpResponse answer) {
     try (answer) {
-      return reportedState(
-          replica, answer.status() == HTTP_OK ? new JsonObject(answer.body()) : null);
+      return parseState(replica, answer.status() == HTTP_OK ? new JsonObject(answer.body()) : null);
     }
   }
 
-  private static ReportedState reportedState(Replica replica, JsonObject identity) {
+  private static ReportedState parseState(Replica replica, JsonObject identity) {
     if (identity == null
         || !replica.instance().equals(identity.getString("instance"))
         || !replica.service().equals(identity.getString("service")))
@@ -92,7 +91,7 @@
             .setHost(replica.address().host())
             .setPort(replica.address().port())
             .setURI("/steer");
-    return commandCall
+    return orderCall
         .post(
             target,
             permit,
@@ -102,10 +101,10 @@
                     .put("epoch", fence)
                     .put("instance", replica.instance())
                     .put("weights", weights))
-        .map(status -> outcome(replica, status));
+        .map(status -> toOutcome(replica, status));
   }
 
-  private static Outcome outcome(Replica replica, OptionalInt status) {
+  private static Outcome toOutcome(Replica replica, OptionalInt status) {
     if (status.isEmpty()) return Outcome.NOT_SENT;
     if (status.getAsInt() != HTTP_OK)
       Log.warn("steer-refused", "replica", replica.instance(), "status", status.getAsInt());
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommandSender.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaCommandSender.java
@@ -80,16 +80,19 @@
   /** Most members hold no lease at all: those open no connection. */
   private Uni<ReplicaCommands.Outcome> sendUnderLease(
       Replica replica, WeightAssignment assignment, CommandLease lease) {
-    if (!coversOrder(lease)) return Uni.createFrom().item(ReplicaCommands.Outcome.NOT_SENT);
+    if (!coversSending(lease)) return Uni.createFrom().item(ReplicaCommands.Outcome.NOT_SENT);
     return commands.sendOrder(
         replica,
         holder,
-        () -> commandLease.apply(replica).map(latest -> permitToSend(replica, assignment, latest)),
+        () ->
+            commandLease
+                .apply(replica)
+                .map(latest -> authorizeSending(replica, assignment, latest)),
         assignment.model(),
         assignment.weights());
   }
 
-  private boolean coversOrder(CommandLease lease) {
+  private boolean coversSending(CommandLease lease) {
     return lease.covers(clockMs.getAsLong(), ReplicaCommandCall.ANSWER_TIMEOUT_MS);
   }
 
@@ -97,9 +100,9 @@
    * The last check before an order leaves: its fence, or empty where the lease may end before it
    * arrives.
    */
-  private OptionalLong permitToSend(
+  private OptionalLong authorizeSending(
       Replica replica, WeightAssignment assignment, CommandLease lease) {
-    if (!coversOrder(lease)) return OptionalLong.empty();
+    if (!coversSending(lease)) return OptionalLong.empty();
     rollout.onOrderSent(replica, assignment, clockMs.getAsLong());
     Log.event(
         "rollout-order-sent",
--- a/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/ReplicaController.java
@@ -31,7 +31,7 @@
   private ReplicaCommands commands;
   private CoreService core;
   private long timerId;
-  private boolean pollInProgress;
+  private boolean isPolling;
   private Context context;
   private ReplicaCommandSender commandSender;
 
@@ -55,10 +55,10 @@
   @Override
   public void start(ServiceRegistry services) {
     core = services.find("core", CoreService.class);
-    commands = commandsFactory.apply(services.find("doors", ConnectionAcceptor.class).local);
+    commands = commandsFactory.apply(services.find("doors", ConnectionAcceptor.class).bindAddress);
     context = vertx.getOrCreateContext();
     commandSender =
-        new ReplicaCommandSender(processName, commands, rollout, core::now, this::commandLease);
+        new ReplicaCommandSender(processName, commands, rollout, core::nowMs, this::commandLease);
     context.runOnContext(() -> timerId = vertx.setPeriodic(POLL_INTERVAL_MS, ignored -> poll()));
   }
 
@@ -71,8 +71,8 @@
   }
 
   private void poll() {
-    if (pollInProgress) return;
-    pollInProgress = true;
+    if (isPolling) return;
+    isPolling = true;
     core.ask(ReplicaController::readInputs)
         .emitOn(this::runOnContext)
         .map(
@@ -84,7 +84,7 @@
         .emitOn(this::runOnContext)
         .subscribe()
         // a core that doesn't answer is asked again at the next poll
-        .with(this::onPolled, failure -> pollInProgress = false);
+        .with(this::onPolled, failure -> isPolling = false);
   }
 
   /** On the core's thread: the stored values. */
@@ -93,7 +93,7 @@
         member.storedValue(StateKeys.REPLICAS).getValue(),
         member.storedValue(StateKeys.WEIGHTS).getValue(),
         member.storedValue(StateKeys.CONFIGURATION).getValue(),
-        member.knownAge(StateKeys.WEIGHTS));
+        member.knownAgeMs(StateKeys.WEIGHTS));
   }
 
   /**
@@ -106,8 +106,8 @@
   }
 
   private void onPolled(List<Replica> targets) {
-    pollInProgress = false;
-    if (!commands.pollsEveryReplica()) rollout.onListed(core.now());
+    isPolling = false;
+    if (!commands.pollsEveryReplica()) rollout.onListed(core.nowMs());
     targets.forEach(this::updateReplica);
   }
 
@@ -148,7 +148,7 @@
         .weights()
         .forEach(
             (model, weights) ->
-                rollout.onReported(replica, model, weights, state.loading(), core.now()));
+                rollout.onReported(replica, model, weights, state.loading(), core.nowMs()));
     commandSender.send(replica);
   }
 
