--- a/control-plane/src/main/java/gladelug/control/rollout/RolloutBatches.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/RolloutBatches.java
@@ -56,10 +56,10 @@
       boolean strictlyTimed) {
     if (!progressByInstance.containsKey(instance)) return false;
     List<String> instances = new ArrayList<>(progressByInstance.keySet());
-    int batch = plan.part(instance, instances);
-    if (weightsAgeMs >= plan.due(batch)) return true;
+    int batch = plan.partOf(instance, instances);
+    if (weightsAgeMs >= plan.dueMs(batch)) return true;
     if (strictlyTimed) return false;
-    int replicasBefore = batch * plan.size(instances.size());
+    int replicasBefore = batch * plan.partSize(instances.size());
     return instances.subList(0, replicasBefore).stream()
         .noneMatch(earlier -> progressByInstance.get(earlier) == ReplicaProgress.OUTDATED);
   }
--- a/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
+++ b/control-plane/src/main/java/gladelug/control/rollout/WeightRollout.java
@@ -111,12 +111,12 @@
   /** Takes the stored values; parses only those that are not the same array as last time. */
   public void updateInputs(RolloutInputs latest) {
     if (latest.replicas != inputs.replicas)
-      replicas = valueOr(Replicas.parse(text(latest.replicas)), Replicas.NONE);
+      replicas = valueOr(Replicas.parse(decode(latest.replicas)), Replicas.NONE);
     if (latest.weights != inputs.weights)
-      weights = valueOr(Weights.parse(text(latest.weights)), Weights.NONE);
+      weights = valueOr(Weights.parse(decode(latest.weights)), Weights.NONE);
     if (latest.configuration != inputs.configuration)
       configuration =
-          valueOr(configurationParser.apply(text(latest.configuration)), Configuration.EMPTY);
+          valueOr(configurationParser.apply(decode(latest.configuration)), Configuration.EMPTY);
     inputs = latest;
     forgetAbsentReplicas();
   }
@@ -127,7 +127,7 @@
     observations.keySet().removeIf(key -> !instances.contains(key.instance));
   }
 
-  private static String text(byte[] utf8) {
+  private static String decode(byte[] utf8) {
     return new String(utf8, StandardCharsets.UTF_8);
   }
 
@@ -162,7 +162,9 @@
   private List<String> rolloutModels(Replica replica) {
     if (!isModelReplica(replica)) return List.of();
     Set<String> models =
-        replica.weights().isEmpty() ? Set.of(replica.service()) : replica.weights().keySet();
+        replica.weightsByModel().isEmpty()
+            ? Set.of(replica.service())
+            : replica.weightsByModel().keySet();
     return models.stream().filter(model -> weights.of(model) != null).sorted().toList();
   }
 
@@ -202,7 +204,7 @@
 
   private void onListed(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = observationOf(replica, model);
-    String listedWeights = replica.weights().getOrDefault(model, "");
+    String listedWeights = replica.weightsByModel().getOrDefault(model, "");
     boolean listCounts =
         observation.orderedWeights.isEmpty()
             || listedWeights.equals(observation.orderedWeights)
@@ -226,8 +228,8 @@
     for (String model : rolloutModels(replica)) {
       if (!needsOrder(replica, model, nowMs)) continue;
       if (isChangingAnotherModel(replica, model, nowMs)) continue;
-      if (!isItsTurn(replica, model, nowMs)) continue;
-      return new WeightAssignment(model, weights.of(model).now());
+      if (!isBatchDue(replica, model, nowMs)) continue;
+      return new WeightAssignment(model, weights.of(model).current());
     }
     return null;
   }
@@ -236,7 +238,7 @@
   private boolean needsOrder(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = findObservation(replica, model);
     if (observation == null || observation.observedAtMs == NEVER_MS) return false;
-    String namedWeights = weights.of(model).now();
+    String namedWeights = weights.of(model).current();
     if (observation.runs(namedWeights)) return false;
     if (!observation.orderedWeights.equals(namedWeights)) return true;
     return !observation.loading && nowMs - observation.orderSentAtMs >= RETRY_INTERVAL_MS;
@@ -256,26 +258,26 @@
     return false;
   }
 
-  private boolean isItsTurn(Replica replica, String model, long nowMs) {
-    SortedMap<String, ReplicaProgress> progress = progress(replica.service(), model, nowMs);
+  private boolean isBatchDue(Replica replica, String model, long nowMs) {
+    SortedMap<String, ReplicaProgress> progress = progressOf(replica.service(), model, nowMs);
     return RolloutBatches.mayStart(
         replica.instance(), progress, inputs.weightsAgeMs, plan, strictlyTimed);
   }
 
   /** How far all replicas of a service are with a model's named weights, by instance. */
-  private SortedMap<String, ReplicaProgress> progress(String service, String model, long nowMs) {
+  private SortedMap<String, ReplicaProgress> progressOf(String service, String model, long nowMs) {
     SortedMap<String, ReplicaProgress> progressByInstance = new TreeMap<>();
     for (Replica replica : rolloutTargets())
       if (replica.service().equals(service) && rolloutModels(replica).contains(model))
-        progressByInstance.put(replica.instance(), progress(replica, model, nowMs));
+        progressByInstance.put(replica.instance(), progressOf(replica, model, nowMs));
     return progressByInstance;
   }
 
-  private ReplicaProgress progress(Replica replica, String model, long nowMs) {
+  private ReplicaProgress progressOf(Replica replica, String model, long nowMs) {
     ReplicaObservation observation = findObservation(replica, model);
     if (observation == null || nowMs - observation.observedAtMs >= OBSERVATION_VALIDITY_MS)
       return ReplicaProgress.UNRESPONSIVE;
-    boolean updated = observation.runs(weights.of(model).now());
+    boolean updated = observation.runs(weights.of(model).current());
     return updated ? ReplicaProgress.UPDATED : ReplicaProgress.OUTDATED;
   }
 
--- a/control-plane/src/test/java/gladelug/control/ChangeSummaryTest.java
+++ b/control-plane/src/test/java/gladelug/control/ChangeSummaryTest.java
@@ -50,7 +50,7 @@
             service("s"), route("x", "/z", "s") + "," + route("v", "/v", "s"), tenant(""));
     Assertions.assertEquals(
         "mappings new: v; mappings gone: y; mappings changed: x; tenants changed: t",
-        ChangeSummary.ofConfiguration(before, after));
+        ChangeSummary.summarizeConfiguration(before, after));
   }
 
   @Test
@@ -65,18 +65,20 @@
             service("u") + "," + service("s"),
             route("y", "/y", "s") + "," + route("x", "/x", "u"),
             tenant(KEY));
-    Assertions.assertEquals("mappings changed: x", ChangeSummary.ofConfiguration(before, after));
-    Assertions.assertEquals("nothing that has a name", ChangeSummary.ofConfiguration(after, after));
+    Assertions.assertEquals(
+        "mappings changed: x", ChangeSummary.summarizeConfiguration(before, after));
+    Assertions.assertEquals(
+        "nothing that has a name", ChangeSummary.summarizeConfiguration(after, after));
   }
 
   @Test
   void weightsAreNamedWithWhatTheyWereBefore() {
     Assertions.assertEquals(
         "m from w1 to w2",
-        ChangeSummary.ofWeights(
+        ChangeSummary.summarizeWeights(
             bytes("{\"m\":{\"now\":\"w1\"}}"),
             bytes("{\"m\":{\"now\":\"w2\",\"before\":\"w1\"}}")));
-    Assertions.assertEquals("", ChangeSummary.ofWeights(bytes("no JSON"), bytes("{}")));
+    Assertions.assertEquals("", ChangeSummary.summarizeWeights(bytes("no JSON"), bytes("{}")));
   }
 
   @Test
--- a/control-plane/src/test/java/gladelug/control/ControlOwnerTasksTest.java
+++ b/control-plane/src/test/java/gladelug/control/ControlOwnerTasksTest.java
@@ -32,7 +32,7 @@
 
   private VersionedValue after(VersionedValue before, byte[] body) {
     PrefixSharing sharing = tasks.prefixSharing(StateKeys.CONFIGURATION, before, body);
-    return before.next(Digest.hex(body), body).with(sharing);
+    return before.next(Digest.hex(body), body).withSharing(sharing);
   }
 
   @Test
--- a/control-plane/src/test/java/gladelug/control/CoreDiskTest.java
+++ b/control-plane/src/test/java/gladelug/control/CoreDataFolderTest.java
@@ -21,7 +21,7 @@
  * Data folders as a member may find them: fresh, half made, damaged, somebody else's, of a newer or
  * an earlier release. Whatever can't be used is a finding with its place, and is left as it is.
  */
-final class CoreDiskTest {
+final class CoreDataFolderTest {
   private static final int RING_FILE_MB = 1, STEP = 512, HEAD = 21;
   private static final String NAME = "a", IDENTITY = "identity.json";
 
@@ -41,7 +41,7 @@
   private String used() throws IOException {
     try (CoreDataFolder disk = opened(NAME)) {
       disk.ring().write(List.of(new RecordRing.Entry("some/key", new byte[] {1, 2, 3})));
-      return disk.id();
+      return disk.diskId();
     }
   }
 
@@ -75,7 +75,7 @@
     String id = used();
     try (CoreDataFolder again =
         CoreDataFolder.open(NAME, data.toString(), 2 * RING_FILE_MB, List.of())) {
-      Assertions.assertEquals(id, again.id());
+      Assertions.assertEquals(id, again.diskId());
       Assertions.assertArrayEquals(new byte[] {1, 2, 3}, again.ring().live().get("some/key"));
     }
   }
@@ -171,7 +171,7 @@
     used();
     try (CoreDataFolder disk = opened(NAME)) {
       Assertions.assertThrows(ServiceRegistry.StartupException.class, () -> opened(NAME));
-      Assertions.assertFalse(disk.id().isEmpty());
+      Assertions.assertFalse(disk.diskId().isEmpty());
     }
     refuses("b", "belongs to a");
     used();
--- a/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
+++ b/control-plane/src/test/java/gladelug/control/LargestConfigurationTest.java
@@ -31,7 +31,7 @@
 
     public static void main(String[] args) throws InterruptedException {
       FatalFailure.endProcessOnUncaughtErrors();
-      int bytes = MemoryBudget.largestValueBytes();
+      int bytes = MemoryBudget.maxValueBytes();
       Thread listener = new Thread(() -> check(bytes), "listener");
       listener.start();
       ControlOwnerTasks tasks = new ControlOwnerTasks(Configuration::parse);
@@ -42,7 +42,7 @@
         value =
             value
                 .next(summary, body)
-                .with(tasks.prefixSharing(StateKeys.CONFIGURATION, value, body));
+                .withSharing(tasks.prefixSharing(StateKeys.CONFIGURATION, value, body));
       }
       listener.join();
       System.exit(value.number() == CHANGES ? 0 : 1);
--- a/control-plane/src/test/java/gladelug/control/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/PublishedNamesTest.java
@@ -134,7 +134,7 @@
   }
 
   /** What the program prints, run as a process of its own. */
-  private static String printed(String... arguments) throws Exception {
+  private static String runProgram(String... arguments) throws Exception {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -149,7 +149,7 @@
     return out;
   }
 
-  private static Set<String> flags(String help) {
+  private static Set<String> flagsIn(String help) {
     return Pattern.compile("--[a-z][a-z-]*")
         .matcher(help)
         .results()
@@ -179,7 +179,7 @@
                   "--log",
                   "--cutoff-ms",
                   "--ring-file-mb")),
-          flags(printed(command, "--help")),
+          flagsIn(runProgram(command, "--help")),
           command);
   }
 
@@ -211,13 +211,13 @@
   @Timeout(60)
   void theCommandThatPreparesAFirstMemberGoesByBothNamesAndTellsOfTheFormer() throws Exception {
     Assertions.assertEquals(
-        List.of(), noticesIn(printed(bootstrapArguments("bootstrap", "--bootstrap-members"))));
+        List.of(), noticesIn(runProgram(bootstrapArguments("bootstrap", "--bootstrap-members"))));
     Assertions.assertTrue(Files.exists(folder.resolve("bootstrap/identity.json")));
     Assertions.assertEquals(
         List.of(
             "control-plane: command found is now bootstrap" + UNTIL,
             "control-plane: --founders is now --bootstrap-members" + UNTIL),
-        noticesIn(printed(bootstrapArguments("found", "--founders"))));
+        noticesIn(runProgram(bootstrapArguments("found", "--founders"))));
     Assertions.assertTrue(Files.exists(folder.resolve("found/identity.json")));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/capacity/CapacityAllocationTest.java
+++ b/control-plane/src/test/java/gladelug/control/capacity/CapacityAllocationTest.java
@@ -51,7 +51,7 @@
     StringBuilder text = new StringBuilder();
     for (String relay : new TreeSet<>(grantsByRelay.keySet())) {
       StateUpdate.CapacityGrant grant = grantsByRelay.get(relay).get(0);
-      text.append(relay).append(grant.full() ? ":" : ": free");
+      text.append(relay).append(grant.limited() ? ":" : ": free");
       for (StateUpdate.QuotaAllotment allotment : grant.allotments())
         text.append(' ').append(allotment.leaf()).append('=').append(allotment.milliSlots());
       text.append('\n');
--- a/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/BootstrapTest.java
@@ -33,16 +33,16 @@
   void theFirstMakesTheSetOnceItHasMetAllAndItHoldsOnceAllPinnedIt() {
     Bootstrap a = founder("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
-    Assertions.assertNull(a.nextToStore(true));
+    Assertions.assertNull(a.nextSetToStore(true));
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    MemberSet s = a.nextToStore(true);
+    MemberSet s = a.nextSetToStore(true);
     Assertions.assertEquals(set("a1", "b1", "c1"), s);
-    Assertions.assertNull(a.nextToStore(false), "not yet time");
-    a.storedSet(s);
+    Assertions.assertNull(a.nextSetToStore(false), "not yet time");
+    a.onSetStored(s);
     a.onAnnouncement("b", "b1", s);
-    Assertions.assertNull(a.agreed());
+    Assertions.assertNull(a.agreedSet());
     a.onAnnouncement("c", "c1", s);
-    Assertions.assertEquals(s, a.agreed());
+    Assertions.assertEquals(s, a.agreedSet());
   }
 
   @Test
@@ -51,15 +51,15 @@
     Bootstrap b = founder("b", "b1");
     b.onAnnouncement("a", "a1", MemberSet.NONE);
     b.onAnnouncement("c", "c2", MemberSet.NONE);
-    Assertions.assertNull(b.nextToStore(true));
+    Assertions.assertNull(b.nextSetToStore(true));
     b.onAnnouncement("a", "a1", s);
-    Assertions.assertEquals(s, b.nextToStore(true));
-    b.storedSet(s);
-    Assertions.assertEquals(s, b.agreed(), "two of three have it, and the third's disk is lost");
+    Assertions.assertEquals(s, b.nextSetToStore(true));
+    b.onSetStored(s);
+    Assertions.assertEquals(s, b.agreedSet(), "two of three have it, and the third's disk is lost");
     Bootstrap c = founder("c", "c2");
     c.onAnnouncement("a", "a1", s);
     c.onAnnouncement("b", "b1", s);
-    Assertions.assertNull(c.nextToStore(true), "it lost the disk that the set lists");
+    Assertions.assertNull(c.nextSetToStore(true), "it lost the disk that the set lists");
   }
 
   @Test
@@ -67,7 +67,7 @@
     Bootstrap a = founder("a", "a2");
     a.onAnnouncement("b", "b1", set("a1", "b1", "c1"));
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    Assertions.assertNull(a.nextToStore(true));
+    Assertions.assertNull(a.nextSetToStore(true));
   }
 
   @Test
@@ -75,14 +75,14 @@
     MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
     Bootstrap b = founder("b", "b1");
     b.onAnnouncement("a", "a1", old);
-    b.storedSet(old);
+    b.onSetStored(old);
     b.onAnnouncement("c", "c1", now);
-    Assertions.assertNull(b.nextToStore(true), "its maker may still be there");
+    Assertions.assertNull(b.nextSetToStore(true), "its maker may still be there");
     b.onAnnouncement("a", "a2", now);
-    Assertions.assertEquals(now, b.nextToStore(true));
-    b.storedSet(now);
-    Assertions.assertNull(b.nextToStore(true));
-    Assertions.assertEquals(now, b.agreed());
+    Assertions.assertEquals(now, b.nextSetToStore(true));
+    b.onSetStored(now);
+    Assertions.assertNull(b.nextSetToStore(true));
+    Assertions.assertEquals(now, b.agreedSet());
   }
 
   private static Member joining(String name, String disk) {
@@ -94,12 +94,12 @@
     Bootstrap a = founder("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onJoinRequest(joining("c", "c2"));
-    MemberSet s = a.nextToStore(true);
+    MemberSet s = a.nextSetToStore(true);
     Assertions.assertEquals(set("a1", "b1", "c2"), s);
-    a.storedSet(s);
-    Assertions.assertNull(a.agreed(), "one of three");
+    a.onSetStored(s);
+    Assertions.assertNull(a.agreedSet(), "one of three");
     a.onAnnouncement("b", "b1", s);
-    Assertions.assertEquals(s, a.agreed());
+    Assertions.assertEquals(s, a.agreedSet());
   }
 
   @Test
@@ -108,10 +108,10 @@
     Bootstrap b = founder("b", "b1");
     b.onAnnouncement("a", "a1", s);
     b.onAnnouncement("c", "c1", MemberSet.NONE);
-    b.storedSet(b.nextToStore(true));
-    Assertions.assertNull(b.agreed());
+    b.onSetStored(b.nextSetToStore(true));
+    Assertions.assertNull(b.agreedSet());
     b.onJoinRequest(joining("c", "c2"));
-    Assertions.assertEquals(s, b.agreed());
+    Assertions.assertEquals(s, b.agreedSet());
   }
 
   @Test
@@ -120,16 +120,16 @@
     Bootstrap c = founder("c", "c1");
     b.onAnnouncement("c", "c1", MemberSet.NONE);
     b.onJoinRequest(joining("a", "a2"));
-    MemberSet s = b.nextToStore(true);
+    MemberSet s = b.nextSetToStore(true);
     Assertions.assertEquals(set("a2", "b1", "c1"), s);
-    b.storedSet(s);
+    b.onSetStored(s);
     c.onJoinRequest(joining("a", "a2"));
     c.onAnnouncement("b", "b1", MemberSet.NONE);
-    Assertions.assertNull(c.nextToStore(true), "the one before it by name bootstraps");
+    Assertions.assertNull(c.nextSetToStore(true), "the one before it by name bootstraps");
     c.onAnnouncement("b", "b1", s);
-    Assertions.assertEquals(s, c.nextToStore(true));
-    c.storedSet(s);
-    Assertions.assertEquals(s, c.agreed());
+    Assertions.assertEquals(s, c.nextSetToStore(true));
+    c.onSetStored(s);
+    Assertions.assertEquals(s, c.agreedSet());
   }
 
   @Test
@@ -137,17 +137,18 @@
     MemberSet old = set("a1", "b1", "c1"), now = set("a2", "b1", "c1");
     Bootstrap c = founder("c", "c1");
     c.onAnnouncement("a", "a1", old);
-    c.storedSet(c.nextToStore(true));
+    c.onSetStored(c.nextSetToStore(true));
     c.onAnnouncement("b", "b1", now);
-    Assertions.assertNull(c.nextToStore(true), "its proposer may still be there");
+    Assertions.assertNull(c.nextSetToStore(true), "its proposer may still be there");
     c.onJoinRequest(joining("a", "a2"));
-    Assertions.assertEquals(now, c.nextToStore(true));
-    c.storedSet(now);
-    Assertions.assertEquals(now, c.agreed());
+    Assertions.assertEquals(now, c.nextSetToStore(true));
+    c.onSetStored(now);
+    Assertions.assertEquals(now, c.agreedSet());
     Bootstrap b = founder("b", "b1");
     b.onJoinRequest(joining("a", "a2"));
     b.onAnnouncement("c", "c1", old);
-    Assertions.assertEquals(old, b.nextToStore(true), "one that is stored goes before a new one");
+    Assertions.assertEquals(
+        old, b.nextSetToStore(true), "one that is stored goes before a new one");
   }
 
   @Test
@@ -155,23 +156,23 @@
     Bootstrap a = founder("a", "a1");
     a.onAnnouncement("b", "b1", MemberSet.NONE);
     a.onAnnouncement("c", "c1", MemberSet.NONE);
-    MemberSet s = a.nextToStore(true);
-    a.storedSet(s);
+    MemberSet s = a.nextSetToStore(true);
+    a.onSetStored(s);
     a.onAnnouncement("b", "b1", s);
     a.onJoinRequest(joining("c", "c1"));
     a.onJoinRequest(joining("x", "x1"));
     a.onJoinRequest(joining("a", "a2"));
-    Assertions.assertNull(a.agreed());
+    Assertions.assertNull(a.agreedSet());
   }
 
   @Test
   void whatIsNoSetOfTheseFoundersOrNotThisDiskIsNotPinned() {
     Bootstrap b = founder("b", "b1");
     b.onAnnouncement("a", "a1", set("a1", "another", "c1"));
-    Assertions.assertNull(b.nextToStore(true));
+    Assertions.assertNull(b.nextSetToStore(true));
     b.onAnnouncement("a", "a1", new MemberSet(1, set("a1", "b1", "c1").all().subList(0, 2)));
-    Assertions.assertNull(b.nextToStore(true));
+    Assertions.assertNull(b.nextSetToStore(true));
     b.onAnnouncement("x", "x", set("a1", "b1", "c1"));
-    Assertions.assertNull(b.nextToStore(true));
+    Assertions.assertNull(b.nextSetToStore(true));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/CoreMemberTest.java
@@ -49,12 +49,12 @@
     final List<StateUpdate> pushed = new ArrayList<>();
 
     @Override
-    public long now() {
+    public long nowMs() {
       return now;
     }
 
     @Override
-    public long wall() {
+    public long wallClockMs() {
       return 0;
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public List<Address> contacts() {
+    public List<Address> contactAddresses() {
       return List.of();
     }
 
@@ -85,20 +85,20 @@
     }
 
     @Override
-    public long mostState() {
+    public long maxStateBytes() {
       return mostState;
     }
 
     @Override
-    public void news(String node, StateUpdate update) {
+    public void pushUpdate(String node, StateUpdate update) {
       pushed.add(update);
     }
 
     @Override
-    public void members(MemberSet members) {}
+    public void onMembersChanged(MemberSet members) {}
 
     @Override
-    public void event(String name, Object... pairs) {}
+    public void logEvent(String name, Object... pairs) {}
 
     void synced() {
       List<Runnable> callbacks = new ArrayList<>(syncs);
@@ -126,7 +126,7 @@
         QuorumConfig.DEFAULT,
         THREE.find("a"),
         15_000,
-        Map.of(DurableState.ACTIVE_MEMBERS, THREE.bytes()),
+        Map.of(DurableState.ACTIVE_MEMBERS, THREE.toBytes()),
         null,
         new OwnerTasks() {});
   }
@@ -139,7 +139,7 @@
   void nothingIsAnsweredBeforeItIsOnDisk() {
     Paper host = new Paper();
     CoreMember member = node(host);
-    long epoch = THREE.epoch(0, "b");
+    long epoch = THREE.nextEpoch(0, "b");
     from(member, "b", new PrepareRequest("k", epoch));
     Assertions.assertEquals(0, host.count("b PrepareResponse"));
     host.synced();
@@ -148,7 +148,10 @@
     Assertions.assertEquals(0, host.count("b AcceptResponse"));
     host.synced();
     Assertions.assertEquals(1, host.count("b AcceptResponse"));
-    from(member, "c", new ConfirmRequest(1, List.of(new KeyEpoch("k", THREE.epoch(epoch, "c")))));
+    from(
+        member,
+        "c",
+        new ConfirmRequest(1, List.of(new KeyEpoch("k", THREE.nextEpoch(epoch, "c")))));
     Assertions.assertEquals(
         0, host.count("c ConfirmResponse"), "a confirmation that raises the promise");
     host.synced();
@@ -202,7 +205,7 @@
     CoreMember member = node(host);
     from(member, "b", new SealRequest(next, 0, List.of()));
     host.synced();
-    from(member, "c", new PrepareRequest("k", THREE.epoch(0, "c")));
+    from(member, "c", new PrepareRequest("k", THREE.nextEpoch(0, "c")));
     host.synced();
     Assertions.assertEquals(0, host.count("c PrepareResponse"));
     Paper otherHost = new Paper();
@@ -213,10 +216,13 @@
             THREE.find("a"),
             15_000,
             Map.of(
-                DurableState.ACTIVE_MEMBERS, THREE.bytes(), DurableState.SEALED_FOR, next.bytes()),
+                DurableState.ACTIVE_MEMBERS,
+                THREE.toBytes(),
+                DurableState.SEALED_FOR,
+                next.toBytes()),
             null,
             new OwnerTasks() {});
-    from(again, "c", new PrepareRequest("k", THREE.epoch(0, "c")));
+    from(again, "c", new PrepareRequest("k", THREE.nextEpoch(0, "c")));
     otherHost.synced();
     Assertions.assertEquals(0, otherHost.count("c PrepareResponse"));
   }
@@ -241,12 +247,12 @@
             15_000,
             Map.of(
                 DurableState.ACTIVE_MEMBERS,
-                second.bytes(),
+                second.toBytes(),
                 DurableState.SEALED_FOR,
-                third.bytes()),
+                third.toBytes()),
             null,
             new OwnerTasks() {});
-    Assertions.assertTrue(member.sealed());
+    Assertions.assertTrue(member.isSealed());
     from(member, "b", new JoinRequest(ADDRESS.toString(), ADDRESS.toString()));
     Assertions.assertEquals(1, host.count("address Activate"));
     from(member, "c", new SealRequest(second, 0, List.of()));
@@ -265,7 +271,7 @@
             QuorumConfig.DEFAULT,
             THREE.find("a"),
             15_000,
-            Map.of(DurableState.ACTIVE_MEMBERS, two.bytes()),
+            Map.of(DurableState.ACTIVE_MEMBERS, two.toBytes()),
             null,
             new OwnerTasks() {});
     member.tick();
@@ -340,7 +346,7 @@
     from(member, "b", new SealRequest(next, 0, List.of()));
     host.synced();
     member.onMessage(new Envelope(2, "d", "dd", new Activate(next, List.of())));
-    Assertions.assertTrue(member.retired());
+    Assertions.assertTrue(member.isRetired());
     for (String sealed : new String[] {"a", "c"})
       from(member, sealed, new SealResponse(2, 0, List.of(), List.of()));
     host.said.clear();
@@ -366,14 +372,14 @@
             Map.of(),
             null,
             new OwnerTasks() {});
-    from(member, "b", new PrepareRequest("k", THREE.epoch(0, "b")));
-    from(member, "b", new AcceptRequest("k", THREE.epoch(0, "b"), VersionedValue.NONE));
+    from(member, "b", new PrepareRequest("k", THREE.nextEpoch(0, "b")));
+    from(member, "b", new AcceptRequest("k", THREE.nextEpoch(0, "b"), VersionedValue.NONE));
     from(member, "b", new ConfirmRequest(1, List.of(new KeyEpoch("k", 1))));
     from(member, "b", new Activate(THREE, List.of()));
     host.synced();
     Assertions.assertEquals(List.of(), host.said);
     Assertions.assertFalse(
-        member.settled(), "members with the old disk in its name don't let it in");
+        member.isInitialized(), "members with the old disk in its name don't let it in");
   }
 
   @Test
@@ -385,11 +391,11 @@
           member,
           "b",
           new ForwardedChangeRequest(
-              7, ChangeRequest.onNumber(StateKeys.CONFIGURATION, -1, new byte[1])));
+              7, ChangeRequest.basedOnNumber(StateKeys.CONFIGURATION, -1, new byte[1])));
     Assertions.assertEquals(1, host.count("b ForwardedChangeResponse"));
     member.onMessage(
-        new Envelope(1, "b", "another disk", new PrepareRequest("k", THREE.epoch(0, "b"))));
-    member.onMessage(new Envelope(2, "b", "db", new PrepareRequest("k", THREE.epoch(0, "b"))));
+        new Envelope(1, "b", "another disk", new PrepareRequest("k", THREE.nextEpoch(0, "b"))));
+    member.onMessage(new Envelope(2, "b", "db", new PrepareRequest("k", THREE.nextEpoch(0, "b"))));
     host.synced();
     Assertions.assertEquals(0, host.count("b PrepareResponse"));
   }
@@ -405,7 +411,7 @@
             config,
             THREE.find("a"),
             15_000,
-            Map.of(DurableState.ACTIVE_MEMBERS, THREE.bytes()),
+            Map.of(DurableState.ACTIVE_MEMBERS, THREE.toBytes()),
             null,
             new OwnerTasks() {});
     String key = StateKeys.REPLICAS;
@@ -432,7 +438,7 @@
     member.readNewest(key, read::add);
     Assertions.assertEquals(0, read.size(), "the last round began before the read");
     confirmedByTwo(member, host);
-    Assertions.assertTrue(read.size() == 1 && read.get(0).owned() && read.get(0).number() == 0);
+    Assertions.assertTrue(read.size() == 1 && read.get(0).hasOwner() && read.get(0).number() == 0);
   }
 
   /** Makes the node the owner of a key at this number; two of three members hold the value. */
@@ -457,14 +463,14 @@
     VersionedValue value =
         VersionedValue.NONE
             .next(Digest.hex(first), first, 0, 0, "b", "")
-            .next(Digest.hex(merged), merged, new VersionedValue.Sent(sent, 1), 0, "b", "");
+            .next(Digest.hex(merged), merged, new VersionedValue.ChangeId(sent, 1), 0, "b", "");
     serves(member, host, key, value);
     host.now += QuorumConfig.DEFAULT.leaseMs() + 1;
     exchangeSignsOfLife(member, host, "b");
     List<ChangeResult> answers = new ArrayList<>();
-    member.change(ChangeRequest.repeated(key, 1, sent), answers::add);
-    member.change(ChangeRequest.repeated(key, 0, sent), answers::add);
-    member.change(ChangeRequest.repeated(key, 1, Digest.hex(new byte[] {8})), answers::add);
+    member.change(ChangeRequest.repeatOf(key, 1, sent), answers::add);
+    member.change(ChangeRequest.repeatOf(key, 0, sent), answers::add);
+    member.change(ChangeRequest.repeatOf(key, 1, Digest.hex(new byte[] {8})), answers::add);
     confirmedByTwo(member, host);
     Assertions.assertEquals(new ChangeResult.Acknowledged(2, true, 0, 0, 0), answers.get(0));
     Assertions.assertEquals(new ChangeResult.Conflict(2), answers.get(1), "on another base");
@@ -487,9 +493,9 @@
     exchangeSignsOfLife(member, host, "b");
     confirmedByTwo(member, host);
     List<ChangeResult> answers = new ArrayList<>();
-    member.change(ChangeRequest.onNumber(key, 1, new byte[] {9}), answers::add);
-    member.change(ChangeRequest.onNumber(key, 0, first), answers::add);
-    member.change(ChangeRequest.onNumber(key, 1, second), answers::add);
+    member.change(ChangeRequest.basedOnNumber(key, 1, new byte[] {9}), answers::add);
+    member.change(ChangeRequest.basedOnNumber(key, 0, first), answers::add);
+    member.change(ChangeRequest.basedOnNumber(key, 1, second), answers::add);
     Assertions.assertEquals(List.of(), answers, "the last round began before they came");
     confirmedByTwo(member, host);
     Assertions.assertEquals(new ChangeResult.Conflict(2), answers.get(0));
@@ -505,7 +511,7 @@
     serves(member, host, key, VersionedValue.NONE.next("d", new byte[1]));
     List<ChangeResult> answers = new ArrayList<>();
     List<ReadResult> reads = new ArrayList<>();
-    member.change(ChangeRequest.onNumber(key, 0, new byte[] {9}), answers::add);
+    member.change(ChangeRequest.basedOnNumber(key, 0, new byte[] {9}), answers::add);
     member.readNewest(key, reads::add);
     long half = ForwardedReads.READ_TIMEOUT_MS / 2;
     for (long step : new long[] {half, ForwardedReads.READ_TIMEOUT_MS - half - 1}) {
@@ -528,7 +534,8 @@
     from(
         member,
         "b",
-        new AcceptRequest(StateKeys.CONFIGURATION, THREE.epoch(0, "b"), value(new byte[500_000])));
+        new AcceptRequest(
+            StateKeys.CONFIGURATION, THREE.nextEpoch(0, "b"), value(new byte[500_000])));
     host.synced();
     serves(member, host, key, VersionedValue.NONE);
     host.mostState = 1_000_000;
@@ -560,18 +567,18 @@
     CoreMember member = node(host);
     String key = StateKeys.REPLICAS;
     VersionedValue value = VersionedValue.NONE;
-    for (int i = 0; i <= AppliedChanges.REMEMBERED; i++) {
+    for (int i = 0; i <= AppliedChanges.MAX_ENTRIES; i++) {
       byte[] body = {(byte) i, (byte) (i >> 8)};
       value = value.next(Digest.hex(body), body, i, 0, "b", "");
     }
     serves(member, host, key, value);
     List<ChangeResult> answers = new ArrayList<>();
-    member.change(ChangeRequest.onNumber(key, 0, new byte[] {9}), answers::add);
-    member.change(ChangeRequest.onNumber(key, 1, new byte[] {9}), answers::add);
+    member.change(ChangeRequest.basedOnNumber(key, 0, new byte[] {9}), answers::add);
+    member.change(ChangeRequest.basedOnNumber(key, 1, new byte[] {9}), answers::add);
     confirmedByTwo(member, host);
     Assertions.assertEquals(
         List.of(
-            new ChangeResult.Unknown(1), new ChangeResult.Conflict(AppliedChanges.REMEMBERED + 1)),
+            new ChangeResult.Unknown(1), new ChangeResult.Conflict(AppliedChanges.MAX_ENTRIES + 1)),
         answers);
   }
 
@@ -611,15 +618,15 @@
           new Heartbeat(
               true, 10_000, List.of(), new SendTime(8, host.now), new SendTime(9, host.now)));
     }
-    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.membersAlive());
+    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.memberLiveness());
     Assertions.assertEquals(
         0, host.count("b PrepareRequest"), "an attempt without contact to a majority");
-    Assertions.assertTrue(member.unavailable());
+    Assertions.assertTrue(member.isUnavailable());
     exchangeSignsOfLife(member, host, "b");
-    Assertions.assertEquals(Map.of("a", true, "b", true, "c", false), member.membersAlive());
-    Assertions.assertFalse(member.unavailable());
+    Assertions.assertEquals(Map.of("a", true, "b", true, "c", false), member.memberLiveness());
+    Assertions.assertFalse(member.isUnavailable());
     host.now += QuorumConfig.DEFAULT.peerTimeoutMs();
-    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.membersAlive());
+    Assertions.assertEquals(Map.of("a", true, "b", false, "c", false), member.memberLiveness());
   }
 
   @Test
@@ -652,13 +659,14 @@
     CoreMember member = node(host);
     String key =
         StateKeys.PUSHED.stream()
-            .filter(candidate -> THREE.order(candidate).get(0).equals("a"))
+            .filter(candidate -> THREE.preferenceOrder(candidate).get(0).equals("a"))
             .findFirst()
             .orElseThrow();
-    List<OwnershipClaim> claim = List.of(new OwnershipClaim(key, THREE.epoch(0, "b"), 0, 0, false));
-    member.healthy(false);
+    List<OwnershipClaim> claim =
+        List.of(new OwnershipClaim(key, THREE.nextEpoch(0, "b"), 0, 0, false));
+    member.updateDiskHealth(false);
     passWithOwner(member, host, claim, 2L * QuorumConfig.DEFAULT.preferredOwnerUptimeMs());
-    member.healthy(true);
+    member.updateDiskHealth(true);
     passWithOwner(member, host, claim, QuorumConfig.DEFAULT.preferredOwnerUptimeMs() - 100);
     Assertions.assertEquals(0, member.epochOf(key), "taken back at once");
     passWithOwner(member, host, claim, 1000);
@@ -710,7 +718,7 @@
 
   private static void confirmedByTwo(CoreMember member, Paper host) {
     host.messages.clear();
-    member.confirmSoon();
+    member.requestConfirmationRound();
     member.tick();
     ConfirmRequest confirm =
         host.messages.stream()
@@ -742,7 +750,7 @@
         member,
         host,
         StateKeys.CONFIGURATION,
-        VersionedValue.NONE.next("d", new byte[1]).with(PrefixSharing.beginningWith(1)));
+        VersionedValue.NONE.next("d", new byte[1]).withSharing(PrefixSharing.startingAt(1)));
     member.onSubscriptionRequest(asks("earlier", StateKeys.CONFIGURATION));
     member.onSubscriptionRequest(
         asks("present", StateKeys.CONFIGURATION, StateKeys.READS_PREFIX_SHARING));
--- a/control-plane/src/test/java/gladelug/control/core/CoreMessageFuzzTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/CoreMessageFuzzTest.java
@@ -32,11 +32,11 @@
       bytes[i] = (byte) (put >>> Byte.SIZE * (i - from));
     Envelope read;
     try {
-      read = WireRecord.read(bytes, Envelope::read);
+      read = WireRecord.decode(bytes, Envelope::read);
     } catch (IOException refused) {
       return;
     }
-    Envelope again = WireRecord.read(WireRecord.bytes(read), Envelope::read);
-    Assertions.assertArrayEquals(WireRecord.bytes(read), WireRecord.bytes(again));
+    Envelope again = WireRecord.decode(WireRecord.encode(read), Envelope::read);
+    Assertions.assertArrayEquals(WireRecord.encode(read), WireRecord.encode(again));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/PendingChangeTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PendingChangeTest.java
@@ -12,7 +12,7 @@
 final class PendingChangeTest {
   private final List<ChangeResult> answers = new ArrayList<>();
   private final PendingChange change =
-      new PendingChange(ChangeRequest.forgettable("key", 0, new byte[] {1}), 100, answers::add);
+      new PendingChange(ChangeRequest.withoutBase("key", 0, new byte[] {1}), 100, answers::add);
 
   @Test
   void onlyTheFirstAnswerReachesItsSender() {
--- a/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/PublishedNamesTest.java
@@ -54,7 +54,7 @@
   static Map<String, CoreMessage> examples() {
     Map<String, CoreMessage> examples = new LinkedHashMap<>();
     List<RegisterRecord> kept =
-        List.of(new RegisterRecord("policy", new Register(1, 0, VersionedValue.NONE).bytes()));
+        List.of(new RegisterRecord("policy", new Register(1, 0, VersionedValue.NONE).toBytes()));
     List<RegisterVersion> versions = List.of(new RegisterVersion("policy", 1, 2));
     StateUpdate.SubscriptionRequest ask =
         new StateUpdate.SubscriptionRequest(
@@ -213,7 +213,7 @@
           Map.entry("leaving", "1e00000000000000030006636f72652d6100046469736b"));
 
   static byte[] bytes(CoreMessage message) {
-    return WireRecord.bytes(new Envelope(3, "core-a", "disk", message));
+    return WireRecord.encode(new Envelope(3, "core-a", "disk", message));
   }
 
   @Test
@@ -226,8 +226,8 @@
   @Test
   void theBytesAreReadAsTheSameMessage() throws IOException {
     for (Map.Entry<String, String> entry : BYTES.entrySet()) {
-      Envelope read = WireRecord.read(HexFormat.of().parseHex(entry.getValue()), Envelope::read);
-      Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.bytes(read)));
+      Envelope read = WireRecord.decode(HexFormat.of().parseHex(entry.getValue()), Envelope::read);
+      Assertions.assertEquals(entry.getValue(), HexFormat.of().formatHex(WireRecord.encode(read)));
     }
   }
 
@@ -251,7 +251,7 @@
     Set<String> found = new TreeSet<>();
     for (String name :
         List.of("cell/policy", "epochs/policy", "members", "sealed", "pinned", "policy", "other"))
-      DurableState.findings(Map.of(name, unreadable), "core-a", "disk")
+      DurableState.validate(Map.of(name, unreadable), "core-a", "disk")
           .forEach(finding -> found.add(finding.place()));
     Assertions.assertEquals(
         Set.of("cell/policy", "epochs/policy", "members", "sealed", "pinned"), found);
@@ -259,6 +259,6 @@
     Assertions.assertEquals("policy", StateDecoder.keyOf("epochs/policy"));
     Assertions.assertEquals(
         List.of("members", "sealed", "pinned"),
-        List.of(StateDecoder.MEMBERS, StateDecoder.SEALED, DurableState.BOOTSTRAP_SET));
+        List.of(StateDecoder.MEMBERS_ENTRY, StateDecoder.SEALED_ENTRY, DurableState.BOOTSTRAP_SET));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/StoredDataOfAnEarlierReleaseTest.java
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return 0;
     }
 
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public long wall() {
+    public long wallClockMs() {
       return 0;
     }
 
@@ -91,18 +91,18 @@
     public void sendTo(Address to, CoreMessage.Envelope message) {}
 
     @Override
-    public List<Address> contacts() {
+    public List<Address> contactAddresses() {
       return List.of();
     }
 
     @Override
-    public void news(String node, StateUpdate message) {}
+    public void pushUpdate(String node, StateUpdate message) {}
 
     @Override
-    public void members(MemberSet members) {}
+    public void onMembersChanged(MemberSet members) {}
 
     @Override
-    public void event(String name, Object... pairs) {}
+    public void logEvent(String name, Object... pairs) {}
   }
 
   private static MemberSet.Member member(String name, String disk, int host) {
@@ -139,8 +139,8 @@
         new MemberSet(
             4,
             List.of(member(NAME, disk, 1), member("core-b", "b2", 2), member("core-d", "d1", 4)));
-    host.sync("pinned", first.bytes(), nothing);
-    host.sync("members", present.bytes(), nothing);
+    host.sync("pinned", first.toBytes(), nothing);
+    host.sync("members", present.toBytes(), nothing);
 
     RegisterStore cells = new RegisterStore(host, Map.of());
     VersionedValue policy =
@@ -151,7 +151,7 @@
             1_700_000_000_000L,
             NAME,
             "first");
-    cells.keep("policy", new Register(3298534883584L, 3298534883584L, policy), nothing);
+    cells.put("policy", new Register(3298534883584L, 3298534883584L, policy), nothing);
     policy = next(policy, "{\"services\":[],\"n\":2}", 41, 1_700_000_001_000L, "core-b", "grew");
     policy =
         next(
@@ -161,28 +161,28 @@
             1_700_000_002_000L,
             "core-b",
             "caf\u00e9 \u2192 3");
-    cells.keep("policy", new Register(3298534883841L, 3298534883841L, policy), nothing);
-    cells.keep("policy", new Register(3298534884354L, 3298534884098L, policy), nothing);
+    cells.put("policy", new Register(3298534883841L, 3298534883841L, policy), nothing);
+    cells.put("policy", new Register(3298534884354L, 3298534884098L, policy), nothing);
 
     VersionedValue weights = VersionedValue.NONE;
     for (int i = 0; i < 520; i++)
       weights = next(weights, "{\"named\":{}}", i, 1000 + i, NAME, "w" + i);
-    cells.keep("weights", new Register(3298534883584L, 3298534883584L, weights), nothing);
+    cells.put("weights", new Register(3298534883584L, 3298534883584L, weights), nothing);
 
     VersionedValue replicas = VersionedValue.NONE;
     for (int i = 1; i <= 12; i++) {
       byte[] body = new byte[LARGE_BODY_BYTES];
       Arrays.fill(body, (byte) ('a' + i));
       replicas = replicas.next(Digest.hex(body), body);
-      cells.keep("replicas", new Register(3298534883584L, 3298534883584L, replicas), nothing);
+      cells.put("replicas", new Register(3298534883584L, 3298534883584L, replicas), nothing);
     }
-    VersionedValue core = VersionedValue.NONE.next(Digest.hex(next.bytes()), next.bytes());
-    cells.keep("core", new Register(3298534883585L, 3298534883585L, core), nothing);
-    cells.keep("shares", new Register(3298534883586L, 0, VersionedValue.NONE), nothing);
+    VersionedValue core = VersionedValue.NONE.next(Digest.hex(next.toBytes()), next.toBytes());
+    cells.put("core", new Register(3298534883585L, 3298534883585L, core), nothing);
+    cells.put("shares", new Register(3298534883586L, 0, VersionedValue.NONE), nothing);
     VersionedValue commander = next(VersionedValue.NONE, "core-c", 0, 5, "core-c", "");
-    cells.keep("commander/east", new Register(3298534883584L, 3298534883584L, commander), nothing);
-    cells.keep("commander/east", new Register(3298534883842L, 3298534883584L, commander), nothing);
-    host.sync("sealed", next.bytes(), nothing);
+    cells.put("commander/east", new Register(3298534883584L, 3298534883584L, commander), nothing);
+    cells.put("commander/east", new Register(3298534883842L, 3298534883584L, commander), nothing);
+    host.sync("sealed", next.toBytes(), nothing);
   }
 
   private static CoreDataFolder opened(Path folder) {
@@ -202,7 +202,13 @@
 
   private static String told(Register cell) {
     VersionedValue value = cell.value();
-    return cell.promised() + " " + cell.epoch() + " " + value.number() + " " + value.digest();
+    return cell.promisedEpoch()
+        + " "
+        + cell.acceptedEpoch()
+        + " "
+        + value.number()
+        + " "
+        + value.digest();
   }
 
   private static List<String> history(Register cell) {
@@ -213,14 +219,14 @@
                     " ",
                     String.valueOf(entry.number()),
                     entry.digest(),
-                    String.valueOf(entry.takenAt()),
-                    entry.takenBy(),
+                    String.valueOf(entry.appliedAtMs()),
+                    entry.appliedBy(),
                     entry.summary()))
         .toList();
   }
 
   private static List<String> taken(Register cell) {
-    return cell.value().takenChanges().entries().stream()
+    return cell.value().appliedChanges().entries().stream()
         .map(taken -> taken.number() + " " + taken.digest() + " " + taken.base())
         .toList();
   }
@@ -237,11 +243,11 @@
                     " "
                         + member.name()
                         + "="
-                        + member.disk()
+                        + member.diskId()
                         + "="
-                        + member.records()
+                        + member.recordsAddress()
                         + "/"
-                        + member.operator())
+                        + member.operatorAddress())
             .collect(Collectors.joining());
   }
 
@@ -254,13 +260,13 @@
   @Test
   void theIdentityIsRead() throws IOException {
     try (CoreDataFolder disk = opened(unpacked())) {
-      Assertions.assertEquals(DISK, disk.id());
-      Assertions.assertEquals(IDENTITY, disk.folder().identity());
-      Assertions.assertEquals(1_048_576, disk.ring().fileSize());
+      Assertions.assertEquals(DISK, disk.diskId());
+      Assertions.assertEquals(IDENTITY, disk.folder().readIdentity());
+      Assertions.assertEquals(1_048_576, disk.ring().fileBytes());
       Assertions.assertEquals(
           "0 core-a==10.0.0.1:4001/10.0.0.1:4003 core-b==10.0.0.2:4001/10.0.0.2:4003"
               + " core-c==10.0.0.3:4001/10.0.0.3:4003",
-          told(new MemberSet(0, disk.founders())));
+          told(new MemberSet(0, disk.bootstrapMembers())));
     }
   }
 
@@ -292,7 +298,7 @@
       expected.put("pinned", "e2991828090916b7ee940bda41f17a5e44c9da46bc732288457f5a51c7076994");
       expected.put("sealed", "3caaffb28744f04a58e6857dabdd2af6453e1f6235f37a223085fa55818a3057");
       Assertions.assertEquals(expected, digests);
-      Assertions.assertEquals(List.of(), DurableState.findings(live, NAME, disk.id()));
+      Assertions.assertEquals(List.of(), DurableState.validate(live, NAME, disk.diskId()));
     }
   }
 
@@ -316,7 +322,7 @@
               "2 589cc4b9d3bb5ba910d0de281dcd15fa907ab4be9d1c9bf0595ad3a297319a46 41",
               "3 ff5b0cc70c2af66c1533727faa1c74e16372544c61ef56534ab538b687c8c891 42"));
       Assertions.assertEquals("{\"services\":[],\"n\":3}", body(policy));
-      Assertions.assertEquals(-1, policy.value().takenChanges().forgottenBase());
+      Assertions.assertEquals(-1, policy.value().appliedChanges().highestDroppedBase());
 
       Register commander = cells.get("commander/east");
       String digest = "3fe5952485ae0a8827e071e863fe02d5888285b0503002e947c50178cd6c4661";
@@ -343,7 +349,7 @@
           IntStream.rangeClosed(9, 520).mapToObj(n -> n + " " + digest + " " + (n - 1)).toList();
       is(weights, "3298534883584 3298534883584 520 " + digest, history, taken);
       Assertions.assertEquals("{\"named\":{}}", body(weights));
-      Assertions.assertEquals(7, weights.value().takenChanges().forgottenBase());
+      Assertions.assertEquals(7, weights.value().appliedChanges().highestDroppedBase());
     }
   }
 
@@ -405,13 +411,14 @@
     try (CoreDataFolder earlier = opened(unpacked());
         CoreDataFolder now =
             CoreDataFolder.open(NAME, parent.resolve("now").toString(), RING_FILE_MB, founders)) {
-      write(now.ring(), earlier.id());
+      write(now.ring(), earlier.diskId());
       Map<String, byte[]> before = earlier.ring().live();
       Map<String, byte[]> after = now.ring().live();
       Assertions.assertEquals(before.keySet(), after.keySet());
       before.forEach((name, record) -> Assertions.assertArrayEquals(record, after.get(name), name));
       Assertions.assertEquals(
-          earlier.folder().identity(), now.folder().identity().replace(now.id(), earlier.id()));
+          earlier.folder().readIdentity(),
+          now.folder().readIdentity().replace(now.diskId(), earlier.diskId()));
     }
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/config/MemberSetTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/config/MemberSetTest.java
@@ -18,11 +18,11 @@
                 new Member("b", "", address, address),
                 new Member("a", "", address, address),
                 new Member("c", "", address, address)));
-    long first = members.epoch(0, "a"),
-        second = members.epoch(first, "b"),
-        third = members.epoch(second, "a");
+    long first = members.nextEpoch(0, "a"),
+        second = members.nextEpoch(first, "b"),
+        third = members.nextEpoch(second, "a");
     Assertions.assertTrue(first < second && second < third);
-    Assertions.assertTrue(members.epoch(0, "a") != members.epoch(0, "b"));
-    Assertions.assertTrue(new MemberSet(3, members.all()).epoch(third, "a") > third);
+    Assertions.assertTrue(members.nextEpoch(0, "a") != members.nextEpoch(0, "b"));
+    Assertions.assertTrue(new MemberSet(3, members.all()).nextEpoch(third, "a") > third);
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/register/AppliedChangesTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/AppliedChangesTest.java
@@ -18,7 +18,7 @@
     return Digest.hex("change " + of);
   }
 
-  private static AppliedChanges taken(int count) {
+  private static AppliedChanges applied(int count) {
     AppliedChanges taken = AppliedChanges.NONE;
     for (int i = 0; i < count; i++) taken = taken.plus(i + 1, digest(i), 10L * i);
     return taken;
@@ -26,25 +26,29 @@
 
   @Test
   void aChangeIsTheSameByDigestAndBaseTogether() {
-    AppliedChanges taken = taken(3);
-    Assertions.assertEquals(ChangeStatus.APPLIED, taken.fate(digest(1), 10));
+    AppliedChanges taken = applied(3);
+    Assertions.assertEquals(ChangeStatus.APPLIED, taken.statusOf(digest(1), 10));
     Assertions.assertEquals(2, taken.numberOf(digest(1), 10));
-    Assertions.assertEquals(ChangeStatus.NOT_APPLIED, taken.fate(digest(1), 20), "on another base");
-    Assertions.assertEquals(ChangeStatus.NOT_APPLIED, taken.fate(digest(7), 10), "another change");
     Assertions.assertEquals(
-        ChangeStatus.NOT_APPLIED, taken.fate(digest(1), AppliedChanges.NO_BASE), "without a base");
+        ChangeStatus.NOT_APPLIED, taken.statusOf(digest(1), 20), "on another base");
+    Assertions.assertEquals(
+        ChangeStatus.NOT_APPLIED, taken.statusOf(digest(7), 10), "another change");
+    Assertions.assertEquals(
+        ChangeStatus.NOT_APPLIED,
+        taken.statusOf(digest(1), AppliedChanges.NO_BASE),
+        "without a base");
   }
 
   @Test
   void whatHadToMakeRoomIsForgottenAndNeverCalledNotTaken() {
-    AppliedChanges taken = taken(AppliedChanges.REMEMBERED + 2);
-    Assertions.assertEquals(AppliedChanges.REMEMBERED, taken.entries().size());
-    Assertions.assertEquals(ChangeStatus.EXPIRED, taken.fate(digest(0), 0));
-    Assertions.assertEquals(ChangeStatus.EXPIRED, taken.fate(digest(1), 10));
-    Assertions.assertEquals(ChangeStatus.APPLIED, taken.fate(digest(2), 20));
+    AppliedChanges taken = applied(AppliedChanges.MAX_ENTRIES + 2);
+    Assertions.assertEquals(AppliedChanges.MAX_ENTRIES, taken.entries().size());
+    Assertions.assertEquals(ChangeStatus.EXPIRED, taken.statusOf(digest(0), 0));
+    Assertions.assertEquals(ChangeStatus.EXPIRED, taken.statusOf(digest(1), 10));
+    Assertions.assertEquals(ChangeStatus.APPLIED, taken.statusOf(digest(2), 20));
     Assertions.assertEquals(
-        ChangeStatus.EXPIRED, taken.fate(digest(99), 10), "one on that base can't be told");
-    Assertions.assertEquals(ChangeStatus.NOT_APPLIED, taken.fate(digest(99), 20));
+        ChangeStatus.EXPIRED, taken.statusOf(digest(99), 10), "one on that base can't be told");
+    Assertions.assertEquals(ChangeStatus.NOT_APPLIED, taken.statusOf(digest(99), 20));
   }
 
   @Test
@@ -55,10 +59,10 @@
 
   @Test
   void itIsReadAsItWasWrittenAndInTheStatedSize() throws IOException {
-    AppliedChanges taken = taken(AppliedChanges.REMEMBERED + 1);
+    AppliedChanges taken = applied(AppliedChanges.MAX_ENTRIES + 1);
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     taken.write(new DataOutputStream(bytes));
-    Assertions.assertTrue(bytes.size() <= 48 * AppliedChanges.REMEMBERED + 16, "" + bytes.size());
+    Assertions.assertTrue(bytes.size() <= 48 * AppliedChanges.MAX_ENTRIES + 16, "" + bytes.size());
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes.toByteArray()));
     Assertions.assertEquals(taken, AppliedChanges.read(in));
     byte[] cut = Arrays.copyOf(bytes.toByteArray(), bytes.size() - 1);
@@ -74,15 +78,15 @@
     Register older = new Register(9, 5, first), newer = new Register(7, 5, second);
     for (Register merged :
         new Register[] {Register.merge(older, newer), Register.merge(newer, older)}) {
-      Register read = Register.of(merged.bytes());
-      Assertions.assertEquals(9, read.promised());
-      Assertions.assertEquals(1, read.value().takenNumber(digest(1), 0));
-      Assertions.assertEquals(2, read.value().takenNumber(digest(2), 1));
+      Register read = Register.of(merged.toBytes());
+      Assertions.assertEquals(9, read.promisedEpoch());
+      Assertions.assertEquals(1, read.value().appliedNumber(digest(1), 0));
+      Assertions.assertEquals(2, read.value().appliedNumber(digest(2), 1));
     }
   }
 
   /** A cell as the two releases before wrote it: without remarks, or with them and no more. */
-  private static byte[] cellOfAnEarlierRelease(boolean remarks) throws IOException {
+  private static byte[] registerOfAnEarlierRelease(boolean remarks) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(bytes);
     out.writeLong(3);
@@ -92,7 +96,7 @@
     out.writeInt(1);
     out.writeLong(1);
     out.writeUTF(digest(1));
-    WireRecord.blob(out, new byte[] {42});
+    WireRecord.writeBlob(out, new byte[] {42});
     if (remarks) {
       out.writeLong(77);
       out.writeUTF("a");
@@ -104,13 +108,13 @@
   @Test
   void aCellOfAnEarlierReleaseIsReadAndItsNewestValueRecognised() throws IOException {
     for (boolean remarks : new boolean[] {false, true}) {
-      VersionedValue value = Register.of(cellOfAnEarlierRelease(remarks)).value();
+      VersionedValue value = Register.of(registerOfAnEarlierRelease(remarks)).value();
       Assertions.assertEquals(1, value.number());
-      Assertions.assertEquals(remarks ? 77 : 0, value.history().get(0).takenAt());
-      Assertions.assertEquals(ChangeStatus.APPLIED, value.fate(digest(1), 12345));
+      Assertions.assertEquals(remarks ? 77 : 0, value.history().get(0).appliedAtMs());
+      Assertions.assertEquals(ChangeStatus.APPLIED, value.statusOf(digest(1), 12345));
       VersionedValue next = value.next(digest(2), new byte[1], 1, 0, "a", "");
-      Assertions.assertEquals(ChangeStatus.NOT_APPLIED, next.fate(digest(1), 12345));
-      Assertions.assertEquals(ChangeStatus.APPLIED, next.fate(digest(2), 1));
+      Assertions.assertEquals(ChangeStatus.NOT_APPLIED, next.statusOf(digest(1), 12345));
+      Assertions.assertEquals(ChangeStatus.APPLIED, next.statusOf(digest(2), 1));
     }
   }
 }
--- a/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/DiskWriterTest.java
@@ -21,19 +21,19 @@
   /**
    * A medium in memory that refuses so many writes, and calls something in the middle of each sync.
    */
-  private static final class Paper implements Storage {
+  private static final class MemoryStorage implements Storage {
     final byte[][] files = new byte[2][1 << 16];
-    final AtomicInteger refuses = new AtomicInteger();
-    final AtomicInteger refused = new AtomicInteger();
-    Runnable syncing = () -> {};
+    final AtomicInteger writesToRefuse = new AtomicInteger();
+    final AtomicInteger refusedWrites = new AtomicInteger();
+    Runnable onSync = () -> {};
 
     @Override
-    public int files() {
+    public int fileCount() {
       return files.length;
     }
 
     @Override
-    public int size() {
+    public int fileBytes() {
       return files[0].length;
     }
 
@@ -44,8 +44,8 @@
 
     @Override
     public void write(int file, int at, byte[] b) throws IOException {
-      if (refuses.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
-        refused.incrementAndGet();
+      if (writesToRefuse.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
+        refusedWrites.incrementAndGet();
         System.arraycopy(b, 0, files[file], at, b.length / 2);
         throw new IOException("No space left on device");
       }
@@ -54,25 +54,25 @@
 
     @Override
     public void sync(int file) {
-      syncing.run();
+      onSync.run();
     }
   }
 
   @Test
   void whatAFullDiskRefusedIsWrittenOnceItTakesBytesAgain() throws Exception {
-    Paper p = new Paper();
-    p.refuses.set(3);
+    MemoryStorage p = new MemoryStorage();
+    p.writesToRefuse.set(3);
     List<String> failed = new ArrayList<>();
     CompletableFuture<Void> first = new CompletableFuture<>(), second = new CompletableFuture<>();
     try (DiskWriter d =
         new DiskWriter(RecordRing.open(p), Clock.monotonic(), Runnable::run, failed::add)) {
-      d.want("a", new byte[] {1}, () -> first.complete(null));
-      d.want("b", new byte[] {2}, () -> second.complete(null));
+      d.enqueue("a", new byte[] {1}, () -> first.complete(null));
+      d.enqueue("b", new byte[] {2}, () -> second.complete(null));
       first.get(10, TimeUnit.SECONDS);
       second.get(10, TimeUnit.SECONDS);
-      Assertions.assertEquals(0, d.stalled());
+      Assertions.assertEquals(0, d.stalledMs());
     }
-    Assertions.assertEquals(3, p.refused.get());
+    Assertions.assertEquals(3, p.refusedWrites.get());
     Assertions.assertEquals(List.of(), failed, "a full disk is no reason to end");
     RecordRing again = RecordRing.open(p);
     Assertions.assertArrayEquals(new byte[] {1}, again.live().get("a"));
@@ -81,10 +81,10 @@
 
   @Test
   void closingDoesNotInterruptWhatIsBeingWritten() throws Exception {
-    Paper p = new Paper();
+    MemoryStorage p = new MemoryStorage();
     CountDownLatch within = new CountDownLatch(1), go = new CountDownLatch(1);
     List<Boolean> interrupted = new ArrayList<>();
-    p.syncing =
+    p.onSync =
         () -> {
           within.countDown();
           try {
@@ -98,7 +98,7 @@
     List<String> failed = new ArrayList<>();
     DiskWriter d =
         new DiskWriter(RecordRing.open(p), Clock.monotonic(), Runnable::run, failed::add);
-    d.want("a", new byte[] {1}, () -> done.complete(null));
+    d.enqueue("a", new byte[] {1}, () -> done.complete(null));
     Assertions.assertTrue(within.await(10, TimeUnit.SECONDS));
     d.close();
     go.countDown();
--- a/control-plane/src/test/java/gladelug/control/core/register/DurableStateTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/DurableStateTest.java
@@ -19,25 +19,25 @@
   private static final MemberSet MEMBERS =
       new MemberSet(3, List.of(new MemberSet.Member("a", "disk-a", ADDRESS, ADDRESS)));
 
-  private static byte[] cell() {
+  private static byte[] registerBytes() {
     byte[] body = {1, 2, 3};
     VersionedValue value = VersionedValue.NONE;
     for (int i = 0; i < 3; i++)
       value = value.next(Digest.hex(body), body, i, 7, "a", "what it changed");
-    return new Register(5, 4, value).bytes();
+    return new Register(5, 4, value).toBytes();
   }
 
-  private static byte[] cellWithSharing() {
-    VersionedValue value = Register.of(cell()).value();
-    return new Register(5, 4, value.with(PrefixSharing.beginningWith(2))).bytes();
+  private static byte[] registerBytesWithSharing() {
+    VersionedValue value = Register.of(registerBytes()).value();
+    return new Register(5, 4, value.withSharing(PrefixSharing.startingAt(2))).toBytes();
   }
 
-  private static byte[] epochs() {
-    return EpochRecord.of(Register.of(cell())).bytes();
+  private static byte[] epochBytes() {
+    return EpochRecord.of(Register.of(registerBytes())).toBytes();
   }
 
-  private static List<Finding> found(String key, byte[] bytes) {
-    return DurableState.findings(Map.of(key, bytes), "a", "disk-a");
+  private static List<Finding> validate(String key, byte[] bytes) {
+    return DurableState.validate(Map.of(key, bytes), "a", "disk-a");
   }
 
   @Test
@@ -45,20 +45,20 @@
     Map<String, byte[]> state =
         Map.of(
             "cell/policy",
-            cell(),
+            registerBytes(),
             "cell/other",
-            cellWithSharing(),
+            registerBytesWithSharing(),
             "epochs/policy",
-            epochs(),
+            epochBytes(),
             DurableState.ACTIVE_MEMBERS,
-            MEMBERS.bytes(),
+            MEMBERS.toBytes(),
             DurableState.SEALED_FOR,
-            MEMBERS.bytes(),
+            MEMBERS.toBytes(),
             DurableState.BOOTSTRAP_SET,
-            MEMBERS.bytes(),
+            MEMBERS.toBytes(),
             "a-name-of-another-release",
             new byte[9]);
-    Assertions.assertEquals(List.of(), DurableState.findings(state, "a", "disk-a"));
+    Assertions.assertEquals(List.of(), DurableState.validate(state, "a", "disk-a"));
   }
 
   @Test
@@ -66,31 +66,32 @@
     Map<String, byte[]> state =
         Map.of(
             "cell/policy",
-            cell(),
+            registerBytes(),
             "cell/other",
-            cellWithSharing(),
+            registerBytesWithSharing(),
             "epochs/policy",
-            epochs(),
+            epochBytes(),
             DurableState.ACTIVE_MEMBERS,
-            MEMBERS.bytes(),
+            MEMBERS.toBytes(),
             DurableState.SEALED_FOR,
-            MEMBERS.bytes());
+            MEMBERS.toBytes());
     for (String key : state.keySet()) {
       byte[] good = state.get(key);
       byte[] longer = Arrays.copyOf(good, good.length + 1);
       for (byte[] bad : List.of(new byte[0], Arrays.copyOf(good, good.length - 1), longer)) {
-        List<Finding> found = found(key, bad);
+        List<Finding> found = validate(key, bad);
         Assertions.assertEquals(1, found.size(), key);
         Assertions.assertEquals(key, found.get(0).place());
       }
-      Assertions.assertTrue(found(key, longer).get(0).what().contains("newer release"));
+      Assertions.assertTrue(validate(key, longer).get(0).what().contains("newer release"));
     }
   }
 
   @Test
   void theStateOfAnotherDiskIsAFinding() {
     List<Finding> found =
-        DurableState.findings(Map.of(DurableState.ACTIVE_MEMBERS, MEMBERS.bytes()), "a", "disk-b");
+        DurableState.validate(
+            Map.of(DurableState.ACTIVE_MEMBERS, MEMBERS.toBytes()), "a", "disk-b");
     Assertions.assertEquals(1, found.size());
     Assertions.assertTrue(found.get(0).what().contains("disk-a"), found::toString);
   }
@@ -99,8 +100,8 @@
   @Test
   void bytesThatWereChangedAnywhereAreReadOrRefused() {
     Random random = new Random(1);
-    byte[] cell = cell();
-    byte[] members = MEMBERS.bytes();
+    byte[] cell = registerBytes();
+    byte[] members = MEMBERS.toBytes();
     for (int i = 0; i < 20_000; i++) {
       byte[] bad = (i % 2 == 0 ? cell : members).clone();
       for (int j = 0; j <= i % 3; j++) bad[random.nextInt(bad.length)] = (byte) random.nextInt();
--- a/control-plane/src/test/java/gladelug/control/core/register/RegisterStoreTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/RegisterStoreTest.java
@@ -19,29 +19,29 @@
 final class RegisterStoreTest {
   private static final String KEY = "policy";
 
-  private record Write(String name, byte[] state, Runnable done) {}
+  private record Write(String name, byte[] state, Runnable onDurable) {}
 
   /** A disk that keeps what it is handed, in order, until the test has it last. */
   private static final class Disk implements CoreHost {
     final List<Write> writes = new ArrayList<>();
-    int lasting;
+    int completedCount;
 
-    void lasts() {
-      writes.get(lasting++).done.run();
+    void completeNext() {
+      writes.get(completedCount++).onDurable.run();
     }
 
-    void allLasts() {
-      while (lasting < writes.size()) lasts();
+    void completeAll() {
+      while (completedCount < writes.size()) completeNext();
     }
 
     /** What is read after a loss of power with so many writes done. */
-    Map<String, byte[]> after(int count) {
+    Map<String, byte[]> durableAfter(int count) {
       Map<String, byte[]> durable = new HashMap<>();
       for (Write w : writes.subList(0, count)) durable.put(w.name, w.state);
       return durable;
     }
 
-    int lastSize() {
+    int lastWriteBytes() {
       return writes.get(writes.size() - 1).state.length;
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return 0;
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public long wall() {
+    public long wallClockMs() {
       return 0;
     }
 
@@ -72,18 +72,18 @@
     public void sendTo(Address to, CoreMessage.Envelope m) {}
 
     @Override
-    public List<Address> contacts() {
+    public List<Address> contactAddresses() {
       return List.of();
     }
 
     @Override
-    public void news(String node, StateUpdate m) {}
+    public void pushUpdate(String node, StateUpdate m) {}
 
     @Override
-    public void members(MemberSet m) {}
+    public void onMembersChanged(MemberSet m) {}
 
     @Override
-    public void event(String name, Object... pairs) {}
+    public void logEvent(String name, Object... pairs) {}
   }
 
   private static VersionedValue value(VersionedValue before, int size, int content) {
@@ -93,8 +93,8 @@
   }
 
   /** Serialised and read again, as what comes from another member is. */
-  private static Register copy(Register cell) {
-    return Register.of(cell.bytes());
+  private static Register serializeAndParse(Register cell) {
+    return Register.of(cell.toBytes());
   }
 
   @Test
@@ -102,15 +102,15 @@
     Disk disk = new Disk();
     RegisterStore kept = new RegisterStore(disk, Map.of());
     VersionedValue large = value(VersionedValue.NONE, 1_500_000, 1);
-    kept.keep(KEY, new Register(5, 5, large), () -> {});
-    Assertions.assertTrue(disk.lastSize() >= 1_500_000);
-    disk.allLasts();
-    kept.keep(KEY, new Register(6, 5, large), () -> {});
-    Assertions.assertTrue(disk.lastSize() < 200, "a promise: " + disk.lastSize());
-    kept.keep(KEY, copy(new Register(6, 6, large)), () -> {});
-    Assertions.assertTrue(disk.lastSize() < 200, "the value again: " + disk.lastSize());
-    kept.keep(KEY, new Register(6, 6, value(large, 1_500_000, 2)), () -> {});
-    Assertions.assertTrue(disk.lastSize() >= 1_500_000, "a change");
+    kept.put(KEY, new Register(5, 5, large), () -> {});
+    Assertions.assertTrue(disk.lastWriteBytes() >= 1_500_000);
+    disk.completeAll();
+    kept.put(KEY, new Register(6, 5, large), () -> {});
+    Assertions.assertTrue(disk.lastWriteBytes() < 200, "a promise: " + disk.lastWriteBytes());
+    kept.put(KEY, serializeAndParse(new Register(6, 6, large)), () -> {});
+    Assertions.assertTrue(disk.lastWriteBytes() < 200, "the value again: " + disk.lastWriteBytes());
+    kept.put(KEY, new Register(6, 6, value(large, 1_500_000, 2)), () -> {});
+    Assertions.assertTrue(disk.lastWriteBytes() >= 1_500_000, "a change");
   }
 
   @Test
@@ -118,18 +118,18 @@
     Disk disk = new Disk();
     RegisterStore kept = new RegisterStore(disk, Map.of());
     VersionedValue seventh = value(VersionedValue.NONE, 4000, 1), eighth = value(seventh, 4000, 2);
-    kept.keep(KEY, new Register(1, 1, seventh), () -> {});
-    kept.keep(KEY, new Register(2, 1, seventh), () -> {});
-    Assertions.assertTrue(disk.lastSize() > 4000, "the value before it is still on its way");
-    disk.allLasts();
+    kept.put(KEY, new Register(1, 1, seventh), () -> {});
+    kept.put(KEY, new Register(2, 1, seventh), () -> {});
+    Assertions.assertTrue(disk.lastWriteBytes() > 4000, "the value before it is still on its way");
+    disk.completeAll();
     // the owner's write that nobody else took, and the next owner's older value over it
-    kept.keep(KEY, new Register(2, 2, eighth), () -> {});
-    kept.keep(KEY, new Register(3, 3, seventh), () -> {});
-    Assertions.assertTrue(disk.lastSize() > 4000, "the older value was overwritten");
-    disk.allLasts();
+    kept.put(KEY, new Register(2, 2, eighth), () -> {});
+    kept.put(KEY, new Register(3, 3, seventh), () -> {});
+    Assertions.assertTrue(disk.lastWriteBytes() > 4000, "the older value was overwritten");
+    disk.completeAll();
     Assertions.assertEquals(
         seventh.digest(),
-        new RegisterStore(disk, disk.after(disk.writes.size())).get(KEY).value().digest());
+        new RegisterStore(disk, disk.durableAfter(disk.writes.size())).get(KEY).value().digest());
   }
 
   @Test
@@ -145,21 +145,24 @@
         epoch += random.nextInt(3);
         cell =
             switch (random.nextInt(4)) {
-              case 0 -> new Register(epoch, cell.epoch(), cell.value());
+              case 0 -> new Register(epoch, cell.acceptedEpoch(), cell.value());
               case 1 -> new Register(epoch, epoch, cell.value());
               case 2 -> new Register(epoch, epoch, value(cell.value(), 10, random.nextInt(3)));
               default ->
                   new Register(
-                      epoch, epoch, copy(history.get(random.nextInt(history.size()))).value());
+                      epoch,
+                      epoch,
+                      serializeAndParse(history.get(random.nextInt(history.size()))).value());
             };
-        kept.keep(KEY, cell, () -> {});
+        kept.put(KEY, cell, () -> {});
         history.add(cell);
-        while (disk.lasting < disk.writes.size() && random.nextBoolean()) disk.lasts();
+        while (disk.completedCount < disk.writes.size() && random.nextBoolean())
+          disk.completeNext();
       }
       for (int count = 0; count <= disk.writes.size(); count++)
         Assertions.assertArrayEquals(
-            history.get(count).bytes(),
-            new RegisterStore(disk, disk.after(count)).get(KEY).bytes(),
+            history.get(count).toBytes(),
+            new RegisterStore(disk, disk.durableAfter(count)).get(KEY).toBytes(),
             "seed " + seed + ", power lost after write " + count);
     }
   }
--- a/control-plane/src/test/java/gladelug/control/core/register/VersionedValueTest.java
+++ b/control-plane/src/test/java/gladelug/control/core/register/VersionedValueTest.java
@@ -13,16 +13,16 @@
 
   @Test
   void sharingIsReadAsItWasWrittenAndEndsTheValue() {
-    Register register = new Register(3, 2, PLAIN.with(SHARING));
-    Assertions.assertEquals(SHARING, Register.of(register.bytes()).value().sharing());
-    byte[] longer = Arrays.copyOf(register.bytes(), register.bytes().length + 1);
+    Register register = new Register(3, 2, PLAIN.withSharing(SHARING));
+    Assertions.assertEquals(SHARING, Register.of(register.toBytes()).value().sharing());
+    byte[] longer = Arrays.copyOf(register.toBytes(), register.toBytes().length + 1);
     Assertions.assertThrows(RuntimeException.class, () -> Register.of(longer));
   }
 
   @Test
   void aValueWithoutItIsWrittenAsReleasesBeforeDid() {
-    byte[] plain = new Register(3, 2, PLAIN).bytes();
-    byte[] with = new Register(3, 2, PLAIN.with(SHARING)).bytes();
+    byte[] plain = new Register(3, 2, PLAIN).toBytes();
+    byte[] with = new Register(3, 2, PLAIN.withSharing(SHARING)).toBytes();
     Assertions.assertArrayEquals(plain, Arrays.copyOf(with, plain.length));
     Assertions.assertEquals(PrefixSharing.UNRECORDED, Register.of(plain).value().sharing());
   }
@@ -30,6 +30,6 @@
   @Test
   void theNextValueRecordsItsOwn() {
     Assertions.assertEquals(
-        PrefixSharing.UNRECORDED, PLAIN.with(SHARING).next("e", new byte[] {2}).sharing());
+        PrefixSharing.UNRECORDED, PLAIN.withSharing(SHARING).next("e", new byte[] {2}).sharing());
   }
 }
--- a/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
+++ b/control-plane/src/test/java/gladelug/control/instances/InstanceListPollTest.java
@@ -1,6 +1,6 @@
 package gladelug.control.instances;
 
-import static gladelug.control.instances.InstanceListPoll.narrowed;
+import static gladelug.control.instances.InstanceListPoll.retainListed;
 
 import gladelug.common.Address;
 import gladelug.common.Result;
@@ -33,30 +33,30 @@
 
   @Test
   void whatIsOfferedAgainOnlyTakesAway() {
-    byte[] kept = list("a+", "b+", "c-", "d+").json().getBytes(StandardCharsets.UTF_8);
+    byte[] kept = list("a+", "b+", "c-", "d+").toJson().getBytes(StandardCharsets.UTF_8);
     Assertions.assertEquals(
-        list("a+", "b-", "c-").json(),
-        new String(narrowed(kept, list("a+", "b-", "c+", "e+")), StandardCharsets.UTF_8));
+        list("a+", "b-", "c-").toJson(),
+        new String(retainListed(kept, list("a+", "b-", "c+", "e+")), StandardCharsets.UTF_8));
   }
 
   /** What is kept of lists, and the number it has. */
   private static final class Store implements InstanceListPoll.Store {
     private long number;
-    private String kept;
+    private String storedJson;
 
     Store(long number, Replicas list) {
       this.number = number;
-      this.kept = list.json();
+      this.storedJson = list.toJson();
     }
 
-    InstanceListPoll.StoredList kept() {
-      return new InstanceListPoll.StoredList(number, kept.getBytes(StandardCharsets.UTF_8));
+    InstanceListPoll.StoredList storedList() {
+      return new InstanceListPoll.StoredList(number, storedJson.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
-    public Uni<ChangeResult> change(long base, byte[] list) {
+    public Uni<ChangeResult> propose(long base, byte[] list) {
       if (base != number) return Uni.createFrom().item(new ChangeResult.Conflict(number));
-      kept = new String(list, StandardCharsets.UTF_8);
+      storedJson = new String(list, StandardCharsets.UTF_8);
       return Uni.createFrom().item(new ChangeResult.Acknowledged(++number, false, 0, 0, 0));
     }
 
@@ -69,17 +69,17 @@
     Store store = new Store(3, list("a+", "b+"));
     CompletableFuture<Result<Replicas>> late = new CompletableFuture<>();
     AtomicReference<Result<Optional<ChangeResult>>> outcome = new AtomicReference<>();
-    InstanceListPoll.poll(store.kept(), store, () -> Uni.createFrom().completionStage(late))
+    InstanceListPoll.poll(store.storedList(), store, () -> Uni.createFrom().completionStage(late))
         .subscribe()
         .with(outcome::set);
     // meanwhile another owner heard that b drains
     InstanceListPoll.poll(
-            store.kept(), store, () -> Uni.createFrom().item(Result.good(list("a+", "b-"))))
+            store.storedList(), store, () -> Uni.createFrom().item(Result.good(list("a+", "b-"))))
         .subscribe()
         .with(ignored -> {});
     late.complete(Result.good(list("a+", "b+", "c+")));
     Assertions.assertEquals(Result.good(Optional.of(new ChangeResult.Conflict(4))), outcome.get());
-    Assertions.assertEquals(list("a+", "b-").json(), store.kept);
+    Assertions.assertEquals(list("a+", "b-").toJson(), store.storedJson);
   }
 
   @Test
@@ -88,7 +88,7 @@
     List<Result<Optional<ChangeResult>>> outcomes = new ArrayList<>();
     Result<Replicas> senseless = Result.bad("Instances", "is not a list");
     for (Result<Replicas> answer : List.of(Result.good(list("a+")), senseless))
-      InstanceListPoll.poll(store.kept(), store, () -> Uni.createFrom().item(answer))
+      InstanceListPoll.poll(store.storedList(), store, () -> Uni.createFrom().item(answer))
           .subscribe()
           .with(outcomes::add);
     Assertions.assertEquals(Result.good(Optional.empty()), outcomes.get(0));
--- a/control-plane/src/test/java/gladelug/control/instances/PendingObservationTest.java
+++ b/control-plane/src/test/java/gladelug/control/instances/PendingObservationTest.java
@@ -6,22 +6,25 @@
 
 /** Tests of PendingObservation. */
 final class PendingObservationTest {
-  private static String offered(PendingObservation pending, long now) {
-    return pending.offer(now).map(offer -> offer.baseNumber() + ":" + offer.value()[0]).orElse("");
+  private static String proposed(PendingObservation pending, long now) {
+    return pending
+        .findProposal(now)
+        .map(offer -> offer.baseNumber() + ":" + offer.value()[0])
+        .orElse("");
   }
 
   @Test
   void whatWasLearnedIsOfferedUntilItIsTakenOvertakenOrOld() {
     PendingObservation pending = new PendingObservation();
-    Assertions.assertEquals("", offered(pending, 0));
+    Assertions.assertEquals("", proposed(pending, 0));
     pending.observe(7, new byte[] {1}, 0);
     pending.onChangeResult(new ChangeResult.NoOwner());
-    Assertions.assertEquals("7:1", offered(pending, 250));
+    Assertions.assertEquals("7:1", proposed(pending, 250));
     pending.onChangeResult(new ChangeResult.Unknown(8));
-    Assertions.assertEquals("7:1", offered(pending, 500));
+    Assertions.assertEquals("7:1", proposed(pending, 500));
     pending.onChangeResult(new ChangeResult.Conflict(9));
-    Assertions.assertEquals("", offered(pending, 750));
+    Assertions.assertEquals("", proposed(pending, 750));
     pending.observe(9, new byte[] {2}, 1000);
-    Assertions.assertEquals("", offered(pending, 32_000));
+    Assertions.assertEquals("", proposed(pending, 32_000));
   }
 }
--- a/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
+++ b/control-plane/src/test/java/gladelug/control/operator/OneMemberCore.java
@@ -27,7 +27,7 @@
   private static final int CUTOFF_MS = 15_000, RING_FILE_MB = 8;
 
   /** Where operators are answered. */
-  final Address operator = new Address(IP, freePort());
+  final Address operatorAddress = new Address(IP, freePort());
 
   final CoreService core;
   private final Vertx vertx = Vertx.vertx();
@@ -41,23 +41,24 @@
   OneMemberCore(Path data, int bootstrapMembers) {
     Address records = new Address(IP, freePort());
     List<MemberSet.Member> all = new ArrayList<>();
-    all.add(new MemberSet.Member(NAME, "", records, operator));
+    all.add(new MemberSet.Member(NAME, "", records, operatorAddress));
     for (int i = 1; i < bootstrapMembers; i++) {
       Address nobody = new Address(IP, freePort());
       all.add(new MemberSet.Member("absent" + i, "", nobody, nobody));
     }
     CoreDataFolder disk = CoreDataFolder.open(NAME, data.toString(), RING_FILE_MB, all);
     Shuffle.Descriptor self =
-        new Shuffle.Descriptor(NAME, "control", records.toString(), operator.toString(), "z", 0, 0);
+        new Shuffle.Descriptor(
+            NAME, "control", records.toString(), operatorAddress.toString(), "z", 0, 0);
     core =
         new CoreService(
             vertx,
             disk.ring(),
             QuorumConfig.DEFAULT,
-            new MemberSet.Member(NAME, disk.id(), records, operator),
+            new MemberSet.Member(NAME, disk.diskId(), records, operatorAddress),
             List.of(),
             CUTOFF_MS,
-            new BootstrapMembers(disk.founders()),
+            new BootstrapMembers(disk.bootstrapMembers()),
             new ControlOwnerTasks(Configuration::parse),
             what -> {});
     services =
@@ -65,7 +66,7 @@
             .add("doors", new ConnectionAcceptor(vertx, records, new BindAddress(IP), NAME))
             .add("views", new PartialViewService(vertx, self, List.of()))
             .add("core", core)
-            .add("operator-endpoint", new OperatorEndpoint(vertx, operator));
+            .add("operator-endpoint", new OperatorEndpoint(vertx, operatorAddress));
     services.start();
   }
 
--- a/control-plane/src/test/java/gladelug/control/operator/OperatorEndpointTest.java
+++ b/control-plane/src/test/java/gladelug/control/operator/OperatorEndpointTest.java
@@ -29,7 +29,7 @@
   @TempDir Path data;
 
   @AfterEach
-  void end() {
+  void stopMember() {
     member.close();
   }
 
@@ -44,24 +44,25 @@
     Assertions.assertEquals(200, status);
   }
 
-  private HttpRequest.Builder to(String path) {
-    return HttpRequest.newBuilder(URI.create("http://" + member.operator + path));
+  private HttpRequest.Builder request(String path) {
+    return HttpRequest.newBuilder(URI.create("http://" + member.operatorAddress + path));
   }
 
   private HttpResponse<String> get(String path) throws Exception {
-    return http.send(to(path).build(), BodyHandlers.ofString());
+    return http.send(request(path).build(), BodyHandlers.ofString());
   }
 
   private HttpResponse<String> post(String ifMatch, byte[] body) throws Exception {
     return http.send(
-        to(CONFIGURATION)
+        request(CONFIGURATION)
             .header("If-Match", ifMatch)
             .POST(BodyPublishers.ofByteArray(body))
             .build(),
         BodyHandlers.ofString());
   }
 
-  private void taken(String ifMatch, byte[] body, long number, boolean repeated) throws Exception {
+  private void assertApplied(String ifMatch, byte[] body, long number, boolean repeated)
+      throws Exception {
     HttpResponse<String> answer = post(ifMatch, body);
     JsonObject said = Json.parse(answer.body()).asObject();
     Assertions.assertEquals(200, answer.statusCode(), answer.body());
@@ -69,7 +70,7 @@
     Assertions.assertEquals(repeated, said.getBoolean("repeated", !repeated));
   }
 
-  private String fate(long number, byte[] body) throws Exception {
+  private String statusOf(long number, byte[] body) throws Exception {
     String path = CONFIGURATION + "/numbers/" + number + "?digest=" + Digest.hex(body);
     return Json.parse(get(path).body()).asObject().getString("fate", "");
   }
@@ -83,17 +84,17 @@
   void whatWasTakenIsAcknowledgedAgainAndAnOlderTextOnTheNewestNumberIsNew() throws Exception {
     startAlone();
     byte[] first = configuration(1), second = configuration(2), rival = configuration(9);
-    taken("0", first, 1, false);
-    taken("\"1\"", second, 2, false);
-    taken("0", first, 1, true);
+    assertApplied("0", first, 1, false);
+    assertApplied("\"1\"", second, 2, false);
+    assertApplied("0", first, 1, true);
     Assertions.assertEquals(412, post("0", rival).statusCode());
-    taken("2", first, 3, false);
-    taken("1", second, 2, true);
-    taken("2", first, 3, true);
-    taken("*", second, 4, false);
-    Assertions.assertEquals("taken", fate(1, first));
-    Assertions.assertEquals("other", fate(1, rival));
-    Assertions.assertEquals("not-yet", fate(5, rival));
+    assertApplied("2", first, 3, false);
+    assertApplied("1", second, 2, true);
+    assertApplied("2", first, 3, true);
+    assertApplied("*", second, 4, false);
+    Assertions.assertEquals("taken", statusOf(1, first));
+    Assertions.assertEquals("other", statusOf(1, rival));
+    Assertions.assertEquals("not-yet", statusOf(5, rival));
   }
 
   @Test
@@ -113,7 +114,7 @@
     start(3);
     Assertions.assertEquals(503, get(CONFIGURATION).statusCode());
     Assertions.assertEquals(503, get("/v1/weights").statusCode());
-    Assertions.assertEquals("unknown", fate(1, configuration(0)));
+    Assertions.assertEquals("unknown", statusOf(1, configuration(0)));
     Assertions.assertEquals(503, post("0", configuration(0)).statusCode());
   }
 }
--- a/control-plane/src/test/java/gladelug/control/operator/PublishedNamesTest.java
+++ b/control-plane/src/test/java/gladelug/control/operator/PublishedNamesTest.java
@@ -36,7 +36,7 @@
   @TempDir Path data;
 
   @AfterEach
-  void end() {
+  void stopMember() {
     member.close();
   }
 
@@ -55,40 +55,42 @@
   private HttpResponse<String> answer(String method, String path, String ifMatch, String body)
       throws Exception {
     HttpRequest.Builder request =
-        HttpRequest.newBuilder(URI.create("http://" + member.operator + path))
+        HttpRequest.newBuilder(URI.create("http://" + member.operatorAddress + path))
             .method(method, BodyPublishers.ofString(body));
     if (ifMatch != null) request.header("If-Match", ifMatch);
     return http.send(request.build(), BodyHandlers.ofString());
   }
 
   /** The names of all fields; of a list those of its first entry. */
-  private static String names(JsonValue value) {
+  private static String fieldNames(JsonValue value) {
     if (value.isArray())
-      return "[" + (value.asArray().isEmpty() ? "" : names(value.asArray().get(0))) + "]";
+      return "[" + (value.asArray().isEmpty() ? "" : fieldNames(value.asArray().get(0))) + "]";
     if (!value.isObject()) return "";
     List<String> names = new ArrayList<>();
     for (JsonObject.Member member : value.asObject()) {
-      String below = names(member.getValue());
+      String below = fieldNames(member.getValue());
       names.add(member.getName() + (below.isEmpty() ? "" : ":" + below));
     }
     return "{" + String.join(",", names) + "}";
   }
 
   /** The status, the fields and the outcome of an answer to a call. */
-  private String told(String method, String path, String ifMatch, String body) throws Exception {
+  private String describeAnswer(String method, String path, String ifMatch, String body)
+      throws Exception {
     HttpResponse<String> answer = answer(method, path, ifMatch, body);
     JsonValue said = Json.parse(answer.body());
     String outcome = said.asObject().getString("outcome", said.asObject().getString("fate", ""));
     String tag = answer.headers().firstValue("ETag").map(t -> " ETag " + t).orElse("");
-    return (answer.statusCode() + " " + names(said) + " " + outcome + tag).trim();
+    return (answer.statusCode() + " " + fieldNames(said) + " " + outcome + tag).trim();
   }
 
-  private void is(String expected, String method, String path, String ifMatch, String body)
-      throws Exception {
-    Assertions.assertEquals(expected, told(method, path, ifMatch, body), method + " " + path);
+  private void assertAnswer(
+      String expected, String method, String path, String ifMatch, String body) throws Exception {
+    Assertions.assertEquals(
+        expected, describeAnswer(method, path, ifMatch, body), method + " " + path);
   }
 
-  private String digest(String body) {
+  private String digestQuery(String body) {
     return "?digest=" + Digest.hex(body);
   }
 
@@ -97,43 +99,50 @@
     startAlone();
     String taken = "{outcome,number,repeated,acknowledgedBy,licencesRunOut,waitedMs} taken";
     String value = "{number,value:{services:[],mappings:[],tenants:[]}}";
-    is("200 {number}  ETag \"0\"", "GET", "/v1/configuration", null, "");
-    is("200 " + taken + " ETag \"1\"", "POST", "/v1/configuration", "0", EMPTY);
-    is("200 " + value + "  ETag \"1\"", "GET", "/v1/configuration", null, "");
-    is("200 " + taken + " ETag \"2\"", "POST", "/v1/policy", "1", EMPTY + " ");
-    is("200 " + value + "  ETag \"2\"", "GET", "/v1/policy", null, "");
-    is("428 {outcome,reason} not-taken", "POST", "/v1/configuration", null, EMPTY);
-    is("412 {outcome,reason,current} not-taken", "POST", "/v1/configuration", "0", EMPTY + "  ");
-    is("400 {outcome,findings:[{place,what}]} not-taken", "POST", "/v1/policy", "2", "{}");
+    assertAnswer("200 {number}  ETag \"0\"", "GET", "/v1/configuration", null, "");
+    assertAnswer("200 " + taken + " ETag \"1\"", "POST", "/v1/configuration", "0", EMPTY);
+    assertAnswer("200 " + value + "  ETag \"1\"", "GET", "/v1/configuration", null, "");
+    assertAnswer("200 " + taken + " ETag \"2\"", "POST", "/v1/policy", "1", EMPTY + " ");
+    assertAnswer("200 " + value + "  ETag \"2\"", "GET", "/v1/policy", null, "");
+    assertAnswer("428 {outcome,reason} not-taken", "POST", "/v1/configuration", null, EMPTY);
+    assertAnswer(
+        "412 {outcome,reason,current} not-taken", "POST", "/v1/configuration", "0", EMPTY + "  ");
+    assertAnswer(
+        "400 {outcome,findings:[{place,what}]} not-taken", "POST", "/v1/policy", "2", "{}");
     for (String path : List.of("/v1/configuration", "/v1/policy")) {
-      is(
+      assertAnswer(
           "200 {key,numbers:[{number,digest,taken,by,changed,acknowledged,firstSeenAt:{}}]}",
           "GET",
           path + "/numbers",
           null,
           "");
-      is("200 {number,fate} taken", "GET", path + "/numbers/1" + digest(EMPTY), null, "");
-      is("200 {number,fate} other", "GET", path + "/numbers/1" + digest("x"), null, "");
-      is("200 {number,fate} not-yet", "GET", path + "/numbers/9" + digest("x"), null, "");
-      is("400 {outcome,findings:[{place,what}]} not-taken", "GET", path + "/numbers/1", null, "");
+      assertAnswer(
+          "200 {number,fate} taken", "GET", path + "/numbers/1" + digestQuery(EMPTY), null, "");
+      assertAnswer(
+          "200 {number,fate} other", "GET", path + "/numbers/1" + digestQuery("x"), null, "");
+      assertAnswer(
+          "200 {number,fate} not-yet", "GET", path + "/numbers/9" + digestQuery("x"), null, "");
+      assertAnswer(
+          "400 {outcome,findings:[{place,what}]} not-taken", "GET", path + "/numbers/1", null, "");
     }
   }
 
   @Test
   void theOtherPathsAndFieldsHaveTheseNames() throws Exception {
     startAlone();
-    is("200 {ready,reason}", "GET", "/ready", null, "");
-    is("200 {number}  ETag \"0\"", "GET", "/v1/weights", null, "");
-    is("200 {number}  ETag \"0\"", "GET", "/v1/replicas", null, "");
-    is("200 {key,numbers:[]}", "GET", "/v1/weights/numbers", null, "");
-    is("404 {reason}", "GET", "/v1/nothing", null, "");
+    assertAnswer("200 {ready,reason}", "GET", "/ready", null, "");
+    assertAnswer("200 {number}  ETag \"0\"", "GET", "/v1/weights", null, "");
+    assertAnswer("200 {number}  ETag \"0\"", "GET", "/v1/replicas", null, "");
+    assertAnswer("200 {key,numbers:[]}", "GET", "/v1/weights/numbers", null, "");
+    assertAnswer("404 {reason}", "GET", "/v1/nothing", null, "");
     String naming = "{\"service\":\"s\",\"weights\":\"w\"}";
     HttpResponse<String> named = answer("POST", "/v1/weights", null, naming);
     Assertions.assertEquals(400, named.statusCode(), named.body());
     Assertions.assertTrue(named.body().contains("is no model service"), named.body());
     String swap = "{\"out\":\"x\",\"in\":\"y\"}";
-    is("409 {outcome,reason} not-taken", "POST", "/v1/core/swap", null, swap);
-    is("400 {outcome,findings:[{place,what}]} not-taken", "POST", "/v1/core/swap", null, "{}");
+    assertAnswer("409 {outcome,reason} not-taken", "POST", "/v1/core/swap", null, swap);
+    assertAnswer(
+        "400 {outcome,findings:[{place,what}]} not-taken", "POST", "/v1/core/swap", null, "{}");
   }
 
   @Test
@@ -160,7 +169,7 @@
             })
         .await()
         .atMost(Duration.ofSeconds(10));
-    is(
+    assertAnswer(
         "200 {generation,members:[{name,records,operator,alive}],"
             + "keys:[{key,owner,epoch,number,digest,licensed,confirmedMsAgo}],"
             + "wouldJoin:[],sealed,retired,active,"
--- a/control-plane/src/test/java/gladelug/control/rollout/ReplicaCommandSenderTest.java
+++ b/control-plane/src/test/java/gladelug/control/rollout/ReplicaCommandSenderTest.java
@@ -21,20 +21,20 @@
  * right has ended.
  */
 final class ReplicaCommandSenderTest {
-  private static final long LONG = 1_000_000;
+  private static final long FAR_FUTURE_MS = 1_000_000;
   private static final String CONFIGURATION =
       "{\"services\":[{\"name\":\"m\",\"allow\":[\"10.0.0.0/24\"]}],\"mappings\":[],\"tenants\":[]}";
   private static final Replica REPLICA =
       new Replica("m", "m1", Address.of("10.0.0.1:80"), "z", true);
 
   /** An order whose connection is not up yet. */
-  private record Connecting(
+  private record PendingOrder(
       String weights, Supplier<Uni<OptionalLong>> permit, UniEmitter<? super Outcome> outcome) {}
 
-  private final List<Connecting> connecting = new ArrayList<>();
+  private final List<PendingOrder> pendingOrders = new ArrayList<>();
   private final List<String> sentOrders = new ArrayList<>();
   private final WeightRollout rollout = new WeightRollout(0);
-  private CommandLease lease = new CommandLease(7, LONG);
+  private CommandLease lease = new CommandLease(7, FAR_FUTURE_MS);
   private long nowMs = 100;
   private final ReplicaCommandSender sender =
       new ReplicaCommandSender(
@@ -58,7 +58,8 @@
                 String model,
                 String weights) {
               return Uni.createFrom()
-                  .emitter(emitter -> connecting.add(new Connecting(weights, permit, emitter)));
+                  .emitter(
+                      emitter -> pendingOrders.add(new PendingOrder(weights, permit, emitter)));
             }
           },
           rollout,
@@ -69,19 +70,19 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private void named(String weights, long number) {
+  private void nameWeights(String weights, long number) {
     rollout.updateInputs(
         new WeightRollout.RolloutInputs(
-            bytes(new Replicas(List.of(REPLICA)).json()),
-            bytes(Weights.NONE.naming("m", weights, number).json()),
+            bytes(new Replicas(List.of(REPLICA)).toJson()),
+            bytes(Weights.NONE.withAssignment("m", weights, number).toJson()),
             bytes(CONFIGURATION),
-            LONG));
+            FAR_FUTURE_MS));
     rollout.onReported(REPLICA, "m", "w0", false, nowMs);
   }
 
   /** The connection of the oldest order is up: it leaves if it still may. */
-  private Connecting connected() {
-    Connecting order = connecting.remove(0);
+  private PendingOrder connectOldest() {
+    PendingOrder order = pendingOrders.remove(0);
     OptionalLong fence = order.permit.get().await().indefinitely();
     if (fence.isPresent()) sentOrders.add(order.weights + " under " + fence.getAsLong());
     return order;
@@ -89,51 +90,51 @@
 
   @Test
   void anOrderLeavesUnderTheRightAsItIsWhenItsConnectionIsUp() {
-    named("w1", 1);
+    nameWeights("w1", 1);
     sender.send(REPLICA);
-    lease = new CommandLease(9, LONG);
-    connected();
+    lease = new CommandLease(9, FAR_FUTURE_MS);
+    connectOldest();
     Assertions.assertEquals(List.of("w1 under 9"), sentOrders);
   }
 
   @Test
   void anOrderWhoseSenderLostTheRightWhileItConnectedDoesNotLeave() {
-    named("w1", 1);
+    nameWeights("w1", 1);
     sender.send(REPLICA);
     lease = CommandLease.NONE;
-    connected().outcome.complete(Outcome.NOT_SENT);
+    connectOldest().outcome.complete(Outcome.NOT_SENT);
     Assertions.assertEquals(List.of(), sentOrders);
-    lease = new CommandLease(11, LONG);
+    lease = new CommandLease(11, FAR_FUTURE_MS);
     sender.send(REPLICA);
-    connected();
+    connectOldest();
     Assertions.assertEquals(List.of("w1 under 11"), sentOrders, "what did not leave was not told");
   }
 
   @Test
   void anOrderThatMayArriveAfterTheRightsEndDoesNotLeave() {
-    named("w1", 1);
+    nameWeights("w1", 1);
     lease = new CommandLease(7, nowMs + ReplicaCommandCall.ANSWER_TIMEOUT_MS - 1);
     sender.send(REPLICA);
-    Assertions.assertEquals(0, connecting.size(), "no connection is opened for nothing");
+    Assertions.assertEquals(0, pendingOrders.size(), "no connection is opened for nothing");
     lease = new CommandLease(7, nowMs + ReplicaCommandCall.ANSWER_TIMEOUT_MS);
     sender.send(REPLICA);
     // a process that was frozen meanwhile finds its right as it knew it, and its end in the past
     nowMs++;
-    connected();
+    connectOldest();
     Assertions.assertEquals(List.of(), sentOrders);
   }
 
   @Test
   void aReplicaHasOneOrderUnderWayWhateverIsNamedMeanwhile() {
-    named("w1", 1);
+    nameWeights("w1", 1);
     sender.send(REPLICA);
-    Connecting first = connected();
-    named("w2", 2);
+    PendingOrder first = connectOldest();
+    nameWeights("w2", 2);
     sender.send(REPLICA);
-    Assertions.assertEquals(0, connecting.size(), "the first may still arrive");
+    Assertions.assertEquals(0, pendingOrders.size(), "the first may still arrive");
     first.outcome.fail(new IllegalStateException("no answer"));
     sender.send(REPLICA);
-    connected();
+    connectOldest();
     Assertions.assertEquals(List.of("w1 under 7", "w2 under 7"), sentOrders);
   }
 }
--- a/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
+++ b/control-plane/src/test/java/gladelug/control/rollout/RolloutBatchesTest.java
@@ -11,7 +11,7 @@
 
 /** Tests of RolloutBatches. */
 final class RolloutBatchesTest {
-  private static SortedMap<String, ReplicaProgress> of(String states) {
+  private static SortedMap<String, ReplicaProgress> progress(String states) {
     SortedMap<String, ReplicaProgress> progress = new TreeMap<>();
     for (int i = 0; i < states.length(); i++)
       progress.put(
@@ -24,10 +24,10 @@
 
   @Test
   void aThirdAtATimeAndNobodyHoldsTheRestForEver() {
-    SortedMap<String, ReplicaProgress> none = of("wwwwwww"),
-        two = of("mmwwwww"),
-        three = of("mmmwwww"),
-        silent = of("mm-wwww");
+    SortedMap<String, ReplicaProgress> none = progress("wwwwwww"),
+        two = progress("mmwwwww"),
+        three = progress("mmmwwww"),
+        silent = progress("mm-wwww");
     Assertions.assertTrue(mayStart("a", none, 0, 15000) && mayStart("c", none, 0, 15000));
     Assertions.assertFalse(mayStart("d", two, 4999, 15000));
     Assertions.assertTrue(mayStart("d", three, 100, 15000));
@@ -42,7 +42,7 @@
   @Test
   void aPunctualRollGoesByTimeAloneSoThatRelaysCanReckonWithIt() {
     RolloutPlan plan = new RolloutPlan(400, 4800, 4);
-    SortedMap<String, ReplicaProgress> none = of("wwwwwww"), all = of("mmmmmmw");
+    SortedMap<String, ReplicaProgress> none = progress("wwwwwww"), all = progress("mmmmmmw");
     Assertions.assertFalse(mayStart("a", none, 399, plan, true));
     Assertions.assertTrue(
         mayStart("a", none, 400, plan, true) && mayStart("b", none, 400, plan, true));
@@ -55,6 +55,6 @@
     for (String instance : none.keySet())
       Assertions.assertEquals(
           mayStart(instance, none, 2800, plan, true),
-          2800 >= plan.due(plan.part(instance, none.keySet())));
+          2800 >= plan.dueMs(plan.partOf(instance, none.keySet())));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/DataPlane.java
+++ b/data-plane/src/main/java/gladelug/data/DataPlane.java
@@ -19,7 +19,7 @@
 import gladelug.data.index.HttpHolderFeeds;
 import gladelug.data.index.IndexService;
 import gladelug.data.relay.ChoiceMode;
-import gladelug.data.relay.OwnProtocol;
+import gladelug.data.relay.NativeProtocol;
 import gladelug.data.relay.RelayService;
 import gladelug.data.relay.RelaySettings;
 import gladelug.data.state.StateSubscriptionService;
@@ -38,7 +38,7 @@
  * holders. Neither has a disk.
  */
 public final class DataPlane {
-  private static final Map<String, ChoiceMode> MODES =
+  private static final Map<String, ChoiceMode> CHOICE_MODES =
       new TreeMap<>(
           Map.of(
               "summary",
@@ -47,35 +47,36 @@
               ChoiceMode.LEAST_LOAD,
               "holder-always",
               ChoiceMode.HOLDER_ALWAYS));
-  private static final String[] BOTH = {
+  private static final String[] COMMON_FLAGS = {
     "name", "domain", "records", "operator", "bind", "seeds", "reasonsMb", "log"
   };
-  private static final String[] RELAY = {"callers", "index", "backlog", "choice", "division"};
-  private static final String[] INDEX = {"fingerprintBits", "mostHolders", "listPauseMs"};
+  private static final String[] RELAY_FLAGS = {"callers", "index", "backlog", "choice", "division"};
+  private static final String[] INDEX_FLAGS = {"fingerprintBits", "mostHolders", "listPauseMs"};
 
   record DataPlaneSettings(
       String name,
       String zone,
-      Address records,
-      Address operator,
-      BindAddress local,
+      Address recordsAddress,
+      Address operatorAddress,
+      BindAddress bindAddress,
       List<Address> seeds,
-      String log,
-      Address callers,
-      Address index,
-      int queue,
+      String logLevel,
+      Address callerAddress,
+      Address indexAddress,
+      int maxQueued,
       String choice,
       String division,
       int fingerprintBits,
-      int mostHolders,
+      int maxHolders,
       long listPauseMs,
-      int reasonsMb) {}
+      int decisionLogMib) {}
 
   private DataPlane() {}
 
-  static Result<DataPlaneSettings> place(boolean relay, String file, Map<String, String> flags) {
+  static Result<DataPlaneSettings> parseSettings(
+      boolean relay, String file, Map<String, String> flags) {
     return Settings.open(file, flags)
-        .then(
+        .flatMap(
             settings -> {
               Address records = settings.address("records");
               DataPlaneSettings p =
@@ -98,35 +99,37 @@
                           : (int)
                               settings.integer(
                                   "mostHolders",
-                                  FleetSummary.MOST_HOLDERS,
+                                  FleetSummary.DEFAULT_MAX_HOLDERS,
                                   1,
-                                  CuckooSummary.MOST_HOLDERS),
+                                  CuckooSummary.MAX_HOLDERS),
                       relay
                           ? 0
                           : settings.integer(
-                              "listPauseMs", CacheEventFeed.LIST_PAUSE, 0, 3_600_000),
+                              "listPauseMs", CacheEventFeed.MIN_LIST_INTERVAL_MS, 0, 3_600_000),
                       (int) settings.integer("reasonsMb", 16, 1, 4096));
-              if (!relay && p.fingerprintBits + CuckooSummary.holderBits(p.mostHolders) > 31)
+              if (!relay && p.fingerprintBits + CuckooSummary.holderBits(p.maxHolders) > 31)
                 settings.findings.add(
                     Settings.flag("fingerprintBits"),
                     "at most "
-                        + (31 - CuckooSummary.holderBits(p.mostHolders))
+                        + (31 - CuckooSummary.holderBits(p.maxHolders))
                         + " where there may be "
-                        + p.mostHolders
+                        + p.maxHolders
                         + " holders");
               if (p.seeds.isEmpty())
                 settings.findings.add(
                     "--seeds", "at least one records address of another process is needed");
-              if (p.seeds.contains(p.records))
+              if (p.seeds.contains(p.recordsAddress))
                 settings.findings.add(
                     "--seeds",
-                    "name this process itself, " + p.records + "; a seed is another process");
-              if (relay && !MODES.containsKey(p.choice))
+                    "name this process itself, "
+                        + p.recordsAddress
+                        + "; a seed is another process");
+              if (relay && !CHOICE_MODES.containsKey(p.choice))
                 settings.findings.add(
-                    "--choice", "must be one of " + MODES.keySet() + ", not " + p.choice);
+                    "--choice", "must be one of " + CHOICE_MODES.keySet() + ", not " + p.choice);
               if (relay && !p.division.equals("fleet") && !p.division.equals("alone"))
                 settings.findings.add("--division", "must be fleet or alone, not " + p.division);
-              return settings.done(() -> p);
+              return settings.build(() -> p);
             });
   }
 
@@ -137,21 +140,25 @@
             .defaultHelp(true)
             .description("Carries orders to replicas, and indexes which of them keep what.");
     var subs = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
-    Map<String, String[]> flags = Map.of("relay", RELAY, "index", INDEX);
+    Map<String, String[]> flags = Map.of("relay", RELAY_FLAGS, "index", INDEX_FLAGS);
     for (String c : List.of("relay", "index")) {
       Subparser p =
           subs.addParser(c).help(c.equals("relay") ? "carry orders" : "index kept prefix blocks");
       p.addArgument("--settings").metavar("FILE").help("settings file in JSON; flags go first");
-      for (String f : BOTH) p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
+      for (String f : COMMON_FLAGS)
+        p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
       for (String f : flags.get(c))
         p.addArgument(Settings.flag(f)).dest(f).metavar("VALUE").help(help(f));
     }
-    Namespace arguments = Program.parse(parser, args);
+    Namespace arguments = Program.parseArguments(parser, args);
     boolean relay = arguments.getString("command").equals("relay");
     Map<String, String> given = new HashMap<>();
-    for (String f : BOTH) given.put(f, arguments.getString(f));
-    for (String f : relay ? RELAY : INDEX) given.put(f, arguments.getString(f));
-    run(relay, Program.orExit("data-plane", place(relay, arguments.getString("settings"), given)));
+    for (String f : COMMON_FLAGS) given.put(f, arguments.getString(f));
+    for (String f : relay ? RELAY_FLAGS : INDEX_FLAGS) given.put(f, arguments.getString(f));
+    run(
+        relay,
+        Program.valueOrExit(
+            "data-plane", parseSettings(relay, arguments.getString("settings"), given)));
   }
 
   private static String help(String f) {
@@ -177,7 +184,7 @@
   }
 
   static void run(boolean relay, DataPlaneSettings p) {
-    Log.setUp(p.name, Program.level(p.log), System.out);
+    Log.setUp(p.name, Program.parseLogLevel(p.logLevel), System.out);
     Vertx vertx = Vertx.vertx();
     vertx.getDelegate().exceptionHandler(FatalFailure::onUncaught);
     Clock clock = Clock.monotonic();
@@ -185,16 +192,17 @@
         new Shuffle.Descriptor(
             p.name,
             relay ? "relay" : "index",
-            p.records.toString(),
-            p.operator.toString(),
+            p.recordsAddress.toString(),
+            p.operatorAddress.toString(),
             p.zone,
             0,
             0);
     DecisionLogService reasons =
-        new DecisionLogService(vertx, clock, p.name, p.records.host(), (long) p.reasonsMb << 20);
+        new DecisionLogService(
+            vertx, clock, p.name, p.recordsAddress.host(), (long) p.decisionLogMib << 20);
     ServiceRegistry registry =
         new ServiceRegistry()
-            .add("doors", new ConnectionAcceptor(vertx, p.records, p.local, p.name))
+            .add("doors", new ConnectionAcceptor(vertx, p.recordsAddress, p.bindAddress, p.name))
             .add("views", new PartialViewService(vertx, self, p.seeds))
             .add("news", new StateSubscriptionService(vertx, clock, self, p.seeds))
             .add("reasons", reasons);
@@ -205,22 +213,25 @@
               clock,
               p.name,
               p.zone,
-              new OwnProtocol(p.callers),
-              p.index,
-              RelaySettings.builder().queueMost(p.queue).alone(p.division.equals("alone")).build(),
-              MODES.get(p.choice),
-              RelayService.Ends.USUAL);
+              new NativeProtocol(p.callerAddress),
+              p.indexAddress,
+              RelaySettings.builder()
+                  .maxQueuedRequests(p.maxQueued)
+                  .localSharesOnly(p.division.equals("alone"))
+                  .build(),
+              CHOICE_MODES.get(p.choice),
+              RelayService.ShutdownTimes.DEFAULT);
       registry
           .add(
               "status-door",
               new StatusEndpoint(
                   vertx,
-                  p.operator,
-                  r::unready,
+                  p.operatorAddress,
+                  r::unreadyReason,
                   r::status,
                   t -> {
-                    r.routes(t);
-                    reasons.routes(t);
+                    r.registerRoutes(t);
+                    reasons.addRoutes(t);
                   }))
           .add("relay", r);
     } else {
@@ -228,15 +239,15 @@
           new IndexService(
               clock,
               p.fingerprintBits,
-              p.mostHolders,
+              p.maxHolders,
               HttpHolderFeeds.factory(
-                  vertx, CacheEventFeed.Policy.STRICT.listPauseMs(p.listPauseMs)));
+                  vertx, CacheEventFeed.Policy.STRICT.minListIntervalMs(p.listPauseMs)));
       registry
           .add(
               "status-door",
-              new StatusEndpoint(vertx, p.operator, () -> "", x::status, reasons::routes))
+              new StatusEndpoint(vertx, p.operatorAddress, () -> "", x::status, reasons::addRoutes))
           .add("index", x);
     }
-    Program.run("data-plane", registry, RelayService.DRAIN + 2000);
+    Program.run("data-plane", registry, RelayService.DRAIN_MS + 2000);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
+++ b/data-plane/src/main/java/gladelug/data/StatusEndpoint.java
@@ -23,9 +23,9 @@
 public final class StatusEndpoint implements ServiceRegistry.Service {
   private final Vertx vertx;
   private final Address address;
-  private final Supplier<String> unready;
+  private final Supplier<String> unreadyReason;
   private final Supplier<Uni<JsonObject>> status;
-  private final Consumer<Router> more;
+  private final Consumer<Router> extraRoutes;
   private HttpServer server;
 
   /** unready gives the reason, or an empty text when this node is ready. */
@@ -37,9 +37,9 @@
       Consumer<Router> more) {
     this.vertx = vertx;
     this.address = address;
-    this.unready = unready;
+    this.unreadyReason = unready;
     this.status = status;
-    this.more = more;
+    this.extraRoutes = more;
   }
 
   @Override
@@ -48,8 +48,8 @@
     r.get("/ready")
         .handler(
             context -> {
-              String why = unready.get();
-              say(
+              String why = unreadyReason.get();
+              sendJson(
                   context,
                   why.isEmpty() ? 200 : 503,
                   Json.object().add("ready", why.isEmpty()).add("reason", why));
@@ -60,29 +60,35 @@
                 status
                     .get()
                     .subscribe()
-                    .with(json -> say(context, 200, json), failure -> context.fail(500, failure)));
-    more.accept(r);
+                    .with(
+                        json -> sendJson(context, 200, json),
+                        failure -> context.fail(500, failure)));
+    extraRoutes.accept(r);
     r.errorHandler(
         500,
         context -> {
           Log.thrown("status-door-problem", context.failure(), "path", context.request().path());
-          say(context, 500, Json.object().add("reason", "an internal problem"));
+          sendJson(context, 500, Json.object().add("reason", "an internal problem"));
         });
     r.errorHandler(
-        404, context -> say(context, 404, Json.object().add("reason", "nothing is here")));
+        404, context -> sendJson(context, 404, Json.object().add("reason", "nothing is here")));
     server = vertx.createHttpServer(new HttpServerOptions()).requestHandler(r::handle);
     try {
       server
-          .listen(address.port(), registry.find("doors", ConnectionAcceptor.class).local.ip())
+          .listen(address.port(), registry.find("doors", ConnectionAcceptor.class).bindAddress.ip())
           .await()
           .atMost(Duration.ofSeconds(10));
     } catch (RuntimeException e) {
       throw new ServiceRegistry.StartupException(
-          "cannot listen for operators on " + address + ": " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for operators on "
+              + address
+              + ": "
+              + ConnectionAcceptor.rootCauseMessage(e),
+          e);
     }
   }
 
-  public static void say(RoutingContext context, int status, JsonObject json) {
+  public static void sendJson(RoutingContext context, int status, JsonObject json) {
     if (context.response().ended() || context.response().closed()) return;
     context
         .response()
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLog.java
@@ -17,16 +17,16 @@
  * that is torn, too large or of another sender than it says is refused. No I/O.
  */
 public final class DecisionLog {
-  static final int LARGEST = 1 << 20;
-  private static final int LARGEST_PLAIN = 8 << 20;
-  private final long most;
+  static final int MAX_PACKED_BYTES = 1 << 20;
+  private static final int MAX_UNPACKED_BYTES = 8 << 20;
+  private final long capacityBytes;
   private final ArrayDeque<Batch> batches = new ArrayDeque<>();
-  private long bytes;
-  private long refused;
-  private long dropped;
+  private long storedBytes;
+  private long refusedBatches;
+  private long droppedBatches;
 
   public DecisionLog(long mostBytes) {
-    most = mostBytes;
+    capacityBytes = mostBytes;
   }
 
   /** False where it makes no sense; then nothing is changed. */
@@ -34,19 +34,19 @@
     boolean good =
         b.relay().matches("[a-z0-9][a-z0-9-]{0,30}")
             && b.incarnation().matches("[0-9a-f]{4}")
-            && b.low() >= 0
-            && b.high() >= b.low()
-            && b.packed().length <= LARGEST
-            && plain(b.packed()) != null;
+            && b.firstNumber() >= 0
+            && b.lastNumber() >= b.firstNumber()
+            && b.deflated().length <= MAX_PACKED_BYTES
+            && unpack(b.deflated()) != null;
     if (!good) {
-      refused++;
+      refusedBatches++;
       return false;
     }
     batches.addLast(b);
-    bytes += b.packed().length;
-    while (bytes > most) {
-      bytes -= batches.removeFirst().packed().length;
-      dropped++;
+    storedBytes += b.deflated().length;
+    while (storedBytes > capacityBytes) {
+      storedBytes -= batches.removeFirst().deflated().length;
+      droppedBatches++;
     }
     return true;
   }
@@ -64,25 +64,27 @@
     String begins = "{\"order\":\"" + id + "\"";
     for (Iterator<Batch> i = batches.descendingIterator(); i.hasNext(); ) {
       Batch b = i.next();
-      if (!b.relay().equals(ps[0]) || !b.incarnation().equals(ps[1]) || n < b.low() || n > b.high())
-        continue;
-      for (String line : plain(b.packed()).split("\n"))
+      if (!b.relay().equals(ps[0])
+          || !b.incarnation().equals(ps[1])
+          || n < b.firstNumber()
+          || n > b.lastNumber()) continue;
+      for (String line : unpack(b.deflated()).split("\n"))
         if (line.startsWith(begins))
-          return Json.parse(line).asObject().add("skippedAtRelay", b.skipped());
+          return Json.parse(line).asObject().add("skippedAtRelay", b.skippedCount());
     }
     return null;
   }
 
-  public synchronized JsonObject json() {
+  public synchronized JsonObject toJson() {
     return Json.object()
         .add("batches", batches.size())
-        .add("bytes", bytes)
-        .add("most", most)
-        .add("dropped", dropped)
-        .add("turnedAway", refused);
+        .add("bytes", storedBytes)
+        .add("most", capacityBytes)
+        .add("dropped", droppedBatches)
+        .add("turnedAway", refusedBatches);
   }
 
-  static byte[] packed(List<byte[]> lines) {
+  static byte[] pack(List<byte[]> lines) {
     Deflater d = new Deflater(Deflater.BEST_SPEED);
     ByteArrayOutputStream plain = new ByteArrayOutputStream();
     for (byte[] l : lines) {
@@ -99,7 +101,7 @@
   }
 
   /** The lines of a batch, or null where they can't be read. */
-  private static String plain(byte[] packed) {
+  private static String unpack(byte[] packed) {
     Inflater i = new Inflater();
     i.setInput(packed);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -107,7 +109,7 @@
     try {
       while (!i.finished()) {
         int n = i.inflate(buf);
-        if (n == 0 && (i.needsInput() || i.needsDictionary()) || out.size() > LARGEST_PLAIN)
+        if (n == 0 && (i.needsInput() || i.needsDictionary()) || out.size() > MAX_UNPACKED_BYTES)
           return null;
         out.write(buf, 0, n);
       }
--- a/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
+++ b/data-plane/src/main/java/gladelug/data/decisions/DecisionLogService.java
@@ -34,19 +34,19 @@
  * in the queue, is counted and dropped.
  */
 public final class DecisionLogService implements ServiceRegistry.Service {
-  public static final long PERIOD = 500;
-  private static final int FELLOWS = 2, SPARE = 1, MOST_PLAIN = 1 << 20;
+  public static final long SEND_INTERVAL_MS = 500;
+  private static final int PEERS_PER_BATCH = 2, SPARE_CONNECTIONS = 1, MAX_UNPACKED_BYTES = 1 << 20;
   private final Vertx vertx;
-  private final SingleThreadWorker duty;
+  private final SingleThreadWorker worker;
   private final String name;
   private final String host;
-  private final String near;
-  private final DecisionLog kept;
-  private final Map<Address, PersistentConnection> held = new HashMap<>();
-  private ConnectionAcceptor doors;
-  private PartialViewService views;
-  private long nr;
-  private volatile long skipped;
+  private final String preferredZone;
+  private final DecisionLog receivedRecords;
+  private final Map<Address, PersistentConnection> connections = new HashMap<>();
+  private ConnectionAcceptor acceptor;
+  private PartialViewService partialView;
+  private long batchSequence;
+  private volatile long skippedRecords;
 
   public DecisionLogService(Vertx vertx, Clock clock, String name, String host, long mostBytes) {
     this(vertx, clock, name, host, "", mostBytes);
@@ -58,31 +58,31 @@
    */
   public DecisionLogService(
       Vertx vertx, Clock clock, String name, String host, String near, long mostBytes) {
-    this.near = near;
+    this.preferredZone = near;
     this.vertx = vertx;
     this.name = name;
     this.host = host;
-    this.kept = new DecisionLog(mostBytes);
-    this.duty = new SingleThreadWorker("reasons", 256, clock);
+    this.receivedRecords = new DecisionLog(mostBytes);
+    this.worker = new SingleThreadWorker("reasons", 256, clock);
   }
 
   @Override
   public void start(ServiceRegistry registry) {
-    doors = registry.find("doors", ConnectionAcceptor.class);
-    views = registry.find("views", PartialViewService.class);
-    doors.register(
-        Hello.REASONS,
+    acceptor = registry.find("doors", ConnectionAcceptor.class);
+    partialView = registry.find("views", PartialViewService.class);
+    acceptor.register(
+        Hello.DECISION_RECORDS,
         (hello, connection) ->
             new Connection.Receiver() {
               @Override
               public void record(byte[] record) throws IOException {
                 DecisionRecords.Batch b =
-                    (DecisionRecords.Batch) WireRecord.read(record, DecisionRecords::read);
+                    (DecisionRecords.Batch) WireRecord.decode(record, DecisionRecords::read);
                 if (!b.relay().equals(hello.name()))
                   throw new IOException("reasons of " + b.relay() + " from " + hello.name());
-                duty.offer(
+                worker.offer(
                     () -> {
-                      if (!kept.add(b))
+                      if (!receivedRecords.add(b))
                         Log.warn("reasons-turned-away", "relay", b.relay(), "batch", b.sequence());
                     });
               }
@@ -90,14 +90,14 @@
   }
 
   /** Whoever will hand records on has its connections open before it needs them. */
-  public void prepare() {
-    duty.scheduleEvery(PERIOD, this::peers);
+  public void keepPeersConnected() {
+    worker.scheduleEvery(SEND_INTERVAL_MS, this::updatePeers);
   }
 
   /** From the request thread: what has ended since the last time, and what is at replicas now. */
-  public void hand(List<Decision> ds, String run) {
+  public void submit(List<Decision> ds, String run) {
     if (ds.isEmpty()) return;
-    if (!duty.offer(() -> send(ds, run))) skipped += ds.size();
+    if (!worker.offer(() -> send(ds, run))) skippedRecords += ds.size();
   }
 
   private void send(List<Decision> ds, String run) {
@@ -105,61 +105,65 @@
     long low = Long.MAX_VALUE, high = 0;
     int size = 0;
     for (Decision decision : ds) {
-      byte[] bytes = decision.bytes();
-      if (size + bytes.length > MOST_PLAIN) {
-        skipped++;
+      byte[] bytes = decision.toBytes();
+      if (size + bytes.length > MAX_UNPACKED_BYTES) {
+        skippedRecords++;
         continue;
       }
       size += bytes.length;
       lines.add(bytes);
-      low = Math.min(low, decision.nr);
-      high = Math.max(high, decision.nr);
+      low = Math.min(low, decision.number);
+      high = Math.max(high, decision.number);
     }
     if (lines.isEmpty()) return;
     DecisionRecords.Batch batch =
-        new DecisionRecords.Batch(name, run, ++nr, low, high, skipped, DecisionLog.packed(lines));
+        new DecisionRecords.Batch(
+            name, run, ++batchSequence, low, high, skippedRecords, DecisionLog.pack(lines));
     int sent = 0;
-    for (Address address : peers()) if (sent < FELLOWS && held.get(address).send(batch)) sent++;
-    if (sent == 0) skipped += lines.size();
+    for (Address address : updatePeers())
+      if (sent < PEERS_PER_BATCH && connections.get(address).send(batch)) sent++;
+    if (sent == 0) skippedRecords += lines.size();
   }
 
   /**
    * Those of other machines, in an order that only the names decide; one more connection is held
    * than is used.
    */
-  private List<Address> peers() {
+  private List<Address> updatePeers() {
     List<Address> l =
-        views.all().stream()
+        partialView.all().stream()
             .filter(d -> d.role().equals("relay") || d.role().equals("index"))
-            .filter(d -> !Address.of(d.records()).host().equals(host))
+            .filter(d -> !Address.of(d.recordsAddress()).host().equals(host))
             .sorted(
                 Comparator.comparing(
-                        (Shuffle.Descriptor d) -> !near.isEmpty() && !near.equals(d.zone()))
+                        (Shuffle.Descriptor d) ->
+                            !preferredZone.isEmpty() && !preferredZone.equals(d.zone()))
                     .thenComparingInt(d -> (name + ">" + d.name()).hashCode()))
-            .map(d -> Address.of(d.records()))
+            .map(d -> Address.of(d.recordsAddress()))
             .distinct()
             .toList();
     List<Address> use = new ArrayList<>();
     int open = 0;
     for (Address a : l) {
-      if (open >= FELLOWS + SPARE) break;
+      if (open >= PEERS_PER_BATCH + SPARE_CONNECTIONS) break;
       use.add(a);
       PersistentConnection h =
-          held.computeIfAbsent(
+          connections.computeIfAbsent(
               a,
               x ->
                   new PersistentConnection(
                       vertx,
-                      doors,
+                      acceptor,
                       x,
-                      Hello.REASONS,
+                      Hello.DECISION_RECORDS,
                       (y, record) -> {
                         throw new IOException("an answer where none is due");
                       },
                       y -> {}));
-      if (h.open()) open++;
+      if (h.isOpen()) open++;
     }
-    held.entrySet()
+    connections
+        .entrySet()
         .removeIf(
             e -> {
               if (use.contains(e.getKey())) return false;
@@ -169,26 +173,28 @@
     return use;
   }
 
-  public void routes(Router r) {
+  public void addRoutes(Router r) {
     r.get("/operator/reasons/:id")
         .handler(
             context -> {
-              JsonObject json = kept.find(context.pathParam("id"));
+              JsonObject json = receivedRecords.find(context.pathParam("id"));
               if (json == null)
-                StatusEndpoint.say(
+                StatusEndpoint.sendJson(
                     context,
                     404,
                     Json.object().add("reason", "no record of such an order is kept here"));
-              else StatusEndpoint.say(context, 200, json);
+              else StatusEndpoint.sendJson(context, 200, json);
             });
     r.get("/operator/reasons")
         .handler(
-            context -> StatusEndpoint.say(context, 200, kept.json().add("skippedHere", skipped)));
+            context ->
+                StatusEndpoint.sendJson(
+                    context, 200, receivedRecords.toJson().add("skippedHere", skippedRecords)));
   }
 
   @Override
   public void stop() {
-    duty.close();
-    for (PersistentConnection connection : held.values()) connection.close();
+    worker.close();
+    for (PersistentConnection connection : connections.values()) connection.close();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/BlockList.java
+++ b/data-plane/src/main/java/gladelug/data/index/BlockList.java
@@ -7,12 +7,13 @@
  * All that a holder keeps at one moment, as its list gives it.
  *
  * @param incarnation the holder's life
- * @param number sequence number of the last event that the list includes
+ * @param lastSequence sequence number of the last event that the list includes
  * @param blocks ids of the blocks kept, each once
  * @param units units kept of each, as long as blocks; 0 = not kept
- * @param parts which of them are kept in part only
+ * @param partial which of them are kept in part only
  */
-public record BlockList(String incarnation, long number, long[] blocks, int[] units, BitSet parts) {
+public record BlockList(
+    String incarnation, long lastSequence, long[] blocks, int[] units, BitSet partial) {
   public BlockList {
     if (blocks.length != units.length)
       throw new IllegalArgumentException(blocks.length + " blocks, " + units.length + " units");
--- a/data-plane/src/main/java/gladelug/data/index/CacheEvent.java
+++ b/data-plane/src/main/java/gladelug/data/index/CacheEvent.java
@@ -6,15 +6,15 @@
  *
  * @param incarnation the holder's life, as text; numbers count within it and no incarnation comes
  *     back
- * @param number sequence number of the event, rising by one
+ * @param sequence sequence number of the event, rising by one
  * @param block the block's id
  * @param units units kept now, 0 = not at all
- * @param part whether less than the whole block is kept, as far as the source knows: units below
+ * @param partial whether less than the whole block is kept, as far as the source knows: units below
  *     the block's size, or units left by a removal
- * @param lost the holder says that events before this one were lost
+ * @param eventsLost the holder says that events before this one were lost
  */
 public record CacheEvent(
-    String incarnation, long number, long block, int units, boolean part, boolean lost) {
+    String incarnation, long sequence, long block, int units, boolean partial, boolean eventsLost) {
   /**
    * The block, or more of it, is kept; counts as whole unless part was told before and this is no
    * more.
@@ -30,6 +30,6 @@
 
   /** This event from a holder that says it lost some before. */
   public CacheEvent afterLoss() {
-    return new CacheEvent(incarnation, number, block, units, part, true);
+    return new CacheEvent(incarnation, sequence, block, units, partial, true);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
+++ b/data-plane/src/main/java/gladelug/data/index/CacheEventFeed.java
@@ -16,24 +16,25 @@
  * events until then.
  */
 public final class CacheEventFeed {
-  public static final int WINDOW = 64;
-  public static final long PATIENCE = 300, LIST_PAUSE = 300;
+  public static final int REORDER_WINDOW_EVENTS = 64;
+  public static final long GAP_TIMEOUT_MS = 300, MIN_LIST_INTERVAL_MS = 300;
 
   /** What numbers that never arrive mean. */
-  public sealed interface Gaps {
-    Gaps STRICT = new Strict();
+  public sealed interface GapPolicy {
+    GapPolicy STRICT = new Strict();
 
     /** A gap that stays means a resync. */
-    record Strict() implements Gaps {}
+    record Strict() implements GapPolicy {}
 
     /** More than limit missing of the last per numbers mean a resync. */
-    record Tolerant(int limit, int per) implements Gaps {
+    record Tolerant(int maxMissing, int outOf) implements GapPolicy {
       public Tolerant {
-        if (limit < 0 || per < 1) throw new IllegalArgumentException(limit + " missing of " + per);
+        if (maxMissing < 0 || outOf < 1)
+          throw new IllegalArgumentException(maxMissing + " missing of " + outOf);
       }
     }
 
-    static Gaps tolerant(int limit, int per) {
+    static GapPolicy tolerant(int limit, int per) {
       return new Tolerant(limit, per);
     }
   }
@@ -41,106 +42,109 @@
   /**
    * How a holder is followed.
    *
-   * @param gaps what numbers that never arrive mean
-   * @param patienceMs how long a missing number is waited for
-   * @param listPauseMs a list is asked for at most this often, since it costs the holder work
+   * @param withGaps what numbers that never arrive mean
+   * @param withGapTimeoutMs how long a missing number is waited for
+   * @param withMinListIntervalMs a list is asked for at most this often, since it costs the holder
+   *     work
    */
-  public record Policy(Gaps gaps, long patienceMs, long listPauseMs) {
-    public static final Policy STRICT = new Policy(Gaps.STRICT, PATIENCE, LIST_PAUSE);
+  public record Policy(GapPolicy gaps, long gapTimeoutMs, long minListIntervalMs) {
+    public static final Policy STRICT =
+        new Policy(GapPolicy.STRICT, GAP_TIMEOUT_MS, MIN_LIST_INTERVAL_MS);
 
-    public Policy gaps(Gaps g) {
-      return new Policy(g, patienceMs, listPauseMs);
+    public Policy withGaps(GapPolicy g) {
+      return new Policy(g, gapTimeoutMs, minListIntervalMs);
     }
 
-    public Policy patienceMs(long ms) {
-      return new Policy(gaps, ms, listPauseMs);
+    public Policy gapTimeoutMs(long ms) {
+      return new Policy(gaps, ms, minListIntervalMs);
     }
 
-    public Policy listPauseMs(long ms) {
-      return new Policy(gaps, patienceMs, ms);
+    public Policy minListIntervalMs(long ms) {
+      return new Policy(gaps, gapTimeoutMs, ms);
     }
   }
 
   public interface Effects {
     /** So many units of the block are kept now; part as in {@link CacheEvent}. */
-    void keep(long block, int units, boolean part);
+    void setKept(long block, int units, boolean part);
 
     /** The holder keeps nothing of what was told. */
     void clear();
 
     /** Clear the holder and insert these. */
-    void load(BlockList list);
+    void replaceAll(BlockList list);
 
     /** Ask the holder for its list; listed() follows with the same nr. */
-    void list(long nr);
+    void requestList(long nr);
   }
 
-  private record Waiting(CacheEvent event, long came) {}
+  private record Buffered(CacheEvent event, long receivedAtMs) {}
 
   private static final long NEVER = Long.MIN_VALUE / 2;
-  private final Effects fx;
+  private final Effects effects;
   private final Policy policy;
-  private final Gaps.Tolerant tolerant;
-  private final int room;
-  private final TreeMap<Long, Waiting> window = new TreeMap<>();
+  private final GapPolicy.Tolerant tolerance;
+  private final int maxBuffered;
+  private final TreeMap<Long, Buffered> window = new TreeMap<>();
 
   /** Tolerant only: numbers passed over, of the last per; at most limit of them. */
   private final TreeSet<Long> missing = new TreeSet<>();
 
   /** Tolerant only: while numbers are missing, the newest number that told of each block. */
-  private final LinkedHashMap<Long, Long> newest = new LinkedHashMap<>();
+  private final LinkedHashMap<Long, Long> newestByBlock = new LinkedHashMap<>();
 
   private String incarnation = "";
-  private String left = "";
-  private long applied;
-  private boolean following;
-  private long listNr;
-  private long answered;
-  private long listAt = NEVER;
-  private boolean listWanted;
-  private long lostUpTo = -1;
-  private long behindSince = -1;
-  private long told;
-  private long resyncs;
-  private long repeats;
-  private long missed;
-  private String windowOf = "";
+  private String previousIncarnation = "";
+  private long appliedSequence;
+  private boolean isFollowing;
+  private long listRequestNumber;
+  private long answeredListNumber;
+  private long lastListRequestMs = NEVER;
+  private boolean listPending;
+  private long lostUpToSequence = -1;
+  private long behindSinceMs = -1;
+  private long announcedSequence;
+  private long resyncCount;
+  private long duplicateCount;
+  private long missedCount;
+  private String windowIncarnation = "";
 
   public CacheEventFeed(Effects fx) {
     this(fx, Policy.STRICT);
   }
 
   public CacheEventFeed(Effects fx, Policy policy) {
-    this.fx = fx;
+    this.effects = fx;
     this.policy = policy;
-    this.tolerant = policy.gaps instanceof Gaps.Tolerant t ? t : null;
-    this.room = tolerant == null ? 16 * WINDOW : 1024 * WINDOW;
+    this.tolerance = policy.gaps instanceof GapPolicy.Tolerant t ? t : null;
+    this.maxBuffered =
+        tolerance == null ? 16 * REORDER_WINDOW_EVENTS : 1024 * REORDER_WINDOW_EVENTS;
   }
 
-  public boolean following() {
-    return following;
+  public boolean isFollowing() {
+    return isFollowing;
   }
 
   public String incarnation() {
     return incarnation;
   }
 
-  public long applied() {
-    return applied;
+  public long appliedSequence() {
+    return appliedSequence;
   }
 
   /** How often the list was asked for. */
-  public long resyncs() {
-    return resyncs;
+  public long resyncCount() {
+    return resyncCount;
   }
 
-  public long repeats() {
-    return repeats;
+  public long duplicateCount() {
+    return duplicateCount;
   }
 
   /** Numbers passed over, but for those that came later after all. */
-  public long missed() {
-    return missed;
+  public long missedCount() {
+    return missedCount;
   }
 
   public Policy policy() {
@@ -152,184 +156,186 @@
    * failed to come. A strict feed applies nothing until then.
    */
   public void resync(long now) {
-    if (tolerant == null) stop();
-    relist(now);
+    if (tolerance == null) stopFollowing();
+    requestList(now);
   }
 
-  private void stop() {
-    following = false;
-    behindSince = -1;
+  private void stopFollowing() {
+    isFollowing = false;
+    behindSinceMs = -1;
   }
 
   /**
    * As resync, where nothing is wrong with what was applied: events go on until the list is asked
    * for.
    */
-  public void relist(long now) {
-    if (now - listAt < policy.listPauseMs) {
-      listWanted = true;
+  public void requestList(long now) {
+    if (now - lastListRequestMs < policy.minListIntervalMs) {
+      listPending = true;
       return;
     }
-    stop();
-    listWanted = false;
-    listAt = now;
-    resyncs++;
-    fx.list(++listNr);
+    stopFollowing();
+    listPending = false;
+    lastListRequestMs = now;
+    resyncCount++;
+    effects.requestList(++listRequestNumber);
   }
 
-  public void listed(long nr, BlockList list) {
-    if (following || nr != listNr || nr == answered) return;
-    answered = nr;
-    if (!list.incarnation().equals(windowOf)) window.clear();
-    incarnation = windowOf = list.incarnation();
-    if (incarnation.equals(left)) left = "";
-    applied = list.number();
+  public void onList(long nr, BlockList list) {
+    if (isFollowing || nr != listRequestNumber || nr == answeredListNumber) return;
+    answeredListNumber = nr;
+    if (!list.incarnation().equals(windowIncarnation)) window.clear();
+    incarnation = windowIncarnation = list.incarnation();
+    if (incarnation.equals(previousIncarnation)) previousIncarnation = "";
+    appliedSequence = list.lastSequence();
     missing.clear();
-    newest.clear();
-    following = true;
-    behindSince = -1;
-    fx.load(list);
-    drain();
+    newestByBlock.clear();
+    isFollowing = true;
+    behindSinceMs = -1;
+    effects.replaceAll(list);
+    applyInOrder();
     // lost after the list was made: this list stands until the next one comes
-    listWanted = lostUpTo > list.number();
-    lostUpTo = -1;
+    listPending = lostUpToSequence > list.lastSequence();
+    lostUpToSequence = -1;
   }
 
   /** The list of this nr won't come: another one, after the pause. */
-  public void listFailed(long nr, long now) {
-    if (!following && nr == listNr && nr != answered) resync(now);
+  public void onListFailed(long nr, long now) {
+    if (!isFollowing && nr == listRequestNumber && nr != answeredListNumber) resync(now);
   }
 
-  public void event(CacheEvent event, long now) {
+  public void onEvent(CacheEvent event, long now) {
     String inc = event.incarnation();
-    long seq = event.number();
-    if (inc.equals(left)) {
-      repeats++;
+    long seq = event.sequence();
+    if (inc.equals(previousIncarnation)) {
+      duplicateCount++;
       return;
     }
-    if (!following) {
-      if (!inc.equals(windowOf)) {
+    if (!isFollowing) {
+      if (!inc.equals(windowIncarnation)) {
         window.clear();
-        lostUpTo = -1;
-        windowOf = inc;
+        lostUpToSequence = -1;
+        windowIncarnation = inc;
       }
-      if (event.lost()) lostUpTo = Math.max(lostUpTo, seq);
-      window.put(seq, new Waiting(event, now));
-      if (window.size() > room) window.pollFirstEntry();
+      if (event.eventsLost()) lostUpToSequence = Math.max(lostUpToSequence, seq);
+      window.put(seq, new Buffered(event, now));
+      if (window.size() > maxBuffered) window.pollFirstEntry();
       return;
     }
     if (!inc.equals(incarnation)) {
       window.clear();
-      window.put(seq, new Waiting(event, now));
-      leave(inc, now);
-    } else if (seq <= applied) late(event);
-    else if (window.containsKey(seq)) repeats++;
+      window.put(seq, new Buffered(event, now));
+      switchIncarnation(inc, now);
+    } else if (seq <= appliedSequence) applyLate(event);
+    else if (window.containsKey(seq)) duplicateCount++;
     else {
-      window.put(seq, new Waiting(event, now));
-      if (event.lost()) {
+      window.put(seq, new Buffered(event, now));
+      if (event.eventsLost()) {
         resync(now);
-        if (!following) return;
+        if (!isFollowing) return;
       }
-      drain();
-      if (window.isEmpty()) behindSince = -1;
-      else if (behindSince < 0) behindSince = now;
-      if (window.size() <= WINDOW) return;
-      if (tolerant == null) resync(now);
-      else passOver(window.firstKey() - 1, now);
+      applyInOrder();
+      if (window.isEmpty()) behindSinceMs = -1;
+      else if (behindSinceMs < 0) behindSinceMs = now;
+      if (window.size() <= REORDER_WINDOW_EVENTS) return;
+      if (tolerance == null) resync(now);
+      else skipTo(window.firstKey() - 1, now);
     }
   }
 
-  private void leave(String inc, long now) {
-    left = incarnation;
-    windowOf = inc;
-    lostUpTo = -1;
-    fx.clear();
-    stop();
+  private void switchIncarnation(String inc, long now) {
+    previousIncarnation = incarnation;
+    windowIncarnation = inc;
+    lostUpToSequence = -1;
+    effects.clear();
+    stopFollowing();
     resync(now);
   }
 
   /** A number passed over that comes after all counts, unless something newer told of its block. */
-  private void late(CacheEvent event) {
-    if (!missing.remove(event.number())) {
-      repeats++;
+  private void applyLate(CacheEvent event) {
+    if (!missing.remove(event.sequence())) {
+      duplicateCount++;
       return;
     }
-    missed--;
-    if (newest.getOrDefault(event.block(), -1L) < event.number()) apply(event);
-    if (missing.isEmpty()) newest.clear();
+    missedCount--;
+    if (newestByBlock.getOrDefault(event.block(), -1L) < event.sequence()) apply(event);
+    if (missing.isEmpty()) newestByBlock.clear();
   }
 
   /** The holder told its newest sequence without an event. */
-  public void pulse(String inc, long newest, long now) {
-    if (!following || inc.equals(left)) return;
+  public void onPulse(String inc, long newest, long now) {
+    if (!isFollowing || inc.equals(previousIncarnation)) return;
     if (!inc.equals(incarnation)) {
       window.clear();
-      leave(inc, now);
-    } else if (newest <= applied) {
-      if (window.isEmpty()) behindSince = -1;
-    } else if (behindSince < 0) {
-      behindSince = now;
-      told = newest;
+      switchIncarnation(inc, now);
+    } else if (newest <= appliedSequence) {
+      if (window.isEmpty()) behindSinceMs = -1;
+    } else if (behindSinceMs < 0) {
+      behindSinceMs = now;
+      announcedSequence = newest;
     }
     tick(now);
   }
 
   public void tick(long now) {
-    if (listWanted && now - listAt >= policy.listPauseMs) relist(now);
-    if (!following || behindSince < 0) return;
-    if (tolerant == null) {
-      if (now - behindSince > policy.patienceMs) resync(now);
+    if (listPending && now - lastListRequestMs >= policy.minListIntervalMs) requestList(now);
+    if (!isFollowing || behindSinceMs < 0) return;
+    if (tolerance == null) {
+      if (now - behindSinceMs > policy.gapTimeoutMs) resync(now);
     } else {
-      while (following
+      while (isFollowing
           && !window.isEmpty()
-          && now - window.firstEntry().getValue().came > policy.patienceMs)
-        passOver(window.firstKey() - 1, now);
-      if (!following) return;
-      if (window.isEmpty() && now - behindSince > policy.patienceMs) {
-        if (told > applied) passOver(told, now);
-        if (following) behindSince = -1;
+          && now - window.firstEntry().getValue().receivedAtMs > policy.gapTimeoutMs)
+        skipTo(window.firstKey() - 1, now);
+      if (!isFollowing) return;
+      if (window.isEmpty() && now - behindSinceMs > policy.gapTimeoutMs) {
+        if (announcedSequence > appliedSequence) skipTo(announcedSequence, now);
+        if (isFollowing) behindSinceMs = -1;
       }
     }
   }
 
   /** Tolerant only: what is missing up to this number isn't waited for any longer. */
-  private void passOver(long upTo, long now) {
-    long n = upTo - applied;
-    missed += n;
-    missing.headSet(upTo - tolerant.per, true).clear();
-    boolean many = Math.min(n, tolerant.per) + missing.size() > tolerant.limit;
+  private void skipTo(long upTo, long now) {
+    long n = upTo - appliedSequence;
+    missedCount += n;
+    missing.headSet(upTo - tolerance.outOf, true).clear();
+    boolean many = Math.min(n, tolerance.outOf) + missing.size() > tolerance.maxMissing;
     if (!many)
-      for (long i = Math.max(applied, upTo - tolerant.per) + 1; i <= upTo; i++) missing.add(i);
-    applied = upTo;
+      for (long i = Math.max(appliedSequence, upTo - tolerance.outOf) + 1; i <= upTo; i++)
+        missing.add(i);
+    appliedSequence = upTo;
     if (many) {
       missing.clear();
-      newest.clear();
+      newestByBlock.clear();
       resync(now);
     }
-    if (following) drain();
+    if (isFollowing) applyInOrder();
   }
 
-  private void drain() {
-    while (!window.isEmpty() && window.firstKey() <= applied) {
+  private void applyInOrder() {
+    while (!window.isEmpty() && window.firstKey() <= appliedSequence) {
       window.pollFirstEntry();
-      repeats++;
+      duplicateCount++;
     }
-    while (!window.isEmpty() && window.firstKey() == applied + 1) {
+    while (!window.isEmpty() && window.firstKey() == appliedSequence + 1) {
       CacheEvent event = window.pollFirstEntry().getValue().event;
-      applied++;
+      appliedSequence++;
       apply(event);
     }
-    if (tolerant == null || missing.isEmpty()) return;
-    missing.headSet(applied - tolerant.per, true).clear();
-    if (missing.isEmpty()) newest.clear();
+    if (tolerance == null || missing.isEmpty()) return;
+    missing.headSet(appliedSequence - tolerance.outOf, true).clear();
+    if (missing.isEmpty()) newestByBlock.clear();
   }
 
   private void apply(CacheEvent event) {
     if (!missing.isEmpty()) {
-      newest.remove(event.block());
-      newest.put(event.block(), event.number());
-      if (newest.size() > tolerant.per) newest.remove(newest.keySet().iterator().next());
+      newestByBlock.remove(event.block());
+      newestByBlock.put(event.block(), event.sequence());
+      if (newestByBlock.size() > tolerance.outOf)
+        newestByBlock.remove(newestByBlock.keySet().iterator().next());
     }
-    fx.keep(event.block(), event.units(), event.part());
+    effects.setKept(event.block(), event.units(), event.partial());
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/CuckooSummary.java
@@ -19,79 +19,79 @@
  * reusable long[], or in one long where there are at most 64.
  */
 public final class CuckooSummary {
-  public static final int SLOTS = 4, DISPLACEMENTS = 300;
+  public static final int BUCKET_SLOTS = 4, MAX_DISPLACEMENTS = 300;
 
   /** Holders where nothing else is said, and the most there may be. */
-  public static final int FEW_HOLDERS = 64, MOST_HOLDERS = 1024;
+  public static final int DEFAULT_MAX_HOLDERS = 64, MAX_HOLDERS = 1024;
 
   /**
    * The overflow's copies of one fingerprint in one pair of buckets: a bit a holder, further copies
    * beside.
    */
-  private static final class Spill {
-    final long[] bits;
-    int n;
-    int[] again = {};
+  private static final class OverflowCopies {
+    final long[] holderBitset;
+    int count;
+    int[] repeatedHolders = {};
 
-    Spill(int words) {
-      bits = new long[words];
+    OverflowCopies(int words) {
+      holderBitset = new long[words];
     }
 
-    boolean has(int h) {
-      return (bits[h >> 6] & 1L << h) != 0;
+    boolean contains(int h) {
+      return (holderBitset[h >> 6] & 1L << h) != 0;
     }
 
     void add(int h) {
-      n++;
-      if (has(h)) {
-        again = Arrays.copyOf(again, again.length + 1);
-        again[again.length - 1] = h;
-      } else bits[h >> 6] |= 1L << h;
+      count++;
+      if (contains(h)) {
+        repeatedHolders = Arrays.copyOf(repeatedHolders, repeatedHolders.length + 1);
+        repeatedHolders[repeatedHolders.length - 1] = h;
+      } else holderBitset[h >> 6] |= 1L << h;
     }
 
-    boolean take(int h) {
-      if (!has(h)) return false;
-      n--;
-      for (int i = 0; i < again.length; i++)
-        if (again[i] == h) {
-          again[i] = again[again.length - 1];
-          again = Arrays.copyOf(again, again.length - 1);
+    boolean remove(int h) {
+      if (!contains(h)) return false;
+      count--;
+      for (int i = 0; i < repeatedHolders.length; i++)
+        if (repeatedHolders[i] == h) {
+          repeatedHolders[i] = repeatedHolders[repeatedHolders.length - 1];
+          repeatedHolders = Arrays.copyOf(repeatedHolders, repeatedHolders.length - 1);
           return true;
         }
-      bits[h >> 6] &= ~(1L << h);
+      holderBitset[h >> 6] &= ~(1L << h);
       return true;
     }
 
-    int first() {
+    int firstHolder() {
       int w = 0;
-      while (bits[w] == 0) w++;
-      return w << 6 | Long.numberOfTrailingZeros(bits[w]);
+      while (holderBitset[w] == 0) w++;
+      return w << 6 | Long.numberOfTrailingZeros(holderBitset[w]);
     }
   }
 
   /** b, slots a bucket: 4 as in the paper; others only to be measured against it. */
-  private final int b;
+  private final int slotsPerBucket;
 
-  private final int f;
-  private final int fpMask;
-  private final int mask;
+  private final int fingerprintWidth;
+  private final int fingerprintMask;
+  private final int bucketMask;
   private final int[] slots;
   private final SplittableRandom random;
-  private final int words;
-  private final int holders;
-  private final Map<Long, Spill> overflow = new HashMap<>();
+  private final int bitsetWords;
+  private final int holderCapacity;
+  private final Map<Long, OverflowCopies> overflow = new HashMap<>();
 
   /**
    * The overflow's keys by each of their two buckets, to be moved back when a slot there comes
    * free.
    */
-  private final Map<Integer, List<Long>> waiting = new HashMap<>();
+  private final Map<Integer, List<Long>> overflowByBucket = new HashMap<>();
 
-  private int judged = -1;
-  private int size;
-  private int overflowed;
-  private int copies;
-  private int displacedOut;
+  private int unplacedEntriesWhenChecked = -1;
+  private int tableEntries;
+  private int overflowEntries;
+  private int excessCopies;
+  private int unplacedEntries;
   private long displacements;
 
   /**
@@ -99,38 +99,38 @@
    * of the xor.
    */
   public CuckooSummary(long entries, int fingerprintBits, long seed) {
-    this(entries, fingerprintBits, SLOTS, seed);
+    this(entries, fingerprintBits, BUCKET_SLOTS, seed);
   }
 
   public CuckooSummary(long entries, int fingerprintBits, int bucketSlots, long seed) {
-    this(entries, fingerprintBits, bucketSlots, FEW_HOLDERS, seed);
+    this(entries, fingerprintBits, bucketSlots, DEFAULT_MAX_HOLDERS, seed);
   }
 
   /**
    * @param entries the most entries, of all holders together
    * @param fingerprintBits f; with the holder's bits at most 31
    * @param bucketSlots b
-   * @param mostHolders holders' ids are 0 to mostHolders - 1; at most {@link #MOST_HOLDERS}
+   * @param mostHolders holders' ids are 0 to mostHolders - 1; at most {@link #MAX_HOLDERS}
    * @param seed of the displacements
    */
   public CuckooSummary(
       long entries, int fingerprintBits, int bucketSlots, int mostHolders, long seed) {
-    if (mostHolders < 1 || mostHolders > MOST_HOLDERS)
+    if (mostHolders < 1 || mostHolders > MAX_HOLDERS)
       throw new IllegalArgumentException("room for " + mostHolders + " holders");
     if (fingerprintBits < 4 || fingerprintBits > 31 - holderBits(mostHolders))
       throw new IllegalArgumentException(
           "fingerprint of " + fingerprintBits + " bits for " + mostHolders + " holders");
-    holders = mostHolders;
-    words = mostHolders + 63 >>> 6;
-    b = bucketSlots;
-    long want = Math.max(4, (long) Math.ceil(entries * 1.1 / b));
+    holderCapacity = mostHolders;
+    bitsetWords = mostHolders + 63 >>> 6;
+    slotsPerBucket = bucketSlots;
+    long want = Math.max(4, (long) Math.ceil(entries * 1.1 / slotsPerBucket));
     int buckets = 2;
     while (buckets < want && buckets < 1 << 27) buckets <<= 1;
-    if (buckets * (long) b * 9 / 10 < entries) buckets <<= 1;
-    f = fingerprintBits;
-    fpMask = (1 << f) - 1;
-    mask = buckets - 1;
-    slots = new int[buckets * b];
+    if (buckets * (long) slotsPerBucket * 9 / 10 < entries) buckets <<= 1;
+    fingerprintWidth = fingerprintBits;
+    fingerprintMask = (1 << fingerprintWidth) - 1;
+    bucketMask = buckets - 1;
+    slots = new int[buckets * slotsPerBucket];
     random = new SplittableRandom(seed);
   }
 
@@ -140,13 +140,13 @@
   }
 
   /** Words of the bitset that a lookup fills: one for each 64 holders. */
-  public int words() {
-    return words;
+  public int bitsetWords() {
+    return bitsetWords;
   }
 
   /** The paper's f for a wished rate of false positives: at least log2(2b / rate). */
   public static int fingerprintBits(double rate) {
-    return (int) Math.ceil(Math.log(2 * SLOTS / rate) / Math.log(2));
+    return (int) Math.ceil(Math.log(2 * BUCKET_SLOTS / rate) / Math.log(2));
   }
 
   static long mix(long z) {
@@ -156,91 +156,98 @@
   }
 
   private int fingerprint(long block) {
-    int v = (int) (mix(block) >>> 40) & fpMask;
+    int v = (int) (mix(block) >>> 40) & fingerprintMask;
     return v == 0 ? 1 : v;
   }
 
-  private int first(long block) {
-    return (int) mix(block ^ 0x9e3779b97f4a7c15L) & mask;
+  private int firstBucket(long block) {
+    return (int) mix(block ^ 0x9e3779b97f4a7c15L) & bucketMask;
   }
 
   /** h(fingerprint), never 0 so that the two buckets differ. */
-  private int hash(int fp) {
-    int v = (int) mix(fp * 0x632be59bd9b4e019L) & mask;
+  private int bucketOffset(int fp) {
+    int v = (int) mix(fp * 0x632be59bd9b4e019L) & bucketMask;
     return v == 0 ? 1 : v;
   }
 
-  private boolean put(int bucket, int entry) {
-    int at = bucket * b;
-    for (int i = at; i < at + b; i++)
+  private boolean putInBucket(int bucket, int entry) {
+    int at = bucket * slotsPerBucket;
+    for (int i = at; i < at + slotsPerBucket; i++)
       if (slots[i] == 0) {
         slots[i] = entry;
-        size++;
+        tableEntries++;
         return true;
       }
     return false;
   }
 
-  private boolean all(int bucket, int fp) {
-    int at = bucket * b;
-    for (int i = at; i < at + b; i++) if ((slots[i] & fpMask) != fp) return false;
+  private boolean isFilledWith(int bucket, int fp) {
+    int at = bucket * slotsPerBucket;
+    for (int i = at; i < at + slotsPerBucket; i++)
+      if ((slots[i] & fingerprintMask) != fp) return false;
     return true;
   }
 
   public void insert(long block, int holder) {
-    int fp = fingerprint(block), x = first(block), y = x ^ hash(fp), entry = holder << f | fp;
-    if (put(x, entry) || put(y, entry)) return;
-    if (all(x, fp) && all(y, fp)) {
-      copies++;
-      spill(x, entry);
+    int fp = fingerprint(block),
+        x = firstBucket(block),
+        y = x ^ bucketOffset(fp),
+        entry = holder << fingerprintWidth | fp;
+    if (putInBucket(x, entry) || putInBucket(y, entry)) return;
+    if (isFilledWith(x, fp) && isFilledWith(y, fp)) {
+      excessCopies++;
+      addToOverflow(x, entry);
       return;
     }
     int i = random.nextBoolean() ? x : y;
-    for (int j = 0; j < DISPLACEMENTS; j++) {
-      int s = i * b + random.nextInt(b);
+    for (int j = 0; j < MAX_DISPLACEMENTS; j++) {
+      int s = i * slotsPerBucket + random.nextInt(slotsPerBucket);
       int out = slots[s];
       slots[s] = entry;
       entry = out;
       displacements++;
-      i ^= hash(entry & fpMask);
-      if (put(i, entry)) return;
+      i ^= bucketOffset(entry & fingerprintMask);
+      if (putInBucket(i, entry)) return;
     }
-    int e = entry & fpMask;
-    if (all(i, e) && all(i ^ hash(e), e)) copies++;
-    else displacedOut++;
-    spill(i, entry);
+    int e = entry & fingerprintMask;
+    if (isFilledWith(i, e) && isFilledWith(i ^ bucketOffset(e), e)) excessCopies++;
+    else unplacedEntries++;
+    addToOverflow(i, entry);
   }
 
   private long overflowKey(int bucket, int fp) {
-    int o = bucket ^ hash(fp);
+    int o = bucket ^ bucketOffset(fp);
     return (long) Math.min(bucket, o) << 32 | fp;
   }
 
-  private void spill(int bucket, int entry) {
-    long key = overflowKey(bucket, entry & fpMask);
+  private void addToOverflow(int bucket, int entry) {
+    long key = overflowKey(bucket, entry & fingerprintMask);
     overflow
         .computeIfAbsent(
             key,
             k -> {
               int lo = (int) (k >>> 32);
-              waiting.computeIfAbsent(lo, x -> new ArrayList<>(2)).add(k);
-              waiting.computeIfAbsent(lo ^ hash(entry & fpMask), x -> new ArrayList<>(2)).add(k);
-              return new Spill(words);
+              overflowByBucket.computeIfAbsent(lo, x -> new ArrayList<>(2)).add(k);
+              overflowByBucket
+                  .computeIfAbsent(
+                      lo ^ bucketOffset(entry & fingerprintMask), x -> new ArrayList<>(2))
+                  .add(k);
+              return new OverflowCopies(bitsetWords);
             })
-        .add(entry >>> f);
-    overflowed++;
+        .add(entry >>> fingerprintWidth);
+    overflowEntries++;
   }
 
-  private void forget(long key) {
+  private void unindexOverflow(long key) {
     int lo = (int) (key >>> 32);
-    forget(lo, key);
-    forget(lo ^ hash((int) (key & fpMask)), key);
+    unindexOverflow(lo, key);
+    unindexOverflow(lo ^ bucketOffset((int) (key & fingerprintMask)), key);
   }
 
-  private void forget(int bucket, Long key) {
-    List<Long> l = waiting.get(bucket);
+  private void unindexOverflow(int bucket, Long key) {
+    List<Long> l = overflowByBucket.get(bucket);
     l.remove(key);
-    if (l.isEmpty()) waiting.remove(bucket);
+    if (l.isEmpty()) overflowByBucket.remove(bucket);
   }
 
   /**
@@ -248,15 +255,18 @@
    * Two blocks of one holder with equal fingerprint and buckets can't be told apart.
    */
   public boolean contains(long block, int holder) {
-    int fp = fingerprint(block), x = first(block), y = x ^ hash(fp), entry = holder << f | fp;
-    if (stands(x, entry) || stands(y, entry)) return true;
-    Spill n = overflowed > 0 ? overflow.get(overflowKey(x, fp)) : null;
-    return n != null && n.has(holder);
-  }
-
-  private boolean stands(int bucket, int entry) {
-    int at = bucket * b;
-    for (int i = at; i < at + b; i++) if (slots[i] == entry) return true;
+    int fp = fingerprint(block),
+        x = firstBucket(block),
+        y = x ^ bucketOffset(fp),
+        entry = holder << fingerprintWidth | fp;
+    if (bucketContains(x, entry) || bucketContains(y, entry)) return true;
+    OverflowCopies n = overflowEntries > 0 ? overflow.get(overflowKey(x, fp)) : null;
+    return n != null && n.contains(holder);
+  }
+
+  private boolean bucketContains(int bucket, int entry) {
+    int at = bucket * slotsPerBucket;
+    for (int i = at; i < at + slotsPerBucket; i++) if (slots[i] == entry) return true;
     return false;
   }
 
@@ -264,9 +274,10 @@
    * Whether two blocks have the same fingerprint and buckets, so that entries of one holder can't
    * be told apart.
    */
-  boolean alike(long a, long b) {
+  boolean indistinguishable(long a, long b) {
     int fp = fingerprint(a);
-    return fp == fingerprint(b) && overflowKey(first(a), fp) == overflowKey(first(b), fp);
+    return fp == fingerprint(b)
+        && overflowKey(firstBucket(a), fp) == overflowKey(firstBucket(b), fp);
   }
 
   /** Inserts unless {@link #contains} already; false where nothing was done. */
@@ -278,75 +289,82 @@
 
   /** Takes out one copy of exactly this entry; false where there is none. */
   public boolean remove(long block, int holder) {
-    int fp = fingerprint(block), x = first(block), y = x ^ hash(fp), entry = holder << f | fp;
-    if (take(x, entry) || take(y, entry)) {
-      if (overflowed > 0) back(x, y, fp);
+    int fp = fingerprint(block),
+        x = firstBucket(block),
+        y = x ^ bucketOffset(fp),
+        entry = holder << fingerprintWidth | fp;
+    if (removeFromBucket(x, entry) || removeFromBucket(y, entry)) {
+      if (overflowEntries > 0) moveBack(x, y, fp);
       return true;
     }
-    return overflowed > 0 && takeOverflow(overflowKey(x, fp), holder);
+    return overflowEntries > 0 && removeFromOverflow(overflowKey(x, fp), holder);
   }
 
-  private boolean take(int bucket, int entry) {
-    int at = bucket * b;
-    for (int i = at; i < at + b; i++)
+  private boolean removeFromBucket(int bucket, int entry) {
+    int at = bucket * slotsPerBucket;
+    for (int i = at; i < at + slotsPerBucket; i++)
       if (slots[i] == entry) {
         slots[i] = 0;
-        size--;
+        tableEntries--;
         return true;
       }
     return false;
   }
 
-  private boolean takeOverflow(long key, int holder) {
-    Spill n = overflow.get(key);
-    if (n == null || !n.take(holder)) return false;
-    overflowed--;
-    if (n.n == 0) {
+  private boolean removeFromOverflow(long key, int holder) {
+    OverflowCopies n = overflow.get(key);
+    if (n == null || !n.remove(holder)) return false;
+    overflowEntries--;
+    if (n.count == 0) {
       overflow.remove(key);
-      forget(key);
+      unindexOverflow(key);
     }
     return true;
   }
 
   /** A slot came free in x or y: an entry of the overflow that may stand there moves in. */
-  private void back(int x, int y, int fp) {
-    if (back(overflowKey(x, fp)) || back(x) || back(y)) return;
-    if (overflow.isEmpty()) displacedOut = 0;
+  private void moveBack(int x, int y, int fp) {
+    if (moveBack(overflowKey(x, fp)) || moveBack(x) || moveBack(y)) return;
+    if (overflow.isEmpty()) unplacedEntries = 0;
   }
 
-  private boolean back(int bucket) {
-    List<Long> keys = waiting.get(bucket);
-    if (keys != null) for (Long k : keys) if (back((long) k)) return true;
+  private boolean moveBack(int bucket) {
+    List<Long> keys = overflowByBucket.get(bucket);
+    if (keys != null) for (Long k : keys) if (moveBack((long) k)) return true;
     return false;
   }
 
-  private boolean back(long key) {
-    Spill n = overflow.get(key);
+  private boolean moveBack(long key) {
+    OverflowCopies n = overflow.get(key);
     if (n == null) return false;
-    int fp = (int) (key & fpMask), lo = (int) (key >>> 32), h = n.first(), e = h << f | fp;
-    if (!put(lo, e) && !put(lo ^ hash(fp), e)) return false;
-    takeOverflow(key, h);
+    int fp = (int) (key & fingerprintMask),
+        lo = (int) (key >>> 32),
+        h = n.firstHolder(),
+        e = h << fingerprintWidth | fp;
+    if (!putInBucket(lo, e) && !putInBucket(lo ^ bucketOffset(fp), e)) return false;
+    removeFromOverflow(key, h);
     return true;
   }
 
   /** Every holder with a matching entry, a bit each; only where there are at most 64 holders. */
   public long lookup(long block) {
-    if (words > 1) throw new IllegalStateException("one word doesn't hold " + holders + " holders");
-    int fp = fingerprint(block), x = first(block), y = x ^ hash(fp);
-    long m = match(x, fp) | match(y, fp);
-    if (overflowed > 0) {
-      Spill n = overflow.get(overflowKey(x, fp));
-      if (n != null) m |= n.bits[0];
+    if (bitsetWords > 1)
+      throw new IllegalStateException("one word doesn't hold " + holderCapacity + " holders");
+    int fp = fingerprint(block), x = firstBucket(block), y = x ^ bucketOffset(fp);
+    long m = matchBucket(x, fp) | matchBucket(y, fp);
+    if (overflowEntries > 0) {
+      OverflowCopies n = overflow.get(overflowKey(x, fp));
+      if (n != null) m |= n.holderBitset[0];
     }
     return m;
   }
 
-  private long match(int bucket, int fp) {
+  private long matchBucket(int bucket, int fp) {
     long m = 0;
-    int at = bucket * b;
-    for (int i = at; i < at + b; i++) {
+    int at = bucket * slotsPerBucket;
+    for (int i = at; i < at + slotsPerBucket; i++) {
       int e = slots[i];
-      if ((e & fpMask) == fp) m |= 1L << (e >>> f);
+      if ((e & fingerprintMask) == fp) m |= 1L << (e >>> fingerprintWidth);
     }
     return m;
   }
@@ -354,32 +372,32 @@
   /**
    * Every holder with a matching entry.
    *
-   * @param into {@link #words()} long, overwritten: bit h & 63 of word h >> 6 is holder h's
+   * @param into {@link #bitsetWords()} long, overwritten: bit h & 63 of word h >> 6 is holder h's
    * @return whether there is any
    */
   public boolean lookup(long block, long[] into) {
-    if (words == 1) return (into[0] = lookup(block)) != 0;
-    int fp = fingerprint(block), x = first(block), y = x ^ hash(fp);
-    Arrays.fill(into, 0, words, 0);
-    boolean any = match(x, fp, into);
-    any |= match(y, fp, into);
-    if (overflowed > 0) {
-      Spill n = overflow.get(overflowKey(x, fp));
+    if (bitsetWords == 1) return (into[0] = lookup(block)) != 0;
+    int fp = fingerprint(block), x = firstBucket(block), y = x ^ bucketOffset(fp);
+    Arrays.fill(into, 0, bitsetWords, 0);
+    boolean any = matchBucket(x, fp, into);
+    any |= matchBucket(y, fp, into);
+    if (overflowEntries > 0) {
+      OverflowCopies n = overflow.get(overflowKey(x, fp));
       if (n != null) {
         any = true;
-        for (int w = 0; w < words; w++) into[w] |= n.bits[w];
+        for (int w = 0; w < bitsetWords; w++) into[w] |= n.holderBitset[w];
       }
     }
     return any;
   }
 
-  private boolean match(int bucket, int fp, long[] into) {
+  private boolean matchBucket(int bucket, int fp, long[] into) {
     boolean any = false;
-    int at = bucket * b;
-    for (int i = at; i < at + b; i++) {
+    int at = bucket * slotsPerBucket;
+    for (int i = at; i < at + slotsPerBucket; i++) {
       int e = slots[i];
-      if ((e & fpMask) != fp) continue;
-      into[e >>> f + 6] |= 1L << (e >>> f);
+      if ((e & fingerprintMask) != fp) continue;
+      into[e >>> fingerprintWidth + 6] |= 1L << (e >>> fingerprintWidth);
       any = true;
     }
     return any;
@@ -388,39 +406,39 @@
   /** Takes out all of one holder's entries. */
   public void clear(int holder) {
     for (int i = 0; i < slots.length; i++)
-      if (slots[i] != 0 && slots[i] >>> f == holder) {
+      if (slots[i] != 0 && slots[i] >>> fingerprintWidth == holder) {
         slots[i] = 0;
-        size--;
+        tableEntries--;
       }
     for (Long k : overflow.keySet().toArray(new Long[0]))
-      while (takeOverflow(k, holder)) {
+      while (removeFromOverflow(k, holder)) {
         // every copy
       }
     for (Long k : overflow.keySet().toArray(new Long[0]))
-      while (back(k)) {
+      while (moveBack(k)) {
         // as long as there is room
       }
-    if (overflow.isEmpty()) displacedOut = 0;
+    if (overflow.isEmpty()) unplacedEntries = 0;
   }
 
   public int size() {
-    return size + overflowed;
+    return tableEntries + overflowEntries;
   }
 
-  public int overflowed() {
-    return overflowed;
+  public int overflowEntries() {
+    return overflowEntries;
   }
 
   /**
    * Of what ever went to the overflow: further copies of one fingerprint, and entries given up
    * after 300 displacements.
    */
-  public int copies() {
-    return copies;
+  public int excessCopies() {
+    return excessCopies;
   }
 
-  public int gaveUp() {
-    return displacedOut;
+  public int unplacedEntries() {
+    return unplacedEntries;
   }
 
   public long displacements() {
@@ -432,7 +450,7 @@
   }
 
   public double occupancy() {
-    return (double) size / slots.length;
+    return (double) tableEntries / slots.length;
   }
 
   /**
@@ -440,18 +458,23 @@
    * buckets, as many as are missing to 2b in the buckets. What goes beyond 2b has no place in any
    * table and doesn't count.
    */
-  public int strays() {
+  public int strayCount() {
     int n = 0;
-    for (Map.Entry<Long, Spill> e : overflow.entrySet()) {
-      int fp = (int) (e.getKey() & fpMask), lo = (int) (e.getKey() >>> 32);
-      n += Math.min(e.getValue().n, 2 * b - count(lo, fp) - count(lo ^ hash(fp), fp));
+    for (Map.Entry<Long, OverflowCopies> e : overflow.entrySet()) {
+      int fp = (int) (e.getKey() & fingerprintMask), lo = (int) (e.getKey() >>> 32);
+      n +=
+          Math.min(
+              e.getValue().count,
+              2 * slotsPerBucket
+                  - countInBucket(lo, fp)
+                  - countInBucket(lo ^ bucketOffset(fp), fp));
     }
     return n;
   }
 
-  private int count(int bucket, int fp) {
-    int n = 0, at = bucket * b;
-    for (int i = at; i < at + b; i++) if ((slots[i] & fpMask) == fp) n++;
+  private int countInBucket(int bucket, int fp) {
+    int n = 0, at = bucket * slotsPerBucket;
+    for (int i = at; i < at + slotsPerBucket; i++) if ((slots[i] & fingerprintMask) == fp) n++;
     return n;
   }
 
@@ -460,10 +483,10 @@
    * one is due. The overflow is looked through only when entries were given up since it was last
    * found in order.
    */
-  public boolean full() {
-    if (displacedOut <= 64 || displacedOut == judged) return false;
-    if (strays() > Math.max(64, slots.length / 64)) return true;
-    judged = displacedOut;
+  public boolean isFull() {
+    if (unplacedEntries <= 64 || unplacedEntries == unplacedEntriesWhenChecked) return false;
+    if (strayCount() > Math.max(64, slots.length / 64)) return true;
+    unplacedEntriesWhenChecked = unplacedEntries;
     return false;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetLoad.java
@@ -16,33 +16,33 @@
  */
 public final class FleetLoad {
   /** No work that is told of keeps a replica busy for longer, in ms. */
-  private static final long MOST_BUSY_MS = 10_000;
+  private static final long MAX_BUSY_MS = 10_000;
 
   /** How many requests of a replica are reckoned with at most. */
-  private static final int MOST_RUNNING = 1024;
+  private static final int MAX_RUNNING = 1024;
 
   /** How many replicas an answer names at most; the busiest, as they are to be avoided. */
-  private static final int MOST_NAMED = 64;
+  private static final int MAX_NAMED = 64;
 
   /** The weight of one stored or evicted block against those before it. */
   private static final double BLOCK_WEIGHT = 1.0 / 512;
 
-  private record Running(long endsAt, int units) {}
+  private record Running(long endsAtMs, int units) {}
 
   /** What one replica was given. */
-  private static final class Given {
+  private static final class AssignedWork {
     private final PriorityQueue<Running> running =
-        new PriorityQueue<>(Comparator.comparingLong(Running::endsAt));
-    private long busyUntil;
+        new PriorityQueue<>(Comparator.comparingLong(Running::endsAtMs));
+    private long busyUntilMs;
     private int units;
 
     void add(Lookup.Work work, long now) {
-      long prefilled = Math.max(now, busyUntil) + Math.max(0, work.prefillMs());
-      busyUntil = Math.min(now + MOST_BUSY_MS, prefilled);
-      if (running.size() >= MOST_RUNNING) remove(running.poll());
-      long reply = Math.min(MOST_BUSY_MS, Math.max(0, work.replyMs()));
-      running.add(new Running(busyUntil + reply, Math.max(0, work.units())));
-      units += Math.max(0, work.units());
+      long prefilled = Math.max(now, busyUntilMs) + Math.max(0, work.prefillMs());
+      busyUntilMs = Math.min(now + MAX_BUSY_MS, prefilled);
+      if (running.size() >= MAX_RUNNING) remove(running.poll());
+      long reply = Math.min(MAX_BUSY_MS, Math.max(0, work.decodeMs()));
+      running.add(new Running(busyUntilMs + reply, Math.max(0, work.memoryUnits())));
+      units += Math.max(0, work.memoryUnits());
     }
 
     private void remove(Running ended) {
@@ -51,46 +51,46 @@
 
     /** Whether nothing is left of it. */
     boolean expire(long now) {
-      while (!running.isEmpty() && running.peek().endsAt <= now) remove(running.poll());
-      return running.isEmpty() && busyUntil <= now;
+      while (!running.isEmpty() && running.peek().endsAtMs <= now) remove(running.poll());
+      return running.isEmpty() && busyUntilMs <= now;
     }
 
-    Lookup.Load told(String holder, long now) {
+    Lookup.Load toLoad(String holder, long now) {
       return new Lookup.Load(
-          holder, (int) Math.max(0, busyUntil - now), running.size(), Math.max(0, units));
+          holder, (int) Math.max(0, busyUntilMs - now), running.size(), Math.max(0, units));
     }
   }
 
-  private final Map<String, Given> given = new HashMap<>();
+  private final Map<String, AssignedWork> workByReplica = new HashMap<>();
   private double stored;
   private double evicted;
 
   /** A relay sent a replica so much work. */
-  public void placed(String holder, Lookup.Work work, long now) {
+  public void recordPlacement(String holder, Lookup.Work work, long now) {
     if (work.equals(Lookup.Work.UNKNOWN)) return;
-    given.computeIfAbsent(holder, name -> new Given()).add(work, now);
+    workByReplica.computeIfAbsent(holder, name -> new AssignedWork()).add(work, now);
   }
 
   /** A holder told that it keeps a block, or keeps it no more. */
-  void event(boolean keeps) {
+  void recordBlockEvent(boolean keeps) {
     stored += ((keeps ? 1 : 0) - stored) * BLOCK_WEIGHT;
     evicted += ((keeps ? 0 : 1) - evicted) * BLOCK_WEIGHT;
   }
 
-  void gone(String holder) {
-    given.remove(holder);
+  void removeHolder(String holder) {
+    workByReplica.remove(holder);
   }
 
   /** What an answer tells of it now. */
-  public Lookup.Fleet told(long now) {
-    given.values().removeIf(work -> work.expire(now));
-    List<Lookup.Load> loads = new ArrayList<>(given.size());
-    given.forEach((holder, work) -> loads.add(work.told(holder, now)));
-    if (loads.size() > MOST_NAMED) {
+  public Lookup.FleetLoad snapshot(long now) {
+    workByReplica.values().removeIf(work -> work.expire(now));
+    List<Lookup.Load> loads = new ArrayList<>(workByReplica.size());
+    workByReplica.forEach((holder, work) -> loads.add(work.toLoad(holder, now)));
+    if (loads.size() > MAX_NAMED) {
       loads.sort(Comparator.comparingInt(Lookup.Load::busyMs).reversed());
-      loads.subList(MOST_NAMED, loads.size()).clear();
+      loads.subList(MAX_NAMED, loads.size()).clear();
     }
-    return new Lookup.Fleet(List.copyOf(loads), evictedShare());
+    return new Lookup.FleetLoad(List.copyOf(loads), evictedShare());
   }
 
   private double evictedShare() {
--- a/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
+++ b/data-plane/src/main/java/gladelug/data/index/FleetSummary.java
@@ -26,252 +26,261 @@
  * copy. How much is kept of a block kept in part stands beside the table, a map a holder.
  */
 public final class FleetSummary {
-  public static final int MOST_HOLDERS = 512;
-  private static final long START = 1 << 12, SEED = 0x5eed, SWAP = 5000;
-  private final int mostHolders;
+  public static final int DEFAULT_MAX_HOLDERS = 512;
+  private static final long INITIAL_ENTRIES = 1 << 12, SEED = 0x5eed, SWAP_TIMEOUT_MS = 5000;
+  private final int maxHolders;
   private final Function<Replica, CacheEventFeed.Policy> policies;
   private final int fingerprintBits;
   private final Map<String, Holder> holders = new HashMap<>();
   private final Holder[] byId;
-  private final BitSet taken = new BitSet();
-  private CuckooSummary now;
-  private CuckooSummary next;
-  private long nextSince;
-  private long questions;
+  private final BitSet usedIds = new BitSet();
+  private CuckooSummary current;
+  private CuckooSummary replacement;
+  private long replacementSinceMs;
+  private long questionCount;
   private final RecentPlacements placements = new RecentPlacements();
   private final FleetLoad load = new FleetLoad();
-  private long hits;
-  private int rebuilt;
-  private boolean refused;
+  private long hitCount;
+  private int rebuildCount;
+  private boolean holderLimitLogged;
 
   /** Of a lookup: a bit for each holder whose chain goes on, and for each that has the block. */
-  private final long[] left;
+  private final long[] continuing;
 
-  private final long[] match;
+  private final long[] matching;
 
-  /** With room for {@link #MOST_HOLDERS} holders, each followed strictly. */
+  /** With room for {@link #DEFAULT_MAX_HOLDERS} holders, each followed strictly. */
   public FleetSummary(int fingerprintBits) {
-    this(fingerprintBits, MOST_HOLDERS, r -> CacheEventFeed.Policy.STRICT);
+    this(fingerprintBits, DEFAULT_MAX_HOLDERS, r -> CacheEventFeed.Policy.STRICT);
   }
 
   /**
    * @param fingerprintBits f; with the bits of a holder's id at most 31
-   * @param mostHolders how many holders there may be at a time, at most {@link
-   *     CuckooSummary#MOST_HOLDERS}
+   * @param maxHolders how many holders there may be at a time, at most {@link
+   *     CuckooSummary#MAX_HOLDERS}
    * @param policies how each holder is followed
    */
   public FleetSummary(
       int fingerprintBits, int mostHolders, Function<Replica, CacheEventFeed.Policy> policies) {
     this.fingerprintBits = fingerprintBits;
-    this.mostHolders = mostHolders;
+    this.maxHolders = mostHolders;
     this.policies = policies;
     this.byId = new Holder[mostHolders];
-    this.now = table(START);
-    this.left = new long[now.words()];
-    this.match = new long[now.words()];
+    this.current = newTable(INITIAL_ENTRIES);
+    this.continuing = new long[current.bitsetWords()];
+    this.matching = new long[current.bitsetWords()];
   }
 
-  private CuckooSummary table(long entries) {
-    return new CuckooSummary(entries, fingerprintBits, CuckooSummary.SLOTS, mostHolders, SEED);
+  private CuckooSummary newTable(long entries) {
+    return new CuckooSummary(
+        entries, fingerprintBits, CuckooSummary.BUCKET_SLOTS, maxHolders, SEED);
   }
 
-  public List<Holder> all() {
+  public List<Holder> allHolders() {
     return new ArrayList<>(holders.values());
   }
 
-  public boolean has(Holder holder) {
+  public boolean isFollowed(Holder holder) {
     return holders.get(holder.replica.instance()) == holder;
   }
 
   /** Those the configuration and the platform name, and no others. */
-  public void holders(ControlStateSnapshot snapshot, long at) {
+  public void updateHolders(ControlStateSnapshot snapshot, long at) {
     Set<String> listed = new HashSet<>();
     for (Holders.Listed l : Holders.of(snapshot)) {
       Replica r = l.replica();
       Holder old = holders.get(r.instance());
-      if (old != null && !old.replica.address().equals(r.address())) drop(old);
+      if (old != null && !old.replica.address().equals(r.address())) dropHolder(old);
       if (!holders.containsKey(r.instance())) {
-        int id = taken.nextClearBit(0);
-        if (id >= mostHolders) {
-          if (!refused) Log.warn("too-many-holders", "most", mostHolders);
-          refused = true;
+        int id = usedIds.nextClearBit(0);
+        if (id >= maxHolders) {
+          if (!holderLimitLogged) Log.warn("too-many-holders", "most", maxHolders);
+          holderLimitLogged = true;
           continue;
         }
-        taken.set(id);
+        usedIds.set(id);
         byId[id] = new Holder(r, id, at, policies.apply(r), effects(id));
         holders.put(r.instance(), byId[id]);
       }
-      if (l.capacityBlocks() > 0) holders.get(r.instance()).capacity = l.capacityBlocks();
+      if (l.capacityBlocks() > 0) holders.get(r.instance()).capacityBlocks = l.capacityBlocks();
       listed.add(r.instance());
     }
     for (Holder holder : new ArrayList<>(holders.values()))
-      if (!listed.contains(holder.replica.instance())) drop(holder);
-    fit(at);
+      if (!listed.contains(holder.replica.instance())) dropHolder(holder);
+    growIfNeeded(at);
   }
 
-  private void drop(Holder holder) {
+  private void dropHolder(Holder holder) {
     holder.dropped = true;
-    now.clear(holder.id);
-    if (next != null) next.clear(holder.id);
+    current.clear(holder.id);
+    if (replacement != null) replacement.clear(holder.id);
     holders.remove(holder.replica.instance());
-    load.gone(holder.replica.instance());
+    load.removeHolder(holder.replica.instance());
     byId[holder.id] = null;
-    taken.clear(holder.id);
+    usedIds.clear(holder.id);
   }
 
   private CacheEventFeed.Effects effects(int id) {
     return new CacheEventFeed.Effects() {
       @Override
-      public void keep(long block, int units, boolean part) {
-        load.event(units > 0);
+      public void setKept(long block, int units, boolean part) {
+        load.recordBlockEvent(units > 0);
         set(block, units, part);
       }
 
       private void set(long block, int units, boolean part) {
         Holder holder = byId[id];
         if (units > 0) {
-          now.insertOnce(block, id);
-          if (holder.inNext) next.insertOnce(block, id);
-          if (part) holder.parts.put(block, units);
-          else if (units > holder.parts.get(block)) holder.parts.remove(block);
+          current.insertOnce(block, id);
+          if (holder.inReplacement) replacement.insertOnce(block, id);
+          if (part) holder.partialBlocks.put(block, units);
+          else if (units > holder.partialBlocks.get(block)) holder.partialBlocks.remove(block);
         } else {
-          now.remove(block, id);
-          if (holder.inNext) next.remove(block, id);
-          holder.parts.remove(block);
+          current.remove(block, id);
+          if (holder.inReplacement) replacement.remove(block, id);
+          holder.partialBlocks.remove(block);
         }
       }
 
       @Override
       public void clear() {
-        now.clear(id);
-        if (next != null) next.clear(id);
-        byId[id].parts.clear();
+        current.clear(id);
+        if (replacement != null) replacement.clear(id);
+        byId[id].partialBlocks.clear();
       }
 
       @Override
-      public void load(BlockList list) {
+      public void replaceAll(BlockList list) {
         clear();
-        if (next != null) byId[id].inNext = true;
+        if (replacement != null) byId[id].inReplacement = true;
         for (int i = 0; i < list.blocks().length; i++)
-          set(list.blocks()[i], list.units()[i], list.parts().get(i));
+          set(list.blocks()[i], list.units()[i], list.partial().get(i));
       }
 
       @Override
-      public void list(long nr) {}
+      public void requestList(long nr) {}
     };
   }
 
   /** The most blocks that a holder can keep: the table grows where all of theirs no longer fit. */
-  public void capacity(Holder holder, long blocks, long at) {
-    holder.capacity = blocks;
-    fit(at);
+  public void setCapacity(Holder holder, long blocks, long at) {
+    holder.capacityBlocks = blocks;
+    growIfNeeded(at);
   }
 
-  private void fit(long at) {
+  private void growIfNeeded(long at) {
     long all = 0;
-    for (Holder holder : holders.values()) all += holder.capacity;
-    CuckooSummary t = next != null ? next : now;
+    for (Holder holder : holders.values()) all += holder.capacityBlocks;
+    CuckooSummary t = replacement != null ? replacement : current;
     if (all > t.capacity() * 9L / 10) grow(all, at);
   }
 
   private void grow(long entries, long at) {
-    next = table(entries);
-    nextSince = at;
+    replacement = newTable(entries);
+    replacementSinceMs = at;
     Log.event(
         "summary-grows",
         "from",
-        now.capacity(),
+        current.capacity(),
         "to",
-        next.capacity(),
+        replacement.capacity(),
         "entries",
-        now.size(),
+        current.size(),
         "overflow",
-        now.overflowed());
+        current.overflowEntries());
     for (Holder holder : holders.values()) {
-      holder.inNext = false;
-      if (holder.feed.following()) holder.feed.relist(at);
+      holder.inReplacement = false;
+      if (holder.feed.isFollowing()) holder.feed.requestList(at);
     }
   }
 
   public void tick(long t) {
     for (Holder holder : holders.values()) holder.feed.tick(t);
-    if (next == null && now.full()) grow(now.capacity(), t);
-    if (next == null) return;
+    if (replacement == null && current.isFull()) grow(current.capacity(), t);
+    if (replacement == null) return;
     for (Holder holder : holders.values())
-      if (!holder.inNext
-          && !holder.silent(t)
-          && t - nextSince < SWAP + holder.feed.policy().listPauseMs()) return;
-    now = next;
-    next = null;
-    rebuilt++;
-    for (Holder holder : holders.values()) holder.inNext = false;
+      if (!holder.inReplacement
+          && !holder.isSilent(t)
+          && t - replacementSinceMs < SWAP_TIMEOUT_MS + holder.feed.policy().minListIntervalMs())
+        return;
+    current = replacement;
+    replacement = null;
+    rebuildCount++;
+    for (Holder holder : holders.values()) holder.inReplacement = false;
     Log.event(
-        "summary-grown", "slots", now.capacity(), "entries", now.size(), "took", t - nextSince);
+        "summary-grown",
+        "slots",
+        current.capacity(),
+        "entries",
+        current.size(),
+        "took",
+        t - replacementSinceMs);
   }
 
-  public boolean warm() {
+  public boolean isWarm() {
     int following = 0;
     for (Holder holder : holders.values()) {
-      if (holder.feed.following()) following++;
-      else if (!holder.tried) return false;
+      if (holder.feed.isFollowing()) following++;
+      else if (!holder.contacted) return false;
     }
     return following > 0;
   }
 
   /** A relay sent a prompt there: until events tell, its blocks count as kept. */
-  public void placed(Lookup.Placed p, long at) {
+  public void recordPlacement(Lookup.Placement p, long at) {
     if (!holders.containsKey(p.holder())) return;
-    placements.sent(p.blocks(), p.holder(), at);
-    load.placed(p.holder(), p.work(), at);
+    placements.recordPlacement(p.blocks(), p.holder(), at);
+    load.recordPlacement(p.holder(), p.work(), at);
   }
 
   /** The table's matches, and of holders that were sent more of this prompt a moment ago, that. */
-  public Lookup.Answer answer(Lookup.Question q, long at) {
-    Lookup.Answer a = answer(q);
+  public Lookup.Response answer(Lookup.Query q, long at) {
+    Lookup.Response a = answer(q);
     if (!a.warm() || q.blocks().length == 0) return a;
     List<Lookup.Match> more = new ArrayList<>(a.matches());
-    more.removeIf(m -> silentStore(m.holder(), at));
+    more.removeIf(m -> isSilentStore(m.holder(), at));
     for (String h : holders.keySet()) {
-      int n = placements.leading(q.blocks(), h, at);
+      int n = placements.leadingBlocks(q.blocks(), h, at);
       if (n == 0) continue;
       if (more.removeIf(m -> m.holder().equals(h) && m.blocks() < n)
           || more.stream().noneMatch(m -> m.holder().equals(h)))
         more.add(new Lookup.Match(h, n, 0));
     }
-    return new Lookup.Answer(a.sequence(), true, more, load.told(at));
+    return new Lookup.Response(a.sequence(), true, more, load.snapshot(at));
   }
 
   /**
    * A store that tells nothing is down, and may be empty when it is back; a replica that is silent
    * is found out by the relays that call it.
    */
-  private boolean silentStore(String name, long at) {
+  private boolean isSilentStore(String name, long at) {
     Holder holder = holders.get(name);
-    return holder != null && Holders.isStore(holder.replica) && holder.silent(at);
+    return holder != null && Holders.isStore(holder.replica) && holder.isSilent(at);
   }
 
-  public Lookup.Answer answer(Lookup.Question q) {
-    questions++;
-    if (!warm()) return new Lookup.Answer(q.sequence(), false, List.of());
+  public Lookup.Response answer(Lookup.Query q) {
+    questionCount++;
+    if (!isWarm()) return new Lookup.Response(q.sequence(), false, List.of());
     List<Lookup.Match> out = new ArrayList<>();
-    Arrays.fill(left, -1L);
+    Arrays.fill(continuing, -1L);
     boolean any = true;
     int n = 0;
     for (; n < q.blocks().length && any; n++) {
       long block = q.blocks()[n];
-      now.lookup(block, match);
+      current.lookup(block, matching);
       any = false;
-      for (int w = 0; w < left.length; w++) {
-        out(out, left[w] & ~match[w], w, n);
-        any |= (left[w] = parts(out, left[w] & match[w], w, n, block)) != 0;
+      for (int w = 0; w < continuing.length; w++) {
+        addMatches(out, continuing[w] & ~matching[w], w, n);
+        any |=
+            (continuing[w] = addPartialMatches(out, continuing[w] & matching[w], w, n, block)) != 0;
       }
     }
-    for (int w = 0; w < left.length; w++) out(out, left[w], w, n);
-    if (!out.isEmpty()) hits++;
-    return new Lookup.Answer(q.sequence(), true, out);
+    for (int w = 0; w < continuing.length; w++) addMatches(out, continuing[w], w, n);
+    if (!out.isEmpty()) hitCount++;
+    return new Lookup.Response(q.sequence(), true, out);
   }
 
-  private void out(List<Lookup.Match> out, long ids, int word, int blocks) {
+  private void addMatches(List<Lookup.Match> out, long ids, int word, int blocks) {
     if (blocks == 0) return;
     for (; ids != 0; ids &= ids - 1) {
       Holder holder = byId(word, ids);
@@ -280,11 +289,12 @@
   }
 
   /** Ends the chain of those that keep the block in part; gives the bits of the others. */
-  private long parts(List<Lookup.Match> out, long ids, int word, int blocks, long block) {
+  private long addPartialMatches(
+      List<Lookup.Match> out, long ids, int word, int blocks, long block) {
     long on = ids;
     for (; ids != 0; ids &= ids - 1) {
       Holder holder = byId(word, ids);
-      int units = holder == null ? 0 : holder.parts.get(block);
+      int units = holder == null ? 0 : holder.partialBlocks.get(block);
       if (units == 0) continue;
       out.add(new Lookup.Match(holder.replica.instance(), blocks, units));
       on &= ~Long.lowestOneBit(ids);
@@ -297,32 +307,32 @@
     return id < byId.length ? byId[id] : null;
   }
 
-  public JsonObject json(long t) {
+  public JsonObject toJson(long t) {
     JsonArray array = new JsonArray();
     for (Holder holder : holders.values())
       array.add(
           Json.object()
               .add("instance", holder.replica.instance())
-              .add("following", holder.feed.following())
-              .add("applied", holder.feed.applied())
-              .add("resyncs", holder.feed.resyncs())
-              .add("repeats", holder.feed.repeats())
-              .add("missed", holder.feed.missed())
-              .add("parts", holder.parts.size())
-              .add("partsRefused", holder.parts.refused())
-              .add("heardMsAgo", t - holder.heard));
+              .add("following", holder.feed.isFollowing())
+              .add("applied", holder.feed.appliedSequence())
+              .add("resyncs", holder.feed.resyncCount())
+              .add("repeats", holder.feed.duplicateCount())
+              .add("missed", holder.feed.missedCount())
+              .add("parts", holder.partialBlocks.size())
+              .add("partsRefused", holder.partialBlocks.refusedCount())
+              .add("heardMsAgo", t - holder.lastHeardMs));
     return Json.object()
-        .add("warm", warm())
-        .add("slots", now.capacity())
-        .add("entries", now.size())
-        .add("occupancy", now.occupancy())
-        .add("overflow", now.overflowed())
-        .add("overflowStrays", now.strays())
-        .add("copiesEver", now.copies())
-        .add("displacements", now.displacements())
-        .add("rebuilt", rebuilt)
-        .add("questions", questions)
-        .add("hits", hits)
+        .add("warm", isWarm())
+        .add("slots", current.capacity())
+        .add("entries", current.size())
+        .add("occupancy", current.occupancy())
+        .add("overflow", current.overflowEntries())
+        .add("overflowStrays", current.strayCount())
+        .add("copiesEver", current.excessCopies())
+        .add("displacements", current.displacements())
+        .add("rebuilt", rebuildCount)
+        .add("questions", questionCount)
+        .add("hits", hitCount)
         .add("holders", array);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/Holder.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holder.java
@@ -8,35 +8,35 @@
  * was last heard. Pure; who asks it for its list is set by whoever has the connections.
  */
 public final class Holder {
-  private static final long SILENT = 3000;
+  private static final long SILENT_AFTER_MS = 3000;
   public final Replica replica;
   public final CacheEventFeed feed;
   final int id;
-  long capacity;
-  boolean inNext;
+  long capacityBlocks;
+  boolean inReplacement;
 
   /** Units of the blocks that it keeps in part. */
-  final PartialBlocks parts = new PartialBlocks();
+  final PartialBlocks partialBlocks = new PartialBlocks();
 
   /** Listed no more: what still arrives must not touch the entries of whoever has its id next. */
   boolean dropped;
 
   /** Has answered or failed to at least once. */
-  public boolean tried;
+  public boolean contacted;
 
-  public long heard;
-  private LongConsumer lists = nr -> {};
+  public long lastHeardMs;
+  private LongConsumer listRequester = nr -> {};
 
   Holder(Replica r, int id, long now, CacheEventFeed.Policy policy, CacheEventFeed.Effects fx) {
     this.replica = r;
     this.id = id;
-    this.heard = now;
+    this.lastHeardMs = now;
     this.feed =
         new CacheEventFeed(
             new CacheEventFeed.Effects() {
               @Override
-              public void keep(long block, int units, boolean part) {
-                if (!dropped) fx.keep(block, units, part);
+              public void setKept(long block, int units, boolean part) {
+                if (!dropped) fx.setKept(block, units, part);
               }
 
               @Override
@@ -45,28 +45,28 @@
               }
 
               @Override
-              public void load(BlockList list) {
-                if (!dropped) fx.load(list);
+              public void replaceAll(BlockList list) {
+                if (!dropped) fx.replaceAll(list);
               }
 
               @Override
-              public void list(long nr) {
-                if (!dropped) lists.accept(nr);
+              public void requestList(long nr) {
+                if (!dropped) listRequester.accept(nr);
               }
             },
             policy);
   }
 
   /** The most blocks that it can keep, as far as known; 0 = not known. */
-  public long capacity() {
-    return capacity;
+  public long capacityBlocks() {
+    return capacityBlocks;
   }
 
-  public void lists(LongConsumer asks) {
-    lists = asks;
+  public void setListRequester(LongConsumer asks) {
+    listRequester = asks;
   }
 
-  boolean silent(long now) {
-    return now - heard > SILENT;
+  boolean isSilent(long now) {
+    return now - lastHeardMs > SILENT_AFTER_MS;
   }
 }
