--- a/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderConnection.java
@@ -5,8 +5,8 @@
 import gladelug.common.MemoryBudget;
 import gladelug.common.SingleThreadWorker;
 import gladelug.common.configuration.Replicas.Replica;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import io.vertx.core.http.HttpClientRequest;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.RequestOptions;
@@ -22,34 +22,36 @@
  * Everything is handed to the sink; an address that turns out to be somebody else's gets nothing
  * more.
  */
-final class HolderConnection implements HolderFeeds.Following {
-  private static final long AGAIN = 300;
-  private static final int IDENTITY_BYTES = 1 << 16, IDENTITY_MS = 1000, LIST_MS = 3000;
+final class HolderConnection implements HolderFeeds.Subscription {
+  private static final long RETRY_DELAY_MS = 300;
+  private static final int MAX_IDENTITY_BYTES = 1 << 16,
+      IDENTITY_TIMEOUT_MS = 1000,
+      LIST_TIMEOUT_MS = 3000;
 
-  private final Holder h;
+  private final Holder holder;
   private final Replica replica;
   private final CacheEventFeed feed;
   private final HttpClient http;
-  private final BoundedHttpCalls calls;
-  private final SingleThreadWorker duty;
+  private final BoundedHttpClient calls;
+  private final SingleThreadWorker worker;
   private final Clock clock;
   private final HolderFeeds.Sink sink;
   private HttpClientRequest stream;
-  private boolean gone;
+  private boolean closed;
 
   HolderConnection(
       HttpClient http,
-      BoundedHttpCalls calls,
+      BoundedHttpClient calls,
       SingleThreadWorker duty,
       Clock clock,
       Holder holder,
       HolderFeeds.Sink sink) {
     this.http = http;
     this.calls = calls;
-    this.duty = duty;
+    this.worker = duty;
     this.clock = clock;
     this.sink = sink;
-    this.h = holder;
+    this.holder = holder;
     this.replica = holder.replica;
     this.feed = holder.feed;
     identify();
@@ -57,19 +59,19 @@
 
   @Override
   public void close() {
-    gone = true;
+    closed = true;
     if (stream != null) stream.reset();
   }
 
-  private void again(Runnable task) {
-    duty.scheduleAfter(
-        AGAIN,
+  private void retryLater(Runnable task) {
+    worker.scheduleAfter(
+        RETRY_DELAY_MS,
         () -> {
-          if (!gone) task.run();
+          if (!closed) task.run();
         });
   }
 
-  private RequestOptions get(String path) {
+  private RequestOptions requestTo(String path) {
     return new RequestOptions()
         .setHost(replica.address().host())
         .setPort(replica.address().port())
@@ -78,18 +80,18 @@
 
   private void identify() {
     calls
-        .send(get("/identity"), IDENTITY_BYTES, IDENTITY_MS)
+        .send(requestTo("/identity"), MAX_IDENTITY_BYTES, IDENTITY_TIMEOUT_MS)
         .subscribe()
         .with(
             answer -> {
-              JsonObject identity = identity(answer);
-              duty.offer(() -> identified(identity));
+              JsonObject identity = parseIdentity(answer);
+              worker.offer(() -> onIdentity(identity));
             },
-            failure -> duty.offer(this::unidentified));
+            failure -> worker.offer(this::onUnidentified));
   }
 
   /** What a holder says of itself; empty where that makes no sense. */
-  private static JsonObject identity(HttpAnswer answer) {
+  private static JsonObject parseIdentity(BufferedHttpResponse answer) {
     try (answer) {
       return new JsonObject(answer.body());
     } catch (RuntimeException malformed) {
@@ -97,25 +99,25 @@
     }
   }
 
-  private void identified(JsonObject identity) {
-    if (gone) return;
+  private void onIdentity(JsonObject identity) {
+    if (closed) return;
     if (replica.instance().equals(identity.getString("instance"))
         && replica.service().equals(identity.getString("service"))) {
-      sink.began(identity.getLong("capacityBlocks", 0L));
+      sink.onConnected(identity.getLong("capacityBlocks", 0L));
       follow();
       return;
     }
     Log.warn("holder-is-another", "instance", replica.instance(), "address", replica.address());
-    unidentified();
+    onUnidentified();
   }
 
-  private void unidentified() {
-    sink.silent();
-    if (!gone) again(this::identify);
+  private void onUnidentified() {
+    sink.onUnreachable();
+    if (!closed) retryLater(this::identify);
   }
 
   private void follow() {
-    if (gone) return;
+    if (closed) return;
     http.getDelegate()
         .request(
             new RequestOptions()
@@ -128,14 +130,14 @@
                         + "&incarnation="
                         + feed.incarnation()
                         + "&after="
-                        + feed.applied())
+                        + feed.appliedSequence())
                 .setTimeout(2000))
         .compose(
             request -> {
-              duty.offer(
+              worker.offer(
                   () -> {
                     stream = request;
-                    if (gone) request.reset();
+                    if (closed) request.reset();
                   });
               return request.send();
             })
@@ -143,7 +145,7 @@
             resp -> {
               if (resp.statusCode() != 200) {
                 resp.request().reset();
-                duty.offer(() -> again(this::identify));
+                worker.offer(() -> retryLater(this::identify));
                 return;
               }
               RecordParser p =
@@ -153,7 +155,7 @@
                         JsonObject json;
                         try {
                           json = buffer.toJsonObject();
-                          line(json);
+                          onLine(json);
                         } catch (RuntimeException e) {
                           Log.warn("malformed-cache-event", "instance", replica.instance());
                           resp.request().reset();
@@ -162,54 +164,54 @@
               p.maxRecordSize(1 << 16);
               p.exceptionHandler(failure -> resp.request().reset());
               resp.handler(p);
-              resp.exceptionHandler(failure -> broke());
-              resp.endHandler(v -> broke());
+              resp.exceptionHandler(failure -> onStreamEnd());
+              resp.endHandler(v -> onStreamEnd());
             })
-        .onFailure(failure -> broke());
+        .onFailure(failure -> onStreamEnd());
   }
 
-  private void broke() {
-    duty.offer(
+  private void onStreamEnd() {
+    worker.offer(
         () ->
-            again(
+            retryLater(
                 () -> {
-                  if (h.silent(clock.now())) identify();
+                  if (holder.isSilent(clock.now())) identify();
                   else follow();
                 }));
   }
 
-  private void line(JsonObject json) {
+  private void onLine(JsonObject json) {
     String inc = json.getString("incarnation"), op = json.getString("op");
     long seq = json.getLong("seq");
     long block = op.equals("pulse") ? 0 : Long.parseUnsignedLong(json.getString("block"), 16);
     switch (op) {
-      case "store" -> sink.events(List.of(CacheEvent.store(inc, seq, block, 1)));
-      case "evict" -> sink.events(List.of(CacheEvent.evict(inc, seq, block, 0)));
-      default -> sink.pulse(inc, seq);
+      case "store" -> sink.onEvents(List.of(CacheEvent.store(inc, seq, block, 1)));
+      case "evict" -> sink.onEvents(List.of(CacheEvent.evict(inc, seq, block, 0)));
+      default -> sink.onPulse(inc, seq);
     }
   }
 
   @Override
-  public void list(long nr) {
+  public void requestList(long nr) {
     calls
         .send(
-            get("/cache/list?instance=" + replica.instance()),
-            MemoryBudget.largestPageBytes(),
-            LIST_MS)
+            requestTo("/cache/list?instance=" + replica.instance()),
+            MemoryBudget.maxPageBytes(),
+            LIST_TIMEOUT_MS)
         .subscribe()
-        .with(answer -> listed(nr, answer), failure -> sink.listFailed(nr));
+        .with(answer -> onList(nr, answer), failure -> sink.onListFailed(nr));
   }
 
-  private void listed(long nr, HttpAnswer answer) {
+  private void onList(long nr, BufferedHttpResponse answer) {
     try (answer) {
       JsonObject json = new JsonObject(answer.body());
       JsonArray array = json.getJsonArray("blocks");
       long[] blocks = new long[array.size()];
       for (int i = 0; i < blocks.length; i++)
         blocks[i] = Long.parseUnsignedLong(array.getString(i), 16);
-      sink.listed(nr, BlockList.whole(json.getString("incarnation"), json.getLong("seq"), blocks));
+      sink.onList(nr, BlockList.whole(json.getString("incarnation"), json.getLong("seq"), blocks));
     } catch (RuntimeException malformed) {
-      sink.listFailed(nr);
+      sink.onListFailed(nr);
     }
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/HolderFeeds.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderFeeds.java
@@ -26,17 +26,17 @@
   }
 
   /** Begins to follow a holder. */
-  Following follow(Holder holder, Sink sink);
+  Subscription follow(Holder holder, Sink sink);
 
   @Override
   void close();
 
   /** A holder that is followed. */
-  interface Following extends AutoCloseable {
+  interface Subscription extends AutoCloseable {
     /**
-     * The feed wants the holder's list: answer by {@link Sink#listed} or {@link Sink#listFailed}.
+     * The feed wants the holder's list: answer by {@link Sink#onList} or {@link Sink#onListFailed}.
      */
-    void list(long nr);
+    void requestList(long nr);
 
     /** The holder is listed no more. */
     @Override
@@ -52,20 +52,20 @@
      * The holder answered: it is followed from now on, and its list asked for. capacityBlocks 0 =
      * not known.
      */
-    boolean began(long capacityBlocks);
+    boolean onConnected(long capacityBlocks);
 
     /** The holder was tried and didn't answer; the index doesn't wait for it before it answers. */
-    boolean silent();
+    boolean onUnreachable();
 
     /** Events in the order read, a page or one, all or none of them. */
-    boolean events(List<CacheEvent> page);
+    boolean onEvents(List<CacheEvent> page);
 
     /** The newest number of the holder, told without an event. */
-    boolean pulse(String incarnation, long newest);
+    boolean onPulse(String incarnation, long newest);
 
-    boolean listed(long nr, BlockList list);
+    boolean onList(long nr, BlockList list);
 
     /** The list of this nr won't come; another is asked for after the pause. */
-    boolean listFailed(long nr);
+    boolean onListFailed(long nr);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/HolderSink.java
+++ b/data-plane/src/main/java/gladelug/data/index/HolderSink.java
@@ -6,70 +6,70 @@
 
 /** Carries what was read of one holder over to the summary's duty thread and into its feed. */
 final class HolderSink implements HolderFeeds.Sink {
-  private final Holder h;
+  private final Holder holder;
   private final FleetSummary summary;
-  private final Predicate<Runnable> duty;
+  private final Predicate<Runnable> worker;
   private final Clock clock;
 
   /** duty takes work for the summary's thread, or is full and gives false. */
   HolderSink(Holder holder, FleetSummary summary, Predicate<Runnable> duty, Clock clock) {
-    this.h = holder;
+    this.holder = holder;
     this.summary = summary;
-    this.duty = duty;
+    this.worker = duty;
     this.clock = clock;
   }
 
   private boolean run(Runnable task) {
-    return duty.test(
+    return worker.test(
         () -> {
-          if (!h.dropped) task.run();
+          if (!holder.dropped) task.run();
         });
   }
 
   @Override
-  public boolean began(long capacityBlocks) {
+  public boolean onConnected(long capacityBlocks) {
     return run(
         () -> {
-          h.tried = true;
-          if (capacityBlocks > 0) summary.capacity(h, capacityBlocks, clock.now());
-          h.feed.resync(clock.now());
+          holder.contacted = true;
+          if (capacityBlocks > 0) summary.setCapacity(holder, capacityBlocks, clock.now());
+          holder.feed.resync(clock.now());
         });
   }
 
   @Override
-  public boolean silent() {
-    return run(() -> h.tried = true);
+  public boolean onUnreachable() {
+    return run(() -> holder.contacted = true);
   }
 
   @Override
-  public boolean events(List<CacheEvent> page) {
+  public boolean onEvents(List<CacheEvent> page) {
     return run(
         () -> {
-          h.heard = clock.now();
-          for (CacheEvent event : page) h.feed.event(event, h.heard);
+          holder.lastHeardMs = clock.now();
+          for (CacheEvent event : page) holder.feed.onEvent(event, holder.lastHeardMs);
         });
   }
 
   @Override
-  public boolean pulse(String incarnation, long newest) {
+  public boolean onPulse(String incarnation, long newest) {
     return run(
         () -> {
-          h.heard = clock.now();
-          h.feed.pulse(incarnation, newest, h.heard);
+          holder.lastHeardMs = clock.now();
+          holder.feed.onPulse(incarnation, newest, holder.lastHeardMs);
         });
   }
 
   @Override
-  public boolean listed(long nr, BlockList list) {
+  public boolean onList(long nr, BlockList list) {
     return run(
         () -> {
-          h.heard = clock.now();
-          h.feed.listed(nr, list);
+          holder.lastHeardMs = clock.now();
+          holder.feed.onList(nr, list);
         });
   }
 
   @Override
-  public boolean listFailed(long nr) {
-    return run(() -> h.feed.listFailed(nr, clock.now()));
+  public boolean onListFailed(long nr) {
+    return run(() -> holder.feed.onListFailed(nr, clock.now()));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/Holders.java
+++ b/data-plane/src/main/java/gladelug/data/index/Holders.java
@@ -32,13 +32,14 @@
       out.add(new Listed(r, 0));
     }
     for (Configuration.Service s : snapshot.configuration().services)
-      if (s.store() != null) out.add(new Listed(store(s), 0));
+      if (s.storeAddress() != null) out.add(new Listed(storeAsHolder(s), 0));
     return out;
   }
 
   /** A store as a holder: it stands on no list, and its instance is its service's name. */
-  public static Replica store(Configuration.Service service) {
-    return new Replica(service.name(), service.name(), service.store(), service.zone(), true);
+  public static Replica storeAsHolder(Configuration.Service service) {
+    return new Replica(
+        service.name(), service.name(), service.storeAddress(), service.zone(), true);
   }
 
   /** Whether a holder is a store. */
--- a/data-plane/src/main/java/gladelug/data/index/HttpHolderFeeds.java
+++ b/data-plane/src/main/java/gladelug/data/index/HttpHolderFeeds.java
@@ -5,7 +5,7 @@
 import gladelug.common.SingleThreadWorker;
 import gladelug.common.configuration.Replicas.Replica;
 import gladelug.common.connection.BindAddress;
-import gladelug.common.connection.BoundedHttpCalls;
+import gladelug.common.connection.BoundedHttpClient;
 import gladelug.common.connection.ConnectionAcceptor;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.mutiny.core.Vertx;
@@ -13,11 +13,11 @@
 
 /** Holders followed by the product's own protocol over HTTP, whole blocks only. */
 public final class HttpHolderFeeds implements HolderFeeds {
-  private final SingleThreadWorker duty;
+  private final SingleThreadWorker worker;
   private final Clock clock;
   private final CacheEventFeed.Policy policy;
   private final HttpClient http;
-  private final BoundedHttpCalls calls;
+  private final BoundedHttpClient calls;
 
   HttpHolderFeeds(
       Vertx vertx,
@@ -25,7 +25,7 @@
       SingleThreadWorker duty,
       Clock clock,
       CacheEventFeed.Policy policy) {
-    this.duty = duty;
+    this.worker = duty;
     this.clock = clock;
     this.policy = policy;
     http =
@@ -37,21 +37,25 @@
                     .setMaxPoolSize(4)
                     .setIdleTimeout(10)));
     calls =
-        new BoundedHttpCalls(
+        new BoundedHttpClient(
             vertx.getDelegate(),
             local.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(1000)
                     .setKeepAlive(false)
                     .setMaxPoolSize(4)),
-            MemoryBudget.ofAnswers());
+            MemoryBudget.forResponses());
   }
 
   /** Feeds from the address that the process's doors call from, all with this policy. */
   public static Factory factory(Vertx vertx, CacheEventFeed.Policy policy) {
     return (registry, duty, clock) ->
         new HttpHolderFeeds(
-            vertx, registry.find("doors", ConnectionAcceptor.class).local, duty, clock, policy);
+            vertx,
+            registry.find("doors", ConnectionAcceptor.class).bindAddress,
+            duty,
+            clock,
+            policy);
   }
 
   @Override
@@ -60,8 +64,8 @@
   }
 
   @Override
-  public Following follow(Holder holder, Sink sink) {
-    return new HolderConnection(http, calls, duty, clock, holder, sink);
+  public Subscription follow(Holder holder, Sink sink) {
+    return new HolderConnection(http, calls, worker, clock, holder, sink);
   }
 
   @Override
--- a/data-plane/src/main/java/gladelug/data/index/IndexService.java
+++ b/data-plane/src/main/java/gladelug/data/index/IndexService.java
@@ -25,21 +25,21 @@
  */
 public final class IndexService implements ServiceRegistry.Service {
   private final Clock clock;
-  private final SingleThreadWorker duty;
+  private final SingleThreadWorker worker;
   private final int fingerprintBits;
-  private final int mostHolders;
-  private final HolderFeeds.Factory factory;
-  private final Map<Holder, HolderFeeds.Following> followed = new HashMap<>();
-  private final BooleanSupplier standsBy;
-  private ControlStateSnapshot newest = ControlStateSnapshot.NONE;
-  private boolean stands;
+  private final int maxHolders;
+  private final HolderFeeds.Factory feedFactory;
+  private final Map<Holder, HolderFeeds.Subscription> subscriptions = new HashMap<>();
+  private final BooleanSupplier standbyCondition;
+  private ControlStateSnapshot latestSnapshot = ControlStateSnapshot.NONE;
+  private boolean standby;
   private HolderFeeds feeds;
   private FleetSummary summary;
 
   /**
    * @param fingerprintBits width f of a fingerprint
-   * @param mostHolders how many holders there may be at a time
-   * @param factory by which protocol holders are followed
+   * @param maxHolders how many holders there may be at a time
+   * @param feedFactory by which protocol holders are followed
    */
   public IndexService(
       Clock clock, int fingerprintBits, int mostHolders, HolderFeeds.Factory factory) {
@@ -56,23 +56,23 @@
       int mostHolders,
       HolderFeeds.Factory factory,
       BooleanSupplier standsBy) {
-    this.standsBy = standsBy;
+    this.standbyCondition = standsBy;
     this.clock = clock;
-    this.duty = new SingleThreadWorker("summary", 65536, clock);
+    this.worker = new SingleThreadWorker("summary", 65536, clock);
     this.fingerprintBits = fingerprintBits;
-    this.mostHolders = mostHolders;
-    this.factory = factory;
+    this.maxHolders = mostHolders;
+    this.feedFactory = factory;
   }
 
   @Override
   public void start(ServiceRegistry registry) {
     StateSubscriptionService news = registry.find("news", StateSubscriptionService.class);
-    feeds = factory.open(registry, duty, clock);
-    summary = new FleetSummary(fingerprintBits, mostHolders, feeds::policy);
-    news.listen(snapshot -> duty.offer(() -> tables(snapshot)));
-    stands = standsBy.getAsBoolean();
-    duty.scheduleEvery(1000, this::turn);
-    duty.scheduleEvery(100, () -> summary.tick(clock.now()));
+    feeds = feedFactory.open(registry, worker, clock);
+    summary = new FleetSummary(fingerprintBits, maxHolders, feeds::policy);
+    news.addListener(snapshot -> worker.offer(() -> applySnapshot(snapshot)));
+    standby = standbyCondition.getAsBoolean();
+    worker.scheduleEvery(1000, this::checkStandby);
+    worker.scheduleEvery(100, () -> summary.tick(clock.now()));
     registry
         .find("doors", ConnectionAcceptor.class)
         .register(
@@ -81,55 +81,56 @@
                 new Connection.Receiver() {
                   @Override
                   public void record(byte[] record) throws IOException {
-                    Lookup lookup = WireRecord.read(record, Lookup::read);
-                    if (lookup instanceof Lookup.Placed p) {
-                      duty.offer(() -> summary.placed(p, clock.now()));
+                    Lookup lookup = WireRecord.decode(record, Lookup::read);
+                    if (lookup instanceof Lookup.Placement p) {
+                      worker.offer(() -> summary.recordPlacement(p, clock.now()));
                       return;
                     }
-                    if (!(lookup instanceof Lookup.Question q))
+                    if (!(lookup instanceof Lookup.Query q))
                       throw new IOException("an answer nobody asked for");
-                    if (!duty.offer(() -> connection.send(summary.answer(q, clock.now()))))
-                      connection.send(new Lookup.Answer(q.sequence(), false, List.of()));
+                    if (!worker.offer(() -> connection.send(summary.answer(q, clock.now()))))
+                      connection.send(new Lookup.Response(q.sequence(), false, List.of()));
                   }
                 });
   }
 
-  private void turn() {
-    boolean now = standsBy.getAsBoolean();
-    if (now == stands) return;
-    stands = now;
+  private void checkStandby() {
+    boolean now = standbyCondition.getAsBoolean();
+    if (now == standby) return;
+    standby = now;
     Log.event(now ? "index-stands-by" : "index-follows");
-    tables(newest);
+    applySnapshot(latestSnapshot);
   }
 
-  private void tables(ControlStateSnapshot snapshot) {
-    newest = snapshot;
-    summary.holders(stands ? ControlStateSnapshot.NONE : snapshot, clock.now());
-    followed
+  private void applySnapshot(ControlStateSnapshot snapshot) {
+    latestSnapshot = snapshot;
+    summary.updateHolders(standby ? ControlStateSnapshot.NONE : snapshot, clock.now());
+    subscriptions
         .entrySet()
         .removeIf(
             e -> {
-              if (summary.has(e.getKey())) return false;
+              if (summary.isFollowed(e.getKey())) return false;
               e.getValue().close();
               return true;
             });
-    for (Holder holder : summary.all())
-      if (!followed.containsKey(holder)) {
-        HolderFeeds.Following f =
-            feeds.follow(holder, new HolderSink(holder, summary, duty::offer, clock));
-        holder.lists(f::list);
-        followed.put(holder, f);
+    for (Holder holder : summary.allHolders())
+      if (!subscriptions.containsKey(holder)) {
+        HolderFeeds.Subscription f =
+            feeds.follow(holder, new HolderSink(holder, summary, worker::offer, clock));
+        holder.setListRequester(f::requestList);
+        subscriptions.put(holder, f);
       }
   }
 
   /** For operators, from the duty's own thread. */
   public Uni<JsonObject> status() {
-    return Uni.createFrom().emitter(e -> duty.offer(() -> e.complete(summary.json(clock.now()))));
+    return Uni.createFrom()
+        .emitter(e -> worker.offer(() -> e.complete(summary.toJson(clock.now()))));
   }
 
   @Override
   public void stop() {
-    duty.close();
+    worker.close();
     if (feeds != null) feeds.close();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/PartialBlocks.java
+++ b/data-plane/src/main/java/gladelug/data/index/PartialBlocks.java
@@ -10,20 +10,20 @@
  * value costs the recompute of less than a block.
  */
 final class PartialBlocks {
-  static final int MOST_SLOTS = 1 << 16;
+  static final int MAX_SLOTS = 1 << 16;
   private int[] tags = {};
 
   /** 0 = the slot is free. */
   private int[] units = {};
 
   private int size;
-  private long refused;
+  private long refusedCount;
 
   private static int tag(long block) {
     return (int) (CuckooSummary.mix(block ^ 0xd1b54a32d192ed03L) >>> 32);
   }
 
-  private int slot(int tag) {
+  private int slotOf(int tag) {
     int mask = tags.length - 1, i = tag & mask;
     while (units[i] != 0 && tags[i] != tag) i = i + 1 & mask;
     return i;
@@ -31,7 +31,7 @@
 
   /** Units of a block that is kept in part, else 0. */
   int get(long block) {
-    return size == 0 ? 0 : units[slot(tag(block))];
+    return size == 0 ? 0 : units[slotOf(tag(block))];
   }
 
   /** False where there is no more room and the block goes on counting as whole. */
@@ -39,17 +39,17 @@
     if (n <= 0) throw new IllegalArgumentException(n + " units");
     int tag = tag(block);
     if (size > 0) {
-      int i = slot(tag);
+      int i = slotOf(tag);
       if (units[i] != 0) {
         units[i] = n;
         return true;
       }
     }
     if (size + 1 > tags.length / 4 * 3 && !grow()) {
-      refused++;
+      refusedCount++;
       return false;
     }
-    int i = slot(tag);
+    int i = slotOf(tag);
     tags[i] = tag;
     units[i] = n;
     size++;
@@ -57,13 +57,13 @@
   }
 
   private boolean grow() {
-    if (tags.length >= MOST_SLOTS) return false;
+    if (tags.length >= MAX_SLOTS) return false;
     int[] ts = tags, us = units;
     tags = new int[Math.max(16, ts.length * 2)];
     units = new int[tags.length];
     for (int j = 0; j < ts.length; j++)
       if (us[j] != 0) {
-        int i = slot(ts[j]);
+        int i = slotOf(ts[j]);
         tags[i] = ts[j];
         units[i] = us[j];
       }
@@ -73,7 +73,7 @@
   /** Closes the gap by moving up what stood after it, so that no search ends too early. */
   void remove(long block) {
     if (size == 0) return;
-    int mask = tags.length - 1, gap = slot(tag(block));
+    int mask = tags.length - 1, gap = slotOf(tag(block));
     if (units[gap] == 0) return;
     size--;
     for (int i = gap + 1 & mask; units[i] != 0; i = i + 1 & mask)
@@ -94,8 +94,8 @@
     return size;
   }
 
-  long refused() {
-    return refused;
+  long refusedCount() {
+    return refusedCount;
   }
 
   long bytes() {
--- a/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
+++ b/data-plane/src/main/java/gladelug/data/index/RecentPlacements.java
@@ -9,33 +9,33 @@
  * table's own. Lives on one thread.
  */
 public final class RecentPlacements {
-  static final int MOST = 4096;
-  static final long LASTS = 4000;
+  static final int MAX_ENTRIES = 4096;
+  static final long LIFETIME_MS = 4000;
 
   private record Key(long block, String instance) {}
 
-  private final Map<Key, Long> until =
+  private final Map<Key, Long> expiryMs =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Key, Long> e) {
-          return size() > MOST;
+          return size() > MAX_ENTRIES;
         }
       };
 
   /** A prompt of these blocks goes to an instance. */
-  public void sent(long[] blocks, String instance, long now) {
+  public void recordPlacement(long[] blocks, String instance, long now) {
     for (long b : blocks) {
       Key k = new Key(b, instance);
-      until.remove(k);
-      until.put(k, now + LASTS);
+      expiryMs.remove(k);
+      expiryMs.put(k, now + LIFETIME_MS);
     }
   }
 
   /** How many of the first blocks an instance should have by what was sent there. */
-  public int leading(long[] blocks, String instance, long now) {
+  public int leadingBlocks(long[] blocks, String instance, long now) {
     int n = 0;
     while (n < blocks.length
-        && until.getOrDefault(new Key(blocks[n], instance), Long.MIN_VALUE) > now) n++;
+        && expiryMs.getOrDefault(new Key(blocks[n], instance), Long.MIN_VALUE) > now) n++;
     return n;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/index/ZoneFollower.java
+++ b/data-plane/src/main/java/gladelug/data/index/ZoneFollower.java
@@ -18,7 +18,8 @@
   private ZoneFollower() {}
 
   /** The index that follows, by zone. */
-  public static Map<String, Shuffle.Descriptor> byZone(Collection<Shuffle.Descriptor> seen) {
+  public static Map<String, Shuffle.Descriptor> followersByZone(
+      Collection<Shuffle.Descriptor> seen) {
     return seen.stream()
         .filter(node -> node.role().equals(INDEX))
         .collect(
@@ -29,8 +30,8 @@
   }
 
   /** Whether an index stands by: another of its zone that it sees comes first. */
-  public static boolean standsBy(Shuffle.Descriptor self, Collection<Shuffle.Descriptor> others) {
-    Shuffle.Descriptor first = byZone(others).get(self.zone());
+  public static boolean isStandby(Shuffle.Descriptor self, Collection<Shuffle.Descriptor> others) {
+    Shuffle.Descriptor first = followersByZone(others).get(self.zone());
     return first != null && first.name().compareTo(self.name()) < 0;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/AdmissionFilter.java
@@ -20,26 +20,29 @@
   }
 
   @Override
-  public Uni<FilterResult> pass(Request request) {
-    FilterResult unservable = unservable(request);
+  public Uni<FilterResult> apply(Request request) {
+    FilterResult unservable = refusalIfUnservable(request);
     if (unservable != null) return Uni.createFrom().item(unservable);
     relay.estimates.estimate(request);
-    double waitMs = relay.waitMs(request);
-    if (waitMs > 0 && endsTooLate(request, waitMs) && relay.settings.has(Mechanism.EARLY_REFUSAL))
-      return Uni.createFrom().item(tooLate(request));
-    return Uni.createFrom().emitter(emitter -> enter(request, emitter));
+    double waitMs = relay.estimatedWaitMs(request);
+    if (waitMs > 0
+        && endsTooLate(request, waitMs)
+        && relay.settings.isEnabled(Mechanism.EARLY_REFUSAL))
+      return Uni.createFrom().item(refusalTooLate(request));
+    return Uni.createFrom().emitter(emitter -> enqueue(request, emitter));
   }
 
   /** The refusal where nobody can run it now, or null. */
-  private FilterResult unservable(Request request) {
+  private FilterResult refusalIfUnservable(Request request) {
     String service = request.service.name();
-    if (request.service.kind() == Configuration.Kind.MODEL && relay.weights(request.model) == null)
-      return relay.refusalForWantOfWeights(request);
-    if (relay.backends.of(service).isEmpty())
+    if (request.service.kind() == Configuration.Kind.MODEL
+        && relay.allowedWeights(request.model) == null)
+      return relay.refusalForMissingWeights(request);
+    if (relay.backends.readyReplicas(service).isEmpty())
       return FilterResult.notRun(
           503,
           "no replica of " + service + " is listed as ready",
-          relay.retryAdvice.untilRoomMs(request));
+          relay.retryAdvice.msUntilRoom(request));
     return null;
   }
 
@@ -48,23 +51,23 @@
     return relay.clock.now() + waitMs > request.latestStartMs();
   }
 
-  private FilterResult tooLate(Request request) {
+  private FilterResult refusalTooLate(Request request) {
     String service = request.service.name();
     String reason =
         "the backlog is longer than the order may wait: "
             + relay.queue(service).size()
             + " wait, "
-            + relay.free(service)
+            + relay.freeSlots(service)
             + " places";
-    return FilterResult.notRun(503, reason, relay.retryAdvice.untilRoomMs(request));
+    return FilterResult.notRun(503, reason, relay.retryAdvice.msUntilRoom(request));
   }
 
-  private void enter(Request request, UniEmitter<? super FilterResult> emitter) {
+  private void enqueue(Request request, UniEmitter<? super FilterResult> emitter) {
     WaitQueue queue = relay.queue(request.service.name());
     long enteredAt = relay.clock.now();
-    request.leaveQueue =
+    request.onLeaveQueue =
         result -> {
-          request.leaveQueue = null;
+          request.onLeaveQueue = null;
           long now = relay.clock.now();
           request.decision.add(
               "admission",
@@ -72,12 +75,12 @@
               Json.object().add("waitedMs", now - enteredAt).add("backlogThen", queue.size()));
           emitter.complete(result);
         };
-    if (queue.enter(request)) {
-      relay.pump();
+    if (queue.offer(request)) {
+      relay.admitWaiting();
       return;
     }
-    request.leaveQueue = null;
+    request.onLeaveQueue = null;
     emitter.complete(
-        FilterResult.notRun(503, "the backlog is full", relay.retryAdvice.untilRoomMs(request)));
+        FilterResult.notRun(503, "the backlog is full", relay.retryAdvice.msUntilRoom(request)));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Backends.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Backends.java
@@ -8,8 +8,8 @@
 import gladelug.common.configuration.Configuration;
 import gladelug.common.configuration.Replicas.Replica;
 import gladelug.common.connection.BindAddress;
-import gladelug.common.connection.BoundedHttpCalls;
-import gladelug.common.connection.HttpAnswer;
+import gladelug.common.connection.BoundedHttpClient;
+import gladelug.common.connection.BufferedHttpResponse;
 import gladelug.data.state.ControlStateSnapshot;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.RequestOptions;
@@ -31,49 +31,49 @@
  */
 public final class Backends {
   /** Asks a replica for its load; told is given the answer, or null where none came. */
-  public interface Asker {
+  public interface LoadProbe {
     void load(Replica of, Consumer<io.vertx.core.json.JsonObject> told);
   }
 
-  public static final long PERIOD = 250;
-  private static final int LOAD_BYTES = 1 << 16, LOAD_MS = 1000;
+  public static final long POLL_INTERVAL_MS = 250;
+  private static final int MAX_LOAD_ANSWER_BYTES = 1 << 16, LOAD_TIMEOUT_MS = 1000;
   private final Clock clock;
-  private final Asker asker;
-  private final Runnable changed;
-  private final Map<String, Backend> all = new HashMap<>();
+  private final LoadProbe loadProbe;
+  private final Runnable onChange;
+  private final Map<String, Backend> byInstance = new HashMap<>();
   private Map<String, List<Backend>> byService = Map.of();
 
   /** asker is null where replicas don't report and are known by the list and their answers. */
-  public Backends(Clock clock, Asker asker, Runnable changed) {
+  public Backends(Clock clock, LoadProbe asker, Runnable changed) {
     this.clock = clock;
-    this.changed = changed;
-    this.asker = asker;
+    this.onChange = changed;
+    this.loadProbe = asker;
   }
 
   static Backends overHttp(Vertx vertx, BindAddress local, Clock clock, Runnable changed) {
-    BoundedHttpCalls calls =
-        new BoundedHttpCalls(
+    BoundedHttpClient calls =
+        new BoundedHttpClient(
             vertx.getDelegate(),
             local.withLocalAddress(
                 new HttpClientOptions()
                     .setConnectTimeout(500)
                     .setMaxPoolSize(2)
                     .setKeepAlive(true)),
-            MemoryBudget.ofAnswers());
+            MemoryBudget.forResponses());
     Backends b =
         new Backends(
             clock,
             (replica, told) ->
                 calls
-                    .send(loadCall(replica), LOAD_BYTES, LOAD_MS)
+                    .send(loadRequest(replica), MAX_LOAD_ANSWER_BYTES, LOAD_TIMEOUT_MS)
                     .subscribe()
-                    .with(answer -> told.accept(load(answer)), failure -> told.accept(null)),
+                    .with(answer -> told.accept(parseLoad(answer)), failure -> told.accept(null)),
             changed);
-    vertx.setPeriodic(PERIOD, i -> b.askAll());
+    vertx.setPeriodic(POLL_INTERVAL_MS, i -> b.pollAll());
     return b;
   }
 
-  private static RequestOptions loadCall(Replica replica) {
+  private static RequestOptions loadRequest(Replica replica) {
     return new RequestOptions()
         .setHost(replica.address().host())
         .setPort(replica.address().port())
@@ -81,7 +81,7 @@
   }
 
   /** What a replica says of its load; empty where that makes no sense. */
-  private static io.vertx.core.json.JsonObject load(HttpAnswer answer) {
+  private static io.vertx.core.json.JsonObject parseLoad(BufferedHttpResponse answer) {
     try (answer) {
       return answer.status() == 200
           ? new io.vertx.core.json.JsonObject(answer.body())
@@ -91,130 +91,131 @@
     }
   }
 
-  public void askAll() {
-    for (Backend backend : all.values()) ask(backend);
+  public void pollAll() {
+    for (Backend backend : byInstance.values()) poll(backend);
   }
 
-  public void tables(ControlStateSnapshot snapshot) {
+  public void applySnapshot(ControlStateSnapshot snapshot) {
     Set<String> listed = new HashSet<>();
     Map<String, List<Backend>> by = new HashMap<>();
     for (Replica r : snapshot.replicas().all) {
       Configuration.Service s = snapshot.configuration().service(r.service());
       if (s == null || s.kind() == Configuration.Kind.STORE || !s.allows(r.address())) continue;
       listed.add(r.instance());
-      Backend backend = all.get(r.instance());
+      Backend backend = byInstance.get(r.instance());
       if (backend == null
           || !backend.replica.address().equals(r.address())
           || !backend.replica.service().equals(r.service())) {
-        all.put(r.instance(), backend = new Backend(r, asker != null));
-        if (asker != null) ask(backend);
+        byInstance.put(r.instance(), backend = new Backend(r, loadProbe != null));
+        if (loadProbe != null) poll(backend);
       }
       backend.replica = r;
-      if (asker == null) backend.listed(r, s, clock.now());
+      if (loadProbe == null) backend.applyListing(r, s, clock.now());
       if (r.ready()) by.computeIfAbsent(r.service(), x -> new ArrayList<>()).add(backend);
     }
     // who is listed no more gets nothing new, but is asked on while requests of ours run there
-    for (Backend backend : all.values()) {
+    for (Backend backend : byInstance.values()) {
       Configuration.Service s = snapshot.configuration().service(backend.replica.service());
-      if (backend.mine > 0 && s != null && s.allows(backend.replica.address()))
+      if (backend.ownRequests > 0 && s != null && s.allows(backend.replica.address()))
         listed.add(backend.replica.instance());
     }
-    all.keySet().retainAll(listed);
+    byInstance.keySet().retainAll(listed);
     byService = by;
-    changed.run();
+    onChange.run();
   }
 
-  public List<Backend> of(String service) {
+  public List<Backend> readyReplicas(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
   /** Of the weights replicas tell of for a model, the newest; empty where none does. */
-  public String newest(String model) {
-    return newestBelow(model, "");
+  public String newestWeights(String model) {
+    return newestWeightsBefore(model, "");
   }
 
   /** The newest that come before those given; any where those are empty. */
-  public String newestBelow(String model, String below) {
+  public String newestWeightsBefore(String model, String below) {
     String best = "";
-    for (Backend backend : all.values()) {
-      String w = backend.weights(model);
+    for (Backend backend : byInstance.values()) {
+      String w = backend.reportedWeights(model);
       if (!w.isEmpty()
-          && (below.isEmpty() || Backend.newer(below, w))
-          && (best.isEmpty() || Backend.newer(w, best))) best = w;
+          && (below.isEmpty() || Backend.isNewer(below, w))
+          && (best.isEmpty() || Backend.isNewer(w, best))) best = w;
     }
     return best;
   }
 
   /** Places free at those replicas of a service. */
-  public int free(String service, Predicate<Backend> which) {
+  public int freeSlots(String service, Predicate<Backend> which) {
     long t = clock.now();
     int n = 0;
-    for (Backend backend : of(service))
-      if (backend.usable(t) && which.test(backend)) n += backend.free();
+    for (Backend backend : readyReplicas(service))
+      if (backend.isUsable(t) && which.test(backend)) n += backend.freeSlots();
     return n;
   }
 
-  private void ask(Backend backend) {
-    int mine = backend.mine;
-    asker.load(
+  private void poll(Backend backend) {
+    int mine = backend.ownRequests;
+    loadProbe.load(
         backend.replica,
         json -> {
-          if (all.get(backend.replica.instance()) != backend) return;
+          if (byInstance.get(backend.replica.instance()) != backend) return;
           if (json == null) Log.fine("occupancy-silent", "instance", backend.replica.instance());
-          else told(backend, json, mine);
+          else applyReport(backend, json, mine);
         });
   }
 
-  private void told(Backend backend, io.vertx.core.json.JsonObject json, int mine) {
+  private void applyReport(Backend backend, io.vertx.core.json.JsonObject json, int mine) {
     try {
       if (!backend.replica.instance().equals(json.getString("instance"))
           || !backend.replica.service().equals(json.getString("service"))) {
-        backend.known = false;
+        backend.stateKnown = false;
         return;
       }
-      backend.weights =
+      backend.weightsByModel =
           new HashMap<>(Map.of(backend.replica.service(), json.getString("weights", "")));
-      backend.slots = within(json.getInteger("slots", 1), 1, 4096);
-      backend.blockBytes = within(json.getInteger("blockBytes", 256), 16, 65536);
-      backend.unitMs = Math.max(0.001, Math.min(10_000, json.getDouble("msPerBlock", 1.0)));
-      backend.waitMs = Math.max(0, Math.min(600_000, json.getDouble("waitMs", 0.0)));
-      backend.reported =
-          within(json.getInteger("running", 0) + json.getInteger("waiting", 0), 0, 100_000);
-      backend.mineAtReport = mine;
-      backend.addedMs = 0;
+      backend.slots = clamp(json.getInteger("slots", 1), 1, 4096);
+      backend.blockBytes = clamp(json.getInteger("blockBytes", 256), 16, 65536);
+      backend.computeMsPerUnit =
+          Math.max(0.001, Math.min(10_000, json.getDouble("msPerBlock", 1.0)));
+      backend.reportedWaitMs = Math.max(0, Math.min(600_000, json.getDouble("waitMs", 0.0)));
+      backend.reportedRequests =
+          clamp(json.getInteger("running", 0) + json.getInteger("waiting", 0), 0, 100_000);
+      backend.ownRequestsAtReport = mine;
+      backend.addedWorkMs = 0;
       Map<String, Double> l = new HashMap<>();
       io.vertx.core.json.JsonObject links = json.getJsonObject("links");
       if (links != null)
         for (String k : links.fieldNames()) l.put(k, Math.max(0.001, links.getDouble(k)));
-      backend.links = l;
-      backend.known = true;
-      backend.reportedAt = clock.now();
-      changed.run();
+      backend.linkMsByHolder = l;
+      backend.stateKnown = true;
+      backend.reportedAtMs = clock.now();
+      onChange.run();
     } catch (RuntimeException e) {
-      backend.known = false;
+      backend.stateKnown = false;
       Log.fine("occupancy-malformed", "instance", backend.replica.instance());
     }
   }
 
-  private static int within(int v, int lo, int hi) {
+  private static int clamp(int v, int lo, int hi) {
     return Math.max(lo, Math.min(hi, v));
   }
 
   public JsonObject json() {
     long t = clock.now();
     JsonObject json = Json.object();
-    for (Backend backend : all.values())
+    for (Backend backend : byInstance.values())
       json.add(
           backend.replica.instance(),
           Json.object()
               .add("service", backend.replica.service())
-              .add("weights", String.join(",", backend.weights.values()))
+              .add("weights", String.join(",", backend.weightsByModel.values()))
               .add("ready", backend.replica.ready())
-              .add("usable", backend.usable(t))
-              .add("mine", backend.mine)
+              .add("usable", backend.isUsable(t))
+              .add("mine", backend.ownRequests)
               .add("load", backend.load())
               .add("slots", backend.slots)
-              .add("toldMsAgo", Math.min(1 << 30, t - backend.reportedAt)));
+              .add("toldMsAgo", Math.min(1 << 30, t - backend.reportedAtMs)));
     return json;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
+++ b/data-plane/src/main/java/gladelug/data/relay/CallerListener.java
@@ -9,10 +9,10 @@
 import gladelug.common.Result;
 import gladelug.common.configuration.Configuration;
 import gladelug.data.request.Decision;
-import gladelug.data.request.Decisions;
 import gladelug.data.request.FilterChain;
 import gladelug.data.request.FilterResult;
 import gladelug.data.request.Prompt;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Request;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerRequest;
@@ -33,25 +33,25 @@
  * "outcome" whether the request ran, and Retry-After when to retry.
  */
 public final class CallerListener implements Request.Caller {
-  private static final int MOST_PIECES = 100_000;
-  private final Relay r;
-  private final Decisions decisions;
-  private final FilterChain way;
-  private final Map<Integer, BodyHandler> bodies = new HashMap<>();
-  private final Map<Request, RoutingContext> calls = new IdentityHashMap<>();
+  private static final int MAX_PIECES = 100_000;
+  private final Relay relay;
+  private final RecentDecisions decisions;
+  private final FilterChain filterChain;
+  private final Map<Integer, BodyHandler> bodyHandlersByLimit = new HashMap<>();
+  private final Map<Request, RoutingContext> contexts = new IdentityHashMap<>();
 
-  public CallerListener(Relay r, Decisions decisions, FilterChain way) {
-    this.r = r;
+  public CallerListener(Relay r, RecentDecisions decisions, FilterChain way) {
+    this.relay = r;
     this.decisions = decisions;
-    this.way = way;
+    this.filterChain = way;
   }
 
   /** Once the head is known and before the body is read: what can be refused already is. */
-  public void routes(Router t) {
+  public void registerRoutes(Router t) {
     t.route()
-        .handler(this::head)
-        .handler(this::limit)
-        .handler(context -> body(context, context.get("hash"), context.get("came")));
+        .handler(this::checkHead)
+        .handler(this::readBody)
+        .handler(context -> acceptBody(context, context.get("hash"), context.get("came")));
     t.errorHandler(
         413,
         context -> refuse(context, 413, "the body is larger than the mapping allows", null, 0));
@@ -72,18 +72,18 @@
     return a != null && a.startsWith("Bearer ") ? a.substring(7).trim() : "";
   }
 
-  private void head(RoutingContext context) {
-    String why = r.unready();
+  private void checkHead(RoutingContext context) {
+    String why = relay.unreadyReason();
     if (!why.isEmpty()) {
-      refuse(context, 503, why, null, r.retryAdvice.untilReadyMs());
+      refuse(context, 503, why, null, relay.retryAdvice.msUntilReady());
       return;
     }
-    String hash = Configuration.hashOf(key(context.request()));
-    if (r.tables().configuration().tenantOfHash(hash) == null) {
+    String hash = Configuration.hashKey(key(context.request()));
+    if (relay.snapshot().configuration().tenantByKeyHash(hash) == null) {
       refuse(context, 401, "the key is not known", null, 0);
       return;
     }
-    Configuration.Route m = r.tables().configuration().route(context.request().path());
+    Configuration.Route m = relay.snapshot().configuration().route(context.request().path());
     if (m == null) {
       refuse(context, 404, "no mapping for this path", null, 0);
       return;
@@ -93,63 +93,63 @@
       refuse(context, 405, "orders are sent with POST", null, 0);
       return;
     }
-    long came = r.clock.now();
+    long came = relay.clock.now();
     context.put("came", came).put("hash", hash).put("most", m.maxBodyBytes()).next();
   }
 
-  private void limit(RoutingContext context) {
-    bodies
+  private void readBody(RoutingContext context) {
+    bodyHandlersByLimit
         .computeIfAbsent(context.get("most"), n -> BodyHandler.create(false).setBodyLimit(n))
         .handle(context);
   }
 
-  private record Asked(String prompt, int maxPieces, Boolean repeatable) {}
+  private record RequestBody(String prompt, int maxPieces, Boolean repeatable) {}
 
-  private static Result<Asked> read(String text) {
+  private static Result<RequestBody> parseBody(String text) {
     return LocatedJson.parse(text)
-        .then(
+        .flatMap(
             json -> {
               Findings findings = new Findings();
               LocatedJson.Fields f = json.fields(findings);
-              Asked a =
-                  new Asked(
+              RequestBody a =
+                  new RequestBody(
                       f.text("prompt"),
-                      (int) f.integer("maxPieces", 256, 1, MOST_PIECES),
+                      (int) f.integer("maxPieces", 256, 1, MAX_PIECES),
                       f.has("repeatable") ? f.flag("repeatable", false) : null);
-              f.done();
+              f.reportUnknownFields();
               return Result.of(findings, () -> a);
             });
   }
 
-  private void body(RoutingContext context, String hash, long came) {
+  private void acceptBody(RoutingContext context, String hash, long came) {
     byte[] bytes =
         context.body().buffer() == null ? new byte[0] : context.body().buffer().getBytes();
-    Result<Asked> a = read(new String(bytes, StandardCharsets.UTF_8));
-    if (a instanceof Result.Bad<Asked> bad) {
+    Result<RequestBody> a = parseBody(new String(bytes, StandardCharsets.UTF_8));
+    if (a instanceof Result.Bad<RequestBody> bad) {
       refuse(context, 400, "the body is not an order", bad.findings(), 0);
       return;
     }
-    Asked x = ((Result.Good<Asked>) a).value();
+    RequestBody x = ((Result.Good<RequestBody>) a).value();
     Request request =
         new Request(decisions.begin(came), came, hash, context.request().path(), this);
     request.prompt = new Prompt.Text(x.prompt);
     request.maxPieces = x.maxPieces;
-    calls.put(request, context);
-    tellId(context, request.id());
-    context.response().closeHandler(v -> gone(request));
-    context.response().exceptionHandler(failure -> gone(request));
-    r.begin(request);
-    if (x.repeatable != null) request.askedRepeatable = x.repeatable;
-    way.go(request);
+    contexts.put(request, context);
+    setRequestIdHeaders(context, request.id());
+    context.response().closeHandler(v -> callerDisconnected(request));
+    context.response().exceptionHandler(failure -> callerDisconnected(request));
+    relay.begin(request);
+    if (x.repeatable != null) request.declaredRepeatable = x.repeatable;
+    filterChain.start(request);
   }
 
   /** The request's id; the second name is the earlier one, sent for one release. */
-  private static void tellId(RoutingContext context, String id) {
+  private static void setRequestIdHeaders(RoutingContext context, String id) {
     context.response().putHeader("Gladelug-Request", id).putHeader("Gladelug-Order", id);
   }
 
-  private void gone(Request request) {
-    if (calls.remove(request) != null) r.gone(request);
+  private void callerDisconnected(Request request) {
+    if (contexts.remove(request) != null) relay.callerGone(request);
   }
 
   private void refuse(
@@ -158,21 +158,23 @@
     JsonObject json = Json.object().add("outcome", "not-run").add("reason", reason);
     if (status != 401) {
       // whoever has no key leaves no record, so that strangers can't push out those of requests
-      Decision decision = decisions.begin(r.clock.now());
+      Decision decision = decisions.begin(relay.clock.now());
       decision.add(
-          "turned-away", r.clock.now(), Json.object().add("status", status).add("reason", reason));
-      decision.outcome("not-run");
+          "turned-away",
+          relay.clock.now(),
+          Json.object().add("status", status).add("reason", reason));
+      decision.setOutcome("not-run");
       decision.end();
-      r.reasons.accept(decision);
+      relay.decisionSink.accept(decision);
       json.add("order", decision.id);
-      tellId(context, decision.id);
+      setRequestIdHeaders(context, decision.id);
     }
     if (fs != null) {
       JsonArray array = new JsonArray();
       for (Finding f : fs) array.add(Json.object().add("place", f.place()).add("what", f.what()));
       json.add("findings", array);
     }
-    if (retryMs > 0) context.response().putHeader("Retry-After", seconds(retryMs));
+    if (retryMs > 0) context.response().putHeader("Retry-After", toSeconds(retryMs));
     if (!context.request().isEnded()) context.response().putHeader("Connection", "close");
     context
         .response()
@@ -181,7 +183,7 @@
         .end(json + "\n");
   }
 
-  private static String seconds(long ms) {
+  private static String toSeconds(long ms) {
     return String.valueOf(Math.max(1, (ms + 999) / 1000));
   }
 
@@ -189,9 +191,10 @@
 
   @Override
   public void refuse(Request request, FilterResult.Refuse v) {
-    RoutingContext context = calls.remove(request);
+    RoutingContext context = contexts.remove(request);
     if (context == null || context.response().ended() || context.response().closed()) return;
-    if (v.retryMs() > 0) context.response().putHeader("Retry-After", seconds(v.retryMs()));
+    if (v.retryAfterMs() > 0)
+      context.response().putHeader("Retry-After", toSeconds(v.retryAfterMs()));
     context
         .response()
         .setStatusCode(v.status())
@@ -204,7 +207,7 @@
                 + "\n");
   }
 
-  private static HttpServerResponse begun(RoutingContext context) {
+  private static HttpServerResponse startResponse(RoutingContext context) {
     HttpServerResponse response = context.response();
     if (!response.headWritten())
       response
@@ -215,10 +218,10 @@
   }
 
   @Override
-  public boolean piece(Request request, Buffer piece, Runnable ready) {
-    RoutingContext context = calls.get(request);
+  public boolean sendPiece(Request request, Buffer piece, Runnable ready) {
+    RoutingContext context = contexts.get(request);
     if (context == null) return true;
-    HttpServerResponse response = begun(context);
+    HttpServerResponse response = startResponse(context);
     response.write(Buffer.buffer(piece.length() + 1).appendBuffer(piece).appendByte((byte) '\n'));
     if (!response.writeQueueFull()) return true;
     response.drainHandler(v -> ready.run());
@@ -227,9 +230,9 @@
 
   @Override
   public void complete(Request request, int pieces) {
-    RoutingContext context = calls.remove(request);
+    RoutingContext context = contexts.remove(request);
     if (context != null && !context.response().closed())
-      begun(context)
+      startResponse(context)
           .end(
               Json.object()
                       .add("end", true)
@@ -241,9 +244,9 @@
 
   @Override
   public void cutOff(Request request, String why) {
-    RoutingContext context = calls.remove(request);
+    RoutingContext context = contexts.remove(request);
     if (context == null || context.response().closed()) return;
-    begun(context)
+    startResponse(context)
         .write(
             Json.object()
                     .add("error", "cut-off")
--- a/data-plane/src/main/java/gladelug/data/relay/Exchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Exchange.java
@@ -1,7 +1,7 @@
 package gladelug.data.relay;
 
-import gladelug.data.request.Head;
 import gladelug.data.request.Request;
+import gladelug.data.request.ResponseHead;
 import io.vertx.core.buffer.Buffer;
 
 /**
@@ -24,13 +24,13 @@
   /** What comes back for one request. */
   interface Reply {
     /** The last look: false where it must not leave any more; nothing else is told then. */
-    boolean leave(Handle h);
+    boolean beginSend(Handle h);
 
     /**
      * No byte left: there was no connection, or it was not that replica's; for badMs nothing more
      * goes there.
      */
-    void unreached(String why, long badMs);
+    void connectionFailed(String why, long badMs);
 
     /**
      * The replica says that it did not run the request, and for how long it is better left alone.
@@ -41,16 +41,16 @@
      * The same, as it runs other weights, of which it may have told: it can be asked again for
      * those.
      */
-    void otherWeights(String why);
+    void weightsMismatch(String why);
 
     /**
      * The replica ran the request and answered that it failed. True where it goes to another
      * replica instead, and nothing more of this answer counts; false where the answer is the
      * caller's.
      */
-    boolean goesOnAfter(String failure);
+    boolean retryAfterFailure(String failure);
 
-    void head(Head h);
+    void head(ResponseHead h);
 
     /** The next whole piece; event is its name where it has one. */
     void piece(Buffer piece, String event);
--- a/data-plane/src/main/java/gladelug/data/relay/FetchPlanFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/FetchPlanFilter.java
@@ -7,7 +7,7 @@
 import gladelug.data.request.RequestFilter;
 
 /** Records what is pulled in place of computed, as the choice of the replica found it cheaper. */
-record FetchPlanFilter(Relay relay) implements RequestFilter.AtOnce {
+record FetchPlanFilter(Relay relay) implements RequestFilter.Synchronous {
   @Override
   public String name() {
     return "fetch";
@@ -20,10 +20,12 @@
           "fetch",
           relay.clock.now(),
           Json.object()
-              .add("kept", request.matched)
+              .add("kept", request.matchedBlocks)
               .add("from", request.fetchFrom)
               .add("pull", request.fetchBlocks)
-              .add("compute", request.blocks.length - request.matched - request.fetchBlocks));
-    return FilterResult.GO;
+              .add(
+                  "compute",
+                  request.blockKeys.length - request.matchedBlocks - request.fetchBlocks));
+    return FilterResult.CONTINUE;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Forwarding.java
@@ -5,10 +5,10 @@
 import gladelug.common.configuration.Replicas;
 import gladelug.data.request.CacheScope;
 import gladelug.data.request.FilterResult;
-import gladelug.data.request.Head;
 import gladelug.data.request.Request;
 import gladelug.data.request.RequestFilter;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
+import gladelug.data.request.ResponseHead;
 import gladelug.data.state.ControlStateSnapshot;
 import io.smallrye.mutiny.Uni;
 import io.smallrye.mutiny.subscription.UniEmitter;
@@ -24,15 +24,15 @@
  */
 public final class Forwarding implements RequestFilter {
   /** How long a replica is left alone that failed before an answer, or broke off in its middle. */
-  private static final long FAILED_MS = 1000;
+  private static final long FAILURE_EJECTION_MS = 1000;
 
-  private static final long BROKE_OFF_MS = 300;
+  private static final long BROKEN_STREAM_EJECTION_MS = 300;
 
-  private final Relay r;
+  private final Relay relay;
   private final Exchange exchange;
 
   public Forwarding(Relay r, Exchange exchange) {
-    this.r = r;
+    this.relay = r;
     this.exchange = exchange;
   }
 
@@ -42,42 +42,45 @@
   }
 
   @Override
-  public Uni<FilterResult> pass(Request request) {
+  public Uni<FilterResult> apply(Request request) {
     return Uni.createFrom()
         .emitter(
-            e -> exchange.send(request, request.backend, new Handed(request, request.backend, e)));
+            e ->
+                exchange.send(
+                    request, request.backend, new ReplyHandler(request, request.backend, e)));
   }
 
   /** Everything that may have changed since it was looked at first; null where all still holds. */
-  private FilterResult last(Request request, Backend backend) {
-    FilterResult late = lateOrTriedOut(request, backend);
+  private FilterResult recheck(Request request, Backend backend) {
+    FilterResult late = checkTimeAndAttempts(request, backend);
     if (late != null) return late;
-    ControlStateSnapshot snapshot = r.tables();
+    ControlStateSnapshot snapshot = relay.snapshot();
     Configuration.Route route = snapshot.configuration().route(request.host, request.path);
-    FilterResult other = otherTenantOrScope(request, backend, snapshot, route);
-    return other != null ? other : otherRouteOrReplica(request, backend, snapshot, route);
+    FilterResult other = checkTenantAndScope(request, backend, snapshot, route);
+    return other != null ? other : checkRouteAndReplica(request, backend, snapshot, route);
   }
 
-  private FilterResult lateOrTriedOut(Request request, Backend backend) {
-    long now = r.clock.now();
-    FilterResult outlasts = request.piecesOut == 0 ? r.refusalIfItMayOutlastThis(request) : null;
+  private FilterResult checkTimeAndAttempts(Request request, Backend backend) {
+    long now = relay.clock.now();
+    FilterResult outlasts = request.piecesOut == 0 ? relay.refusalIfOutlivesRelay(request) : null;
     if (outlasts != null) return outlasts;
-    if (!r.news.leases.valid(now))
-      return FilterResult.notRun(503, "no licence", r.retryAdvice.untilStateMs());
-    if (now >= request.deadline)
-      return FilterResult.notRun(503, Relay.EXPIRED_UNSENT, r.retryAdvice.untilRoomMs(request));
+    if (!relay.subscription.leases.isValid(now))
+      return FilterResult.notRun(503, "no licence", relay.retryAdvice.msUntilState());
+    if (now >= request.deadlineMs)
+      return FilterResult.notRun(
+          503, Relay.EXPIRED_BEFORE_SEND, relay.retryAdvice.msUntilRoom(request));
     // the replica it was to go to once more may have become unreachable meanwhile
-    if (request.tries >= request.route.attempts() && backend != request.triedLast)
+    if (request.tryCount >= request.route.maxAttempts() && backend != request.lastTriedBackend)
       return FilterResult.notRun(
-          503, "it went to as many replicas as it may", r.retryAdvice.untilRoomMs(request));
+          503, "it went to as many replicas as it may", relay.retryAdvice.msUntilRoom(request));
     return null;
   }
 
   /** Whether the key is still its tenant's, and may use the cached prefixes it was to use. */
-  private FilterResult otherTenantOrScope(
+  private FilterResult checkTenantAndScope(
       Request request, Backend backend, ControlStateSnapshot snapshot, Configuration.Route route) {
-    boolean open = route != null && route.open();
-    Configuration.Tenant tenant = tenantNow(request, snapshot, open);
+    boolean open = route != null && route.allowsAnonymous();
+    Configuration.Tenant tenant = currentTenant(request, snapshot, open);
     if (tenant == null || !tenant.name().equals(request.tenant.name()))
       return open
           ? FilterResult.notRun(503, "the key's tenant changed", FilterResult.RETRY_AT_ONCE_MS)
@@ -85,24 +88,24 @@
     String scope = CacheScope.of(tenant, snapshot.prefixSharingSince());
     boolean model = request.service.kind() == Configuration.Kind.MODEL;
     if (!model || scope.equals(request.cacheScope)) return null;
-    request.moveTo(scope, backend.blockBytes);
-    return new FilterResult.Again("cached prefixes are shared among others now");
+    request.changeCacheScope(scope, backend.blockBytes);
+    return new FilterResult.ChooseAgain("cached prefixes are shared among others now");
   }
 
   /** Whose request it is by the newest configuration; null where the key belongs to nobody. */
   // Whoever called an open route without a key is one object; no tenant is.
   @SuppressWarnings("ReferenceEquality")
-  private static Configuration.Tenant tenantNow(
+  private static Configuration.Tenant currentTenant(
       Request request, ControlStateSnapshot snapshot, boolean open) {
-    return open && request.tenant == Configuration.ANYBODY
-        ? Configuration.ANYBODY
-        : snapshot.configuration().tenantOfHash(request.keyHash);
+    return open && request.tenant == Configuration.ANONYMOUS
+        ? Configuration.ANONYMOUS
+        : snapshot.configuration().tenantByKeyHash(request.apiKeyHash);
   }
 
-  private FilterResult otherRouteOrReplica(
+  private FilterResult checkRouteAndReplica(
       Request request, Backend backend, ControlStateSnapshot snapshot, Configuration.Route route) {
     Configuration.Service service = snapshot.configuration().service(request.service.name());
-    if (route == null || service == null || !route.allows(service.index()))
+    if (route == null || service == null || !route.allowsService(service.index()))
       return FilterResult.notRun(503, "the mapping changed", FilterResult.RETRY_AT_ONCE_MS);
     Replicas.Replica replica = snapshot.replicas().find(backend.replica.instance());
     if (replica == null
@@ -110,229 +113,241 @@
         || !replica.address().equals(backend.replica.address())
         || !replica.service().equals(service.name())
         || !service.allows(replica.address()))
-      return new FilterResult.Again(backend.replica.instance() + " is not ready any more");
-    if (service.kind() == Configuration.Kind.MODEL && !r.mayRun(request.model, request.weights))
-      return new FilterResult.Again("other weights are named");
+      return new FilterResult.ChooseAgain(backend.replica.instance() + " is not ready any more");
+    if (service.kind() == Configuration.Kind.MODEL && !relay.mayRun(request.model, request.weights))
+      return new FilterResult.ChooseAgain("other weights are named");
     return null;
   }
 
   /** Whether an event may come after another in one answer: names that are numbers rise. */
-  private static boolean follows(String event, String last) {
-    return Backend.newer(event, last);
+  private static boolean mayFollow(String event, String last) {
+    return Backend.isNewer(event, last);
   }
 
-  private final class Handed implements Exchange.Reply {
-    private final Request o;
-    private final Backend b;
-    private final UniEmitter<? super FilterResult> e;
+  private final class ReplyHandler implements Exchange.Reply {
+    private final Request request;
+    private final Backend backend;
+    private final UniEmitter<? super FilterResult> emitter;
     private Exchange.Handle handle;
-    private boolean over;
-    private boolean answered;
+    private boolean finished;
+    private boolean answerStarted;
 
-    Handed(Request request, Backend backend, UniEmitter<? super FilterResult> e) {
-      this.o = request;
-      this.b = backend;
-      this.e = e;
+    ReplyHandler(Request request, Backend backend, UniEmitter<? super FilterResult> e) {
+      this.request = request;
+      this.backend = backend;
+      this.emitter = e;
     }
 
     /** Nothing new goes to the replica for so many ms. */
-    private void leaveAlone(long ms) {
-      if (ms > 0 && r.settings.has(Mechanism.OUTLIER_EJECTION)) b.bad(r.clock.now(), ms);
+    private void eject(long ms) {
+      if (ms > 0 && relay.settings.isEnabled(Mechanism.OUTLIER_EJECTION))
+        backend.eject(relay.clock.now(), ms);
     }
 
-    private boolean resumes() {
-      return o.piecesOut > 0;
+    private boolean isResuming() {
+      return request.piecesOut > 0;
     }
 
-    private void over(FilterResult v) {
-      over = true;
-      if (handle != null && !answered) b.answered(false, r.clock.now());
-      answered = true;
-      o.cancel = () -> {};
-      e.complete(v);
+    private void finish(FilterResult v) {
+      finished = true;
+      if (handle != null && !answerStarted) backend.recordAnswered(false, relay.clock.now());
+      answerStarted = true;
+      request.cancel = () -> {};
+      emitter.complete(v);
     }
 
     @Override
-    public boolean leave(Exchange.Handle h) {
-      if (over) return false;
-      FilterResult v = last(o, b);
+    public boolean beginSend(Exchange.Handle h) {
+      if (finished) return false;
+      FilterResult v = recheck(request, backend);
       boolean goes =
           v == null
-              && !o.gone
-              && (resumes()
-                  ? o.state.at() == State.At.STREAMING
-                  : o.state.step(State.At.WAITING, State.At.HANDED));
+              && !request.callerGone
+              && (isResuming()
+                  ? request.state.phase() == RequestState.Phase.STREAMING
+                  : request.state.transition(
+                      RequestState.Phase.WAITING, RequestState.Phase.FORWARDED));
       if (!goes) {
-        if (o.gone) o.decision.outcome("caller-gone");
-        over(o.gone || v == null ? FilterResult.ENDED : v);
+        if (request.callerGone) request.decision.setOutcome("caller-gone");
+        finish(request.callerGone || v == null ? FilterResult.ENDED : v);
         return false;
       }
       handle = h;
-      long now = r.clock.now();
-      o.tries++;
-      o.triedLast = b;
-      o.handedAt = now;
-      b.asked(now);
-      if (o.tries == 1) r.budget.firstTry(o.service.name());
-      o.decision.add(
+      long now = relay.clock.now();
+      request.tryCount++;
+      request.lastTriedBackend = backend;
+      request.forwardedAtMs = now;
+      backend.recordSent(now);
+      if (request.tryCount == 1) relay.retryBudget.recordFirstAttempt(request.service.name());
+      request.decision.add(
           "hand-over",
           now,
           Json.object()
-              .add("replica", b.replica.instance())
-              .add("try", o.tries)
-              .add("after", o.lastEvent));
-      o.cancel = h::reset;
-      o.lost = this::broken;
+              .add("replica", backend.replica.instance())
+              .add("try", request.tryCount)
+              .add("after", request.lastEventId));
+      request.cancel = h::reset;
+      request.onReplicaLost = this::broken;
       return true;
     }
 
     @Override
-    public void unreached(String why, long badMs) {
-      if (over) return;
-      leaveAlone(badMs);
-      over(new FilterResult.Again(why));
+    public void connectionFailed(String why, long badMs) {
+      if (finished) return;
+      eject(badMs);
+      finish(new FilterResult.ChooseAgain(why));
     }
 
     /**
      * Whether it may go to a replica once more, and if so takes that from the budget. Its route
      * bounds to how many replicas it may go; the same one again is no further replica.
      */
-    private boolean again(boolean same) {
-      if (r.clock.now() >= o.deadline
-          || !same && o.tries >= o.route.attempts()
-          || !r.settings.has(Mechanism.RETRIES)
-          || !r.budget.secondTry(o.service.name())) return false;
-      return resumes()
-          ? o.state.at() == State.At.STREAMING
-          : o.state.step(State.At.HANDED, State.At.WAITING);
+    private boolean takeRetry(boolean same) {
+      if (relay.clock.now() >= request.deadlineMs
+          || !same && request.tryCount >= request.route.maxAttempts()
+          || !relay.settings.isEnabled(Mechanism.RETRIES)
+          || !relay.retryBudget.takeRetry(request.service.name())) return false;
+      return isResuming()
+          ? request.state.phase() == RequestState.Phase.STREAMING
+          : request.state.transition(RequestState.Phase.FORWARDED, RequestState.Phase.WAITING);
     }
 
     @Override
     public void notRun(String why, long badMs) {
-      if (over) return;
-      leaveAlone(badMs);
+      if (finished) return;
+      eject(badMs);
       notRun(why, false);
     }
 
     @Override
-    public void otherWeights(String why) {
-      if (over) return;
+    public void weightsMismatch(String why) {
+      if (finished) return;
       // the same one once more at most, whatever it says of itself
-      notRun(why, o.tries == o.route.attempts());
+      notRun(why, request.tryCount == request.route.maxAttempts());
     }
 
     private void notRun(String why, boolean same) {
-      String told = b.replica.instance() + " did not run it: " + why;
-      if (o.state.at() == State.At.ENDED) over(FilterResult.ENDED);
-      else if (again(same)) {
-        o.only = same ? b : null;
-        over(new FilterResult.Again(told));
-      } else if (resumes()) cut(told);
+      String told = backend.replica.instance() + " did not run it: " + why;
+      if (request.state.phase() == RequestState.Phase.ENDED) finish(FilterResult.ENDED);
+      else if (takeRetry(same)) {
+        request.requiredBackend = same ? backend : null;
+        finish(new FilterResult.ChooseAgain(told));
+      } else if (isResuming()) cutOff(told);
       else
-        over(
+        finish(
             FilterResult.notRun(
-                503, "the replica did not run it: " + why, r.retryAdvice.untilRoomMs(o)));
+                503, "the replica did not run it: " + why, relay.retryAdvice.msUntilRoom(request)));
     }
 
-    private void cut(String why) {
-      r.cutOff(o, why);
-      over(FilterResult.ENDED);
+    private void cutOff(String why) {
+      relay.cutOff(request, why);
+      finish(FilterResult.ENDED);
     }
 
     @Override
-    public void head(Head h) {
-      if (over) return;
-      first();
-      if (o.piecesOut == 0) o.head = h;
+    public void head(ResponseHead h) {
+      if (finished) return;
+      recordByte();
+      if (request.piecesOut == 0) request.responseHead = h;
     }
 
-    private void first() {
-      if (!answered) b.answered(true, r.clock.now());
-      answered = true;
-      b.heard(r.clock.now());
+    private void recordByte() {
+      if (!answerStarted) backend.recordAnswered(true, relay.clock.now());
+      answerStarted = true;
+      backend.recordByteReceived(relay.clock.now());
     }
 
     @Override
     public void piece(Buffer buffer, String event) {
-      if (over) return;
-      first();
-      if (o.state.at() == State.At.ENDED) {
+      if (finished) return;
+      recordByte();
+      if (request.state.phase() == RequestState.Phase.ENDED) {
         handle.reset();
-        over(FilterResult.ENDED);
+        finish(FilterResult.ENDED);
         return;
       }
-      if (o.resumesAfterLast && !event.isEmpty() && !follows(event, o.lastEvent)) {
-        broken("event " + event + " after event " + o.lastEvent);
+      if (request.canResumeAfterLastEvent
+          && !event.isEmpty()
+          && !mayFollow(event, request.lastEventId)) {
+        broken("event " + event + " after event " + request.lastEventId);
         return;
       }
-      if (o.piecesOut == 0) {
-        if (!o.state.step(State.At.HANDED, State.At.STREAMING)) return;
-        long now = r.clock.now();
-        o.decision.add("stream", now, Json.object().add("firstPieceMs", now - o.came));
-        o.firstPieceMs = now - o.came;
-        r.firstPiece(o, b, now - o.handedAt);
-        o.caller.head(o, o.head == null ? Head.PLAIN : o.head);
+      if (request.piecesOut == 0) {
+        if (!request.state.transition(RequestState.Phase.FORWARDED, RequestState.Phase.STREAMING))
+          return;
+        long now = relay.clock.now();
+        request.decision.add(
+            "stream", now, Json.object().add("firstPieceMs", now - request.receivedAtMs));
+        request.firstPieceMs = now - request.receivedAtMs;
+        relay.recordFirstPiece(request, backend, now - request.forwardedAtMs);
+        request.caller.sendHead(
+            request, request.responseHead == null ? ResponseHead.EMPTY_OK : request.responseHead);
       }
-      o.pieceCame(r.clock.now());
-      o.resumesAfterLast = !event.isEmpty();
-      if (o.resumesAfterLast) o.lastEvent = event;
-      if (!o.caller.piece(o, buffer, handle::resume)) handle.pause();
+      request.recordPiece(relay.clock.now());
+      request.canResumeAfterLastEvent = !event.isEmpty();
+      if (request.canResumeAfterLastEvent) request.lastEventId = event;
+      if (!request.caller.sendPiece(request, buffer, handle::resume)) handle.pause();
     }
 
     @Override
     public void end() {
-      if (over) return;
-      first();
-      if (o.state.end()) {
-        o.decision.outcome("complete");
-        if (!o.gone) {
-          if (o.piecesOut == 0) o.caller.head(o, o.head == null ? Head.PLAIN : o.head);
-          o.caller.complete(o, o.piecesOut);
+      if (finished) return;
+      recordByte();
+      if (request.state.end()) {
+        request.decision.setOutcome("complete");
+        if (!request.callerGone) {
+          if (request.piecesOut == 0)
+            request.caller.sendHead(
+                request,
+                request.responseHead == null ? ResponseHead.EMPTY_OK : request.responseHead);
+          request.caller.complete(request, request.piecesOut);
         }
       }
-      over(FilterResult.ENDED);
+      finish(FilterResult.ENDED);
     }
 
     @Override
-    public boolean goesOnAfter(String failure) {
-      if (over) return true;
-      if (!o.repeatable || o.piecesOut > 0 || !again(false)) return false;
+    public boolean retryAfterFailure(String failure) {
+      if (finished) return true;
+      if (!request.repeatable || request.piecesOut > 0 || !takeRetry(false)) return false;
       // letting the connection go may tell of a break
-      over = true;
+      finished = true;
       handle.reset();
-      b.failures++;
-      leaveAlone(FAILED_MS);
-      o.mayHaveRun = true;
-      over(new FilterResult.Again(b.replica.instance() + ": " + failure));
+      backend.failures++;
+      eject(FAILURE_EJECTION_MS);
+      request.mayHaveRun = true;
+      finish(new FilterResult.ChooseAgain(backend.replica.instance() + ": " + failure));
       return true;
     }
 
     /** Before the first piece: once more where that is allowed, else of unknown fate. */
     @Override
     public void broken(String what) {
-      if (over) return;
+      if (finished) return;
       // letting the connection go may tell of the break once more
-      over = true;
+      finished = true;
       handle.reset();
-      String why = b.replica.instance() + ": " + what;
-      State.At at = o.state.at();
-      if (at == State.At.ENDED) {
-        over(FilterResult.ENDED);
+      String why = backend.replica.instance() + ": " + what;
+      RequestState.Phase at = request.state.phase();
+      if (at == RequestState.Phase.ENDED) {
+        finish(FilterResult.ENDED);
         return;
       }
-      b.failures++;
-      leaveAlone(at == State.At.STREAMING ? BROKE_OFF_MS : FAILED_MS);
-      if (at == State.At.STREAMING) {
-        if (o.route.resumable() && o.resumesAfterLast && again(false)) {
-          o.decision.add(
-              "resume", r.clock.now(), Json.object().add("after", o.lastEvent).add("why", why));
-          over(new FilterResult.Again(why));
-        } else cut(why);
+      backend.failures++;
+      eject(at == RequestState.Phase.STREAMING ? BROKEN_STREAM_EJECTION_MS : FAILURE_EJECTION_MS);
+      if (at == RequestState.Phase.STREAMING) {
+        if (request.route.resumable() && request.canResumeAfterLastEvent && takeRetry(false)) {
+          request.decision.add(
+              "resume",
+              relay.clock.now(),
+              Json.object().add("after", request.lastEventId).add("why", why));
+          finish(new FilterResult.ChooseAgain(why));
+        } else cutOff(why);
         return;
       }
-      o.mayHaveRun = true;
-      if (o.repeatable && again(false)) over(new FilterResult.Again(why));
-      else over(FilterResult.unknown(502, why, r.retryAdvice.untilRoomMs(o)));
+      request.mayHaveRun = true;
+      if (request.repeatable && takeRetry(false)) finish(new FilterResult.ChooseAgain(why));
+      else finish(FilterResult.unknown(502, why, relay.retryAdvice.msUntilRoom(request)));
     }
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
+++ b/data-plane/src/main/java/gladelug/data/relay/HttpConnections.java
@@ -23,9 +23,9 @@
  * own. The identity found at the other end is remembered with the connection.
  */
 public final class HttpConnections implements ReplicaConnections {
-  private static final int LONGEST_LINE = 1 << 20;
+  private static final int MAX_LINE_BYTES = 1 << 20;
   private final HttpClient http;
-  private final Map<HttpConnection, String> checked = new WeakHashMap<>();
+  private final Map<HttpConnection, String> verifiedIdentities = new WeakHashMap<>();
 
   public HttpConnections(Vertx vertx, BindAddress local) {
     http =
@@ -56,30 +56,31 @@
         .onComplete(
             a -> {
               if (a.failed()) failure.accept(a.cause().toString());
-              else opened.accept(new One(a.result()));
+              else opened.accept(new OpenConnection(a.result()));
             });
   }
 
-  private final class One implements Connection {
-    private final HttpClientRequest q;
-    private HttpClientResponse p;
-    private boolean over;
+  private final class OpenConnection implements Connection {
+    private final HttpClientRequest request;
+    private HttpClientResponse response;
+    private boolean ended;
 
-    One(HttpClientRequest request) {
-      this.q = request;
+    OpenConnection(HttpClientRequest request) {
+      this.request = request;
     }
 
     @Override
-    public String who() {
-      return checked.getOrDefault(q.connection(), "");
+    public String verifiedIdentity() {
+      return verifiedIdentities.getOrDefault(request.connection(), "");
     }
 
     @Override
     public void identify(Consumer<String> who) {
-      HttpConnection c = q.connection();
-      q.setMethod(HttpMethod.GET).setURI("/identity");
-      q.setTimeout(1000);
-      q.send()
+      HttpConnection c = request.connection();
+      request.setMethod(HttpMethod.GET).setURI("/identity");
+      request.setTimeout(1000);
+      request
+          .send()
           .compose(
               response ->
                   response.statusCode() == 200
@@ -96,75 +97,78 @@
                     is = "";
                   }
                 }
-                if (!is.isEmpty()) checked.put(c, is);
+                if (!is.isEmpty()) verifiedIdentities.put(c, is);
                 who.accept(is);
               });
     }
 
     @Override
-    public void order(String json, Answer to) {
-      q.putHeader("Content-Type", "application/json");
-      q.send(Buffer.buffer(json))
+    public void send(String json, Answer to) {
+      request.putHeader("Content-Type", "application/json");
+      request
+          .send(Buffer.buffer(json))
           .onComplete(
               a -> {
                 if (a.failed()) {
-                  to.over("the circuit broke");
+                  to.closed("the circuit broke");
                   return;
                 }
-                p = a.result();
-                if (p.statusCode() == 200) {
-                  lines(to);
+                response = a.result();
+                if (response.statusCode() == 200) {
+                  readLines(to);
                   return;
                 }
-                p.body()
+                response
+                    .body()
                     .onComplete(
                         b ->
-                            to.refused(p.statusCode(), b.succeeded() ? b.result().toString() : ""));
+                            to.refused(
+                                response.statusCode(), b.succeeded() ? b.result().toString() : ""));
               });
     }
 
-    private void lines(Answer to) {
+    private void readLines(Answer to) {
       RecordParser lines =
           RecordParser.newDelimited(
               "\n",
               buffer -> {
-                if (!over) to.line(buffer.toString());
+                if (!ended) to.line(buffer.toString());
               });
-      lines.maxRecordSize(LONGEST_LINE);
-      lines.exceptionHandler(failure -> over(to, "an endless piece"));
-      p.handler(
+      lines.maxRecordSize(MAX_LINE_BYTES);
+      lines.exceptionHandler(failure -> end(to, "an endless piece"));
+      response.handler(
           buffer -> {
-            if (!over) lines.handle(buffer);
-            else q.reset();
+            if (!ended) lines.handle(buffer);
+            else request.reset();
           });
-      p.exceptionHandler(failure -> over(to, "the answer broke off"));
-      p.endHandler(v -> over(to, "the answer ended without saying so"));
+      response.exceptionHandler(failure -> end(to, "the answer broke off"));
+      response.endHandler(v -> end(to, "the answer ended without saying so"));
     }
 
-    private void over(Answer to, String why) {
-      if (over) return;
-      over = true;
-      to.over(why);
+    private void end(Answer to, String why) {
+      if (ended) return;
+      ended = true;
+      to.closed(why);
     }
 
     @Override
     public void reset() {
-      q.reset();
+      request.reset();
     }
 
     @Override
     public void close() {
-      q.connection().close();
+      request.connection().close();
     }
 
     @Override
     public void pause() {
-      p.pause();
+      response.pause();
     }
 
     @Override
     public void resume() {
-      p.resume();
+      response.resume();
     }
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
+++ b/data-plane/src/main/java/gladelug/data/relay/KeyFilter.java
@@ -11,7 +11,7 @@
 /**
  * Whose request it is: by the hash of its key; the key itself went no further than the listener.
  */
-record KeyFilter(Relay relay) implements RequestFilter.AtOnce {
+record KeyFilter(Relay relay) implements RequestFilter.Synchronous {
   @Override
   public String name() {
     return "key";
@@ -19,14 +19,14 @@
 
   @Override
   public FilterResult decide(Request request) {
-    String unready = relay.unready();
+    String unready = relay.unreadyReason();
     if (!unready.isEmpty())
-      return FilterResult.notRun(503, unready, relay.retryAdvice.untilReadyMs());
-    ControlStateSnapshot snapshot = relay.tables();
+      return FilterResult.notRun(503, unready, relay.retryAdvice.msUntilReady());
+    ControlStateSnapshot snapshot = relay.snapshot();
     Configuration.Route route = snapshot.configuration().route(request.host, request.path);
     request.tenant = tenant(request, route, snapshot);
     if (request.tenant == null)
-      return route == null && relay.settings.hidesNoRoutes()
+      return route == null && relay.settings.hidesMissingRoutes()
           ? FilterResult.notRun(404, RouteFilter.NO_ROUTE, 0)
           : FilterResult.notRun(401, "the key is not known", 0);
     request.cacheScope = CacheScope.of(request.tenant, snapshot.prefixSharingSince());
@@ -38,13 +38,13 @@
             .add("isolated", request.tenant.isolated())
             .add("sharingSince", snapshot.prefixSharingSince())
             .add("policy", snapshot.configurationNumber()));
-    return FilterResult.GO;
+    return FilterResult.CONTINUE;
   }
 
   private static Configuration.Tenant tenant(
       Request request, Configuration.Route route, ControlStateSnapshot snapshot) {
-    Configuration.Tenant tenant = snapshot.configuration().tenantOfHash(request.keyHash);
-    boolean open = route != null && route.open();
-    return open && tenant == null ? Configuration.ANYBODY : tenant;
+    Configuration.Tenant tenant = snapshot.configuration().tenantByKeyHash(request.apiKeyHash);
+    boolean open = route != null && route.allowsAnonymous();
+    return open && tenant == null ? Configuration.ANONYMOUS : tenant;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LineExchange.java
@@ -6,10 +6,10 @@
 import com.eclipsesource.json.JsonValue;
 import gladelug.common.Log;
 import gladelug.common.configuration.Replicas;
-import gladelug.data.request.Head;
 import gladelug.data.request.Prompt;
 import gladelug.data.request.Request;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
+import gladelug.data.request.ResponseHead;
 import io.vertx.core.buffer.Buffer;
 
 /**
@@ -18,65 +18,66 @@
  * checked, the end is explicit, and a replica's bytes after it are discarded.
  */
 public final class LineExchange implements Exchange {
-  private static final int CHECKS = 4;
-  private final Relay r;
+  private static final int MAX_IDENTITY_CHECKS = 4;
+  private final Relay relay;
   private final ReplicaConnections connections;
 
   public LineExchange(Relay r, ReplicaConnections connections) {
-    this.r = r;
+    this.relay = r;
     this.connections = connections;
   }
 
   @Override
   public void send(Request request, Backend backend, Reply to) {
-    connection(request, backend, CHECKS, to);
+    openConnection(request, backend, MAX_IDENTITY_CHECKS, to);
   }
 
-  private void connection(Request request, Backend backend, int checks, Reply to) {
+  private void openConnection(Request request, Backend backend, int checks, Reply to) {
     connections.open(
         backend.replica,
         q -> {
-          String is = q.who();
-          if (who(backend).equals(is)) hand(request, backend, q, to);
+          String is = q.verifiedIdentity();
+          if (identityOf(backend).equals(is)) sendOn(request, backend, q, to);
           else if (checks == 0) {
             q.reset();
-            to.unreached("circuits to " + backend.replica.instance() + " could not be checked", 0);
-          } else check(request, backend, q, checks, to);
+            to.connectionFailed(
+                "circuits to " + backend.replica.instance() + " could not be checked", 0);
+          } else verify(request, backend, q, checks, to);
         },
-        why -> to.unreached("no circuit to " + backend.replica.instance(), 1000));
+        why -> to.connectionFailed("no circuit to " + backend.replica.instance(), 1000));
   }
 
-  private static String who(Backend backend) {
+  private static String identityOf(Backend backend) {
     return backend.replica.service() + "/" + backend.replica.instance();
   }
 
   /**
    * The first use of a new connection asks who is there; only the right answer lets requests on it.
    */
-  private void check(
+  private void verify(
       Request request, Backend backend, ReplicaConnections.Connection q, int checks, Reply to) {
     q.identify(
         is -> {
-          if (is.equals(who(backend))) {
-            connection(request, backend, checks - 1, to);
+          if (is.equals(identityOf(backend))) {
+            openConnection(request, backend, checks - 1, to);
             return;
           }
           q.close();
           Log.warn(
               "circuit-to-another",
               "wanted",
-              who(backend),
+              identityOf(backend),
               "found",
               is.isEmpty() ? "nobody" : is,
               "address",
               backend.replica.address());
-          to.unreached(
+          to.connectionFailed(
               "the address of " + backend.replica.instance() + " is not that replica's", 2000);
         });
   }
 
-  private void hand(Request request, Backend backend, ReplicaConnections.Connection q, Reply to) {
-    if (!to.leave(
+  private void sendOn(Request request, Backend backend, ReplicaConnections.Connection q, Reply to) {
+    if (!to.beginSend(
         new Handle() {
           @Override
           public void reset() {
@@ -96,14 +97,14 @@
       q.reset();
       return;
     }
-    q.order(body(request, backend), new Lines(request, backend, to));
+    q.send(requestBody(request, backend), new AnswerReader(request, backend, to));
   }
 
-  private String body(Request request, Backend backend) {
+  private String requestBody(Request request, Backend backend) {
     JsonObject json =
         Json.object()
             .add("order", request.id())
-            .add("try", request.tries)
+            .add("try", request.tryCount)
             .add("service", request.service.name())
             .add("instance", backend.replica.instance())
             .add("weights", request.weights)
@@ -112,9 +113,9 @@
             .add("maxPieces", request.maxPieces);
     if (request.fetchBlocks > 0) {
       JsonArray array = new JsonArray();
-      for (int i = request.matched; i < request.matched + request.fetchBlocks; i++)
-        array.add(String.format("%016x", request.blocks[i]));
-      Replicas.Replica h = r.tables().replicas().find(request.fetchFrom);
+      for (int i = request.matchedBlocks; i < request.matchedBlocks + request.fetchBlocks; i++)
+        array.add(String.format("%016x", request.blockKeys[i]));
+      Replicas.Replica h = relay.snapshot().replicas().find(request.fetchFrom);
       if (h != null)
         json.add(
             "fetch",
@@ -126,23 +127,23 @@
     return json.toString();
   }
 
-  private final class Lines implements ReplicaConnections.Answer {
-    private final Request o;
-    private final Backend b;
-    private final Reply to;
-    private boolean head;
-    private boolean over;
-    private int pieces;
-
-    Lines(Request request, Backend backend, Reply to) {
-      this.o = request;
-      this.b = backend;
-      this.to = to;
+  private final class AnswerReader implements ReplicaConnections.Answer {
+    private final Request request;
+    private final Backend backend;
+    private final Reply reply;
+    private boolean headRead;
+    private boolean ended;
+    private int pieceCount;
+
+    AnswerReader(Request request, Backend backend, Reply to) {
+      this.request = request;
+      this.backend = backend;
+      this.reply = to;
     }
 
     @Override
     public void refused(int status, String body) {
-      if (over) return;
+      if (ended) return;
       if (status != 409) {
         broken("answered " + status);
         return;
@@ -150,7 +151,7 @@
       String why = "";
       try {
         JsonObject json = Json.parse(body).asObject();
-        if (o.id().equals(json.getString("order", ""))
+        if (request.id().equals(json.getString("order", ""))
             && "not-run".equals(json.getString("outcome", "")))
           why = json.getString("reason", "none given");
       } catch (RuntimeException malformed) {
@@ -160,25 +161,25 @@
         broken("answered 409 without saying not-run of this order");
         return;
       }
-      over = true;
-      if (why.startsWith("weights")) b.weights.remove(o.model);
-      to.notRun(why, 100);
+      ended = true;
+      if (why.startsWith("weights")) backend.weightsByModel.remove(request.model);
+      reply.notRun(why, 100);
     }
 
     @Override
-    public void over(String why) {
+    public void closed(String why) {
       broken(why);
     }
 
     private void broken(String what) {
-      if (over) return;
-      over = true;
-      to.broken(what);
+      if (ended) return;
+      ended = true;
+      reply.broken(what);
     }
 
     @Override
     public void line(String x) {
-      if (over) return;
+      if (ended) return;
       JsonObject json;
       try {
         json = Json.parse(x).asObject();
@@ -186,18 +187,18 @@
         broken("a line that is no piece");
         return;
       }
-      if (!head) {
-        if (!o.id().equals(json.getString("order", ""))
-            || !b.replica.instance().equals(json.getString("instance", ""))
-            || !o.weights.equals(json.getString("weights", ""))) {
+      if (!headRead) {
+        if (!request.id().equals(json.getString("order", ""))
+            || !backend.replica.instance().equals(json.getString("instance", ""))
+            || !request.weights.equals(json.getString("weights", ""))) {
           broken("the answer is not to this order, from this replica, under these weights");
           return;
         }
-        head = true;
-        to.head(Head.PLAIN);
+        headRead = true;
+        reply.head(ResponseHead.EMPTY_OK);
         JsonValue value = json.get("used");
-        if (value != null && value.isObject() && o.state.at() != State.At.ENDED)
-          o.decision.add("replica", r.clock.now(), (JsonObject) value);
+        if (value != null && value.isObject() && request.state.phase() != RequestState.Phase.ENDED)
+          request.decision.add("replica", relay.clock.now(), (JsonObject) value);
         return;
       }
       if (json.getBoolean("end", false)) end(json);
@@ -210,24 +211,24 @@
           || !n.isNumber()
           || t == null
           || !t.isString()
-          || !n.toString().equals(Integer.toString(pieces))) {
-        broken("piece " + n + " where " + pieces + " was due");
+          || !n.toString().equals(Integer.toString(pieceCount))) {
+        broken("piece " + n + " where " + pieceCount + " was due");
         return;
       }
-      pieces++;
-      to.piece(Buffer.buffer(Json.object().add("piece", n).add("text", t).toString()), "");
+      pieceCount++;
+      reply.piece(Buffer.buffer(Json.object().add("piece", n).add("text", t).toString()), "");
     }
 
     private void end(JsonObject json) {
       JsonValue value = json.get("pieces");
       if (value == null
           || !value.isNumber()
-          || !value.toString().equals(Integer.toString(pieces))) {
-        broken("the end speaks of " + value + " pieces after " + pieces);
+          || !value.toString().equals(Integer.toString(pieceCount))) {
+        broken("the end speaks of " + value + " pieces after " + pieceCount);
         return;
       }
-      over = true;
-      to.end();
+      ended = true;
+      reply.end();
     }
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
+++ b/data-plane/src/main/java/gladelug/data/relay/LookupClient.java
@@ -31,44 +31,44 @@
  */
 public final class LookupClient implements Lookups {
   /** How long an answer is waited for unless a setting says otherwise, in ms. */
-  public static final long WAIT = 8;
+  public static final long DEFAULT_WAIT_MS = 8;
 
   /** How often it is looked which indexes there are, in ms. */
-  private static final long LOOK_MS = 500;
+  private static final long REFRESH_INTERVAL_MS = 500;
 
-  private static final int LATENESS_OF_AN_ANSWER = 2;
-  private static final int LATENESS_OF_NO_HINTS = 5;
+  private static final int LATE_ANSWER_PENALTY = 2;
+  private static final int NO_HINTS_PENALTY = 5;
 
   /** With more points than these an index is not asked. */
-  private static final int MOST_LATENESS = 3;
+  private static final int MAX_PENALTY = 3;
 
-  private static final int MOST_OVERDUE = 256;
+  private static final int MAX_OVERDUE = 256;
   private final long waitMs;
   private final Vertx vertx;
   private final Context context;
-  private final ConnectionAcceptor doors;
+  private final ConnectionAcceptor acceptor;
   private final PartialViewService views;
   private final String zone;
-  private final Address own;
-  private final Map<Address, PersistentConnection> held = new HashMap<>();
+  private final Address ownIndex;
+  private final Map<Address, PersistentConnection> connections = new HashMap<>();
 
   /** Points of an index that was late or had no hints; one fades with each look. */
-  private final Map<Address, Integer> lateness = new HashMap<>();
+  private final Map<Address, Integer> penalties = new HashMap<>();
 
-  private final Map<Long, Consumer<Found>> asked = new HashMap<>();
+  private final Map<Long, Consumer<LookupResult>> pending = new HashMap<>();
 
   /** Who wants what late answers tell of the fleet; the eldest give way. */
-  private final Map<Long, Consumer<Lookup.Fleet>> overdue =
+  private final Map<Long, Consumer<Lookup.FleetLoad>> overdue =
       new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Consumer<Lookup.Fleet>> eldest) {
-          return size() > MOST_OVERDUE;
+        protected boolean removeEldestEntry(Map.Entry<Long, Consumer<Lookup.FleetLoad>> eldest) {
+          return size() > MAX_OVERDUE;
         }
       };
 
-  private List<Address> order = new ArrayList<>();
-  private Set<Address> followers = Set.of();
-  private final boolean oneFollowsAZone;
+  private List<Address> preferredIndexes = new ArrayList<>();
+  private Set<Address> followingIndexes = Set.of();
+  private final boolean oneFollowerPerZone;
   private long lastSequence;
 
   /**
@@ -86,49 +86,51 @@
       long waitMs,
       boolean oneFollowsAZone) {
     this.waitMs = waitMs;
-    this.oneFollowsAZone = oneFollowsAZone;
+    this.oneFollowerPerZone = oneFollowsAZone;
     this.vertx = vertx;
     this.context = context;
-    this.doors = doors;
+    this.acceptor = doors;
     this.views = views;
     this.zone = zone;
-    this.own = own;
-    vertx.setPeriodic(LOOK_MS, timer -> look());
-    look();
+    this.ownIndex = own;
+    vertx.setPeriodic(REFRESH_INTERVAL_MS, timer -> refreshIndexes());
+    refreshIndexes();
   }
 
   /** The indexes that follow holders where one a zone does. */
-  static Set<Address> followers(Collection<Shuffle.Descriptor> seen) {
-    return ZoneFollower.byZone(seen).values().stream()
-        .map(index -> Address.of(index.records()))
+  static Set<Address> followingIndexes(Collection<Shuffle.Descriptor> seen) {
+    return ZoneFollower.followersByZone(seen).values().stream()
+        .map(index -> Address.of(index.recordsAddress()))
         .collect(Collectors.toSet());
   }
 
   /** Goes by the indexes that are seen now: own machine's first, then the zone's, then others. */
-  private void look() {
-    order = inOrder(views.all());
-    followers = oneFollowsAZone ? followers(views.all()) : Set.copyOf(order);
-    held.entrySet()
+  private void refreshIndexes() {
+    preferredIndexes = inPreferenceOrder(views.all());
+    followingIndexes =
+        oneFollowerPerZone ? followingIndexes(views.all()) : Set.copyOf(preferredIndexes);
+    connections
+        .entrySet()
         .removeIf(
             index -> {
-              if (order.contains(index.getKey())) return false;
+              if (preferredIndexes.contains(index.getKey())) return false;
               index.getValue().close();
               return true;
             });
-    for (Address index : order) held.computeIfAbsent(index, this::connect);
-    lateness.replaceAll((index, points) -> points - 1);
-    lateness.values().removeIf(points -> points <= 0);
+    for (Address index : preferredIndexes) connections.computeIfAbsent(index, this::connect);
+    penalties.replaceAll((index, points) -> points - 1);
+    penalties.values().removeIf(points -> points <= 0);
   }
 
-  private List<Address> inOrder(Collection<Shuffle.Descriptor> seen) {
+  private List<Address> inPreferenceOrder(Collection<Shuffle.Descriptor> seen) {
     List<Address> indexes = new ArrayList<>();
-    if (own != null) indexes.add(own);
+    if (ownIndex != null) indexes.add(ownIndex);
     seen.stream()
         .filter(process -> process.role().equals("index"))
         .sorted(
             Comparator.comparing((Shuffle.Descriptor process) -> !process.zone().equals(zone))
                 .thenComparing(Shuffle.Descriptor::name))
-        .map(process -> Address.of(process.records()))
+        .map(process -> Address.of(process.recordsAddress()))
         .filter(index -> !indexes.contains(index))
         .forEach(indexes::add);
     return indexes;
@@ -137,77 +139,78 @@
   private PersistentConnection connect(Address index) {
     return new PersistentConnection(
         vertx,
-        doors,
+        acceptor,
         index,
         Hello.LOOKUP,
         (connection, record) -> {
-          if (!(WireRecord.read(record, Lookup::read) instanceof Lookup.Answer answer))
+          if (!(WireRecord.decode(record, Lookup::read) instanceof Lookup.Response answer))
             throw new IOException("a question where an answer was due");
-          context.runOnContext(() -> answered(index, answer));
+          context.runOnContext(() -> handleAnswer(index, answer));
         },
         connection -> {});
   }
 
-  private void answered(Address index, Lookup.Answer answer) {
+  private void handleAnswer(Address index, Lookup.Response answer) {
     // one that is warming or stands by is left alone for a while, as one that is late
-    if (answer.warm()) lateness.remove(index);
-    else lateness.put(index, LATENESS_OF_NO_HINTS);
-    Consumer<Found> found = asked.remove(answer.sequence());
-    Consumer<Lookup.Fleet> late = overdue.remove(answer.sequence());
+    if (answer.warm()) penalties.remove(index);
+    else penalties.put(index, NO_HINTS_PENALTY);
+    Consumer<LookupResult> found = pending.remove(answer.sequence());
+    Consumer<Lookup.FleetLoad> late = overdue.remove(answer.sequence());
     if (found != null)
       found.accept(
-          new Found(answer.warm() ? ANSWERED : "warming", answer.matches(), answer.fleet()));
-    else if (late != null && answer.warm()) late.accept(answer.fleet());
+          new LookupResult(
+              answer.warm() ? ANSWERED : "warming", answer.matches(), answer.fleetLoad()));
+    else if (late != null && answer.warm()) late.accept(answer.fleetLoad());
   }
 
   @Override
-  public void placed(String holder, long[] blocks, Lookup.Work work) {
+  public void recordPlacement(String holder, long[] blocks, Lookup.Work work) {
     if (blocks.length == 0) return;
-    Lookup.Placed placed = new Lookup.Placed(holder, blocks, work);
-    for (Map.Entry<Address, PersistentConnection> index : held.entrySet())
-      if (followers.contains(index.getKey())) index.getValue().send(placed);
+    Lookup.Placement placed = new Lookup.Placement(holder, blocks, work);
+    for (Map.Entry<Address, PersistentConnection> index : connections.entrySet())
+      if (followingIndexes.contains(index.getKey())) index.getValue().send(placed);
   }
 
   @Override
-  public Uni<Found> ask(long[] blocks) {
+  public Uni<LookupResult> ask(long[] blocks) {
     return ask(blocks, fleet -> {});
   }
 
   @Override
-  public Uni<Found> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
-    if (blocks.length == 0) return Uni.createFrom().item(new Found("no-block", List.of()));
+  public Uni<LookupResult> ask(long[] blocks, Consumer<Lookup.FleetLoad> late) {
+    if (blocks.length == 0) return Uni.createFrom().item(new LookupResult("no-block", List.of()));
     return Uni.createFrom()
         .emitter(
             emitter -> {
-              if (!askFirstThatAnswers(blocks, emitter::complete, late))
-                emitter.complete(new Found("no-index", List.of()));
+              if (!askFirstAvailable(blocks, emitter::complete, late))
+                emitter.complete(new LookupResult("no-index", List.of()));
             });
   }
 
   /** Whether an index could be asked: the first in order that is connected and seldom late. */
-  private boolean askFirstThatAnswers(
-      long[] blocks, Consumer<Found> found, Consumer<Lookup.Fleet> late) {
+  private boolean askFirstAvailable(
+      long[] blocks, Consumer<LookupResult> found, Consumer<Lookup.FleetLoad> late) {
     long sequence = ++lastSequence;
-    for (Address index : order) {
-      PersistentConnection connection = held.get(index);
-      if (connection == null || !connection.open()) continue;
-      if (lateness.getOrDefault(index, 0) > MOST_LATENESS) continue;
-      asked.put(sequence, found);
-      if (connection.send(new Lookup.Question(sequence, blocks))) {
+    for (Address index : preferredIndexes) {
+      PersistentConnection connection = connections.get(index);
+      if (connection == null || !connection.isOpen()) continue;
+      if (penalties.getOrDefault(index, 0) > MAX_PENALTY) continue;
+      pending.put(sequence, found);
+      if (connection.send(new Lookup.Query(sequence, blocks))) {
         vertx.setTimer(waitMs, timer -> giveUp(sequence, index, late));
         return true;
       }
-      asked.remove(sequence);
+      pending.remove(sequence);
     }
     return false;
   }
 
   /** The request goes on without a hint, unless the answer came. */
-  private void giveUp(long sequence, Address index, Consumer<Lookup.Fleet> late) {
-    Consumer<Found> found = asked.remove(sequence);
+  private void giveUp(long sequence, Address index, Consumer<Lookup.FleetLoad> late) {
+    Consumer<LookupResult> found = pending.remove(sequence);
     if (found == null) return;
-    lateness.merge(index, LATENESS_OF_AN_ANSWER, Integer::sum);
+    penalties.merge(index, LATE_ANSWER_PENALTY, Integer::sum);
     overdue.put(sequence, late);
-    found.accept(new Found("late", List.of()));
+    found.accept(new LookupResult("late", List.of()));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Lookups.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Lookups.java
@@ -10,27 +10,27 @@
  */
 public interface Lookups {
   /** how: answered, warming, late, no-index or no-block. */
-  record Found(String how, List<Lookup.Match> matches, Lookup.Fleet fleet) {
-    public Found(String how, List<Lookup.Match> matches) {
-      this(how, matches, Lookup.Fleet.UNKNOWN);
+  record LookupResult(String outcome, List<Lookup.Match> matches, Lookup.FleetLoad fleet) {
+    public LookupResult(String how, List<Lookup.Match> matches) {
+      this(how, matches, Lookup.FleetLoad.UNKNOWN);
     }
 
     /** Whether an index that follows its holders answered in time. */
-    public boolean answered() {
-      return how.equals(ANSWERED);
+    public boolean isAnswered() {
+      return outcome.equals(ANSWERED);
     }
   }
 
   /** How an answer came that counts. */
   String ANSWERED = "answered";
 
-  Uni<Found> ask(long[] blocks);
+  Uni<LookupResult> ask(long[] blocks);
 
   /**
    * Asks, and has what an answer tells of the fleet though it came too late for this request; best
    * effort.
    */
-  default Uni<Found> ask(long[] blocks, Consumer<Lookup.Fleet> late) {
+  default Uni<LookupResult> ask(long[] blocks, Consumer<Lookup.FleetLoad> late) {
     return ask(blocks);
   }
 
@@ -38,5 +38,5 @@
    * Tells index processes where a prompt of these blocks was sent, and what that asks of the
    * holder; best effort.
    */
-  default void placed(String holder, long[] blocks, Lookup.Work work) {}
+  default void recordPlacement(String holder, long[] blocks, Lookup.Work work) {}
 }
--- a/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
+++ b/data-plane/src/main/java/gladelug/data/relay/Mechanism.java
@@ -62,12 +62,12 @@
   public static Set<Mechanism> parse(List<String> names) {
     Set<Mechanism> out = EnumSet.noneOf(Mechanism.class);
     for (String name : names)
-      if (!out.add(one(name)))
+      if (!out.add(byName(name)))
         throw new IllegalArgumentException("mechanism " + name + " is named twice");
     return out;
   }
 
-  private static Mechanism one(String name) {
+  private static Mechanism byName(String name) {
     for (Mechanism mechanism : values()) if (mechanism.settingName().equals(name)) return mechanism;
     throw new IllegalArgumentException("no mechanism " + name + "; there are " + names());
   }
--- a/data-plane/src/main/java/gladelug/data/relay/OwnProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/NativeProtocol.java
@@ -1,8 +1,8 @@
 package gladelug.data.relay;
 
 import gladelug.common.Address;
-import gladelug.data.request.Decisions;
 import gladelug.data.request.FilterChain;
+import gladelug.data.request.RecentDecisions;
 import io.smallrye.mutiny.Uni;
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
@@ -12,21 +12,21 @@
  * The product's own protocol at both ends of a relay: callers' JSON over Vert.x Web, replicas that
  * report.
  */
-public record OwnProtocol(Address callers) implements RelayProtocol {
+public record NativeProtocol(Address callers) implements RelayProtocol {
   @Override
-  public Backends backends(Under u, Relay r) {
-    return Backends.overHttp(u.vertx(), u.local(), u.clock(), r::pump);
+  public Backends createBackends(Environment u, Relay r) {
+    return Backends.overHttp(u.vertx(), u.localAddress(), u.clock(), r::admitWaiting);
   }
 
   @Override
-  public Exchange exchange(Under u, Relay r) {
-    return new LineExchange(r, new HttpConnections(u.vertx(), u.local()));
+  public Exchange createExchange(Environment u, Relay r) {
+    return new LineExchange(r, new HttpConnections(u.vertx(), u.localAddress()));
   }
 
   @Override
-  public Uni<Door> open(Under u, Relay r, Decisions decisions, FilterChain way) {
+  public Uni<Listener> open(Environment u, Relay r, RecentDecisions decisions, FilterChain way) {
     Router t = Router.router(u.vertx().getDelegate());
-    new CallerListener(r, decisions, way).routes(t);
+    new CallerListener(r, decisions, way).registerRoutes(t);
     HttpServer server =
         u.vertx()
             .getDelegate()
@@ -38,7 +38,10 @@
     return Uni.createFrom()
         .completionStage(
             () ->
-                server.requestHandler(t).listen(callers.port(), u.local().ip()).toCompletionStage())
+                server
+                    .requestHandler(t)
+                    .listen(callers.port(), u.localAddress().ip())
+                    .toCompletionStage())
         .map(x -> server::close);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/PrefillSpeed.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefillSpeed.java
@@ -7,26 +7,27 @@
  */
 final class PrefillSpeed {
   /** Until something was measured, in ms a unit. */
-  static final double USUAL_UNIT_MS = 0.03;
+  static final double DEFAULT_MS_PER_UNIT = 0.03;
 
-  private static final double LEAST_UNIT_MS = 0.0005;
-  private static final double MOST_UNIT_MS = 1;
-  private static final double DOWN = 1.0 / 4;
-  private static final double UP = 1.0 / 40;
+  private static final double MIN_MS_PER_UNIT = 0.0005;
+  private static final double MAX_MS_PER_UNIT = 1;
+  private static final double DECREASE_WEIGHT = 1.0 / 4;
+  private static final double INCREASE_WEIGHT = 1.0 / 40;
 
   /** Fewer units tell more of the wait than of the speed. */
-  private static final int LEAST_UNITS = 1000;
+  private static final int MIN_UNITS = 1000;
 
-  private double unitMs = USUAL_UNIT_MS;
+  private double msPerUnit = DEFAULT_MS_PER_UNIT;
 
-  double unitMs() {
-    return unitMs;
+  double msPerUnit() {
+    return msPerUnit;
   }
 
   /** An answer began so many ms after its request left, with so many units computed for it. */
-  void measured(double ms, int units) {
-    if (units < LEAST_UNITS) return;
-    double measured = Math.max(LEAST_UNIT_MS, Math.min(MOST_UNIT_MS, ms / units));
-    unitMs += (measured - unitMs) * (measured < unitMs ? DOWN : UP);
+  void recordAnswer(double ms, int units) {
+    if (units < MIN_UNITS) return;
+    double measured = Math.max(MIN_MS_PER_UNIT, Math.min(MAX_MS_PER_UNIT, ms / units));
+    msPerUnit +=
+        (measured - msPerUnit) * (measured < msPerUnit ? DECREASE_WEIGHT : INCREASE_WEIGHT);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixStore.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixStore.java
@@ -8,10 +8,10 @@
  */
 final class PrefixStore {
   /** Another zone's link takes twice as long. */
-  private static final double OTHER_ZONE = 2;
+  private static final double OTHER_ZONE_FACTOR = 2;
 
   /** What a save has to spare the next caller who asks for the same, in ms. */
-  private static final double LEAST_SPARED_MS = 10;
+  private static final double MIN_SAVED_MS = 10;
 
   private final Configuration.Service service;
   private final StoreLink link;
@@ -34,11 +34,11 @@
   }
 
   /** Ms that moving a unit between it and a replica takes its link; negative where not known. */
-  double unitMs(Backend backend) {
+  double transferMsPerUnit(Backend backend) {
     double mbps = service.engine().linkMbps();
     if (mbps <= 0 || backend.tokenBytes() <= 0) return -1;
     double ms = backend.tokenBytes() * 8.0 / (mbps * 1000);
-    return service.zone().equals(backend.replica.zone()) ? ms : ms * OTHER_ZONE;
+    return service.zone().equals(backend.replica.zone()) ? ms : ms * OTHER_ZONE_FACTOR;
   }
 
   /**
@@ -48,9 +48,9 @@
    * @param shared units of the prompt that other requests may ask for
    * @param all units that a save moves
    */
-  boolean sparesTime(Backend backend, int shared, int all, long now) {
-    double unit = unitMs(backend);
-    if (unit < 0 || shared * (backend.unitMs - unit) < LEAST_SPARED_MS) return false;
+  boolean isWorthSaving(Backend backend, int shared, int all, long now) {
+    double unit = transferMsPerUnit(backend);
+    if (unit < 0 || shared * (backend.computeMsPerUnit - unit) < MIN_SAVED_MS) return false;
     return link.maySave(all * unit, now);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/PrefixStores.java
+++ b/data-plane/src/main/java/gladelug/data/relay/PrefixStores.java
@@ -14,20 +14,20 @@
  * request thread.
  */
 final class PrefixStores {
-  private final IntSupplier relays;
+  private final IntSupplier relayCount;
   private Map<String, PrefixStore> stores = Map.of();
 
   PrefixStores(IntSupplier relays) {
-    this.relays = relays;
+    this.relayCount = relays;
   }
 
   /** Those of a new configuration; the share of a link that stays goes on as it was. */
-  void tables(ControlStateSnapshot snapshot, long now) {
+  void applySnapshot(ControlStateSnapshot snapshot, long now) {
     Map<String, PrefixStore> next = new HashMap<>();
     for (Configuration.Service service : snapshot.configuration().services) {
-      if (service.store() == null) continue;
+      if (service.storeAddress() == null) continue;
       PrefixStore old = stores.get(service.name());
-      StoreLink link = old == null ? new StoreLink(relays, now) : old.link();
+      StoreLink link = old == null ? new StoreLink(relayCount, now) : old.link();
       next.put(service.name(), new PrefixStore(service, link));
     }
     stores = next;
@@ -43,15 +43,16 @@
    * shared blocks than the request has, from which the next caller pulls sooner than it computes,
    * with the least time on its link.
    */
-  PrefixStore saveTo(Request request, ReplicaOption chosen, long now) {
+  PrefixStore chooseSaveTarget(Request request, ReplicaOption chosen, long now) {
     int shared = ReplicaCosts.sharedUnits(request);
     if (stores.isEmpty() || chosen.computeUnits() < shared) return null;
     PrefixStore best = null;
     for (PrefixStore store : stores.values())
       if (keptUnits(request, store) < shared
-          && store.sparesTime(chosen.backend(), shared, request.promptUnits(), now)
-          && (best == null || store.unitMs(chosen.backend()) < best.unitMs(chosen.backend())))
-        best = store;
+          && store.isWorthSaving(chosen.backend(), shared, request.promptUnits(), now)
+          && (best == null
+              || store.transferMsPerUnit(chosen.backend())
+                  < best.transferMsPerUnit(chosen.backend()))) best = store;
     return best;
   }
 
@@ -59,7 +60,7 @@
     int kept = 0;
     for (Lookup.Match match : request.matches)
       if (match.holder().equals(store.name()))
-        kept = Math.max(kept, ReplicaCosts.units(request, match));
+        kept = Math.max(kept, ReplicaCosts.keptUnits(request, match));
     return kept;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayProtocol.java
@@ -2,8 +2,8 @@
 
 import gladelug.common.Clock;
 import gladelug.common.connection.BindAddress;
-import gladelug.data.request.Decisions;
 import gladelug.data.request.FilterChain;
+import gladelug.data.request.RecentDecisions;
 import io.smallrye.mutiny.Uni;
 import io.vertx.mutiny.core.Vertx;
 
@@ -13,20 +13,20 @@
  */
 public interface RelayProtocol {
   /** The machine under a relay. */
-  record Under(Vertx vertx, BindAddress local, Clock clock) {}
+  record Environment(Vertx vertx, BindAddress localAddress, Clock clock) {}
 
   /** The open door. */
-  interface Door {
+  interface Listener {
     /** From now on callers are told to go elsewhere with their next request. */
-    default void leaving() {}
+    default void startDraining() {}
 
     void close();
   }
 
-  Backends backends(Under u, Relay r);
+  Backends createBackends(Environment u, Relay r);
 
-  Exchange exchange(Under u, Relay r);
+  Exchange createExchange(Environment u, Relay r);
 
   /** Opens the door; fails where it can't be opened. */
-  Uni<Door> open(Under u, Relay r, Decisions decisions, FilterChain way);
+  Uni<Listener> open(Environment u, Relay r, RecentDecisions decisions, FilterChain way);
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelayService.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelayService.java
@@ -14,9 +14,9 @@
 import gladelug.data.StatusEndpoint;
 import gladelug.data.decisions.DecisionLogService;
 import gladelug.data.request.Decision;
-import gladelug.data.request.Decisions;
+import gladelug.data.request.RecentDecisions;
 import gladelug.data.request.Request;
-import gladelug.data.request.State;
+import gladelug.data.request.RequestState;
 import gladelug.data.state.ControlStateSnapshot;
 import gladelug.data.state.StateSubscriptionService;
 import io.smallrye.mutiny.Uni;
@@ -36,19 +36,19 @@
  * ready first, then no new requests, then those under way may end.
  */
 public final class RelayService implements ServiceRegistry.Service {
-  public static final long DRAIN = 8000;
-  private static final int REMEMBERED = 16384;
+  public static final long DRAIN_MS = 8000;
+  private static final int REMEMBERED_DECISIONS = 16384;
 
   /** How often deadlines are looked at, ms, and while no request is under way. */
-  private static final long TICK = 50, IDLE_TICK = 200;
+  private static final long TICK_MS = 50, IDLE_TICK_MS = 200;
 
   /**
    * A relay that stops takes what has to end before it does. lingerMs: how long it stays though
    * nothing is under way, as callers may still be sent to it; drainMs: when it has ended at the
    * latest.
    */
-  public record Ends(long lingerMs, long drainMs) {
-    public static final Ends USUAL = new Ends(0, DRAIN);
+  public record ShutdownTimes(long lingerMs, long drainMs) {
+    public static final ShutdownTimes DEFAULT = new ShutdownTimes(0, DRAIN_MS);
   }
 
   private final Vertx vertx;
@@ -56,15 +56,15 @@
   private final String name;
   private final String zone;
   private final RelayProtocol protocol;
-  private final Address index;
+  private final Address ownIndex;
   private final RelaySettings settings;
-  private final ChoiceMode mode;
-  private final Ends ends;
+  private final ChoiceMode choiceMode;
+  private final ShutdownTimes shutdownTimes;
   private Context context;
   private volatile Relay relay;
-  private StallDetector.Watched watched;
-  private Decisions decisions;
-  private RelayProtocol.Door door;
+  private StallDetector.WatchedThread stallWatch;
+  private RecentDecisions decisions;
+  private RelayProtocol.Listener listener;
 
   public RelayService(
       Vertx vertx,
@@ -75,16 +75,16 @@
       Address index,
       RelaySettings settings,
       ChoiceMode mode,
-      Ends ends) {
+      ShutdownTimes ends) {
     this.vertx = vertx;
     this.clock = clock;
     this.name = name;
     this.zone = zone;
     this.protocol = protocol;
-    this.index = index;
+    this.ownIndex = index;
     this.settings = settings;
-    this.mode = mode;
-    this.ends = ends;
+    this.choiceMode = mode;
+    this.shutdownTimes = ends;
   }
 
   @Override
@@ -93,24 +93,25 @@
     ConnectionAcceptor doors = registry.find("doors", ConnectionAcceptor.class);
     PartialViewService views = registry.find("views", PartialViewService.class);
     DecisionLogService reasons = registry.find("reasons", DecisionLogService.class);
-    reasons.prepare();
-    decisions = new Decisions(REMEMBERED, name, news.run());
+    reasons.keepPeersConnected();
+    decisions = new RecentDecisions(REMEMBERED_DECISIONS, name, news.run());
     context = vertx.getOrCreateContext();
-    watched = ProcessStalls.detector().watch("requests", this::onRequestThread);
-    RelayProtocol.Under under = new RelayProtocol.Under(vertx, doors.local, clock);
+    stallWatch = ProcessStalls.detector().watch("requests", this::onRequestThread);
+    RelayProtocol.Environment under =
+        new RelayProtocol.Environment(vertx, doors.bindAddress, clock);
     CompletableFuture<Void> up = new CompletableFuture<>();
     context.runOnContext(
         () -> {
           Relay r =
               new Relay(
                   clock,
-                  news.held,
-                  x -> protocol.backends(under, x),
+                  news.subscription,
+                  x -> protocol.createBackends(under, x),
                   zone,
                   settings,
                   () ->
                       Math.max(
-                          news.held.relays(),
+                          news.subscription.relayCount(),
                           1
                               + (int)
                                   views.all().stream()
@@ -123,27 +124,32 @@
                   doors,
                   views,
                   zone,
-                  index,
-                  settings.lookupMs(),
-                  settings.oneIndexAZone());
-          ticks(r);
+                  ownIndex,
+                  settings.lookupTimeoutMs(),
+                  settings.oneIndexPerZone());
+          scheduleTicks(r);
           List<Decision> ended = new ArrayList<>();
-          r.reasons = ended::add;
+          r.decisionSink = ended::add;
           vertx.setPeriodic(
-              DecisionLogService.PERIOD,
+              DecisionLogService.SEND_INTERVAL_MS,
               i -> {
-                for (Request request : r.live())
-                  if (request.state.at() != State.At.WAITING) ended.add(request.decision);
-                reasons.hand(List.copyOf(ended), decisions.run());
+                for (Request request : r.liveRequests())
+                  if (request.state.phase() != RequestState.Phase.WAITING)
+                    ended.add(request.decision);
+                reasons.submit(List.copyOf(ended), decisions.runId());
                 ended.clear();
               });
           relay = r;
           protocol
-              .open(under, r, decisions, r.way(lookups, mode, protocol.exchange(under, r)))
+              .open(
+                  under,
+                  r,
+                  decisions,
+                  r.filterChain(lookups, choiceMode, protocol.createExchange(under, r)))
               .subscribe()
               .with(
                   d -> {
-                    door = d;
+                    listener = d;
                     up.complete(null);
                   },
                   up::completeExceptionally);
@@ -152,9 +158,9 @@
       up.get(10, TimeUnit.SECONDS);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
       throw new ServiceRegistry.StartupException(
-          "cannot listen for callers: " + ConnectionAcceptor.reason(e), e);
+          "cannot listen for callers: " + ConnectionAcceptor.rootCauseMessage(e), e);
     }
-    news.listen(snapshot -> context.runOnContext(() -> relay.tables(snapshot)));
+    news.addListener(snapshot -> context.runOnContext(() -> relay.applySnapshot(snapshot)));
     Log.event("caller-listener-started", "name", name);
   }
 
@@ -164,19 +170,19 @@
   }
 
   /** While nothing is under way there are no deadlines to watch, so the relay wakes less often. */
-  private void ticks(Relay r) {
+  private void scheduleTicks(Relay r) {
     r.tick();
-    vertx.setTimer(r.live().isEmpty() ? IDLE_TICK : TICK, i -> ticks(r));
+    vertx.setTimer(r.liveRequests().isEmpty() ? IDLE_TICK_MS : TICK_MS, i -> scheduleTicks(r));
   }
 
   /** Other settings from now on. */
-  public void settings(RelaySettings s) {
+  public void updateSettings(RelaySettings s) {
     context.runOnContext(() -> relay.settings = s);
   }
 
-  public String unready() {
-    return ProcessStalls.orElse(
-        relay == null ? "starting" : relay.leaving ? "stopping" : relay.unready());
+  public String unreadyReason() {
+    return ProcessStalls.unreadyReasonOr(
+        relay == null ? "starting" : relay.draining ? "stopping" : relay.unreadyReason());
   }
 
   public Uni<JsonObject> status() {
@@ -186,24 +192,24 @@
                 context.runOnContext(
                     () -> {
                       Relay r = relay;
-                      ControlStateSnapshot snapshot = r.tables();
+                      ControlStateSnapshot snapshot = r.snapshot();
                       long now = clock.now();
                       JsonObject json = Json.object();
                       for (String key : StateKeys.LEASED)
-                        json.add(key, Math.max(-1, r.news.leases.until(key) - now));
+                        json.add(key, Math.max(-1, r.subscription.leases.validUntilMs(key) - now));
                       e.complete(
                           Json.object()
                               .add("name", name)
                               .add("domain", zone)
-                              .add("unready", r.unready())
+                              .add("unready", r.unreadyReason())
                               .add("policy", snapshot.configurationNumber())
                               .add("weights", snapshot.weightsNumber())
                               .add("replicas", snapshot.replicasNumber())
                               .add("generation", snapshot.generation())
                               .add("licenceLeftMs", json)
-                              .add("ordersUnderWay", r.live().size())
+                              .add("ordersUnderWay", r.liveRequests().size())
                               .add("longestWaitsMs", longestWaits())
-                              .add("shares", r.shares())
+                              .add("shares", r.sharesJson())
                               .add("backends", r.backends.json()));
                     }));
   }
@@ -215,33 +221,34 @@
     return waits;
   }
 
-  public void routes(Router r) {
+  public void registerRoutes(Router r) {
     r.get("/operator/requests/:id").handler(this::explain);
     // the earlier path, for one release
     r.get("/operator/orders/:id").handler(this::explain);
   }
 
   private void explain(RoutingContext context) {
-    Decisions.Found f = decisions.find(context.pathParam("id"));
-    if (f instanceof Decisions.Found.Yes y) StatusEndpoint.say(context, 200, y.decision().json());
-    else if (f instanceof Decisions.Found.Malformed)
-      StatusEndpoint.say(
+    RecentDecisions.FindResult f = decisions.find(context.pathParam("id"));
+    if (f instanceof RecentDecisions.FindResult.Present y)
+      StatusEndpoint.sendJson(context, 200, y.decision().toJson());
+    else if (f instanceof RecentDecisions.FindResult.Malformed)
+      StatusEndpoint.sendJson(
           context,
           400,
           Json.object()
               .add(
                   "reason", "a request id is RELAY.RUN.NUMBER, as in the header Gladelug-Request"));
-    else if (f instanceof Decisions.Found.Overwritten)
-      StatusEndpoint.say(
+    else if (f instanceof RecentDecisions.FindResult.Overwritten)
+      StatusEndpoint.sendJson(
           context,
           410,
           Json.object()
               .add(
                   "reason",
                   "this relay took the request but has overwritten its record; it remembers the last "
-                      + REMEMBERED));
-    else if (f instanceof Decisions.Found.OtherRun)
-      StatusEndpoint.say(
+                      + REMEMBERED_DECISIONS));
+    else if (f instanceof RecentDecisions.FindResult.OtherRun)
+      StatusEndpoint.sendJson(
           context,
           410,
           Json.object()
@@ -249,32 +256,32 @@
                   "reason",
                   "the request was taken by an earlier run of this relay, whose records are gone"));
     else
-      StatusEndpoint.say(
+      StatusEndpoint.sendJson(
           context, 404, Json.object().add("reason", "this relay never took such a request"));
   }
 
   @Override
   public void stop() {
-    watched.close();
+    stallWatch.close();
     CompletableFuture<Void> done = new CompletableFuture<>();
     context.runOnContext(
         () -> {
           long begun = clock.now();
-          relay.leave(begun + ends.drainMs);
-          door.leaving();
+          relay.startDraining(begun + shutdownTimes.drainMs);
+          listener.startDraining();
           vertx.setPeriodic(
               20,
               i -> {
                 long past = clock.now() - begun;
-                if (past >= ends.lingerMs && relay.live().isEmpty() || past > ends.drainMs)
-                  done.complete(null);
+                if (past >= shutdownTimes.lingerMs && relay.liveRequests().isEmpty()
+                    || past > shutdownTimes.drainMs) done.complete(null);
               });
         });
     try {
-      done.get(ends.drainMs + 1000, TimeUnit.MILLISECONDS);
+      done.get(shutdownTimes.drainMs + 1000, TimeUnit.MILLISECONDS);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
       Log.warn("drain-unfinished");
     }
-    door.close();
+    listener.close();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RelaySettings.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RelaySettings.java
@@ -10,76 +10,76 @@
  * its settings file.
  */
 public final class RelaySettings {
-  public static final RelaySettings USUAL = builder().build();
+  public static final RelaySettings DEFAULTS = builder().build();
 
   /** What a replica in another zone is usually reckoned to cost beside its work, in ms. */
-  private static final double OTHER_ZONE_MS = 2;
+  private static final double DEFAULT_OTHER_ZONE_MS = 2;
 
-  private final int queueMost;
-  private final boolean alone;
-  private final boolean anyWeights;
-  private final boolean cutsStreams;
+  private final int maxQueuedRequests;
+  private final boolean localSharesOnly;
+  private final boolean allowsUnnamedWeights;
+  private final boolean cutsRevokedStreams;
   private final double retryRatio;
   private final double retrySlack;
-  private final long stateRenewalMs;
-  private final double zoneMs;
-  private final boolean prefersNewest;
-  private final boolean hidesNoRoutes;
-  private final long cutoffMs;
-  private final RolloutPlan roll;
-  private final long lookupMs;
-  private final Set<Mechanism> without;
-  private final boolean oneIndexAZone;
+  private final long stateRenewalIntervalMs;
+  private final double otherZoneMs;
+  private final boolean prefersNewestWeights;
+  private final boolean hidesMissingRoutes;
+  private final long weightsCutoffMs;
+  private final RolloutPlan rolloutPlan;
+  private final long lookupTimeoutMs;
+  private final Set<Mechanism> disabledMechanisms;
+  private final boolean oneIndexPerZone;
 
   private RelaySettings(Builder b) {
-    queueMost = b.queueMost;
-    alone = b.alone;
-    anyWeights = b.anyWeights;
-    cutsStreams = b.cutsStreams;
+    maxQueuedRequests = b.maxQueuedRequests;
+    localSharesOnly = b.localSharesOnly;
+    allowsUnnamedWeights = b.allowsUnnamedWeights;
+    cutsRevokedStreams = b.cutsRevokedStreams;
     retryRatio = b.retryRatio;
     retrySlack = b.retrySlack;
-    stateRenewalMs = b.stateRenewalMs;
-    zoneMs = b.zoneMs;
-    prefersNewest = b.prefersNewest;
-    cutoffMs = b.cutoffMs;
-    roll = b.roll;
-    lookupMs = b.lookupMs;
-    hidesNoRoutes = b.hidesNoRoutes;
-    without = Set.copyOf(b.without);
-    oneIndexAZone = b.oneIndexAZone;
+    stateRenewalIntervalMs = b.stateRenewalIntervalMs;
+    otherZoneMs = b.otherZoneMs;
+    prefersNewestWeights = b.prefersNewestWeights;
+    weightsCutoffMs = b.weightsCutoffMs;
+    rolloutPlan = b.rolloutPlan;
+    lookupTimeoutMs = b.lookupTimeoutMs;
+    hidesMissingRoutes = b.hidesMissingRoutes;
+    disabledMechanisms = Set.copyOf(b.disabledMechanisms);
+    oneIndexPerZone = b.oneIndexPerZone;
   }
 
   /** Whether of a zone's indexes only the first by name follows holders; else all do. */
-  public boolean oneIndexAZone() {
-    return oneIndexAZone;
+  public boolean oneIndexPerZone() {
+    return oneIndexPerZone;
   }
 
   /** Whether a mechanism is on; all are but in experiments. */
-  public boolean has(Mechanism mechanism) {
-    return !without.contains(mechanism);
+  public boolean isEnabled(Mechanism mechanism) {
+    return !disabledMechanisms.contains(mechanism);
   }
 
   /** How many requests of a service may wait here. */
-  public int queueMost() {
-    return queueMost;
+  public int maxQueuedRequests() {
+    return maxQueuedRequests;
   }
 
   /** Shares kept by this relay alone, to be measured against the fleet's division. */
-  public boolean alone() {
-    return alone;
+  public boolean localSharesOnly() {
+    return localSharesOnly;
   }
 
   /** Whether requests may run on the weights replicas tell of while nobody has named any. */
-  public boolean anyWeights() {
-    return anyWeights;
+  public boolean allowsUnnamedWeights() {
+    return allowsUnnamedWeights;
   }
 
   /**
    * Whether running streams end when their key is revoked, and some time after the lease did, as it
    * may be.
    */
-  public boolean cutsStreams() {
-    return cutsStreams;
+  public boolean cutsRevokedStreams() {
+    return cutsRevokedStreams;
   }
 
   /** Second tries a first try, over the fleet. */
@@ -95,43 +95,43 @@
   }
 
   /** How often the core is asked for leases and newer state, in ms. */
-  public long stateRenewalMs() {
-    return stateRenewalMs;
+  public long stateRenewalIntervalMs() {
+    return stateRenewalIntervalMs;
   }
 
   /** What a replica in another zone is reckoned to cost beside its work, in ms. */
-  public double zoneMs() {
-    return zoneMs;
+  public double otherZoneMs() {
+    return otherZoneMs;
   }
 
   /**
    * Whether a single replica with the newest weights gets everything, or both run side by side
    * until the cutoff.
    */
-  public boolean prefersNewest() {
-    return prefersNewest;
+  public boolean prefersNewestWeights() {
+    return prefersNewestWeights;
   }
 
   /**
    * After a naming, how long requests may begin on older weights, in ms, and when replicas take the
    * new ones.
    */
-  public long cutoffMs() {
-    return cutoffMs;
+  public long weightsCutoffMs() {
+    return weightsCutoffMs;
   }
 
-  public RolloutPlan roll() {
-    return roll;
+  public RolloutPlan rolloutPlan() {
+    return rolloutPlan;
   }
 
   /** How long an index's answer is waited for, in ms. */
-  public long lookupMs() {
-    return lookupMs;
+  public long lookupTimeoutMs() {
+    return lookupTimeoutMs;
   }
 
   /** Whether a path without a route is 404 also for those without a key. */
-  public boolean hidesNoRoutes() {
-    return hidesNoRoutes;
+  public boolean hidesMissingRoutes() {
+    return hidesMissingRoutes;
   }
 
   public static Builder builder() {
@@ -140,51 +140,51 @@
 
   /** Begins with the product's own values. */
   public static final class Builder {
-    private int queueMost = 256;
-    private boolean alone;
-    private boolean anyWeights;
-    private boolean cutsStreams = true;
-    private double retryRatio = RetryBudget.EARN;
+    private int maxQueuedRequests = 256;
+    private boolean localSharesOnly;
+    private boolean allowsUnnamedWeights;
+    private boolean cutsRevokedStreams = true;
+    private double retryRatio = RetryBudget.DEFAULT_EARN_RATIO;
     private double retrySlack = -1;
-    private long stateRenewalMs = StateSubscriptionService.ASK_MS;
-    private double zoneMs = OTHER_ZONE_MS;
-    private boolean prefersNewest = true;
-    private boolean hidesNoRoutes;
-    private long cutoffMs = 15_000;
-    private RolloutPlan roll = RolloutPlan.thirds(15_000);
-    private long lookupMs = LookupClient.WAIT;
-    private Set<Mechanism> without = Set.of();
-
-    private boolean oneIndexAZone;
-
-    public Builder oneIndexAZone(boolean yes) {
-      oneIndexAZone = yes;
+    private long stateRenewalIntervalMs = StateSubscriptionService.REQUEST_INTERVAL_MS;
+    private double otherZoneMs = DEFAULT_OTHER_ZONE_MS;
+    private boolean prefersNewestWeights = true;
+    private boolean hidesMissingRoutes;
+    private long weightsCutoffMs = 15_000;
+    private RolloutPlan rolloutPlan = RolloutPlan.thirds(15_000);
+    private long lookupTimeoutMs = LookupClient.DEFAULT_WAIT_MS;
+    private Set<Mechanism> disabledMechanisms = Set.of();
+
+    private boolean oneIndexPerZone;
+
+    public Builder oneIndexPerZone(boolean yes) {
+      oneIndexPerZone = yes;
       return this;
     }
 
     /** For experiments: mechanisms that are off. */
     public Builder without(Set<Mechanism> mechanisms) {
-      without = mechanisms;
+      disabledMechanisms = mechanisms;
       return this;
     }
 
-    public Builder queueMost(int n) {
-      queueMost = n;
+    public Builder maxQueuedRequests(int n) {
+      maxQueuedRequests = n;
       return this;
     }
 
-    public Builder alone(boolean yes) {
-      alone = yes;
+    public Builder localSharesOnly(boolean yes) {
+      localSharesOnly = yes;
       return this;
     }
 
-    public Builder anyWeights(boolean yes) {
-      anyWeights = yes;
+    public Builder allowsUnnamedWeights(boolean yes) {
+      allowsUnnamedWeights = yes;
       return this;
     }
 
-    public Builder cutsStreams(boolean yes) {
-      cutsStreams = yes;
+    public Builder cutsRevokedStreams(boolean yes) {
+      cutsRevokedStreams = yes;
       return this;
     }
 
@@ -194,34 +194,34 @@
       return this;
     }
 
-    public Builder stateRenewalMs(long ms) {
-      stateRenewalMs = ms;
+    public Builder stateRenewalIntervalMs(long ms) {
+      stateRenewalIntervalMs = ms;
       return this;
     }
 
-    public Builder prefersNewest(boolean yes) {
-      prefersNewest = yes;
+    public Builder prefersNewestWeights(boolean yes) {
+      prefersNewestWeights = yes;
       return this;
     }
 
-    public Builder weights(long cutoff, RolloutPlan plan) {
-      cutoffMs = cutoff;
-      roll = plan;
+    public Builder rollout(long cutoff, RolloutPlan plan) {
+      weightsCutoffMs = cutoff;
+      rolloutPlan = plan;
       return this;
     }
 
-    public Builder lookupMs(long ms) {
-      lookupMs = ms;
+    public Builder lookupTimeoutMs(long ms) {
+      lookupTimeoutMs = ms;
       return this;
     }
 
-    public Builder hidesNoRoutes(boolean yes) {
-      hidesNoRoutes = yes;
+    public Builder hidesMissingRoutes(boolean yes) {
+      hidesMissingRoutes = yes;
       return this;
     }
 
-    public Builder zoneMs(double ms) {
-      zoneMs = ms;
+    public Builder otherZoneMs(double ms) {
+      otherZoneMs = ms;
       return this;
     }
 
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaConnections.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaConnections.java
@@ -12,12 +12,12 @@
   /** For one use: one asking who is there, or one request. */
   interface Connection {
     /** Who the other end of this very connection was found to be, or an empty text. */
-    String who();
+    String verifiedIdentity();
 
     /** Asks SERVICE/INSTANCE on this connection; an empty text where nobody says so in time. */
     void identify(Consumer<String> who);
 
-    void order(String json, Answer to);
+    void send(String json, Answer to);
 
     void reset();
 
@@ -37,7 +37,7 @@
     void line(String line);
 
     /** Nothing more will come. */
-    void over(String why);
+    void closed(String why);
   }
 
   void open(Replica to, Consumer<Connection> opened, Consumer<String> failure);
--- a/data-plane/src/main/java/gladelug/data/relay/ReplicaOption.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplicaOption.java
@@ -7,7 +7,7 @@
  * One replica a request may go to, and what that is estimated to cost.
  *
  * @param backend the replica
- * @param matched leading blocks of the prompt that it keeps
+ * @param matchedBlocks leading blocks of the prompt that it keeps
  * @param fetchFrom the holder from which it is to pull what it doesn't keep; empty for none
  * @param fetchBlocks how many blocks it pulls from there
  * @param queueMs the wait there before the request begins
@@ -17,7 +17,7 @@
  */
 record ReplicaOption(
     Backend backend,
-    int matched,
+    int matchedBlocks,
     String fetchFrom,
     int fetchBlocks,
     double queueMs,
@@ -27,7 +27,7 @@
   JsonObject json(boolean chosen) {
     return Json.object()
         .add("replica", backend.replica.instance())
-        .add("matched", matched)
+        .add("matched", matchedBlocks)
         .add("fetchFrom", fetchFrom)
         .add("fetchBlocks", fetchBlocks)
         .add("load", backend.load() - (chosen ? 1 : 0))
--- a/data-plane/src/main/java/gladelug/data/relay/ReplySpeed.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReplySpeed.java
@@ -8,16 +8,16 @@
   /** The weight of one reply against those before it. */
   private static final double REPLY_WEIGHT = 1.0 / 32;
 
-  private double tokenMs;
+  private double msPerToken;
 
   /** A reply that might have so many tokens took so many ms after its first event. */
-  void measured(long ms, int mostTokens) {
+  void recordReply(long ms, int mostTokens) {
     if (mostTokens <= 0 || ms < 0) return;
-    tokenMs += ((double) ms / mostTokens - tokenMs) * REPLY_WEIGHT;
+    msPerToken += ((double) ms / mostTokens - msPerToken) * REPLY_WEIGHT;
   }
 
   /** How long a reply of at most so many tokens is likely to take, in ms; 0 until one was seen. */
   int expectedMs(int mostTokens) {
-    return (int) Math.round(tokenMs * Math.max(0, mostTokens));
+    return (int) Math.round(msPerToken * Math.max(0, mostTokens));
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/RequestDurations.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RequestDurations.java
@@ -10,17 +10,17 @@
   private static final double INITIAL_MS = 250;
 
   /** Over how many requests durations are averaged. */
-  private static final int AVERAGED_OVER = 20;
+  private static final int MAX_SAMPLES = 20;
 
   private double meanMs = INITIAL_MS;
   private double beyondWorkMs = INITIAL_MS;
-  private int measured;
+  private int sampleCount;
 
   /** A request whose own work was reckoned at workMs held its place for durationMs. */
-  void measured(double durationMs, double workMs) {
-    measured = Math.min(AVERAGED_OVER, measured + 1);
-    meanMs += (durationMs - meanMs) / measured;
-    beyondWorkMs += (Math.max(0, durationMs - workMs) - beyondWorkMs) / measured;
+  void recordCompletion(double durationMs, double workMs) {
+    sampleCount = Math.min(MAX_SAMPLES, sampleCount + 1);
+    meanMs += (durationMs - meanMs) / sampleCount;
+    beyondWorkMs += (Math.max(0, durationMs - workMs) - beyondWorkMs) / sampleCount;
   }
 
   /** What a request of the service usually takes, in ms. */
--- a/data-plane/src/main/java/gladelug/data/relay/RetryAdvice.java
+++ b/data-plane/src/main/java/gladelug/data/relay/RetryAdvice.java
@@ -27,34 +27,34 @@
    * asked again, and until what waits here has had its places. No later than the longest that its
    * route lets a request wait, as all that waits now has ended by then.
    */
-  public long untilRoomMs(Request request) {
+  public long msUntilRoom(Request request) {
     if (request.service == null) return FilterResult.RETRY_AT_ONCE_MS;
-    if (relay.backends.of(request.service.name()).isEmpty()) return untilStateMs();
-    double roomMs = Math.max(untilUsableMs(request), relay.waitMs(request));
+    if (relay.backends.readyReplicas(request.service.name()).isEmpty()) return msUntilState();
+    double roomMs = Math.max(msUntilUsable(request), relay.estimatedWaitMs(request));
     return Math.max(
         FilterResult.RETRY_AT_ONCE_MS, Math.min(request.route.deadlineMs(), Math.round(roomMs)));
   }
 
-  private long untilUsableMs(Request request) {
+  private long msUntilUsable(Request request) {
     long now = relay.clock.now();
     long soonestMs = Long.MAX_VALUE;
-    for (Backend backend : relay.backends.of(request.service.name()))
-      soonestMs = Math.min(soonestMs, backend.usableInMs(now));
+    for (Backend backend : relay.backends.readyReplicas(request.service.name()))
+      soonestMs = Math.min(soonestMs, backend.msUntilUsable(now));
     return soonestMs;
   }
 
   /** Until this relay hears from the core the next time: a lease, named weights, a replica. */
-  public long untilStateMs() {
-    return relay.settings.stateRenewalMs();
+  public long msUntilState() {
+    return relay.settings.stateRenewalIntervalMs();
   }
 
   /**
    * Until a relay that may start nothing now is likely to: one that knows no state yet gets callers
    * only where the fleet as a whole starts again.
    */
-  public long untilReadyMs() {
-    ControlStateSnapshot snapshot = relay.tables();
+  public long msUntilReady() {
+    ControlStateSnapshot snapshot = relay.snapshot();
     boolean starts = snapshot.configurationNumber() == 0 || snapshot.replicasNumber() == 0;
-    return starts ? FLEET_STARTS_MS : untilStateMs();
+    return starts ? FLEET_STARTS_MS : msUntilState();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/ReuseShare.java
+++ b/data-plane/src/main/java/gladelug/data/relay/ReuseShare.java
@@ -8,17 +8,17 @@
   /** The weight of one request against those before it. */
   private static final double REQUEST_WEIGHT = 1.0 / 64;
 
-  private double asked;
-  private double found;
+  private double averageAsked;
+  private double averageFound;
 
   /** A request asked for so many units, of which some holder keeps so many. */
-  void seen(int askedUnits, int foundUnits) {
-    asked += (askedUnits - asked) * REQUEST_WEIGHT;
-    found += (foundUnits - found) * REQUEST_WEIGHT;
+  void recordRequest(int askedUnits, int foundUnits) {
+    averageAsked += (askedUnits - averageAsked) * REQUEST_WEIGHT;
+    averageFound += (foundUnits - averageFound) * REQUEST_WEIGHT;
   }
 
   /** From 0 to 1. */
   double share() {
-    return asked <= 0 ? 0 : Math.min(1, found / asked);
+    return averageAsked <= 0 ? 0 : Math.min(1, averageFound / averageAsked);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/StoreLink.java
+++ b/data-plane/src/main/java/gladelug/data/relay/StoreLink.java
@@ -10,54 +10,54 @@
  */
 final class StoreLink {
   /** How much of the link's time all relays may spend together: a queue grows beyond that. */
-  private static final double SPENT_SHARE = 0.7;
+  private static final double MAX_UTILIZATION = 0.7;
 
   /** How much of its share a relay that was idle has saved up, in ms of the link's time. */
-  private static final double MOST_MS = 240;
+  private static final double MAX_TOKENS_MS = 240;
 
   /** Below this, only pulls. */
-  private static final double KEPT_FOR_PULLS_MS = MOST_MS / 2;
+  private static final double RESERVED_FOR_PULLS_MS = MAX_TOKENS_MS / 2;
 
   /** A pull that took too long: the store or its link is left alone so long, in ms. */
-  private static final long SLOW_MS = 3000;
+  private static final long SLOW_BACKOFF_MS = 3000;
 
-  private final IntSupplier relays;
-  private double tokens = KEPT_FOR_PULLS_MS;
-  private long refilledAt;
-  private long slowUntil = Long.MIN_VALUE / 2;
+  private final IntSupplier relayCount;
+  private double tokensMs = RESERVED_FOR_PULLS_MS;
+  private long refilledAtMs;
+  private long slowUntilMs = Long.MIN_VALUE / 2;
 
   /** relays: over how many the link's time is shared out. */
   StoreLink(IntSupplier relays, long now) {
-    this.relays = relays;
-    this.refilledAt = now;
+    this.relayCount = relays;
+    this.refilledAtMs = now;
   }
 
   private void refill(long now) {
-    double share = SPENT_SHARE / Math.max(1, relays.getAsInt());
-    tokens = Math.min(MOST_MS, tokens + (now - refilledAt) * share);
-    refilledAt = now;
+    double share = MAX_UTILIZATION / Math.max(1, relayCount.getAsInt());
+    tokensMs = Math.min(MAX_TOKENS_MS, tokensMs + (now - refilledAtMs) * share);
+    refilledAtMs = now;
   }
 
   /** Whether a pull that takes the link so long may be asked for. */
   boolean mayPull(double ms, long now) {
     refill(now);
-    return now >= slowUntil && tokens >= ms;
+    return now >= slowUntilMs && tokensMs >= ms;
   }
 
   /** Whether a save that takes the link so long may be asked for. */
   boolean maySave(double ms, long now) {
     refill(now);
-    return now >= slowUntil && tokens >= KEPT_FOR_PULLS_MS + ms;
+    return now >= slowUntilMs && tokensMs >= RESERVED_FOR_PULLS_MS + ms;
   }
 
   /** A move that takes the link so long was asked for. */
   void spend(double ms, long now) {
     refill(now);
-    tokens -= ms;
+    tokensMs -= ms;
   }
 
   /** A pull took far longer than it should. */
-  void slow(long now) {
-    slowUntil = now + SLOW_MS;
+  void markSlow(long now) {
+    slowUntilMs = now + SLOW_BACKOFF_MS;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WaitQueue.java
@@ -23,18 +23,18 @@
  */
 public final class WaitQueue {
   /** The least part of a place that a leaf is reckoned to have, as parts are earned in time. */
-  private static final double LEAST_PART = 0.25;
+  private static final double MIN_SLOT_BOUND = 0.25;
 
-  private static final Comparator<Request> NEXT_AT_A_LEAF =
+  private static final Comparator<Request> LEAF_ORDER =
       Comparator.comparingInt(WaitQueue::routeTier)
           .thenComparingLong(Request::latestStartMs)
-          .thenComparingLong(request -> request.decision.nr);
+          .thenComparingLong(request -> request.decision.number);
 
   private static final class Node {
     final String path;
     final Node parent;
     final List<Node> children = new ArrayList<>();
-    final PriorityQueue<Request> queue = new PriorityQueue<>(NEXT_AT_A_LEAF);
+    final PriorityQueue<Request> queue = new PriorityQueue<>(LEAF_ORDER);
     int weight = 1;
     int tier;
     int limit;
@@ -43,9 +43,9 @@
     double pass;
 
     /** Places this leaf may use here, by the fleet's division; negative is no bound. */
-    double part = -1;
+    double slotBound = -1;
 
-    double credit;
+    double slotCredit;
 
     Node(String path, Node parent) {
       this.path = path;
@@ -54,42 +54,42 @@
     }
   }
 
-  private final int most;
+  private final int maxSize;
   private Map<String, Node> nodes = new HashMap<>();
   private Node root = new Node("", null);
 
   public WaitQueue(int most) {
-    this.most = most;
+    this.maxSize = most;
   }
 
   /** A new configuration's tree; what waits and what is used is carried over by path. */
-  public void shape(Configuration configuration) {
+  public void configure(Configuration configuration) {
     Map<String, Node> old = nodes;
     Node oldRoot = root;
     nodes = new HashMap<>();
     root = new Node("", null);
-    for (Configuration.Tenant t : configuration.tenants) shape(t.share(), root);
+    for (Configuration.Tenant t : configuration.tenants) addShare(t.rootShare(), root);
     List<Request> waiting = new ArrayList<>();
     for (Node n : old.values()) {
       waiting.addAll(n.queue);
       Node m = nodes.get(n.path);
       if (m != null) m.pass = n.pass;
     }
-    waiting.sort((a, b) -> Long.compare(a.decision.nr, b.decision.nr));
+    waiting.sort((a, b) -> Long.compare(a.decision.number, b.decision.number));
     for (Request o : waiting) put(o);
     for (Map.Entry<String, Node> e : old.entrySet())
       if (e.getValue().children.isEmpty())
-        for (int i = 0; i < e.getValue().used; i++) use(e.getKey(), 1);
+        for (int i = 0; i < e.getValue().used; i++) adjustUsed(e.getKey(), 1);
     root.used = oldRoot.used;
   }
 
-  private void shape(QuotaShare s, Node under) {
+  private void addShare(QuotaShare s, Node under) {
     Node n = new Node(s.path(), under);
     n.weight = s.weight();
     n.tier = s.tier();
     n.limit = s.limit();
     nodes.put(s.path(), n);
-    for (QuotaShare c : s.shares()) shape(c, n);
+    for (QuotaShare c : s.shares()) addShare(c, n);
     if (!s.shares().isEmpty()) {
       // requests of a tenant or share that no leaf below names wait beside its children
       Node rest = new Node(s.path() + "/", n);
@@ -109,8 +109,8 @@
   }
 
   /** False where the queue is full. */
-  public boolean enter(Request request) {
-    if (root.waiting >= most) return false;
+  public boolean offer(Request request) {
+    if (root.waiting >= maxSize) return false;
     put(request);
     return true;
   }
@@ -130,21 +130,24 @@
   }
 
   /** No bounds on leaves: the fleet is not full, or nobody divides. */
-  public void unbound() {
-    for (Node n : nodes.values()) n.part = -1;
+  public void clearBounds() {
+    for (Node n : nodes.values()) n.slotBound = -1;
   }
 
   /**
    * The fleet's division: thousandths of a place by leaf. A part of a place is used in time: it
    * earns credit, one request's worth for each of that part of a request's usual duration.
    */
-  public void bound(Map<String, Integer> milli, double passed, double requestMs) {
+  public void setBounds(Map<String, Integer> milli, double passed, double requestMs) {
     for (Node n : nodes.values()) {
       if (!n.children.isEmpty()) continue;
       Integer m = milli.get(leafName(n));
-      n.part = m == null ? 1 : m / 1000.0;
-      n.credit =
-          Math.min(1, n.credit + (n.part - Math.floor(n.part)) * passed / Math.max(1, requestMs));
+      n.slotBound = m == null ? 1 : m / 1000.0;
+      n.slotCredit =
+          Math.min(
+              1,
+              n.slotCredit
+                  + (n.slotBound - Math.floor(n.slotBound)) * passed / Math.max(1, requestMs));
     }
   }
 
@@ -152,48 +155,51 @@
     return n.path.endsWith("/") ? n.path.substring(0, n.path.length() - 1) : n.path;
   }
 
-  private static boolean may(Node n) {
+  private static boolean mayServe(Node n) {
     if (n.waiting == 0 || n.limit > 0 && n.used >= n.limit) return false;
     if (!n.children.isEmpty()) {
-      for (Node c : n.children) if (may(c)) return true;
+      for (Node c : n.children) if (mayServe(c)) return true;
       return false;
     }
-    return n.part < 0 || n.used < (int) n.part || n.credit >= 1 && n.used < (int) n.part + 1;
+    return n.slotBound < 0
+        || n.used < (int) n.slotBound
+        || n.slotCredit >= 1 && n.used < (int) n.slotBound + 1;
   }
 
   /** The next request to have a place, taken out and counted as using it; null where none may. */
-  public Request next() {
+  public Request poll() {
     Node n = root;
-    if (!may(n)) return null;
+    if (!mayServe(n)) return null;
     while (!n.children.isEmpty()) {
       Node best = null;
-      for (Node c : n.children) if (may(c) && (best == null || goesBefore(c, best))) best = c;
+      for (Node c : n.children) if (mayServe(c) && (best == null || goesBefore(c, best))) best = c;
       if (best == null) return null;
       n = best;
     }
-    if (n.part >= 0 && n.used >= (int) n.part) n.credit = 0;
+    if (n.slotBound >= 0 && n.used >= (int) n.slotBound) n.slotCredit = 0;
     Request request = n.queue.poll();
     for (Node m = n; m != null; m = m.parent) m.waiting--;
-    use(request.leaf, 1);
+    adjustUsed(request.leaf, 1);
     return request;
   }
 
   private static boolean goesBefore(Node node, Node other) {
     if (node.tier != other.tier) return node.tier < other.tier;
-    int route = mostUrgentRoute(node);
-    int otherRoute = mostUrgentRoute(other);
+    int route = mostUrgentRouteTier(node);
+    int otherRoute = mostUrgentRouteTier(other);
     return route != otherRoute ? route < otherRoute : node.pass < other.pass;
   }
 
   /** The lowest tier of a route whose request may have a place below this node now. */
-  private static int mostUrgentRoute(Node node) {
+  private static int mostUrgentRouteTier(Node node) {
     if (node.children.isEmpty()) return routeTier(node.queue.element());
     int tier = Integer.MAX_VALUE;
-    for (Node child : node.children) if (may(child)) tier = Math.min(tier, mostUrgentRoute(child));
+    for (Node child : node.children)
+      if (mayServe(child)) tier = Math.min(tier, mostUrgentRouteTier(child));
     return tier;
   }
 
-  private void use(String path, int by) {
+  private void adjustUsed(String path, int by) {
     for (Node n = leaf(path); n != null; n = n.parent) {
       n.used = Math.max(0, n.used + by);
       if (by > 0) n.pass += 1.0 / n.weight;
@@ -202,11 +208,11 @@
 
   /** A request that next() gave has given its place back. */
   public void release(Request request) {
-    use(request.leaf, -1);
+    adjustUsed(request.leaf, -1);
   }
 
   /** Takes out those that match; they had no place. */
-  public List<Request> leave(Predicate<Request> which) {
+  public List<Request> removeIf(Predicate<Request> which) {
     if (root.waiting == 0) return List.of();
     List<Request> out = new ArrayList<>();
     for (Node l : nodes.values())
@@ -229,7 +235,7 @@
     return m;
   }
 
-  public int used() {
+  public int usedSlots() {
     return root.used;
   }
 
@@ -240,10 +246,10 @@
    * @param requestMs what a request usually takes
    * @param placesWhenIdle how many places are likely to come where none is in use now
    */
-  double waitMs(Request request, double requestMs, int placesWhenIdle) {
+  double estimatedWaitMs(Request request, double requestMs, int placesWhenIdle) {
     Node leaf = leaf(request.leaf);
     double places = root.used > 0 ? root.used : Math.max(1, placesWhenIdle);
-    if (leaf.part >= 0) places = Math.max(LEAST_PART, leaf.part);
+    if (leaf.slotBound >= 0) places = Math.max(MIN_SLOT_BOUND, leaf.slotBound);
     return (requestMs + workAheadMs(request, leaf)) / places;
   }
 
@@ -252,11 +258,11 @@
     double ownLeafMs = 0;
     for (Request waiting : leaf.queue)
       if (routeTier(waiting) <= routeTier(request)) ownLeafMs += waiting.expectedMs;
-    if (leaf.part >= 0) return ownLeafMs;
+    if (leaf.slotBound >= 0) return ownLeafMs;
     double elsewhereMs = 0;
     for (Node other : nodes.values())
       if (other != leaf && !other.queue.isEmpty())
-        elsewhereMs += elsewhereMs(request, leaf, other, ownLeafMs);
+        elsewhereMs += otherLeafWorkMs(request, leaf, other, ownLeafMs);
     return ownLeafMs + elsewhereMs;
   }
 
@@ -264,7 +270,7 @@
    * Of another leaf's waiting work, what goes before a request: all that is more urgent; of what is
    * as urgent, as much as its share gets while this leaf's own goes before.
    */
-  private double elsewhereMs(Request request, Node leaf, Node other, double ownLeafMs) {
+  private double otherLeafWorkMs(Request request, Node leaf, Node other, double ownLeafMs) {
     Fork fork = Fork.between(leaf, other);
     if (fork.ours.tier < fork.theirs.tier) return 0;
     double moreUrgentMs = 0;
--- a/data-plane/src/main/java/gladelug/data/relay/WorkEstimates.java
+++ b/data-plane/src/main/java/gladelug/data/relay/WorkEstimates.java
@@ -14,31 +14,32 @@
  */
 final class WorkEstimates {
   private final Backends backends;
-  private final ReuseShare reuse;
+  private final ReuseShare reuseShare;
   private final Map<String, PrefillSpeed> prefillSpeeds = new HashMap<>();
   private final Map<String, ReplySpeed> replySpeeds = new HashMap<>();
   private final Map<String, RequestDurations> durations = new HashMap<>();
 
   WorkEstimates(Backends backends, ReuseShare reuse) {
     this.backends = backends;
-    this.reuse = reuse;
+    this.reuseShare = reuse;
   }
 
   /** The first piece of a request that computed all it lacked came so many ms after it left. */
-  void firstPieceCame(Request request, long ms) {
+  void recordFirstPiece(Request request, long ms) {
     String service = request.service.name();
     PrefillSpeed speed = prefillSpeeds.computeIfAbsent(service, name -> new PrefillSpeed());
-    speed.measured(ms, request.computeUnits);
-    for (Backend backend : backends.of(service)) backend.unitMs = speed.unitMs();
+    speed.recordAnswer(ms, request.computeUnits);
+    for (Backend backend : backends.readyReplicas(service))
+      backend.computeMsPerUnit = speed.msPerUnit();
   }
 
   /** A request ended with its whole answer. */
-  void completed(Request request, long now) {
+  void recordCompletion(Request request, long now) {
     String service = request.service.name();
     if (request.firstPieceMs >= 0)
       replySpeed(service)
-          .measured(now - request.came - request.firstPieceMs, request.mostTokensOut());
-    durations(service).measured(now - request.handedAt, request.ownWorkMs);
+          .recordReply(now - request.receivedAtMs - request.firstPieceMs, request.outputLimit());
+    durations(service).recordCompletion(now - request.forwardedAtMs, request.ownWorkMs);
   }
 
   /** Notes at a request what is left to do for it, before it is given a place. */
@@ -51,28 +52,28 @@
   private double computeMs(Request request) {
     if (request.service.kind() != Configuration.Kind.MODEL) return 0;
     double unitMs = 0;
-    int blockBytes = PrefixLookupFilter.USUAL_BLOCK_BYTES;
-    List<Backend> all = backends.of(request.service.name());
+    int blockBytes = PrefixLookupFilter.DEFAULT_BLOCK_BYTES;
+    List<Backend> all = backends.readyReplicas(request.service.name());
     for (Backend backend : all) {
-      unitMs += backend.unitMs / all.size();
+      unitMs += backend.computeMsPerUnit / all.size();
       blockBytes = backend.blockBytes;
     }
-    return request.prompt.totalUnits(blockBytes) * (1 - reuse.share()) * unitMs;
+    return request.prompt.totalUnits(blockBytes) * (1 - reuseShare.share()) * unitMs;
   }
 
   /** How long its reply is likely to take after its first event, in ms. */
   int expectedReplyMs(Request request) {
-    return replySpeed(request.service.name()).expectedMs(request.mostTokensOut());
+    return replySpeed(request.service.name()).expectedMs(request.outputLimit());
   }
 
   /** What a request that was just placed asks of its replica. */
-  Lookup.Work placed(Request request) {
+  Lookup.Work placedWork(Request request) {
     return new Lookup.Work(
         (int) Math.round(request.workMs), expectedReplyMs(request), request.units());
   }
 
   /** What a request of the service usually takes from its hand-over, in ms. */
-  double requestMs(String service) {
+  double meanRequestMs(String service) {
     return durations(service).meanMs();
   }
 
--- a/data-plane/src/main/java/gladelug/data/request/Salt.java
+++ b/data-plane/src/main/java/gladelug/data/request/CacheSalt.java
@@ -11,21 +11,21 @@
  * check neither tenant nor weights, so this text is what isolates: what was cached under other
  * weights or in another scope is never found, wherever it lies.
  */
-public final class Salt {
-  private static final int BYTES = 10;
+public final class CacheSalt {
+  private static final int DIGEST_BYTES = 10;
 
-  private Salt() {}
+  private CacheSalt() {}
 
   /** 20 hex digits. */
   public static String of(String model, String weights, String scope) {
     byte[] d =
         Digest.sha256()
             .digest((model + "\n" + weights + "\n" + scope).getBytes(StandardCharsets.UTF_8));
-    return HexFormat.of().formatHex(d, 0, BYTES);
+    return HexFormat.of().formatHex(d, 0, DIGEST_BYTES);
   }
 
   /** The index's key of a part kept under a salt. */
-  public static long key(String salt, String part) {
+  public static long partKey(String salt, String part) {
     return ByteBuffer.wrap(
             Digest.sha256().digest((salt + "/" + part).getBytes(StandardCharsets.UTF_8)))
         .getLong();
--- a/data-plane/src/main/java/gladelug/data/request/Decision.java
+++ b/data-plane/src/main/java/gladelug/data/request/Decision.java
@@ -16,31 +16,31 @@
  * remembers thousands.
  */
 public final class Decision {
-  private record Reason(String stage, long at, JsonObject what) {}
+  private record Step(String stage, long atMs, JsonObject details) {}
 
   public final String id;
-  public final long nr;
+  public final long number;
 
   /** The caller's own id of it, where it has one. */
-  String alias = "";
+  String callerId = "";
 
-  private final long came;
-  private final String wall = Instant.now().toString();
-  private List<Reason> reasons = new ArrayList<>(10);
-  private byte[] ended;
+  private final long receivedAtMs;
+  private final String receivedAt = Instant.now().toString();
+  private List<Step> steps = new ArrayList<>(10);
+  private byte[] endedJson;
   private String outcome = "";
 
   public Decision(String id, long nr, long came) {
     this.id = id;
-    this.nr = nr;
-    this.came = came;
+    this.number = nr;
+    this.receivedAtMs = came;
   }
 
   public synchronized void add(String stage, long now, JsonObject what) {
-    if (ended == null) reasons.add(new Reason(stage, now - came, what));
+    if (endedJson == null) steps.add(new Step(stage, now - receivedAtMs, what));
   }
 
-  public synchronized void outcome(String o) {
+  public synchronized void setOutcome(String o) {
     outcome = o;
   }
 
@@ -50,27 +50,28 @@
 
   /** Nothing is added from now on. */
   public synchronized void end() {
-    if (ended != null) return;
-    ended = json().toString().getBytes(StandardCharsets.UTF_8);
-    reasons = null;
+    if (endedJson != null) return;
+    endedJson = toJson().toString().getBytes(StandardCharsets.UTF_8);
+    steps = null;
   }
 
   /** The record as text, whole or so far. */
-  public synchronized byte[] bytes() {
-    return ended != null ? ended : json().toString().getBytes(StandardCharsets.UTF_8);
+  public synchronized byte[] toBytes() {
+    return endedJson != null ? endedJson : toJson().toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  public synchronized JsonObject json() {
-    if (ended != null) return Json.parse(new String(ended, StandardCharsets.UTF_8)).asObject();
+  public synchronized JsonObject toJson() {
+    if (endedJson != null)
+      return Json.parse(new String(endedJson, StandardCharsets.UTF_8)).asObject();
     JsonArray array = new JsonArray();
-    for (Reason r : reasons) {
-      JsonObject json = Json.object().add("stage", r.stage).add("atMs", r.at);
-      r.what.forEach(m -> json.add(m.getName(), m.getValue()));
+    for (Step r : steps) {
+      JsonObject json = Json.object().add("stage", r.stage).add("atMs", r.atMs);
+      r.details.forEach(m -> json.add(m.getName(), m.getValue()));
       array.add(json);
     }
     return Json.object()
         .add("order", id)
-        .add("came", wall)
+        .add("came", receivedAt)
         .add("outcome", outcome.isEmpty() ? "live" : outcome)
         .add("stages", array);
   }
--- a/data-plane/src/main/java/gladelug/data/request/FilterChain.java
+++ b/data-plane/src/main/java/gladelug/data/request/FilterChain.java
@@ -11,37 +11,37 @@
  * back to the choice; the chain bounds how often.
  */
 public final class FilterChain {
-  private static final int CHOICES = 6;
-  private final List<RequestFilter> stages;
-  private final int choice;
+  private static final int MAX_CHOICES = 6;
+  private final List<RequestFilter> filters;
+  private final int choiceIndex;
   private final Clock clock;
-  private final Consumer<Request> ended;
+  private final Consumer<Request> onEnded;
 
   public FilterChain(
       List<RequestFilter> stages, String choiceStage, Clock clock, Consumer<Request> ended) {
-    this.stages = List.copyOf(stages);
+    this.filters = List.copyOf(stages);
     int c = 0;
     for (int i = 0; i < stages.size(); i++) if (stages.get(i).name().equals(choiceStage)) c = i;
-    this.choice = c;
+    this.choiceIndex = c;
     this.clock = clock;
-    this.ended = ended;
+    this.onEnded = ended;
   }
 
-  public void go(Request request) {
-    step(request, 0);
+  public void start(Request request) {
+    runFilter(request, 0);
   }
 
-  private void step(Request request, int i) {
-    RequestFilter filter = stages.get(i);
+  private void runFilter(Request request, int i) {
+    RequestFilter filter = filters.get(i);
     filter
-        .pass(request)
+        .apply(request)
         .subscribe()
         .with(
-            v -> next(request, i, v),
+            v -> onResult(request, i, v),
             failure -> {
               Log.thrown("stage-problem", failure, "stage", filter.name(), "order", request.id());
-              boolean handed = request.state.at() != State.At.WAITING;
-              next(
+              boolean handed = request.state.phase() != RequestState.Phase.WAITING;
+              onResult(
                   request,
                   i,
                   handed
@@ -52,18 +52,18 @@
             });
   }
 
-  private void next(Request request, int i, FilterResult v) {
-    if (v instanceof FilterResult.Go) step(request, i + 1);
-    else if (v instanceof FilterResult.Again a) {
-      request.decision.add("again", clock.now(), Json.object().add("why", a.why()));
-      if (++request.choices > CHOICES)
+  private void onResult(Request request, int i, FilterResult v) {
+    if (v instanceof FilterResult.Continue) runFilter(request, i + 1);
+    else if (v instanceof FilterResult.ChooseAgain a) {
+      request.decision.add("again", clock.now(), Json.object().add("why", a.reason()));
+      if (++request.choiceCount > MAX_CHOICES)
         refuse(
             request,
             (FilterResult.Refuse)
                 FilterResult.notRun(503, "no replica took it", FilterResult.RETRY_AT_ONCE_MS));
-      else step(request, choice);
+      else runFilter(request, choiceIndex);
     } else if (v instanceof FilterResult.Refuse t) refuse(request, t);
-    else ended.accept(request);
+    else onEnded.accept(request);
   }
 
   private void refuse(Request request, FilterResult.Refuse v) {
@@ -71,19 +71,19 @@
       cutOff(request, v.reason());
       return;
     }
-    FilterResult.Refuse t = v.afterTriesOf(request);
+    FilterResult.Refuse t = v.adjustedForTriesOf(request);
     if (!request.state.end()) {
-      ended.accept(request);
+      onEnded.accept(request);
       return;
     }
     request.decision.add(
         "turned-away",
         clock.now(),
         Json.object().add("status", t.status()).add("reason", t.reason()));
-    request.decision.outcome(t.outcome());
-    request.why = t.reason();
-    if (!request.gone) request.caller.refuse(request, t);
-    ended.accept(request);
+    request.decision.setOutcome(t.outcome());
+    request.failureReason = t.reason();
+    if (!request.callerGone) request.caller.refuse(request, t);
+    onEnded.accept(request);
   }
 
   /** A stream that broke and that nobody takes up. */
@@ -91,9 +91,9 @@
     if (request.state.end()) {
       request.decision.add(
           "cut-off", clock.now(), Json.object().add("why", why).add("pieces", request.piecesOut));
-      request.decision.outcome("cut-off");
-      if (!request.gone) request.caller.cutOff(request, why);
+      request.decision.setOutcome("cut-off");
+      if (!request.callerGone) request.caller.cutOff(request, why);
     }
-    ended.accept(request);
+    onEnded.accept(request);
   }
 }
--- a/data-plane/src/main/java/gladelug/data/request/FilterResult.java
+++ b/data-plane/src/main/java/gladelug/data/request/FilterResult.java
@@ -5,21 +5,22 @@
  * it.
  */
 public sealed interface FilterResult {
-  record Go() implements FilterResult {}
+  record Continue() implements FilterResult {}
 
   /** To the choice of a replica once more; why goes into the decision. */
-  record Again(String why) implements FilterResult {}
+  record ChooseAgain(String reason) implements FilterResult {}
 
   record Ended() implements FilterResult {}
 
   /** outcome is not-run or unknown; retryMs 0 is no advice. */
-  record Refuse(int status, String outcome, String reason, long retryMs) implements FilterResult {
+  record Refuse(int status, String outcome, String reason, long retryAfterMs)
+      implements FilterResult {
     private static final String UNKNOWN = "unknown";
 
     /** The same, but for a request that an earlier try may have run: that is of unknown fate. */
-    public Refuse afterTriesOf(Request request) {
+    public Refuse adjustedForTriesOf(Request request) {
       if (!request.mayHaveRun || outcome.equals(UNKNOWN)) return this;
-      return new Refuse(502, UNKNOWN, reason + ", and an earlier try may have run", retryMs);
+      return new Refuse(502, UNKNOWN, reason + ", and an earlier try may have run", retryAfterMs);
     }
   }
 
@@ -29,7 +30,7 @@
    */
   long RETRY_AT_ONCE_MS = 10;
 
-  FilterResult GO = new Go(), ENDED = new Ended();
+  FilterResult CONTINUE = new Continue(), ENDED = new Ended();
 
   static FilterResult notRun(int status, String reason, long retryMs) {
     return new Refuse(status, "not-run", reason, retryMs);
--- a/data-plane/src/main/java/gladelug/data/request/Blocks.java
+++ b/data-plane/src/main/java/gladelug/data/request/PrefixBlocks.java
@@ -11,10 +11,10 @@
  * first 8 bytes of its link. So equal text under other weights or in another scope has unrelated
  * ids. Only complete blocks count, and the last byte of a prompt is never part of a reusable block.
  */
-public final class Blocks {
-  private Blocks() {}
+public final class PrefixBlocks {
+  private PrefixBlocks() {}
 
-  public static long[] ids(
+  public static long[] computeIds(
       String service, String weights, String scope, byte[] prompt, int blockBytes) {
     int n = Math.max(0, prompt.length - 1) / blockBytes;
     long[] out = new long[n];
--- a/data-plane/src/main/java/gladelug/data/request/Prompt.java
+++ b/data-plane/src/main/java/gladelug/data/request/Prompt.java
@@ -13,10 +13,10 @@
   Prompt NONE = new Parts(List.of());
 
   /** The keys of the prefix blocks under these; blockBytes is what the replicas cut text into. */
-  long[] keys(String model, String weights, String scope, int blockBytes);
+  long[] blockKeys(String model, String weights, String scope, int blockBytes);
 
   /** The size of the block at i, in units. */
-  int units(int i);
+  int blockUnits(int i);
 
   /** The size of all of it, in units; blockBytes is what the replicas cut text into. */
   int totalUnits(int blockBytes);
@@ -24,12 +24,13 @@
   /** A prompt as text. */
   record Text(String text) implements Prompt {
     @Override
-    public long[] keys(String model, String weights, String scope, int blockBytes) {
-      return Blocks.ids(model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
+    public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
+      return PrefixBlocks.computeIds(
+          model, weights, scope, text.getBytes(StandardCharsets.UTF_8), blockBytes);
     }
 
     @Override
-    public int units(int i) {
+    public int blockUnits(int i) {
       return 1;
     }
 
@@ -49,15 +50,15 @@
     }
 
     @Override
-    public long[] keys(String model, String weights, String scope, int blockBytes) {
-      String salt = Salt.of(model, weights, scope);
+    public long[] blockKeys(String model, String weights, String scope, int blockBytes) {
+      String salt = CacheSalt.of(model, weights, scope);
       long[] out = new long[parts.size()];
-      for (int i = 0; i < out.length; i++) out[i] = Salt.key(salt, parts.get(i).id);
+      for (int i = 0; i < out.length; i++) out[i] = CacheSalt.partKey(salt, parts.get(i).id);
       return out;
     }
 
     @Override
-    public int units(int i) {
+    public int blockUnits(int i) {
       return parts.get(i).tokens;
     }
 
--- a/data-plane/src/main/java/gladelug/data/request/RequestFilter.java
+++ b/data-plane/src/main/java/gladelug/data/request/RequestFilter.java
@@ -9,14 +9,14 @@
 public interface RequestFilter {
   String name();
 
-  Uni<FilterResult> pass(Request request);
+  Uni<FilterResult> apply(Request request);
 
   /** For stages that decide at once. */
-  interface AtOnce extends RequestFilter {
+  interface Synchronous extends RequestFilter {
     FilterResult decide(Request request);
 
     @Override
-    default Uni<FilterResult> pass(Request request) {
+    default Uni<FilterResult> apply(Request request) {
       return Uni.createFrom().item(decide(request));
     }
   }
--- a/data-plane/src/main/java/gladelug/data/request/State.java
+++ b/data-plane/src/main/java/gladelug/data/request/RequestState.java
@@ -7,26 +7,26 @@
  * waiting, either to a replica or to a refusal, so it never has two outcomes. Only a replica that
  * says "not run", or a repeatable request with nothing yet out, goes back to waiting.
  */
-public final class State {
-  public enum At {
+public final class RequestState {
+  public enum Phase {
     WAITING,
-    HANDED,
+    FORWARDED,
     STREAMING,
     ENDED
   }
 
-  private final AtomicInteger at = new AtomicInteger(At.WAITING.ordinal());
+  private final AtomicInteger phase = new AtomicInteger(Phase.WAITING.ordinal());
 
-  public At at() {
-    return At.values()[at.get()];
+  public Phase phase() {
+    return Phase.values()[phase.get()];
   }
 
-  public boolean step(At from, At to) {
-    return at.compareAndSet(from.ordinal(), to.ordinal());
+  public boolean transition(Phase from, Phase to) {
+    return phase.compareAndSet(from.ordinal(), to.ordinal());
   }
 
   /** True for exactly one caller, whatever the request was at. */
   public boolean end() {
-    return at.getAndSet(At.ENDED.ordinal()) != At.ENDED.ordinal();
+    return phase.getAndSet(Phase.ENDED.ordinal()) != Phase.ENDED.ordinal();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/request/Head.java
+++ b/data-plane/src/main/java/gladelug/data/request/ResponseHead.java
@@ -7,6 +7,6 @@
  * The head of a replica's answer as it goes to the caller: status and headers, without those of one
  * connection.
  */
-public record Head(int status, List<Map.Entry<String, String>> headers) {
-  public static final Head PLAIN = new Head(200, List.of());
+public record ResponseHead(int status, List<Map.Entry<String, String>> headers) {
+  public static final ResponseHead EMPTY_OK = new ResponseHead(200, List.of());
 }
--- a/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
+++ b/data-plane/src/main/java/gladelug/data/state/ControlStateSnapshot.java
@@ -27,7 +27,7 @@
       new ControlStateSnapshot(
           0, "", Configuration.EMPTY, 0, 0, Weights.NONE, 0, Replicas.NONE, 0, CoreMemberList.NONE);
 
-  ControlStateSnapshot configuration(
+  ControlStateSnapshot withConfiguration(
       long n, String digest, Configuration configuration, long sharingSince) {
     return new ControlStateSnapshot(
         n,
@@ -42,7 +42,7 @@
         core);
   }
 
-  ControlStateSnapshot weights(long n, Weights weights) {
+  ControlStateSnapshot withWeights(long n, Weights weights) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
@@ -56,7 +56,7 @@
         core);
   }
 
-  ControlStateSnapshot replicas(long n, Replicas replicas) {
+  ControlStateSnapshot withReplicas(long n, Replicas replicas) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
@@ -70,7 +70,7 @@
         core);
   }
 
-  ControlStateSnapshot core(long g, CoreMemberList c) {
+  ControlStateSnapshot withCore(long g, CoreMemberList c) {
     return new ControlStateSnapshot(
         configurationNumber,
         configurationDigest,
@@ -84,7 +84,7 @@
         c);
   }
 
-  public boolean complete() {
+  public boolean isComplete() {
     return configurationNumber > 0 && replicasNumber > 0;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/state/Leases.java
+++ b/data-plane/src/main/java/gladelug/data/state/Leases.java
@@ -12,51 +12,51 @@
  */
 public final class Leases {
   private static final long NEVER = Long.MIN_VALUE / 2;
-  private final AtomicLongArray deadline = new AtomicLongArray(StateKeys.LEASED.size());
-  private final AtomicLongArray epoch = new AtomicLongArray(StateKeys.LEASED.size());
-  private volatile long cutoffAt = NEVER;
+  private final AtomicLongArray deadlinesMs = new AtomicLongArray(StateKeys.LEASED.size());
+  private final AtomicLongArray epochs = new AtomicLongArray(StateKeys.LEASED.size());
+  private volatile long cutoffAtMs = NEVER;
 
   public Leases() {
-    for (int i = 0; i < deadline.length(); i++) deadline.set(i, NEVER);
+    for (int i = 0; i < deadlinesMs.length(); i++) deadlinesMs.set(i, NEVER);
   }
 
   /** When the last of the leases ran out or will: the moment up to which requests may start. */
-  public long until() {
+  public long validUntilMs() {
     long t = Long.MAX_VALUE;
-    for (int i = 0; i < deadline.length(); i++) t = Math.min(t, deadline.get(i));
+    for (int i = 0; i < deadlinesMs.length(); i++) t = Math.min(t, deadlinesMs.get(i));
     return t;
   }
 
-  public long until(String key) {
-    return deadline.get(StateKeys.LEASED.indexOf(key));
+  public long validUntilMs(String key) {
+    return deadlinesMs.get(StateKeys.LEASED.indexOf(key));
   }
 
-  public boolean valid(long now) {
-    return now < until();
+  public boolean isValid(long now) {
+    return now < validUntilMs();
   }
 
   /** From this moment nothing starts on weights named before the newest. */
-  public long cutoffAt() {
-    return cutoffAt;
+  public long cutoffAtMs() {
+    return cutoffAtMs;
   }
 
   /** A push under this epoch was taken. */
-  public void seen(String key, long e) {
+  public void recordEpoch(String key, long e) {
     int k = StateKeys.LEASED.indexOf(key);
-    if (k >= 0) epoch.set(k, Math.max(epoch.get(k), e));
+    if (k >= 0) epochs.set(k, Math.max(epochs.get(k), e));
   }
 
   public long epoch(String key) {
     int k = StateKeys.LEASED.indexOf(key);
-    return k < 0 ? 0 : epoch.get(k);
+    return k < 0 ? 0 : epochs.get(k);
   }
 
-  public void granted(StateUpdate.LeaseGrant g, long asked, long held) {
+  public void applyGrant(StateUpdate.LeaseGrant g, long asked, long held) {
     int k = StateKeys.LEASED.indexOf(g.key());
-    if (k < 0 || g.epoch() < epoch.get(k) || g.number() != held) return;
-    epoch.set(k, g.epoch());
+    if (k < 0 || g.epoch() < epochs.get(k) || g.number() != held) return;
+    epochs.set(k, g.epoch());
     long margin = 10L + g.remainingMs() / 50;
-    deadline.set(k, Math.max(deadline.get(k), asked + g.remainingMs() - margin));
-    if (g.key().equals(StateKeys.WEIGHTS)) cutoffAt = asked + g.cutoffRemainingMs();
+    deadlinesMs.set(k, Math.max(deadlinesMs.get(k), asked + g.remainingMs() - margin));
+    if (g.key().equals(StateKeys.WEIGHTS)) cutoffAtMs = asked + g.cutoffRemainingMs();
   }
 }
--- a/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
+++ b/data-plane/src/main/java/gladelug/data/state/ReplicatedStateView.java
@@ -18,15 +18,15 @@
  */
 public final class ReplicatedStateView {
   /** Makes use of a push, always whole; false where it can't be read. */
-  public interface Taker {
-    boolean take(StateUpdate.ValuePush p);
+  public interface ValueConsumer {
+    boolean acceptValue(StateUpdate.ValuePush p);
   }
 
-  public enum Told {
-    NOTHING,
-    TAKEN,
-    ALLOTTED,
-    WANTS_WHOLE
+  public enum UpdateResult {
+    IGNORED,
+    APPLIED,
+    CAPACITY_GRANTED,
+    NEEDS_FULL_VALUE
   }
 
   private static final List<StateUpdate.QuotaDemand> NO_DEMAND = List.of();
@@ -34,27 +34,27 @@
       new StateUpdate.KnownVersion(StateKeys.READS_PREFIX_SHARING, 0, 0);
   public final Leases leases = new Leases();
   private final Shuffle.Descriptor self;
-  private final long run;
-  private final Taker taker;
+  private final long processRun;
+  private final ValueConsumer valueConsumer;
   private final Map<String, Long> numbers = new HashMap<>();
   private final Map<String, byte[]> values = new HashMap<>();
-  private long allotEpoch;
+  private long capacityEpoch;
 
-  public ReplicatedStateView(Shuffle.Descriptor self, long run, Taker taker) {
+  public ReplicatedStateView(Shuffle.Descriptor self, long run, ValueConsumer taker) {
     this.self = self;
-    this.run = run;
-    this.taker = taker;
+    this.processRun = run;
+    this.valueConsumer = taker;
   }
 
   public long number(String key) {
     return numbers.getOrDefault(key, 0L);
   }
 
-  public StateUpdate.SubscriptionRequest ask(long now) {
-    return ask(now, NO_DEMAND, List.of());
+  public StateUpdate.SubscriptionRequest subscriptionRequest(long now) {
+    return subscriptionRequest(now, NO_DEMAND, List.of());
   }
 
-  public StateUpdate.SubscriptionRequest ask(
+  public StateUpdate.SubscriptionRequest subscriptionRequest(
       long now, List<StateUpdate.QuotaDemand> demands, List<StateUpdate.ServiceCapacity> places) {
     List<StateUpdate.KnownVersion> l = new ArrayList<>();
     for (String k : StateKeys.PUSHED)
@@ -63,44 +63,44 @@
     return new StateUpdate.SubscriptionRequest(
         now,
         self.name(),
-        run,
+        processRun,
         self.role(),
-        self.records(),
-        self.operator(),
+        self.recordsAddress(),
+        self.operatorAddress(),
         self.zone(),
         l,
         demands,
         places);
   }
 
-  public Told told(StateUpdate update) {
+  public UpdateResult apply(StateUpdate update) {
     if (update instanceof StateUpdate.LeaseGrants g) {
       for (StateUpdate.LeaseGrant x : g.grants())
-        leases.granted(x, g.requestSentAtMs(), number(x.key()));
+        leases.applyGrant(x, g.requestSentAtMs(), number(x.key()));
     } else if (update instanceof StateUpdate.CapacityGrant a) {
-      if (a.epoch() < allotEpoch) return Told.NOTHING;
-      allotEpoch = a.epoch();
-      return Told.ALLOTTED;
+      if (a.epoch() < capacityEpoch) return UpdateResult.IGNORED;
+      capacityEpoch = a.epoch();
+      return UpdateResult.CAPACITY_GRANTED;
     } else if (update instanceof StateUpdate.ValuePush p
         && p.number() > number(p.key())
         && p.epoch() >= leases.epoch(p.key())) {
       byte[] v = p.value();
-      if (p.base() >= 0) {
+      if (p.baseNumber() >= 0) {
         v =
-            p.base() == number(p.key())
+            p.baseNumber() == number(p.key())
                 ? BinaryDelta.apply(values.getOrDefault(p.key(), new byte[0]), p.value())
                 : null;
-        if (v == null || !Digest.hex(v).equals(p.digest())) return Told.WANTS_WHOLE;
+        if (v == null || !Digest.hex(v).equals(p.digest())) return UpdateResult.NEEDS_FULL_VALUE;
       }
-      if (!taker.take(
+      if (!valueConsumer.acceptValue(
           new StateUpdate.ValuePush(
               p.key(), p.epoch(), p.number(), -1, p.digest(), v, p.sharingSince())))
-        return Told.NOTHING;
+        return UpdateResult.IGNORED;
       numbers.put(p.key(), p.number());
       values.put(p.key(), v);
-      leases.seen(p.key(), p.epoch());
-      return Told.TAKEN;
+      leases.recordEpoch(p.key(), p.epoch());
+      return UpdateResult.APPLIED;
     }
-    return Told.NOTHING;
+    return UpdateResult.IGNORED;
   }
 }
--- a/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
+++ b/data-plane/src/main/java/gladelug/data/state/StateSubscription.java
@@ -26,18 +26,18 @@
  */
 public final class StateSubscription {
   /** milli: thousandths of a place by leaf; empty and not full where nothing is bounded. */
-  public record Allotment(long at, boolean full, Map<String, Integer> milli) {}
+  public record Allotment(long receivedAtMs, boolean full, Map<String, Integer> milliSlotsByLeaf) {}
 
   public final Leases leases;
   private final Clock clock;
-  private final Function<String, Result<Configuration>> reader;
-  private final ReplicatedStateView book;
-  private final Consumer<ControlStateSnapshot> swapped;
+  private final Function<String, Result<Configuration>> configurationParser;
+  private final ReplicatedStateView view;
+  private final Consumer<ControlStateSnapshot> snapshotListener;
   private final Map<String, Allotment> allotments = new ConcurrentHashMap<>();
-  private volatile ControlStateSnapshot tables = ControlStateSnapshot.NONE;
-  private volatile int relays;
+  private volatile ControlStateSnapshot current = ControlStateSnapshot.NONE;
+  private volatile int relayCount;
   private volatile List<StateUpdate.QuotaDemand> demands = List.of();
-  private volatile List<StateUpdate.ServiceCapacity> places = List.of();
+  private volatile List<StateUpdate.ServiceCapacity> serviceCapacities = List.of();
 
   /** swapped is told of each new snapshot. */
   public StateSubscription(
@@ -52,21 +52,21 @@
       long run,
       Consumer<ControlStateSnapshot> swapped,
       Function<String, Result<Configuration>> reader) {
-    this.reader = reader;
+    this.configurationParser = reader;
     this.clock = clock;
-    this.swapped = swapped;
-    this.book = new ReplicatedStateView(self, run, this::take);
-    this.leases = book.leases;
+    this.snapshotListener = swapped;
+    this.view = new ReplicatedStateView(self, run, this::applyValue);
+    this.leases = view.leases;
   }
 
-  public ControlStateSnapshot tables() {
-    return tables;
+  public ControlStateSnapshot snapshot() {
+    return current;
   }
 
   /** Where a relay puts what it has waiting and sees free, for whoever divides. */
-  public void demand(List<StateUpdate.QuotaDemand> d, List<StateUpdate.ServiceCapacity> p) {
+  public void reportDemand(List<StateUpdate.QuotaDemand> d, List<StateUpdate.ServiceCapacity> p) {
     demands = d;
-    places = p;
+    serviceCapacities = p;
   }
 
   /** The newest division for this process, or null. */
@@ -74,23 +74,23 @@
     return allotments.get(service);
   }
 
-  public StateUpdate.SubscriptionRequest ask() {
-    return book.ask(clock.now(), demands, places);
+  public StateUpdate.SubscriptionRequest subscriptionRequest() {
+    return view.subscriptionRequest(clock.now(), demands, serviceCapacities);
   }
 
   public long number(String key) {
-    return book.number(key);
+    return view.number(key);
   }
 
   /** How many relays the core hears, 0 where that isn't known. */
-  public int relays() {
-    return relays;
+  public int relayCount() {
+    return relayCount;
   }
 
-  public ReplicatedStateView.Told told(StateUpdate update) {
-    if (update instanceof StateUpdate.LeaseGrants g) relays = g.relays();
-    ReplicatedStateView.Told t = book.told(update);
-    if (t == ReplicatedStateView.Told.TAKEN) {
+  public ReplicatedStateView.UpdateResult apply(StateUpdate update) {
+    if (update instanceof StateUpdate.LeaseGrants g) relayCount = g.relayCount();
+    ReplicatedStateView.UpdateResult t = view.apply(update);
+    if (t == ReplicatedStateView.UpdateResult.APPLIED) {
       StateUpdate.ValuePush p = (StateUpdate.ValuePush) update;
       Log.event(
           "state-update-applied",
@@ -103,48 +103,50 @@
           "bytes",
           p.value().length,
           "whole",
-          p.base() < 0);
-      swapped.accept(tables);
-    } else if (t == ReplicatedStateView.Told.ALLOTTED) {
+          p.baseNumber() < 0);
+      snapshotListener.accept(current);
+    } else if (t == ReplicatedStateView.UpdateResult.CAPACITY_GRANTED) {
       StateUpdate.CapacityGrant a = (StateUpdate.CapacityGrant) update;
       Map<String, Integer> m = new HashMap<>();
       for (StateUpdate.QuotaAllotment x : a.allotments()) m.put(x.leaf(), x.milliSlots());
-      allotments.put(a.service(), new Allotment(clock.now(), a.full(), m));
+      allotments.put(a.service(), new Allotment(clock.now(), a.limited(), m));
     }
     return t;
   }
 
   private static ControlStateSnapshot withConfiguration(
       ControlStateSnapshot before, StateUpdate.ValuePush push, Configuration configuration) {
-    long sharingSince = PrefixSharing.since(push.sharingSince(), configuration, push.number());
-    return before.configuration(push.number(), push.digest(), configuration, sharingSince);
+    long sharingSince =
+        PrefixSharing.effectiveSince(push.sharingSince(), configuration, push.number());
+    return before.withConfiguration(push.number(), push.digest(), configuration, sharingSince);
   }
 
-  private boolean take(StateUpdate.ValuePush p) {
+  private boolean applyValue(StateUpdate.ValuePush p) {
     String text = new String(p.value(), StandardCharsets.UTF_8);
-    ControlStateSnapshot snapshot = tables;
+    ControlStateSnapshot snapshot = current;
     Result<ControlStateSnapshot> r =
         switch (p.key()) {
           case StateKeys.CONFIGURATION ->
-              reader
+              configurationParser
                   .apply(text)
-                  .then(
+                  .flatMap(
                       configuration -> Result.good(withConfiguration(snapshot, p, configuration)));
           case StateKeys.WEIGHTS ->
               Weights.parse(text)
-                  .then(weights -> Result.good(snapshot.weights(p.number(), weights)));
+                  .flatMap(weights -> Result.good(snapshot.withWeights(p.number(), weights)));
           case StateKeys.REPLICAS ->
               Replicas.parse(text)
-                  .then(replicas -> Result.good(snapshot.replicas(p.number(), replicas)));
+                  .flatMap(replicas -> Result.good(snapshot.withReplicas(p.number(), replicas)));
           case StateKeys.CORE ->
-              CoreMemberList.parse(text).then(x -> Result.good(snapshot.core(p.number(), x)));
+              CoreMemberList.parse(text)
+                  .flatMap(x -> Result.good(snapshot.withCore(p.number(), x)));
           default -> Result.bad(p.key(), "is no key");
         };
     if (!(r instanceof Result.Good<ControlStateSnapshot> g)) {
       Log.warn("news-refused", "key", p.key(), "number", p.number(), "findings", r.toString());
       return false;
     }
-    tables = g.value();
+    current = g.value();
     return true;
   }
 }
