--- a/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
+++ b/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
@@ -11,7 +11,7 @@
 import gladelug.emulator.experiment.AblationPlan;
 import gladelug.emulator.scale.ScalePlan;
 import gladelug.emulator.scale.ScaleRun;
-import gladelug.emulator.sim.RequestStories;
+import gladelug.emulator.sim.RequestScenarios;
 import gladelug.emulator.soak.SoakCommand;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -149,12 +149,12 @@
 
   private static boolean simulate(Namespace options) {
     Logger.getLogger("").setLevel(Level.OFF);
-    RequestStories stories =
-        RequestStories.play(
+    RequestScenarios stories =
+        RequestScenarios.run(
             options.getLong("from"), options.getInt("seeds"), options.getInt("threads"));
-    stories.offenders.forEach(System.out::println);
-    System.out.println(stories + "\noffending seeds: " + stories.offenders.size());
-    return stories.offenders.isEmpty();
+    stories.failures.forEach(System.out::println);
+    System.out.println(stories + "\noffending seeds: " + stories.failures.size());
+    return stories.failures.isEmpty();
   }
 
   private static boolean check(Namespace options) {
--- a/emulator/src/main/java/gladelug/emulator/sim/BrokenRule.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/BrokenRule.java
@@ -31,16 +31,16 @@
   EMPTY_DISK_IS_ANOTHER;
 
   /** Whether a question to the others goes to the asking member itself in their place. */
-  boolean asksItselfAlone(CoreMessage said) {
-    return this == PROMISES_OF_A_MAJORITY && said instanceof PrepareRequest;
+  boolean sendsOnlyToSelf(CoreMessage message) {
+    return this == PROMISES_OF_A_MAJORITY && message instanceof PrepareRequest;
   }
 
   /** Whether what a member says to itself is believed to be said by all. */
-  boolean speaksForAll(CoreMessage said) {
+  boolean countsForAllMembers(CoreMessage message) {
     return switch (this) {
-      case PROMISES_OF_A_MAJORITY -> said instanceof PrepareResponse;
-      case WRITES_OF_A_MAJORITY -> said instanceof AcceptResponse;
-      case CONFIRMATIONS_OF_A_MAJORITY -> said instanceof ConfirmResponse;
+      case PROMISES_OF_A_MAJORITY -> message instanceof PrepareResponse;
+      case WRITES_OF_A_MAJORITY -> message instanceof AcceptResponse;
+      case CONFIRMATIONS_OF_A_MAJORITY -> message instanceof ConfirmResponse;
       default -> false;
     };
   }
--- a/emulator/src/main/java/gladelug/emulator/sim/Met.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/ConnectionEvent.java
@@ -4,7 +4,7 @@
  * What may come about between a relay and a replica and is judged only if it did: counted by the
  * simulator.
  */
-enum Met {
+enum ConnectionEvent {
   /** A pooled connection with no request on it was reset. */
   RESET_WHILE_IDLE,
 
--- a/emulator/src/main/java/gladelug/emulator/sim/Trouble.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/FaultKind.java
@@ -5,7 +5,7 @@
  *
  * <p>A kind of trouble; see Troubles for how each is brought about.
  */
-public enum Trouble {
+public enum FaultKind {
   ONE_WAY_CUT,
   SHORT_CUT,
   LONG_CUT,
--- a/emulator/src/main/java/gladelug/emulator/sim/OperatorCalls.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/OperatorCalls.java
@@ -19,29 +19,29 @@
  */
 final class OperatorCalls {
   /** How long a caller waits for an answer, ms. */
-  static final long SILENCE = 1000;
+  static final long ANSWER_TIMEOUT_MS = 1000;
 
-  private static final int LONGEST_WAY = 12;
-  private static final int LONGER_WAY = 120;
+  private static final int USUAL_MAX_DELAY_MS = 12;
+  private static final int RARE_MAX_DELAY_MS = 120;
   private static final String PADDING = " of a configuration, with routes and services".repeat(4);
 
   /** What a read showed. */
-  record Seen(long version, String id) {}
+  record ReadValue(long version, String id) {}
 
-  private final Sim sim;
+  private final Simulation sim;
   private final Random random;
   private final History.Builder history = new History.Builder();
-  private final List<Runnable> onAcknowledged = new ArrayList<>();
+  private final List<Runnable> acknowledgementListeners = new ArrayList<>();
 
   /** The share of answers that are lost on their way. */
-  double lostAnswers;
+  double answerLossRate;
 
-  int acknowledged;
-  int refused;
-  int unclear;
-  int reads;
+  int acknowledgedCount;
+  int refusedCount;
+  int unknownCount;
+  int readCount;
 
-  OperatorCalls(Sim sim, Random random) {
+  OperatorCalls(Simulation sim, Random random) {
     this.sim = sim;
     this.random = random;
   }
@@ -51,129 +51,132 @@
   }
 
   /** Runs once, right when the next acknowledgement reaches an operator. */
-  void atNextAcknowledgement(Runnable then) {
-    onAcknowledged.add(then);
+  void onNextAcknowledgement(Runnable listener) {
+    acknowledgementListeners.add(listener);
   }
 
   /** Members that an operator may choose among. */
   List<String> members() {
     List<String> names = sim.controlNames();
-    names.removeAll(sim.left);
+    names.removeAll(sim.departed);
     return names;
   }
 
   /** Sends a change to a member; told once, whatever becomes of the answer. */
-  void change(String operator, String member, Change change, Consumer<Outcome> told) {
-    long start = sim.now();
-    OneAnswer<ChangeResult> once =
-        new OneAnswer<>(
-            answer -> told.accept(changed(operator, member, start, change, answer)),
+  void sendChange(String operator, String member, Change change, Consumer<Outcome> onAnswer) {
+    long startMs = sim.nowMs();
+    SingleAnswer<ChangeResult> singleAnswer =
+        new SingleAnswer<>(
+            answer -> onAnswer.accept(recordChange(operator, member, startMs, change, answer)),
             new ChangeResult.Unknown(change.version()));
     byte[] body = (change.id() + PADDING).getBytes(StandardCharsets.UTF_8);
-    reach(
+    reachMember(
         member,
-        () -> once.tell(new ChangeResult.NoOwner()),
+        () -> singleAnswer.answer(new ChangeResult.NoOwner()),
         control ->
             control.propose(
                 StateKeys.CONFIGURATION,
                 change.base(),
                 body,
-                answer -> goBack(() -> once.tell(answer))));
-    sim.after(SILENCE, once::silence);
+                answer -> sendBack(() -> singleAnswer.answer(answer))));
+    sim.after(ANSWER_TIMEOUT_MS, singleAnswer::timeOut);
   }
 
   /** Asks a member for the newest value; told null where there is no clear answer. */
-  void read(String operator, String member, Consumer<Seen> told) {
-    long start = sim.now();
-    OneAnswer<ReadResult> once =
-        new OneAnswer<>(
-            newest -> told.accept(seen(operator, member, start, newest)), ReadResult.NO_OWNER);
-    reach(
+  void read(String operator, String member, Consumer<ReadValue> onAnswer) {
+    long startMs = sim.nowMs();
+    SingleAnswer<ReadResult> singleAnswer =
+        new SingleAnswer<>(
+            newest -> onAnswer.accept(recordRead(operator, member, startMs, newest)),
+            ReadResult.NO_OWNER);
+    reachMember(
         member,
-        once::silence,
+        singleAnswer::timeOut,
         control ->
             control.run(
                 () ->
                     control.node.readNewest(
-                        StateKeys.CONFIGURATION, newest -> goBack(() -> once.tell(newest)))));
-    sim.after(SILENCE, once::silence);
+                        StateKeys.CONFIGURATION,
+                        newest -> sendBack(() -> singleAnswer.answer(newest)))));
+    sim.after(ANSWER_TIMEOUT_MS, singleAnswer::timeOut);
   }
 
-  private void reach(String member, Runnable refusedConnection, Consumer<SimControl> call) {
+  private void reachMember(String member, Runnable onRefused, Consumer<SimControlMachine> call) {
     sim.after(
-        way(),
+        randomDelayMs(),
         () -> {
-          SimControl control = sim.controls.get(member);
+          SimControlMachine control = sim.controls.get(member);
           if (control.up) call.accept(control);
-          else sim.after(way(), refusedConnection);
+          else sim.after(randomDelayMs(), onRefused);
         });
   }
 
-  private void goBack(Runnable arrive) {
-    if (random.nextDouble() >= lostAnswers) sim.after(way(), arrive);
+  private void sendBack(Runnable onArrival) {
+    if (random.nextDouble() >= answerLossRate) sim.after(randomDelayMs(), onArrival);
   }
 
-  private long way() {
-    return 1L + random.nextInt(random.nextInt(20) == 0 ? LONGER_WAY : LONGEST_WAY);
+  private long randomDelayMs() {
+    return 1L + random.nextInt(random.nextInt(20) == 0 ? RARE_MAX_DELAY_MS : USUAL_MAX_DELAY_MS);
   }
 
-  private Outcome changed(
-      String operator, String member, long start, Change change, ChangeResult answer) {
-    sim.say(operator, change.id() + " on " + change.base() + " at " + member + ": " + answer);
-    if (answer instanceof ChangeResult.Conflict stale) {
-      refused++;
-      history.refused(operator, member, start, sim.now(), change, stale.current());
+  private Outcome recordChange(
+      String operator, String member, long startMs, Change change, ChangeResult answer) {
+    sim.log(operator, change.id() + " on " + change.base() + " at " + member + ": " + answer);
+    if (answer instanceof ChangeResult.Conflict conflict) {
+      refusedCount++;
+      history.refused(operator, member, startMs, sim.nowMs(), change, conflict.current());
       return Outcome.REFUSED;
     }
-    Outcome outcome = outcome(answer);
-    history.change(operator, member, start, sim.now(), change, outcome);
-    if (outcome == Outcome.UNKNOWN) unclear++;
-    if (answer instanceof ChangeResult.Acknowledged done) isAcknowledged(change, done);
+    Outcome outcome = outcomeOf(answer);
+    history.change(operator, member, startMs, sim.nowMs(), change, outcome);
+    if (outcome == Outcome.UNKNOWN) unknownCount++;
+    if (answer instanceof ChangeResult.Acknowledged acknowledgement)
+      recordAcknowledgement(change, acknowledgement);
     return outcome;
   }
 
-  private static Outcome outcome(ChangeResult answer) {
+  private static Outcome outcomeOf(ChangeResult answer) {
     if (answer instanceof ChangeResult.Acknowledged) return Outcome.ACKNOWLEDGED;
     return answer instanceof ChangeResult.Unknown ? Outcome.UNKNOWN : Outcome.NOT_TAKEN;
   }
 
-  private void isAcknowledged(Change change, ChangeResult.Acknowledged done) {
-    acknowledged++;
-    if (done.number() != change.version())
-      sim.violation(change + " was acknowledged as number " + done.number());
-    List<Runnable> due = new ArrayList<>(onAcknowledged);
-    onAcknowledged.clear();
-    due.forEach(Runnable::run);
+  private void recordAcknowledgement(Change change, ChangeResult.Acknowledged acknowledgement) {
+    acknowledgedCount++;
+    if (acknowledgement.number() != change.version())
+      sim.violation(change + " was acknowledged as number " + acknowledgement.number());
+    List<Runnable> listeners = new ArrayList<>(acknowledgementListeners);
+    acknowledgementListeners.clear();
+    listeners.forEach(Runnable::run);
   }
 
-  private Seen seen(String operator, String member, long start, ReadResult newest) {
+  private ReadValue recordRead(String operator, String member, long startMs, ReadResult newest) {
     if (!newest.hasOwner()) return null;
-    reads++;
+    readCount++;
     String text = new String(newest.body(), StandardCharsets.UTF_8);
     String id = text.isEmpty() ? "" : text.substring(0, text.indexOf(' '));
-    history.read(operator, member, start, sim.now(), newest.number(), id);
-    return new Seen(newest.number(), id);
+    history.read(operator, member, startMs, sim.nowMs(), newest.number(), id);
+    return new ReadValue(newest.number(), id);
   }
 
   /** Passes on the first answer alone, or that there was none in time. */
-  private static final class OneAnswer<T> {
-    private final Consumer<T> told;
-    private final T ifSilent;
-    private boolean over;
-
-    OneAnswer(Consumer<T> told, T ifSilent) {
-      this.told = told;
-      this.ifSilent = ifSilent;
+  private static final class SingleAnswer<T> {
+    private final Consumer<T> callback;
+    private final T timeoutAnswer;
+    private boolean answered;
+
+    SingleAnswer(Consumer<T> callback, T timeoutAnswer) {
+      this.callback = callback;
+      this.timeoutAnswer = timeoutAnswer;
     }
 
-    void tell(T answer) {
-      if (over) return;
-      over = true;
-      told.accept(answer);
+    void answer(T answer) {
+      if (answered) return;
+      answered = true;
+      callback.accept(answer);
     }
 
-    void silence() {
-      tell(ifSilent);
+    void timeOut() {
+      answer(timeoutAnswer);
     }
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
@@ -34,253 +34,259 @@
  * drifts. What its callers see goes into the ledger.
  */
 final class RequestRelay {
-  private static final long LATE = 1700;
-  private final RequestSim sim;
+  private static final long MAX_LATENESS_MS = 1700;
+  private final RequestSimulation sim;
   final String name;
-  int life;
+  int processNumber;
   boolean up;
   boolean paused;
-  double rate = 1;
-  private long woke;
-  private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-  private StateSubscription news;
+  double clockRate = 1;
+  private long wokeAtMs;
+  private final ArrayDeque<Runnable> heldTasks = new ArrayDeque<>();
+  private StateSubscription subscription;
   private Relay relay;
   private RecentDecisions decisions;
-  private FilterChain way;
-  private SimConnections connections;
+  private FilterChain filterChain;
+  private SimReplicaConnections connections;
   private final Map<Request, Ledger.Call> calls = new HashMap<>();
-  private final Set<Ledger.Call> open = new LinkedHashSet<>();
-  int restarts;
-  long complete;
+  private final Set<Ledger.Call> openCalls = new LinkedHashSet<>();
+  int restartCount;
+  long completeCount;
 
-  RequestRelay(RequestSim sim, String name) {
+  RequestRelay(RequestSimulation sim, String name) {
     this.sim = sim;
     this.name = name;
   }
 
-  private long base;
-  private long since;
+  private long clockBaseMs;
+  private long clockSinceMs;
 
-  private long now() {
-    return base + (long) ((sim.now() - since) * rate);
+  private long nowMs() {
+    return clockBaseMs + (long) ((sim.nowMs() - clockSinceMs) * clockRate);
   }
 
   /** From now on its clock goes so much as fast as time. */
-  void drift(double r) {
-    base = now();
-    since = sim.now();
-    rate = r;
+  void setClockRate(double rate) {
+    clockBaseMs = nowMs();
+    clockSinceMs = sim.nowMs();
+    clockRate = rate;
   }
 
   void start() {
     if (up) return;
     up = true;
     paused = false;
-    held.clear();
-    int l = ++life;
-    news =
+    heldTasks.clear();
+    int ownProcess = ++processNumber;
+    subscription =
         new StateSubscription(
-            this::now,
+            this::nowMs,
             new Shuffle.Descriptor(name, "relay", "1.1.1.1:1", "1.1.1.1:2", "z", 0, 0),
-            l,
+            ownProcess,
             snapshot -> relay.applySnapshot(snapshot));
-    connections = new SimConnections(sim, this);
-    decisions = new RecentDecisions(512, name, l);
+    connections = new SimReplicaConnections(sim, this);
+    decisions = new RecentDecisions(512, name, ownProcess);
     relay =
         new Relay(
-            this::now,
-            news,
-            x -> new Backends(this::now, (r, told) -> sim.load(this, r, told), x::admitWaiting),
+            this::nowMs,
+            subscription,
+            x ->
+                new Backends(
+                    this::nowMs, (rate, told) -> sim.fetchLoad(this, rate, told), x::admitWaiting),
             "z",
             RelaySettings.builder().maxQueuedRequests(64).build(),
-            () -> sim.fronts.size());
-    way =
+            () -> sim.requestRelays.size());
+    filterChain =
         relay.filterChain(
             blocks -> Uni.createFrom().emitter(e -> sim.lookup(this, blocks, e::complete)),
             ChoiceMode.SUMMARY,
             new LineExchange(relay, connections));
-    every(l, 50, () -> relay.tick());
-    every(l, Backends.POLL_INTERVAL_MS, () -> relay.backends.pollAll());
-    every(l, 400, this::ask);
+    runEvery(ownProcess, 50, () -> relay.tick());
+    runEvery(ownProcess, Backends.POLL_INTERVAL_MS, () -> relay.backends.pollAll());
+    runEvery(ownProcess, 400, this::requestUpdates);
   }
 
-  private void every(int l, long ms, Runnable task) {
-    if (l != life) return;
-    run(l, task);
-    sim.after(ms, () -> every(l, ms, task));
+  private void runEvery(int ownProcess, long intervalMs, Runnable task) {
+    if (ownProcess != processNumber) return;
+    run(ownProcess, task);
+    sim.after(intervalMs, () -> runEvery(ownProcess, intervalMs, task));
   }
 
-  private void ask() {
-    StateUpdate.SubscriptionRequest a = news.subscriptionRequest();
-    for (String c : sim.controlNames()) sim.ask(name, c, a);
+  private void requestUpdates() {
+    StateUpdate.SubscriptionRequest subscriptionRequest = subscription.subscriptionRequest();
+    for (String control : sim.controlNames())
+      sim.sendSubscriptionRequest(name, control, subscriptionRequest);
   }
 
   /** On the request thread of this life, or when its pause is over. */
-  void run(int l, Runnable task) {
-    if (!up || l != life) return;
-    if (paused) held.add(task);
+  void run(int ownProcess, Runnable task) {
+    if (!up || ownProcess != processNumber) return;
+    if (paused) heldTasks.add(task);
     else task.run();
   }
 
-  void wake() {
+  void resume() {
     paused = false;
-    woke = now();
-    while (!held.isEmpty() && !paused) held.poll().run();
+    wokeAtMs = nowMs();
+    while (!heldTasks.isEmpty() && !paused) heldTasks.poll().run();
   }
 
   void kill() {
     if (!up) return;
     up = false;
-    life++;
-    restarts++;
-    connections.die();
-    for (Ledger.Call c : new ArrayList<>(open)) end(c, "broken");
+    processNumber++;
+    restartCount++;
+    connections.closeAll();
+    for (Ledger.Call call : new ArrayList<>(openCalls)) closeCall(call, "broken");
     calls.clear();
   }
 
-  void told(StateUpdate update) {
+  void onUpdate(StateUpdate update) {
     run(
-        life,
+        processNumber,
         () -> {
-          if (news.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
-            sim.whole(name, ((StateUpdate.ValuePush) update).key());
-          if (update instanceof StateUpdate.ValuePush) ask();
+          if (subscription.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
+            sim.requestFullValue(name, ((StateUpdate.ValuePush) update).key());
+          if (update instanceof StateUpdate.ValuePush) requestUpdates();
         });
   }
 
-  void broke(SimReplica replica) {
-    if (up) connections.broke(replica);
+  void onReplicaCrashed(SimReplica replica) {
+    if (up) connections.onReplicaCrashed(replica);
   }
 
   /** All connections to a replica are reset at its end. */
   void resetConnections(SimReplica replica) {
-    if (up) connections.resetAll(replica);
+    if (up) connections.resetAllTo(replica);
   }
 
   /** The caller of a request goes away, if it is this relay's and is not answered yet. */
   void callerLeaves(String tag) {
-    for (Map.Entry<Request, Ledger.Call> e : new ArrayList<>(calls.entrySet()))
-      if (e.getValue().tag.equals(tag)) run(life, () -> gone(e.getKey()));
+    for (Map.Entry<Request, Ledger.Call> entry : new ArrayList<>(calls.entrySet()))
+      if (entry.getValue().tag.equals(tag)) run(processNumber, () -> onCallerGone(entry.getKey()));
   }
 
   /** The caller of the request that came last goes away. */
   void lastCallerLeaves() {
     String last = "";
-    for (Ledger.Call c : open) last = c.tag;
+    for (Ledger.Call call : openCalls) last = call.tag;
     callerLeaves(last);
   }
 
   /** Who the relay's list says is at an address. */
-  String wanted(String address) {
-    return news.snapshot().replicas().all.stream()
-        .filter(r -> r.address().toString().equals(address))
-        .map(r -> r.service() + "/" + r.instance())
+  String listedIdentity(String address) {
+    return subscription.snapshot().replicas().all.stream()
+        .filter(rate -> rate.address().toString().equals(address))
+        .map(rate -> rate.service() + "/" + rate.instance())
         .findFirst()
         .orElse("");
   }
 
-  long number(String key) {
-    return news.number(key);
+  long versionOf(String key) {
+    return subscription.number(key);
   }
 
-  private void end(Ledger.Call c, String outcome) {
-    open.remove(c);
-    c.outcome = outcome;
-    c.done = sim.now();
+  private void closeCall(Ledger.Call call, String outcome) {
+    openCalls.remove(call);
+    call.outcome = outcome;
+    call.done = sim.nowMs();
   }
 
   /** A caller sends a request, and perhaps goes away before its end. */
   void send(
       String kind, String path, String tenant, boolean repeatable, String prompt, String tag) {
-    Ledger.Call c = new Ledger.Call(tag, kind, tenant, name, repeatable, sim.now());
-    sim.ledger.calls.put(tag, c);
+    Ledger.Call call = new Ledger.Call(tag, kind, tenant, name, repeatable, sim.nowMs());
+    sim.ledger.calls.put(tag, call);
     if (!up) {
-      end(c, "no-circuit");
+      closeCall(call, "no-circuit");
       return;
     }
-    open.add(c);
+    openCalls.add(call);
     run(
-        life,
+        processNumber,
         () -> {
           Request request =
               new Request(
-                  decisions.begin(now()),
-                  now(),
+                  decisions.begin(nowMs()),
+                  nowMs(),
                   Configuration.hashKey("key-of-" + tenant),
                   path,
-                  new Side());
+                  new CallerSide());
           request.prompt = new Prompt.Text(prompt + "#" + tag);
           request.maxPieces = 16;
-          c.order = request.id();
-          calls.put(request, c);
+          call.order = request.id();
+          calls.put(request, call);
           relay.begin(request);
-          way.start(request);
+          filterChain.start(request);
           if (sim.random.nextInt(25) == 0)
-            sim.after(sim.random.nextInt(200), () -> run(request.id(), () -> gone(request)));
+            sim.after(
+                sim.random.nextInt(200), () -> run(request.id(), () -> onCallerGone(request)));
         });
   }
 
   private void run(String id, Runnable task) {
-    if (id.contains(String.format(".%04x.", life & 0xffff))) run(life, task);
+    if (id.contains(String.format(".%04x.", processNumber & 0xffff))) run(processNumber, task);
   }
 
-  private void gone(Request request) {
-    Ledger.Call c = calls.remove(request);
-    if (c == null) return;
-    end(c, "gone");
+  private void onCallerGone(Request request) {
+    Ledger.Call call = calls.remove(request);
+    if (call == null) return;
+    closeCall(call, "gone");
     relay.callerGone(request);
   }
 
   /** What a caller is told, checked as a caller would. */
-  private final class Side implements Request.Caller {
+  private final class CallerSide implements Request.Caller {
     @Override
-    public void refuse(Request request, FilterResult.Refuse v) {
-      Ledger.Call c = calls.remove(request);
-      if (c == null) return;
-      c.status = v.status();
-      c.reason = v.reason();
-      if (c.pieces > 0) sim.violation(request.id() + " was turned away after pieces went out");
-      if (v.status() >= 500 && v.retryAfterMs() <= 0)
+    public void refuse(Request request, FilterResult.Refuse refusal) {
+      Ledger.Call call = calls.remove(request);
+      if (call == null) return;
+      call.status = refusal.status();
+      call.reason = refusal.reason();
+      if (call.pieces > 0) sim.violation(request.id() + " was turned away after pieces went out");
+      if (refusal.status() >= 500 && refusal.retryAfterMs() <= 0)
         sim.violation(request.id() + " is not told when to come back");
-      if (request.deadlineMs > 0 && now() > Math.max(request.deadlineMs, woke) + LATE)
+      if (request.deadlineMs > 0
+          && nowMs() > Math.max(request.deadlineMs, wokeAtMs) + MAX_LATENESS_MS)
         sim.violation(
             request.id()
                 + " was answered "
-                + (now() - request.deadlineMs)
+                + (nowMs() - request.deadlineMs)
                 + " ms after its expiry");
-      end(c, v.outcome());
+      closeCall(call, refusal.outcome());
     }
 
     @Override
     public boolean sendPiece(Request request, Buffer piece, Runnable ready) {
-      Ledger.Call c = calls.get(request);
-      if (c == null) return true;
+      Ledger.Call call = calls.get(request);
+      if (call == null) return true;
       JsonObject json = Json.parse(piece.toString()).asObject();
-      if (c.explicitEnd || json.getInt("piece", -1) != c.pieces) c.misordered++;
-      if (!StandInContent.textOf(c.tag, c.pieces).equals(json.getString("text", ""))) c.foreign++;
-      if (c.firstPiece < 0) c.firstPiece = sim.now();
-      c.pieces++;
+      if (call.explicitEnd || json.getInt("piece", -1) != call.pieces) call.misordered++;
+      if (!StandInContent.textOf(call.tag, call.pieces).equals(json.getString("text", "")))
+        call.foreign++;
+      if (call.firstPiece < 0) call.firstPiece = sim.nowMs();
+      call.pieces++;
       return true;
     }
 
     @Override
     public void complete(Request request, int pieces) {
-      Ledger.Call c = calls.remove(request);
-      if (c == null) return;
-      c.status = 200;
-      c.explicitEnd = c.bodyTerminated = true;
-      if (pieces != c.pieces) c.misordered++;
-      complete++;
-      end(c, "complete");
+      Ledger.Call call = calls.remove(request);
+      if (call == null) return;
+      call.status = 200;
+      call.explicitEnd = call.bodyTerminated = true;
+      if (pieces != call.pieces) call.misordered++;
+      completeCount++;
+      closeCall(call, "complete");
     }
 
     @Override
     public void cutOff(Request request, String why) {
-      Ledger.Call c = calls.remove(request);
-      if (c == null) return;
-      c.status = 200;
-      c.reason = why;
-      end(c, "cut-off");
+      Ledger.Call call = calls.remove(request);
+      if (call == null) return;
+      call.status = 200;
+      call.reason = why;
+      closeCall(call, "cut-off");
     }
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimDisk.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimDisk.java
@@ -16,30 +16,30 @@
  * It can stall, fill, fail, be lost whole, or rot.
  */
 final class SimDisk implements Storage {
-  private static final int FILES = 4, SIZE = 96 << 10;
+  private static final int FILE_COUNT = 4, FILE_BYTES = 96 << 10;
 
-  private static final int SECTOR = 512;
+  private static final int SECTOR_BYTES = 512;
 
   /** Between two tries of a write that a full disk refused, ms. */
-  private static final long AGAIN = 100;
+  private static final long RETRY_DELAY_MS = 100;
 
-  private record Replaced(int file, int at, byte[] bytes) {
+  private record Replaced(int file, int offset, byte[] bytes) {
     int lengthFrom(int offset) {
-      return Math.min(SECTOR, bytes.length - offset);
+      return Math.min(SECTOR_BYTES, bytes.length - offset);
     }
   }
 
   private final Random random;
-  private byte[][] files = new byte[FILES][SIZE];
+  private byte[][] files = new byte[FILE_COUNT][FILE_BYTES];
 
   /** What the write under way has replaced. */
   private final List<Replaced> replaced = new ArrayList<>();
 
   private RecordRing ring;
   private final List<RecordRing.Entry> entries = new ArrayList<>();
-  private final List<Runnable> dones = new ArrayList<>();
+  private final List<Runnable> completions = new ArrayList<>();
   private boolean busy;
-  private int life;
+  private int processNumber;
   boolean stalled;
   boolean failing;
 
@@ -47,123 +47,128 @@
   boolean full;
 
   /** Milliseconds more for each sync, as on a machine with too much to do. */
-  int slow;
+  int extraSyncMs;
 
-  long busySince = -1;
+  long busySinceMs = -1;
 
   SimDisk(Random random) {
     this.random = random;
   }
 
   Map<String, byte[]> open() throws IOException {
-    life++;
+    processNumber++;
     busy = false;
-    busySince = -1;
+    busySinceMs = -1;
     entries.clear();
-    dones.clear();
+    completions.clear();
     ring = RecordRing.open(this);
     return ring.live();
   }
 
   /** The power goes: what was being synced may be torn, what waited is gone. */
-  void power() {
+  void cutPower() {
     if (busy)
       for (Replaced old : replaced)
-        for (int i = 0; i < old.bytes.length; i += SECTOR)
+        for (int i = 0; i < old.bytes.length; i += SECTOR_BYTES)
           if (random.nextBoolean())
-            System.arraycopy(old.bytes, i, files[old.file], old.at + i, old.lengthFrom(i));
+            System.arraycopy(old.bytes, i, files[old.file], old.offset + i, old.lengthFrom(i));
     processEnded();
   }
 
   /** Nobody writes any more; what waited to be written is gone with the process. */
   void processEnded() {
-    life++;
+    processNumber++;
     busy = false;
     entries.clear();
-    dones.clear();
+    completions.clear();
   }
 
   void wipe() {
-    files = new byte[FILES][SIZE];
+    files = new byte[FILE_COUNT][FILE_BYTES];
   }
 
-  void want(String key, byte[] state, Runnable done, Sim sim, SimControl owner) {
+  void enqueue(
+      String key, byte[] state, Runnable completion, Simulation sim, SimControlMachine owner) {
     entries.add(new RecordRing.Entry(key, state));
-    dones.add(done);
-    if (stalled && busySince < 0) busySince = sim.now();
-    go(sim, owner);
+    completions.add(completion);
+    if (stalled && busySinceMs < 0) busySinceMs = sim.nowMs();
+    startWrite(sim, owner);
   }
 
-  void go(Sim sim, SimControl owner) {
+  void startWrite(Simulation sim, SimControlMachine owner) {
     if (busy || entries.isEmpty() || stalled) return;
     if (failing) {
-      owner.diskFailed();
+      owner.onDiskFailed();
       return;
     }
     busy = true;
-    if (busySince < 0) busySince = sim.now();
-    Map<String, RecordRing.Entry> last = new LinkedHashMap<>();
-    for (RecordRing.Entry e : entries) last.put(e.key(), e);
-    List<Runnable> ds = new ArrayList<>(dones);
+    if (busySinceMs < 0) busySinceMs = sim.nowMs();
+    Map<String, RecordRing.Entry> newestByKey = new LinkedHashMap<>();
+    for (RecordRing.Entry entry : entries) newestByKey.put(entry.key(), entry);
+    List<Runnable> pendingCompletions = new ArrayList<>(completions);
     entries.clear();
-    dones.clear();
+    completions.clear();
     replaced.clear();
     try {
-      ring.write(new ArrayList<>(last.values()));
-    } catch (RecordRing.WriteRefusedException e) {
-      tryAgain(sim, owner, new ArrayList<>(last.values()), ds);
+      ring.write(new ArrayList<>(newestByKey.values()));
+    } catch (RecordRing.WriteRefusedException entry) {
+      retryLater(sim, owner, new ArrayList<>(newestByKey.values()), pendingCompletions);
       return;
-    } catch (IOException e) {
-      owner.diskFailed();
+    } catch (IOException entry) {
+      owner.onDiskFailed();
       return;
     }
-    int l = life;
-    done(sim, owner, l, ds);
+    int ownProcess = processNumber;
+    finishLater(sim, owner, ownProcess, pendingCompletions);
   }
 
   /** Nothing was written: it waits in front of whatever has come since. */
-  private void tryAgain(
-      Sim sim, SimControl owner, List<RecordRing.Entry> refused, List<Runnable> ds) {
-    int l = life;
+  private void retryLater(
+      Simulation sim,
+      SimControlMachine owner,
+      List<RecordRing.Entry> refused,
+      List<Runnable> pendingCompletions) {
+    int ownProcess = processNumber;
     entries.addAll(0, refused);
-    dones.addAll(0, ds);
+    completions.addAll(0, pendingCompletions);
     sim.after(
-        AGAIN,
+        RETRY_DELAY_MS,
         () -> {
-          if (life != l) return;
+          if (processNumber != ownProcess) return;
           busy = false;
-          go(sim, owner);
+          startWrite(sim, owner);
         });
   }
 
-  private void done(Sim sim, SimControl owner, int l, List<Runnable> ds) {
+  private void finishLater(
+      Simulation sim, SimControlMachine owner, int ownProcess, List<Runnable> pendingCompletions) {
     sim.after(
-        slow + 1 + random.nextInt(random.nextInt(6) == 0 ? 80 : 8),
+        extraSyncMs + 1 + random.nextInt(random.nextInt(6) == 0 ? 80 : 8),
         () -> {
-          if (life != l) return;
+          if (processNumber != ownProcess) return;
           if (stalled) {
-            done(sim, owner, l, ds);
+            finishLater(sim, owner, ownProcess, pendingCompletions);
             return;
           }
           busy = false;
-          busySince = -1;
-          for (Runnable task : ds) owner.run(task);
-          go(sim, owner);
+          busySinceMs = -1;
+          for (Runnable task : pendingCompletions) owner.run(task);
+          startWrite(sim, owner);
         });
   }
 
-  long stalledFor(long now) {
-    return busySince < 0 ? 0 : now - busySince;
+  long stalledForMs(long nowMs) {
+    return busySinceMs < 0 ? 0 : nowMs - busySinceMs;
   }
 
   @Override
   public int fileCount() {
-    return FILES;
+    return FILE_COUNT;
   }
 
   @Override
   public int fileBytes() {
-    return SIZE;
+    return FILE_BYTES;
   }
 
   @Override
@@ -172,10 +177,11 @@
   }
 
   @Override
-  public void write(int file, int at, byte[] bytes) throws IOException {
+  public void write(int file, int offset, byte[] bytes) throws IOException {
     if (full) throw new IOException("no space left");
-    replaced.add(new Replaced(file, at, Arrays.copyOfRange(files[file], at, at + bytes.length)));
-    System.arraycopy(bytes, 0, files[file], at, bytes.length);
+    replaced.add(
+        new Replaced(file, offset, Arrays.copyOfRange(files[file], offset, offset + bytes.length)));
+    System.arraycopy(bytes, 0, files[file], offset, bytes.length);
   }
 
   @Override
--- a/emulator/src/main/java/gladelug/emulator/sim/SimIndex.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimIndex.java
@@ -17,23 +17,23 @@
 final class SimIndex {
   static final String NAME = "index";
 
-  private final RequestSim sim;
+  private final RequestSimulation sim;
   private final FleetSummary summary = new FleetSummary(16);
-  private final StateSubscription news;
+  private final StateSubscription subscription;
 
   /** The parts of cache events that are lost or come twice, and that come late. */
-  double loseEvents;
+  double eventLossRate;
 
-  double delayEvents;
+  double eventDelayRate;
 
-  SimIndex(RequestSim sim) {
+  SimIndex(RequestSimulation sim) {
     this.sim = sim;
-    news =
+    subscription =
         new StateSubscription(
-            sim::now,
+            sim::nowMs,
             new Shuffle.Descriptor(NAME, "index", "1.1.1.1:1", "1.1.1.1:2", "z", 0, 0),
             1,
-            snapshot -> summary.updateHolders(snapshot, sim.now()));
+            snapshot -> summary.updateHolders(snapshot, sim.nowMs()));
   }
 
   /** Who keeps these blocks, as far as the index knows. */
@@ -41,93 +41,101 @@
     return summary.answer(new Lookup.Query(1, blocks));
   }
 
-  void told(StateUpdate update) {
-    if (news.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
-      sim.whole(NAME, ((StateUpdate.ValuePush) update).key());
+  void onUpdate(StateUpdate update) {
+    if (subscription.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
+      sim.requestFullValue(NAME, ((StateUpdate.ValuePush) update).key());
   }
 
   /** Asks the core for news and its holders for what they keep, and comes again. */
-  void round() {
-    StateUpdate.SubscriptionRequest a = news.subscriptionRequest();
-    for (String c : sim.controlNames()) sim.ask(NAME, c, a);
-    summary.tick(sim.now());
+  void poll() {
+    StateUpdate.SubscriptionRequest subscriptionRequest = subscription.subscriptionRequest();
+    for (String control : sim.controlNames())
+      sim.sendSubscriptionRequest(NAME, control, subscriptionRequest);
+    summary.tick(sim.nowMs());
     for (Holder holder : summary.allHolders()) {
-      SimReplica replica = sim.at(holder.replica.address().toString());
+      SimReplica replica = sim.replicaAt(holder.replica.address().toString());
       if (replica == null
-          || !replica.answers()
+          || !replica.isAnswering()
           || !replica.instance.equals(holder.replica.instance())) continue;
-      holder.setListRequester(nr -> list(holder, replica, nr));
+      holder.setListRequester(requestNumber -> requestList(holder, replica, requestNumber));
       if (!holder.contacted) {
         holder.contacted = true;
-        summary.setCapacity(holder, replica.capacity(), sim.now());
-        holder.feed.resync(sim.now());
+        summary.setCapacity(holder, replica.capacity(), sim.nowMs());
+        holder.feed.resync(sim.nowMs());
       }
-      holder.lastHeardMs = sim.now();
-      String inc = replica.incarnation;
-      long seq = replica.seq;
-      sim.after(1 + sim.random.nextInt(20), () -> holder.feed.onPulse(inc, seq, sim.now()));
+      holder.lastHeardMs = sim.nowMs();
+      String incarnation = replica.incarnation;
+      long sequence = replica.sequence;
+      sim.after(
+          1 + sim.random.nextInt(20),
+          () -> holder.feed.onPulse(incarnation, sequence, sim.nowMs()));
     }
-    sim.after(400, this::round);
+    sim.after(400, this::poll);
   }
 
-  private void list(Holder holder, SimReplica replica, long nr) {
+  private void requestList(Holder holder, SimReplica replica, long requestNumber) {
     sim.after(
         1 + sim.random.nextInt(30),
         () -> {
-          if (!replica.answers() || sim.random.nextInt(10) == 0) {
-            sim.after(300, () -> holder.feed.resync(sim.now()));
+          if (!replica.isAnswering() || sim.random.nextInt(10) == 0) {
+            sim.after(300, () -> holder.feed.resync(sim.nowMs()));
             return;
           }
-          String inc = replica.incarnation;
-          long seq = replica.seq;
-          long[] blocks = replica.list();
+          String incarnation = replica.incarnation;
+          long sequence = replica.sequence;
+          long[] blocks = replica.keptBlockIds();
           sim.after(
               1 + sim.random.nextInt(30),
-              () -> holder.feed.onList(nr, BlockList.whole(inc, seq, blocks)));
+              () ->
+                  holder.feed.onList(
+                      requestNumber, BlockList.whole(incarnation, sequence, blocks)));
         });
   }
 
   /** A replica tells a change of what it keeps; some are lost, come twice or late. */
-  void cacheEvent(SimReplica replica, String inc, long seq, boolean store, long block) {
+  void cacheEvent(
+      SimReplica replica, String incarnation, long sequence, boolean isStore, long block) {
     CacheEvent event =
-        store ? CacheEvent.store(inc, seq, block, 1) : CacheEvent.evict(inc, seq, block, 0);
+        isStore
+            ? CacheEvent.store(incarnation, sequence, block, 1)
+            : CacheEvent.evict(incarnation, sequence, block, 0);
     for (Holder holder : summary.allHolders()) {
       if (!holder.replica.instance().equals(replica.instance)
-          || sim.random.nextDouble() < loseEvents) continue;
-      int n = sim.random.nextDouble() < loseEvents ? 2 : 1;
-      for (int i = 0; i < n; i++)
+          || sim.random.nextDouble() < eventLossRate) continue;
+      int copies = sim.random.nextDouble() < eventLossRate ? 2 : 1;
+      for (int i = 0; i < copies; i++)
         sim.after(
             1
-                + (sim.random.nextDouble() < delayEvents
+                + (sim.random.nextDouble() < eventDelayRate
                     ? sim.random.nextInt(400)
                     : sim.random.nextInt(2)),
-            () -> holder.feed.onEvent(event, sim.now()));
+            () -> holder.feed.onEvent(event, sim.nowMs()));
     }
   }
 
   /** Once quiet, whatever a holder keeps is found, and next to nothing else. */
-  void judge() {
+  void checkEntries() {
     if (!summary.isWarm()) {
       sim.violation("the index is not warm");
       return;
     }
-    int kept = 0, entries = summary.toJson(sim.now()).getInt("entries", -1);
+    int keptCount = 0, entryCount = summary.toJson(sim.nowMs()).getInt("entries", -1);
     for (SimReplica replica : sim.replicas.values()) {
       boolean known =
           summary.allHolders().stream()
               .anyMatch(holder -> holder.replica.instance().equals(replica.instance));
-      if (replica.model && !known && !replica.instance.equals("m9"))
+      if (replica.isModel && !known && !replica.instance.equals("m9"))
         sim.violation("the index doesn't know " + replica.instance);
       if (!known) continue;
-      for (long b : replica.list()) {
-        kept++;
+      for (long block : replica.keptBlockIds()) {
+        keptCount++;
         boolean found =
-            summary.answer(new Lookup.Query(1, new long[] {b})).matches().stream()
-                .anyMatch(m -> m.holder().equals(replica.instance));
+            summary.answer(new Lookup.Query(1, new long[] {block})).matches().stream()
+                .anyMatch(match -> match.holder().equals(replica.instance));
         if (!found) sim.violation("the index doesn't know a block of " + replica.instance);
       }
     }
-    if (entries != kept)
-      sim.violation("the index holds " + entries + " entries where holders keep " + kept);
+    if (entryCount != keptCount)
+      sim.violation("the index holds " + entryCount + " entries where holders keep " + keptCount);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimNetwork.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimNetwork.java
@@ -11,72 +11,74 @@
  */
 final class SimNetwork {
   /** Without heartbeats attempts to connect took this long, ms. */
-  private static final Liveness BEFORE = new Liveness(1, 1, 1000, 200);
+  private static final Liveness WITHOUT_HEARTBEATS = new Liveness(1, 1, 1000, 200);
 
   private record Pair(String caller, String callee) {}
 
-  private record Asked(SimHeld held, SimTcp connection) {}
+  private record RelaySubscription(SimLink link, SimTcpConnection connection) {}
 
-  private final Sim sim;
-  private final Map<Pair, SimHeld> held = new HashMap<>();
+  private final Simulation sim;
+  private final Map<Pair, SimLink> links = new HashMap<>();
 
   /** By member and relay: the connection that the relay asked by last. */
-  private final Map<Pair, Asked> asked = new HashMap<>();
+  private final Map<Pair, RelaySubscription> subscriptions = new HashMap<>();
 
-  SimNetwork(Sim sim) {
+  SimNetwork(Simulation sim) {
     this.sim = sim;
   }
 
-  private SimHeld hold(String caller, String callee) {
-    Pair p = new Pair(caller, callee);
-    SimHeld h = held.get(p);
-    if (h == null || h.over()) held.put(p, h = begin(caller, callee));
-    return h;
+  private SimLink linkOf(String caller, String callee) {
+    Pair pair = new Pair(caller, callee);
+    SimLink link = links.get(pair);
+    if (link == null || link.isOver()) links.put(pair, link = openLink(caller, callee));
+    return link;
   }
 
-  private SimHeld begin(String caller, String callee) {
-    boolean member = sim.controls.containsKey(caller);
-    Liveness l =
-        member
-            ? Liveness.forMembers(sim.tunables.heartbeatMs(), sim.tunables.peerTimeoutMs())
+  private SimLink openLink(String caller, String callee) {
+    boolean isMember = sim.controls.containsKey(caller);
+    Liveness liveness =
+        isMember
+            ? Liveness.forMembers(sim.config.heartbeatMs(), sim.config.peerTimeoutMs())
             : Liveness.DATA_PLANE;
-    Consumer<SimTcp> opened = c -> sim.opened(caller, callee);
-    return new SimHeld(sim, caller, callee, sim.heartbeats ? l : BEFORE, opened);
+    Consumer<SimTcpConnection> onOpened = connection -> sim.onConnectionOpened(caller, callee);
+    return new SimLink(
+        sim, caller, callee, sim.usesHeartbeats ? liveness : WITHOUT_HEARTBEATS, onOpened);
   }
 
   /** received: at the callee, by the process that runs there. */
-  void send(String caller, String callee, int bytes, Runnable received) {
-    hold(caller, callee).send(bytes, c -> received.run());
+  void send(String caller, String callee, int bytes, Runnable onReceived) {
+    linkOf(caller, callee).send(bytes, connection -> onReceived.run());
   }
 
   /** What a relay asks, so that news can go back by the same connection. */
-  void ask(String relay, String member, int bytes, Runnable received) {
-    SimHeld h = hold(relay, member);
-    h.send(
+  void subscribe(String relay, String isMember, int bytes, Runnable onReceived) {
+    SimLink link = linkOf(relay, isMember);
+    link.send(
         bytes,
-        c -> {
-          asked.put(new Pair(member, relay), new Asked(h, c));
-          received.run();
+        connection -> {
+          subscriptions.put(new Pair(isMember, relay), new RelaySubscription(link, connection));
+          onReceived.run();
         });
   }
 
-  void news(String member, String relay, Runnable received) {
-    Asked a = asked.get(new Pair(member, relay));
-    if (a != null && a.connection.open()) a.held.answer(a.connection, received);
+  void pushUpdate(String isMember, String relay, Runnable onReceived) {
+    RelaySubscription subscription = subscriptions.get(new Pair(isMember, relay));
+    if (subscription != null && subscription.connection.isOpen())
+      subscription.link.sendBack(subscription.connection, onReceived);
   }
 
   void closeIfSilent(String caller) {
-    held.forEach(
-        (p, h) -> {
-          if (p.caller.equals(caller)) h.closeIfSilent();
+    links.forEach(
+        (pair, link) -> {
+          if (pair.caller.equals(caller)) link.closeIfSilent();
         });
   }
 
   /** Resets all connections of this process, begun by it or by others. */
-  void reset(String who) {
-    held.forEach(
-        (p, h) -> {
-          if (p.caller.equals(who) || p.callee.equals(who)) h.reset();
+  void resetAll(String process) {
+    links.forEach(
+        (pair, link) -> {
+          if (pair.caller.equals(process) || pair.callee.equals(process)) link.reset();
         });
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimRelay.java
@@ -14,19 +14,19 @@
  */
 final class SimRelay {
   final String name;
-  private final Sim sim;
-  private ReplicatedStateView book;
+  private final Simulation sim;
+  private ReplicatedStateView stateView;
   boolean up;
   boolean paused;
-  int life;
-  double rate = 1;
-  long starts;
-  long refused;
-  long lastStart = -1;
-  long longestGap;
+  int processNumber;
+  double clockRate = 1;
+  long startCount;
+  long refusedCount;
+  long lastStartMs = -1;
+  long longestGapMs;
   final Map<String, String> digests = new HashMap<>();
 
-  SimRelay(Sim sim, String name) {
+  SimRelay(Simulation sim, String name) {
     this.sim = sim;
     this.name = name;
   }
@@ -34,72 +34,75 @@
   void start() {
     up = true;
     paused = false;
-    life++;
-    book =
+    processNumber++;
+    stateView =
         new ReplicatedStateView(
             new Shuffle.Descriptor(name, "relay", "1.1.1.1:1", "1.1.1.1:2", "z", 0, 0),
-            life,
-            p -> {
-              sim.pushed(name, p);
-              digests.put(p.key(), p.digest());
+            processNumber,
+            push -> {
+              sim.onValuePushed(name, push);
+              digests.put(push.key(), push.digest());
               return true;
             });
-    ask(life);
-    work(life);
+    subscribeRegularly(processNumber);
+    startRequests(processNumber);
   }
 
   void kill() {
     up = false;
-    life++;
+    processNumber++;
   }
 
-  private long now() {
-    return (long) (sim.now() * rate);
+  private long nowMs() {
+    return (long) (sim.nowMs() * clockRate);
   }
 
-  private void ask(int l) {
-    if (l != life) return;
-    if (!paused) askNow();
-    sim.after(sim.askEach, () -> ask(l));
+  private void subscribeRegularly(int ownProcess) {
+    if (ownProcess != processNumber) return;
+    if (!paused) subscribe();
+    sim.after(sim.subscriptionIntervalMs, () -> subscribeRegularly(ownProcess));
   }
 
   /** A new connection to a member stands. */
-  void connected(String control) {
-    if (!paused) sim.ask(name, control, book.subscriptionRequest(now()));
+  void onConnected(String control) {
+    if (!paused) sim.sendSubscriptionRequest(name, control, stateView.subscriptionRequest(nowMs()));
   }
 
-  private void askNow() {
-    StateUpdate.SubscriptionRequest a = book.subscriptionRequest(now());
-    for (String c : sim.controlNames()) sim.ask(name, c, a);
+  private void subscribe() {
+    StateUpdate.SubscriptionRequest subscriptionRequest = stateView.subscriptionRequest(nowMs());
+    for (String control : sim.controlNames())
+      sim.sendSubscriptionRequest(name, control, subscriptionRequest);
   }
 
-  private void work(int l) {
-    if (l != life) return;
+  private void startRequests(int ownProcess) {
+    if (ownProcess != processNumber) return;
     if (!paused) {
-      if (book.number(StateKeys.CONFIGURATION) > 0 && book.leases.isValid(now())) {
-        starts++;
-        if (lastStart >= 0) longestGap = Math.max(longestGap, sim.now() - lastStart);
-        lastStart = sim.now();
-        sim.started(this, book);
-      } else refused++;
+      if (stateView.number(StateKeys.CONFIGURATION) > 0 && stateView.leases.isValid(nowMs())) {
+        startCount++;
+        if (lastStartMs >= 0) longestGapMs = Math.max(longestGapMs, sim.nowMs() - lastStartMs);
+        lastStartMs = sim.nowMs();
+        sim.onRequestStarted(this, stateView);
+      } else refusedCount++;
     }
-    sim.after(7, () -> work(l));
+    sim.after(7, () -> startRequests(ownProcess));
   }
 
-  void told(StateUpdate update) {
+  void onUpdate(StateUpdate update) {
     if (!up || paused) return;
-    long before =
-        book.number(update instanceof StateUpdate.ValuePush p ? p.key() : StateKeys.CONFIGURATION);
-    if (book.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
-      sim.whole(name, ((StateUpdate.ValuePush) update).key());
-    if (update instanceof StateUpdate.ValuePush p) {
-      if (book.number(p.key()) < before)
-        sim.violation(name + " went back from " + before + " to " + book.number(p.key()));
-      askNow();
+    long numberBefore =
+        stateView.number(
+            update instanceof StateUpdate.ValuePush push ? push.key() : StateKeys.CONFIGURATION);
+    if (stateView.apply(update) == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
+      sim.requestFullValue(name, ((StateUpdate.ValuePush) update).key());
+    if (update instanceof StateUpdate.ValuePush push) {
+      if (stateView.number(push.key()) < numberBefore)
+        sim.violation(
+            name + " went back from " + numberBefore + " to " + stateView.number(push.key()));
+      subscribe();
     }
   }
 
-  long number(String key) {
-    return book.number(key);
+  long versionOf(String key) {
+    return stateView.number(key);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimReplica.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimReplica.java
@@ -17,32 +17,36 @@
  * (nobody is told), hang, refuse requests, break streams, send bytes after its end.
  */
 final class SimReplica {
-  static final int BLOCK = 16;
-  private static final int SLOTS = 4, CAPACITY = 48, MS_BLOCK = 4, MS_PIECE = 6, LOAD_MS = 1200;
+  static final int BLOCK_BYTES = 16;
+  private static final int SLOTS = 4,
+      CAPACITY_BLOCKS = 48,
+      MS_PER_BLOCK = 4,
+      MS_PER_PIECE = 6,
+      LOAD_MS = 1200;
 
   /** What a block was made under, and the tag of the request that made it first. */
-  private record Kept(String weights, String wall, String maker) {}
+  private record KeptBlock(String weights, String wall, String maker) {}
 
   /** One request as it has it. */
   static final class Job {
-    final SimConnections.Line line;
-    final JsonObject in;
+    final SimReplicaConnections.ConnectionUse line;
+    final JsonObject request;
     final Ledger.Run run;
-    int pieces;
-    boolean gone;
+    int sentPieces;
+    boolean ended;
 
-    Job(SimConnections.Line line, JsonObject json, Ledger.Run run) {
+    Job(SimReplicaConnections.ConnectionUse line, JsonObject json, Ledger.Run run) {
       this.line = line;
-      this.in = json;
+      this.request = json;
       this.run = run;
     }
   }
 
-  private final RequestSim sim;
+  private final RequestSimulation sim;
   final String service;
   final String instance;
   final Address address;
-  final boolean model;
+  final boolean isModel;
   String weights;
   private String loading = "";
   boolean up = true;
@@ -51,58 +55,58 @@
   /** A machine that vanished: nothing is answered and no connection is told. */
   boolean vanished;
 
-  int life;
-  double notRun;
-  double cutStreams;
-  boolean lateBytes;
+  int processNumber;
+  double refusalRate;
+  double streamBreakRate;
+  boolean sendsLateBytes;
 
   /** How often an answer is sent a second time, at once or within so many ms. */
-  double repeatsAnswers;
+  double answerRepeatRate;
 
-  long repeatsWithinMs = 1;
+  long maxRepeatDelayMs = 1;
   boolean neverLoads;
 
   /** Hears nothing of its commander. */
-  boolean deaf;
+  boolean ignoresCommands;
 
-  private final LinkedHashMap<Long, Kept> kept = new LinkedHashMap<>(64, 0.75f, true);
-  private final List<Job> running = new ArrayList<>();
-  private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-  private long busyUntil;
+  private final LinkedHashMap<Long, KeptBlock> keptBlocks = new LinkedHashMap<>(64, 0.75f, true);
+  private final List<Job> runningJobs = new ArrayList<>();
+  private final ArrayDeque<Job> waitingJobs = new ArrayDeque<>();
+  private long busyUntilMs;
   private long epoch;
   private String commander = "";
-  int refusedSteers;
+  int refusedCommandCount;
   String incarnation;
-  long seq;
-  private int lives;
+  long sequence;
+  private int incarnationCount;
 
   SimReplica(
-      RequestSim sim,
+      RequestSimulation sim,
       String service,
       String instance,
       Address address,
-      boolean model,
+      boolean isModel,
       String weights) {
     this.sim = sim;
     this.service = service;
     this.instance = instance;
     this.address = address;
-    this.model = model;
+    this.isModel = isModel;
     this.weights = weights;
     this.incarnation = instance + "/0";
   }
 
-  boolean answers() {
+  boolean isAnswering() {
     return up && !hung && !vanished;
   }
 
   void crash() {
     up = false;
-    life++;
-    for (Job j : new ArrayList<>(running)) j.gone = true;
-    for (Job j : waiting) j.gone = true;
-    running.clear();
-    waiting.clear();
+    processNumber++;
+    for (Job job : new ArrayList<>(runningJobs)) job.ended = true;
+    for (Job job : waitingJobs) job.ended = true;
+    runningJobs.clear();
+    waitingJobs.clear();
   }
 
   /** Empty, and on the weights it boots with, which may be old ones. */
@@ -110,35 +114,35 @@
     if (up) return;
     up = true;
     vanished = hung = false;
-    weights = model ? bootWeights : "";
+    weights = isModel ? bootWeights : "";
     loading = "";
     epoch = 0;
     commander = "";
-    busyUntil = 0;
-    fresh();
+    busyUntilMs = 0;
+    startNewIncarnation();
   }
 
-  private void fresh() {
-    kept.clear();
-    seq = 0;
-    incarnation = instance + "/" + ++lives;
+  private void startNewIncarnation() {
+    keptBlocks.clear();
+    sequence = 0;
+    incarnation = instance + "/" + ++incarnationCount;
   }
 
-  io.vertx.core.json.JsonObject load() {
+  io.vertx.core.json.JsonObject loadReport() {
     return new io.vertx.core.json.JsonObject()
         .put("service", service)
         .put("instance", instance)
         .put("weights", loading.isEmpty() ? weights : "")
-        .put("blockBytes", BLOCK)
-        .put("running", running.size())
-        .put("waiting", waiting.size())
+        .put("blockBytes", BLOCK_BYTES)
+        .put("running", runningJobs.size())
+        .put("waiting", waitingJobs.size())
         .put("slots", SLOTS)
-        .put("waitMs", Math.max(0, busyUntil - sim.now()))
-        .put("msPerBlock", MS_BLOCK)
+        .put("waitMs", Math.max(0, busyUntilMs - sim.nowMs()))
+        .put("msPerBlock", MS_PER_BLOCK)
         .put("links", new io.vertx.core.json.JsonObject());
   }
 
-  String runs() {
+  String currentWeights() {
     return weights;
   }
 
@@ -147,20 +151,20 @@
   }
 
   int capacity() {
-    return CAPACITY;
+    return CAPACITY_BLOCKS;
   }
 
-  long[] list() {
-    return kept.keySet().stream().mapToLong(x -> x).toArray();
+  long[] keptBlockIds() {
+    return keptBlocks.keySet().stream().mapToLong(x -> x).toArray();
   }
 
   boolean has(long block) {
-    return up && kept.containsKey(block);
+    return up && keptBlocks.containsKey(block);
   }
 
   // ---- requests
 
-  Job order(SimConnections.Line line, JsonObject json, long handed) {
+  Job onRequest(SimReplicaConnections.ConnectionUse line, JsonObject json, long handedAtMs) {
     String tag = StandInContent.tagOf(json.getString("prompt", ""));
     Ledger.Run run =
         new Ledger.Run(
@@ -171,132 +175,144 @@
             json.getString("weights", ""),
             json.getString("wall", ""),
             json.getInt("try", 0),
-            handed);
+            handedAtMs);
     sim.ledger.run(run);
-    String why =
+    String refusal =
         !instance.equals(json.getString("instance", ""))
                 || !service.equals(json.getString("service", ""))
             ? "this is " + service + "/" + instance
             : !loading.isEmpty()
                 ? "weights are being loaded"
-                : model && !weights.equals(json.getString("weights", ""))
+                : isModel && !weights.equals(json.getString("weights", ""))
                     ? "weights " + weights + " run here"
-                    : running.size() >= SLOTS && waiting.size() >= 2 * SLOTS
+                    : runningJobs.size() >= SLOTS && waitingJobs.size() >= 2 * SLOTS
                         ? "full"
-                        : sim.random.nextDouble() < notRun ? "not now" : "";
-    if (!why.isEmpty()) {
+                        : sim.random.nextDouble() < refusalRate ? "not now" : "";
+    if (!refusal.isEmpty()) {
       String body =
           Json.object()
               .add("order", run.order)
               .add("outcome", "not-run")
-              .add("reason", why)
+              .add("reason", refusal)
               .toString();
-      line.toRelay(a -> a.refused(409, body));
-      line.done();
+      line.sendToRelay(answer -> answer.refused(409, body));
+      line.onAnswerSent();
       return null;
     }
     run.ran = true;
-    Job j = new Job(line, json, run);
-    if (running.size() < SLOTS) begin(j);
-    else waiting.add(j);
-    return j;
+    Job job = new Job(line, json, run);
+    if (runningJobs.size() < SLOTS) beginPrefill(job);
+    else waitingJobs.add(job);
+    return job;
   }
 
-  void left(Job j) {
-    if (j.gone) return;
-    j.gone = true;
-    j.run.left = !j.run.ended;
-    if (!waiting.remove(j) && running.remove(j)) next();
+  void cancel(Job job) {
+    if (job.ended) return;
+    job.ended = true;
+    job.run.left = !job.run.ended;
+    if (!waitingJobs.remove(job) && runningJobs.remove(job)) startWaitingJobs();
   }
 
-  private void next() {
-    while (up && running.size() < SLOTS && !waiting.isEmpty()) begin(waiting.poll());
+  private void startWaitingJobs() {
+    while (up && runningJobs.size() < SLOTS && !waitingJobs.isEmpty())
+      beginPrefill(waitingJobs.poll());
   }
 
-  private void begin(Job j) {
-    running.add(j);
+  private void beginPrefill(Job job) {
+    runningJobs.add(job);
     long[] blocks =
-        model
+        isModel
             ? StandInContent.blockIds(
-                service, j.run.weights, j.run.wall, j.in.getString("prompt", ""), BLOCK)
+                service,
+                job.run.weights,
+                job.run.wall,
+                job.request.getString("prompt", ""),
+                BLOCK_BYTES)
             : new long[0];
-    int have = 0;
-    while (have < blocks.length && kept.containsKey(blocks[have])) {
-      Kept k = kept.get(blocks[have]);
-      sim.ledger.used(j.run, k.maker);
-      if (!k.weights.equals(j.run.weights) || !k.wall.equals(j.run.wall))
+    int reusedCount = 0;
+    while (reusedCount < blocks.length && keptBlocks.containsKey(blocks[reusedCount])) {
+      KeptBlock keptBlock = keptBlocks.get(blocks[reusedCount]);
+      sim.ledger.used(job.run, keptBlock.maker);
+      if (!keptBlock.weights.equals(job.run.weights) || !keptBlock.wall.equals(job.run.wall))
         sim.ledger.wrongReuse.add(
-            j.run.tag + " at " + instance + " reused what was made under " + k);
-      have++;
+            job.run.tag + " at " + instance + " reused what was made under " + keptBlock);
+      reusedCount++;
     }
-    j.run.blocks = blocks.length;
-    j.run.reused = have;
-    busyUntil = Math.max(sim.now(), busyUntil) + (blocks.length - have + 1L) * MS_BLOCK;
-    step(
-        j,
-        busyUntil - sim.now(),
+    job.run.blocks = blocks.length;
+    job.run.reused = reusedCount;
+    busyUntilMs =
+        Math.max(sim.nowMs(), busyUntilMs) + (blocks.length - reusedCount + 1L) * MS_PER_BLOCK;
+    runLater(
+        job,
+        busyUntilMs - sim.nowMs(),
         () -> {
-          for (long b : blocks) keep(b, new Kept(j.run.weights, j.run.wall, j.run.tag));
-          String head = headOf(j);
-          j.line.toRelay(a -> a.line(head));
-          piece(j);
+          for (long block : blocks)
+            keepBlock(block, new KeptBlock(job.run.weights, job.run.wall, job.run.tag));
+          String head = headOf(job);
+          job.line.sendToRelay(answer -> answer.line(head));
+          sendNextPiece(job);
         });
   }
 
   /** Later, if both are still there then; one that hangs goes on when it wakes. */
-  private void step(Job j, long ms, Runnable task) {
-    int l = life;
+  private void runLater(Job job, long delayMs, Runnable task) {
+    int ownProcess = processNumber;
     sim.after(
-        Math.max(1, ms),
+        Math.max(1, delayMs),
         () -> {
-          if (l != life || j.gone) return;
-          if (hung) step(j, 50, task);
+          if (ownProcess != processNumber || job.ended) return;
+          if (hung) runLater(job, 50, task);
           else task.run();
         });
   }
 
-  private void piece(Job j) {
-    int want = Math.min(j.in.getInt("maxPieces", 1), StandInContent.piecesOf(j.run.tag, 12));
-    if (j.pieces > 1 && sim.random.nextDouble() < cutStreams) {
-      left(j);
-      j.line.toRelay(a -> a.closed("the answer broke off"));
-      j.line.broken();
+  private void sendNextPiece(Job job) {
+    int pieceCount =
+        Math.min(job.request.getInt("maxPieces", 1), StandInContent.piecesOf(job.run.tag, 12));
+    if (job.sentPieces > 1 && sim.random.nextDouble() < streamBreakRate) {
+      cancel(job);
+      job.line.sendToRelay(answer -> answer.closed("the answer broke off"));
+      job.line.onStreamBroken();
       return;
     }
-    if (j.pieces < want) {
-      int n = j.pieces++;
-      String p = pieceOf(j, n);
-      j.run.pieces = j.pieces;
-      j.line.toRelay(a -> a.line(p));
-      sim.passes(RequestSim.Point.STREAM, j.run.tag, () -> step(j, MS_PIECE, () -> piece(j)));
+    if (job.sentPieces < pieceCount) {
+      int index = job.sentPieces++;
+      String piece = pieceOf(job, index);
+      job.run.pieces = job.sentPieces;
+      job.line.sendToRelay(answer -> answer.line(piece));
+      sim.passPoint(
+          RequestSimulation.RequestPoint.STREAM,
+          job.run.tag,
+          () -> runLater(job, MS_PER_PIECE, () -> sendNextPiece(job)));
       return;
     }
-    j.run.ended = true;
-    j.gone = true;
-    running.remove(j);
-    String end = endOf(want);
-    j.line.toRelay(a -> a.line(end));
-    if (lateBytes)
-      j.line.toRelay(a -> a.line("{\"piece\":" + want + ",\"text\":\"after the end\"}"));
-    j.line.toRelay(a -> a.closed("the answer ended without saying so"));
-    j.line.done();
-    if (sim.random.nextDouble() < repeatsAnswers)
-      j.line.sendSurplus(wholeAnswer(j), sim.random.nextLong(repeatsWithinMs));
-    next();
+    job.run.ended = true;
+    job.ended = true;
+    runningJobs.remove(job);
+    String end = endOf(pieceCount);
+    job.line.sendToRelay(answer -> answer.line(end));
+    if (sendsLateBytes)
+      job.line.sendToRelay(
+          answer -> answer.line("{\"piece\":" + pieceCount + ",\"text\":\"after the end\"}"));
+    job.line.sendToRelay(answer -> answer.closed("the answer ended without saying so"));
+    job.line.onAnswerSent();
+    if (sim.random.nextDouble() < answerRepeatRate)
+      job.line.sendSurplus(wholeAnswer(job), sim.random.nextLong(maxRepeatDelayMs));
+    startWaitingJobs();
   }
 
-  private String headOf(Job j) {
+  private String headOf(Job job) {
     return Json.object()
-        .add("order", j.run.order)
+        .add("order", job.run.order)
         .add("instance", instance)
-        .add("weights", j.run.weights)
+        .add("weights", job.run.weights)
         .toString();
   }
 
-  private static String pieceOf(Job j, int n) {
+  private static String pieceOf(Job job, int index) {
     return Json.object()
-        .add("piece", n)
-        .add("text", StandInContent.textOf(j.run.tag, n))
+        .add("piece", index)
+        .add("text", StandInContent.textOf(job.run.tag, index))
         .toString();
   }
 
@@ -304,61 +320,62 @@
     return Json.object().add("end", true).add("pieces", pieces).toString();
   }
 
-  private List<String> wholeAnswer(Job j) {
+  private List<String> wholeAnswer(Job job) {
     List<String> lines = new ArrayList<>();
-    lines.add(headOf(j));
-    for (int n = 0; n < j.pieces; n++) lines.add(pieceOf(j, n));
-    lines.add(endOf(j.pieces));
+    lines.add(headOf(job));
+    for (int index = 0; index < job.sentPieces; index++) lines.add(pieceOf(job, index));
+    lines.add(endOf(job.sentPieces));
     return lines;
   }
 
-  private void keep(long block, Kept made) {
-    Kept first = kept.get(block);
+  private void keepBlock(long block, KeptBlock newBlock) {
+    KeptBlock first = keptBlocks.get(block);
     if (first == null) {
-      kept.put(block, made);
-      tell(true, block);
+      keptBlocks.put(block, newBlock);
+      publishCacheEvent(true, block);
     }
-    while (kept.size() > CAPACITY) {
-      long old = kept.keySet().iterator().next();
-      kept.remove(old);
-      tell(false, old);
+    while (keptBlocks.size() > CAPACITY_BLOCKS) {
+      long evicted = keptBlocks.keySet().iterator().next();
+      keptBlocks.remove(evicted);
+      publishCacheEvent(false, evicted);
     }
   }
 
-  private void tell(boolean store, long block) {
-    long s = ++seq;
-    String inc = incarnation;
-    sim.index.cacheEvent(this, inc, s, store, block);
+  private void publishCacheEvent(boolean isStore, long block) {
+    long eventSequence = ++sequence;
+    String eventIncarnation = incarnation;
+    sim.index.cacheEvent(this, eventIncarnation, eventSequence, isStore, block);
   }
 
   // ---- its commander
 
-  void steer(String who, long e, String w) {
-    if (!answers() || deaf) return;
-    if (e < epoch) {
-      refusedSteers++;
-      sim.violation(instance + " had to refuse " + who + " under " + e + ", below " + epoch);
+  void onCommand(String sender, long commandEpoch, String commandedWeights) {
+    if (!isAnswering() || ignoresCommands) return;
+    if (commandEpoch < epoch) {
+      refusedCommandCount++;
+      sim.violation(
+          instance + " had to refuse " + sender + " under " + commandEpoch + ", below " + epoch);
       return;
     }
-    if (e == epoch && !who.equals(commander) && !commander.isEmpty())
+    if (commandEpoch == epoch && !sender.equals(commander) && !commander.isEmpty())
       sim.ledger.doubleCommand.add(
-          instance + ": epoch " + e + " used by " + commander + " and " + who);
-    epoch = e;
-    commander = who;
-    if (w.equals(weights) || w.equals(loading)) return;
-    loading = w;
-    int l = life;
-    if (!neverLoads) sim.after(LOAD_MS, () -> loaded(l, w));
+          instance + ": epoch " + commandEpoch + " used by " + commander + " and " + sender);
+    epoch = commandEpoch;
+    commander = sender;
+    if (commandedWeights.equals(weights) || commandedWeights.equals(loading)) return;
+    loading = commandedWeights;
+    int ownProcess = processNumber;
+    if (!neverLoads) sim.after(LOAD_MS, () -> finishLoading(ownProcess, commandedWeights));
   }
 
-  private void loaded(int l, String w) {
-    if (l != life || !loading.equals(w)) return;
-    if (!running.isEmpty() || !waiting.isEmpty() || hung) {
-      sim.after(20, () -> loaded(l, w));
+  private void finishLoading(int ownProcess, String commandedWeights) {
+    if (ownProcess != processNumber || !loading.equals(commandedWeights)) return;
+    if (!runningJobs.isEmpty() || !waitingJobs.isEmpty() || hung) {
+      sim.after(20, () -> finishLoading(ownProcess, commandedWeights));
       return;
     }
-    weights = w;
+    weights = commandedWeights;
     loading = "";
-    fresh();
+    startNewIncarnation();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/Timeline.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/Timeline.java
@@ -17,7 +17,7 @@
 final class Timeline {
   private Timeline() {}
 
-  static Sim play(Sim world, String text) {
+  static Simulation play(Simulation world, String text) {
     return play(
         world,
         text,
@@ -27,168 +27,181 @@
   }
 
   /** Plays a story whose column calls is told to the given consumer. */
-  static Sim play(Sim world, String text, Consumer<String> calls) {
-    List<String> head = null;
-    long base = world.now();
-    for (String raw : text.split("\n")) {
-      if (raw.isBlank()) continue;
-      List<String> cells = cells(raw);
-      if (head == null) {
-        head = cells;
+  static Simulation play(Simulation world, String text, Consumer<String> calls) {
+    List<String> columns = null;
+    long baseMs = world.nowMs();
+    for (String line : text.split("\n")) {
+      if (line.isBlank()) continue;
+      List<String> cells = cellsOf(line);
+      if (columns == null) {
+        columns = cells;
         continue;
       }
-      long at = base + Long.parseLong(cells.get(0));
-      if (at < world.now()) throw new IllegalArgumentException("goes back in time: " + raw);
-      world.run(at - world.now());
-      Set<String> side = new HashSet<>();
-      for (int i = 1; i < cells.size(); i++) if (cells.get(i).equals("side")) side.add(head.get(i));
-      if (!side.isEmpty()) world.split(side);
+      long atMs = baseMs + Long.parseLong(cells.get(0));
+      if (atMs < world.nowMs()) throw new IllegalArgumentException("goes back in time: " + line);
+      world.run(atMs - world.nowMs());
+      Set<String> group = new HashSet<>();
+      for (int i = 1; i < cells.size(); i++)
+        if (cells.get(i).equals("side")) group.add(columns.get(i));
+      if (!group.isEmpty()) world.split(group);
       for (int i = 1; i < cells.size(); i++) {
-        String what = cells.get(i);
-        if (what.equals(".") || what.equals("side")) continue;
-        if (head.get(i).equals("calls")) calls.accept(what);
-        else if (head.get(i).equals("op")) operator(world, what, raw);
-        else if (head.get(i).startsWith("c")) control(world, head.get(i), what);
-        else relay(world, head.get(i), what);
+        String action = cells.get(i);
+        if (action.equals(".") || action.equals("side")) continue;
+        if (columns.get(i).equals("calls")) calls.accept(action);
+        else if (columns.get(i).equals("op")) applyToOperator(world, action, line);
+        else if (columns.get(i).startsWith("c")) applyToControl(world, columns.get(i), action);
+        else applyToRelay(world, columns.get(i), action);
       }
     }
     return world;
   }
 
-  private static List<String> cells(String raw) {
-    List<String> l = new ArrayList<>();
-    for (String c : raw.split("\\|")) l.add(c.trim());
-    return l;
+  private static List<String> cellsOf(String line) {
+    List<String> cells = new ArrayList<>();
+    for (String cell : line.split("\\|")) cells.add(cell.trim());
+    return cells;
   }
 
-  private static void control(Sim world, String n, String what) {
-    SimControl control = world.controls.get(n);
-    switch (what) {
+  private static void applyToControl(Simulation world, String name, String action) {
+    SimControlMachine control = world.controls.get(name);
+    switch (action) {
       case "kill" -> control.kill();
-      case "power" -> control.power();
+      case "power" -> control.cutPower();
       case "term" -> control.terminate();
       case "up" -> control.start();
       case "pause" -> control.pause();
-      case "wake" -> control.wake();
-      case "cut" -> world.cutOff(n);
-      case "cut-in" -> world.cutOneWay(n, false);
-      case "cut-out" -> world.cutOneWay(n, true);
-      case "heal" -> world.heal(n);
-      case "stall" -> control.medium.stalled = true;
+      case "wake" -> control.resume();
+      case "cut" -> world.cutOff(name);
+      case "cut-in" -> world.cutOneWay(name, false);
+      case "cut-out" -> world.cutOneWay(name, true);
+      case "heal" -> world.heal(name);
+      case "stall" -> control.storage.stalled = true;
       case "free" -> {
-        control.medium.stalled = false;
-        control.medium.go(world, control);
+        control.storage.stalled = false;
+        control.storage.startWrite(world, control);
       }
-      case "fail" -> control.medium.failing = true;
+      case "fail" -> control.storage.failing = true;
       case "empty" -> {
-        control.empty(control.disk + "x");
+        control.replaceDisk(control.diskId + "x");
         control.start();
       }
       case "emptyFounder" -> {
-        control.emptyFounder(control.disk + "x");
+        control.replaceDiskOfFounder(control.diskId + "x");
         control.start();
       }
-      case "new" -> world.machine(n);
-      default -> throw new IllegalArgumentException(what);
+      case "new" -> world.addMachine(name);
+      default -> throw new IllegalArgumentException(action);
     }
   }
 
-  private static void relay(Sim world, String n, String what) {
-    SimRelay relay = world.relays.get(n);
-    if (what.startsWith("cutby ")) {
-      world.cut(n, what.substring(6));
-      world.cut(what.substring(6), n);
+  private static void applyToRelay(Simulation world, String name, String action) {
+    SimRelay relay = world.relays.get(name);
+    if (action.startsWith("cutby ")) {
+      world.cutLink(name, action.substring(6));
+      world.cutLink(action.substring(6), name);
       return;
     }
-    switch (what) {
+    switch (action) {
       case "kill" -> relay.kill();
       case "up" -> relay.start();
       case "pause" -> relay.paused = true;
       case "wake" -> relay.paused = false;
-      case "cut" -> world.cutOff(n);
-      case "heal" -> world.heal(n);
-      default -> throw new IllegalArgumentException(what);
+      case "cut" -> world.cutOff(name);
+      case "heal" -> world.heal(name);
+      default -> throw new IllegalArgumentException(action);
     }
   }
 
-  private static void operator(Sim world, String what, String line) {
-    for (String w : what.split(",")) {
-      String[] ps = w.trim().split(" ");
-      String why = "at " + line + "\n" + world.story();
-      switch (ps[0]) {
+  private static void applyToOperator(Simulation world, String action, String line) {
+    for (String command : action.split(",")) {
+      String[] words = command.trim().split(" ");
+      String context = "at " + line + "\n" + world.eventLogText();
+      switch (words[0]) {
         case "send" ->
             world.send(
-                ps[1].equals("up") ? world.anyUp() : ps[1],
+                words[1].equals("up") ? world.anyRunning() : words[1],
                 StateKeys.CONFIGURATION,
-                ps.length > 2 ? Long.parseLong(ps[2]) : -1);
+                words.length > 2 ? Long.parseLong(words[2]) : -1);
         case "swap" -> {
-          boolean ok = false;
-          for (SimControl control : world.controls.values())
+          boolean holds = false;
+          for (SimControlMachine control : world.controls.values())
             if (control.up && control.node.isInitialized() && control.node.owns(StateKeys.CORE))
-              ok |= control.node.replaceMember(ps[1], ps[2], a -> {}).isEmpty();
-          if (!ok) throw new AssertionError("no swap begun " + why);
+              holds |= control.node.replaceMember(words[1], words[2], answer -> {}).isEmpty();
+          if (!holds) throw new AssertionError("no swap begun " + context);
         }
         case "owner" ->
-            must(
-                world.owner(StateKeys.CONFIGURATION).equals(ps[1]),
-                "owner is " + world.owner(StateKeys.CONFIGURATION) + " " + why);
+            require(
+                world.ownersOf(StateKeys.CONFIGURATION).equals(words[1]),
+                "owner is " + world.ownersOf(StateKeys.CONFIGURATION) + " " + context);
         case "retired" ->
-            must(
-                world.controls.get(ps[1]).node.isRetired(),
-                ps[1] + " doesn't know that it is out " + why);
+            require(
+                world.controls.get(words[1]).node.isRetired(),
+                words[1] + " doesn't know that it is out " + context);
         case "members" ->
-            must(
-                world.newest().all().stream()
-                    .map(m -> m.name())
+            require(
+                world.newestMembers().all().stream()
+                    .map(member -> member.name())
                     .toList()
-                    .equals(List.of(ps).subList(1, ps.length)),
-                "members " + world.newest() + " " + why);
-        case "read" -> world.read(ps[1], StateKeys.CONFIGURATION);
-        case "reads" -> must(world.reads == Integer.parseInt(ps[1]), world.reads + " reads " + why);
+                    .equals(List.of(words).subList(1, words.length)),
+                "members " + world.newestMembers() + " " + context);
+        case "read" -> world.read(words[1], StateKeys.CONFIGURATION);
+        case "reads" ->
+            require(
+                world.readCount == Integer.parseInt(words[1]),
+                world.readCount + " reads " + context);
         case "generation" ->
-            must(
-                world.generation() == Long.parseLong(ps[1]),
-                "generation " + world.generation() + " " + why);
+            require(
+                world.newestGeneration() == Long.parseLong(words[1]),
+                "generation " + world.newestGeneration() + " " + context);
         case "last" -> {
-          ChangeResult a = world.sent.get(world.sent.size() - 1).answer()[0];
-          must(
-              (a == null ? "none" : a.getClass().getSimpleName()).equalsIgnoreCase(ps[1]),
-              "last answer " + a + " " + why);
+          ChangeResult answer = world.sentChanges.get(world.sentChanges.size() - 1).answer()[0];
+          require(
+              (answer == null ? "none" : answer.getClass().getSimpleName())
+                  .equalsIgnoreCase(words[1]),
+              "last answer " + answer + " " + context);
         }
         case "answered" ->
-            must(world.sent.get(world.sent.size() - 1).answer()[0] != null, "no answer yet " + why);
+            require(
+                world.sentChanges.get(world.sentChanges.size() - 1).answer()[0] != null,
+                "no answer yet " + context);
         case "oneOfTwo" -> {
-          ChangeResult a = world.sent.get(world.sent.size() - 1).answer()[0],
-              b = world.sent.get(world.sent.size() - 2).answer()[0];
-          must(
-              a instanceof ChangeResult.Acknowledged != b instanceof ChangeResult.Acknowledged
-                  && a instanceof ChangeResult.Conflict != b instanceof ChangeResult.Conflict,
-              "answers " + a + " and " + b + " " + why);
+          ChangeResult answer = world.sentChanges.get(world.sentChanges.size() - 1).answer()[0],
+              otherAnswer = world.sentChanges.get(world.sentChanges.size() - 2).answer()[0];
+          require(
+              answer instanceof ChangeResult.Acknowledged
+                      != otherAnswer instanceof ChangeResult.Acknowledged
+                  && answer instanceof ChangeResult.Conflict
+                      != otherAnswer instanceof ChangeResult.Conflict,
+              "answers " + answer + " and " + otherAnswer + " " + context);
         }
         case "serve" -> {
           for (SimRelay relay : world.relays.values())
             if (relay.up)
-              must(world.now() - relay.lastStart < 30, relay.name + " does not serve " + why);
+              require(
+                  world.nowMs() - relay.lastStartMs < 30,
+                  relay.name + " does not serve " + context);
         }
         case "still" ->
-            must(world.now() - world.relays.get(ps[1]).lastStart > 30, ps[1] + " serves " + why);
+            require(
+                world.nowMs() - world.relays.get(words[1]).lastStartMs > 30,
+                words[1] + " serves " + context);
         case "gap" -> {
           for (SimRelay relay : world.relays.values())
-            must(
-                relay.longestGap <= Long.parseLong(ps[1]),
-                relay.name + " had a gap of " + relay.longestGap + " " + why);
+            require(
+                relay.longestGapMs <= Long.parseLong(words[1]),
+                relay.name + " had a gap of " + relay.longestGapMs + " " + context);
         }
         case "forget" -> {
-          world.ousted = 0;
-          for (SimRelay relay : world.relays.values()) relay.longestGap = 0;
+          world.lostOwnerships = 0;
+          for (SimRelay relay : world.relays.values()) relay.longestGapMs = 0;
         }
-        case "well" -> must(world.violations.isEmpty(), world.violations + " " + why);
-        default -> throw new IllegalArgumentException(w);
+        case "well" -> require(world.violations.isEmpty(), world.violations + " " + context);
+        default -> throw new IllegalArgumentException(command);
       }
     }
   }
 
-  private static void must(boolean ok, String what) {
-    if (!ok) throw new AssertionError(what);
+  private static void require(boolean holds, String action) {
+    if (!holds) throw new AssertionError(action);
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/PackageCyclesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/PackageCyclesTest.java
@@ -39,7 +39,7 @@
           "emulator.FleetEmulator -> emulator.day.Day",
           "emulator.FleetEmulator -> emulator.scale.ScalePlan",
           "emulator.FleetEmulator -> emulator.scale.ScaleRun",
-          "emulator.FleetEmulator -> emulator.sim.RequestStories");
+          "emulator.FleetEmulator -> emulator.sim.RequestScenarios");
 
   private static final Set<String> MODULE_PACKAGES =
       Set.of("common", "control", "data", "tools", "platform", "emulator");
--- a/emulator/src/test/java/gladelug/emulator/sim/BrokenRulesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/BrokenRulesTest.java
@@ -13,12 +13,12 @@
 final class BrokenRulesTest {
   private static final int SEEDS = 60;
 
-  private static Plan plan(long seed, Trouble... kinds) {
+  private static Plan plan(long seed, FaultKind... kinds) {
     return new Plan(seed % 2 == 0, 3, 2, 3, 900, 0, 25, List.of(kinds), 1200);
   }
 
   /** The first seed whose history contradicts itself; the rule kept, the same run does not. */
-  private static void isNoticed(BrokenRule rule, Trouble... kinds) {
+  private static void isNoticed(BrokenRule rule, FaultKind... kinds) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       OperatorsRun run = OperatorsRun.play(seed, plan(seed, kinds), rule);
       if (Counterexample.of(run.history()).isEmpty()) continue;
@@ -31,57 +31,58 @@
 
   @Test
   void keysOwnedWithoutAMajorityOfPromisesAreNoticed() {
-    isNoticed(BrokenRule.PROMISES_OF_A_MAJORITY, Trouble.SPLIT, Trouble.ONE_WAY_CUT, Trouble.KILL);
+    isNoticed(
+        BrokenRule.PROMISES_OF_A_MAJORITY, FaultKind.SPLIT, FaultKind.ONE_WAY_CUT, FaultKind.KILL);
   }
 
   @Test
   void acknowledgementsBeforeAMajorityHasWrittenAreNoticed() {
     isNoticed(
         BrokenRule.WRITES_OF_A_MAJORITY,
-        Trouble.SHORT_CUT,
-        Trouble.ONE_WAY_CUT,
-        Trouble.POWER_AFTER_ACKNOWLEDGEMENT,
-        Trouble.FREEZE,
-        Trouble.DISK_SLOW);
+        FaultKind.SHORT_CUT,
+        FaultKind.ONE_WAY_CUT,
+        FaultKind.POWER_AFTER_ACKNOWLEDGEMENT,
+        FaultKind.FREEZE,
+        FaultKind.DISK_SLOW);
   }
 
   @Test
   void readsAndRefusalsWithoutAConfirmedRoundAreNoticed() {
     isNoticed(
         BrokenRule.CONFIRMATIONS_OF_A_MAJORITY,
-        Trouble.FREEZE,
-        Trouble.SHORT_CUT,
-        Trouble.ONE_WAY_CUT);
+        FaultKind.FREEZE,
+        FaultKind.SHORT_CUT,
+        FaultKind.ONE_WAY_CUT);
   }
 
   @Test
   void answersBeforeTheDiskHasThemAreNoticed() {
     isNoticed(
         BrokenRule.DURABLE_BEFORE_ANSWERED,
-        Trouble.DISK_SLOW,
-        Trouble.DISK_STALL,
-        Trouble.POWER_AFTER_ACKNOWLEDGEMENT,
-        Trouble.ALL_LOSE_POWER);
+        FaultKind.DISK_SLOW,
+        FaultKind.DISK_STALL,
+        FaultKind.POWER_AFTER_ACKNOWLEDGEMENT,
+        FaultKind.ALL_LOSE_POWER);
   }
 
   @Test
   void takenChangesThatAreForgottenAreNoticed() {
     isNoticed(
         BrokenRule.TAKEN_CHANGES_REMEMBERED,
-        Trouble.SHORT_CUT,
-        Trouble.ONE_WAY_CUT,
-        Trouble.FREEZE,
-        Trouble.KILL);
+        FaultKind.SHORT_CUT,
+        FaultKind.ONE_WAY_CUT,
+        FaultKind.FREEZE,
+        FaultKind.KILL);
   }
 
   @Test
   void aLostDiskThatCountsAsTheSameIsNoticed() {
     isNoticed(
         BrokenRule.EMPTY_DISK_IS_ANOTHER,
-        Trouble.WIPE_AFTER_ACKNOWLEDGEMENT,
-        Trouble.SHORT_CUT,
-        Trouble.ONE_WAY_CUT,
-        Trouble.ALL_KILLED,
-        Trouble.KILL);
+        FaultKind.WIPE_AFTER_ACKNOWLEDGEMENT,
+        FaultKind.SHORT_CUT,
+        FaultKind.ONE_WAY_CUT,
+        FaultKind.ALL_KILLED,
+        FaultKind.KILL);
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/ManyChangesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/ManyChangesTest.java
@@ -24,17 +24,17 @@
     CUT
   }
 
-  private static Sim started(long seed, QuorumConfig tunables, boolean connections) {
-    Sim sim = new Sim(seed, 2, 3, 3, tunables);
-    sim.connections = connections;
+  private static Simulation started(long seed, QuorumConfig tunables, boolean connections) {
+    Simulation sim = new Simulation(seed, 2, 3, 3, tunables);
+    sim.usesConnections = connections;
     sim.run(START_MS);
     return sim;
   }
 
-  private static void strike(Sim sim, Trouble trouble, String owner) {
+  private static void strike(Simulation sim, Trouble trouble, String owner) {
     switch (trouble) {
       case KILL -> sim.controls.get(owner).kill();
-      case POWER -> sim.controls.get(owner).power();
+      case POWER -> sim.controls.get(owner).cutPower();
       case CUT -> sim.cutOff(owner);
       case NONE -> {
         // all stay up
@@ -42,18 +42,18 @@
     }
   }
 
-  private static void mend(Sim sim) {
+  private static void mend(Simulation sim) {
     sim.healAll();
-    for (SimControl control : sim.controls.values()) if (!control.up) control.start();
+    for (SimControlMachine control : sim.controls.values()) if (!control.up) control.start();
   }
 
-  private static void finish(Sim sim, OperatorCallers callers, String story) {
+  private static void finish(Simulation sim, OperatorCallers callers, String story) {
     mend(sim);
     callers.end();
     for (long ms = 0; ms < LONGEST_MS && !callers.idle(); ms += STEP_MS) sim.run(STEP_MS);
     Assertions.assertTrue(callers.idle(), story + ": an order never got a clear answer");
     callers.judge();
-    List<String> told = sim.story;
+    List<String> told = sim.eventLog;
     Assertions.assertEquals(
         List.of(),
         sim.violations,
@@ -65,13 +65,13 @@
 
   /** Until as many orders are acknowledged, the owner is struck again and again, and mended. */
   private static void day(long seed, QuorumConfig tunables, Trouble trouble, int changes) {
-    Sim sim = started(seed, tunables, trouble == Trouble.CUT);
+    Simulation sim = started(seed, tunables, trouble == Trouble.CUT);
     Random random = new Random(seed);
     OperatorCallers callers = new OperatorCallers(sim, seed, LOST_ANSWERS);
     callers.start(CALLERS);
-    while (callers.acknowledged() < changes && sim.now() < LONGEST_MS) {
+    while (callers.acknowledged() < changes && sim.nowMs() < LONGEST_MS) {
       sim.run(random.nextInt(3000));
-      String owner = sim.owner(StateKeys.CONFIGURATION);
+      String owner = sim.ownersOf(StateKeys.CONFIGURATION);
       if (trouble == Trouble.NONE || !sim.controls.containsKey(owner)) continue;
       strike(sim, trouble, owner);
       sim.run(500 + random.nextInt(3000));
@@ -79,7 +79,7 @@
     }
     Assertions.assertTrue(
         callers.acknowledged() >= changes,
-        () -> trouble + " " + seed + ": only " + callers.acknowledged() + " in " + sim.now());
+        () -> trouble + " " + seed + ": only " + callers.acknowledged() + " in " + sim.nowMs());
     finish(sim, callers, trouble + " seed " + seed);
   }
 
@@ -110,11 +110,11 @@
   void theOwnerStruckAtAnyMomentOfAChange() {
     for (Trouble trouble : new Trouble[] {Trouble.KILL, Trouble.POWER, Trouble.CUT})
       for (int ms = 0; ms < 60; ms += 3) {
-        Sim sim = started(100 + ms, CONTACT, trouble == Trouble.CUT);
+        Simulation sim = started(100 + ms, CONTACT, trouble == Trouble.CUT);
         OperatorCallers callers = new OperatorCallers(sim, ms, LOST_ANSWERS);
         callers.start(CALLERS);
         sim.run(ms);
-        strike(sim, trouble, sim.owner(StateKeys.CONFIGURATION));
+        strike(sim, trouble, sim.ownersOf(StateKeys.CONFIGURATION));
         sim.run(2500);
         finish(sim, callers, trouble + " after " + ms + " ms");
       }
--- a/emulator/src/test/java/gladelug/emulator/sim/MembersSimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/MembersSimTest.java
@@ -16,7 +16,7 @@
 final class MembersSimTest {
   private static final int SETTLES = 15_000;
 
-  static Sim chaos(long seed, int steps) {
+  static Simulation chaos(long seed, int steps) {
     Random random = new Random(seed * 104_729);
     int machines = 3 + random.nextInt(7), voters = machines < 5 ? 3 : 5;
     int founding =
@@ -36,31 +36,31 @@
             .commandLeaseMs(1000)
             .commandHandoverGapMs(2500)
             .build();
-    Sim world = new Sim(seed, 3, machines, founding, t);
-    world.say("sim", machines + " machines, " + founding + " found, " + t);
-    world.loss = random.nextInt(3) * 0.03;
-    world.repeat = random.nextInt(2) * 0.05;
-    for (SimControl control : world.controls.values())
-      control.rate(1 + (random.nextDouble() - 0.5) * 0.01);
+    Simulation world = new Simulation(seed, 3, machines, founding, t);
+    world.log("sim", machines + " machines, " + founding + " found, " + t);
+    world.lossRate = random.nextInt(3) * 0.03;
+    world.duplicateRate = random.nextInt(2) * 0.05;
+    for (SimControlMachine control : world.controls.values())
+      control.setClockRate(1 + (random.nextDouble() - 0.5) * 0.01);
     for (SimRelay relay : world.relays.values())
-      relay.rate = 1 + (random.nextDouble() - 0.5) * 0.01;
+      relay.clockRate = 1 + (random.nextDouble() - 0.5) * 0.01;
     // a founder may lose its disk while the founders meet
     if (founding >= 3 && random.nextInt(3) == 0) {
       world.run(random.nextInt(600));
-      SimControl control = world.controls.get("c" + (1 + random.nextInt(founding)));
-      control.emptyFounder("early-" + seed);
+      SimControlMachine control = world.controls.get("c" + (1 + random.nextInt(founding)));
+      control.replaceDiskOfFounder("early-" + seed);
       world.run(random.nextInt(300));
       control.start();
     }
     world.run(4000);
     for (int i = 0; i < steps; i++) step(world, random, "d" + seed + "-" + i);
     mend(world);
-    world.loss = 0;
+    world.lossRate = 0;
     // changes are taken again well before all has settled
     world.run(SETTLES / 2);
     boolean taken = false;
     for (int i = 0; i < 3 && !taken; i++) {
-      Sim.Sent x = world.send(member(world), StateKeys.CONFIGURATION, -1);
+      Simulation.SentChange x = world.send(member(world), StateKeys.CONFIGURATION, -1);
       world.run(1000);
       taken = x.answer()[0] instanceof ChangeResult.Acknowledged;
     }
@@ -70,25 +70,26 @@
     return world;
   }
 
-  private static String member(Sim world) {
+  private static String member(Simulation world) {
     return world.controls.values().stream()
         .filter(control -> control.up && !control.paused && control.node.isActive())
         .map(control -> control.name)
         .findFirst()
-        .orElse(world.anyUp());
+        .orElse(world.anyRunning());
   }
 
-  private static void step(Sim world, Random random, String mark) {
-    List<String> cs = world.controlNames().stream().filter(x -> !world.left.contains(x)).toList();
+  private static void step(Simulation world, Random random, String mark) {
+    List<String> cs =
+        world.controlNames().stream().filter(x -> !world.departed.contains(x)).toList();
     String c = cs.get(random.nextInt(cs.size()));
-    SimControl x = world.controls.get(c);
+    SimControlMachine x = world.controls.get(c);
     switch (random.nextInt(20)) {
       case 0 -> x.kill();
-      case 1 -> x.power();
+      case 1 -> x.cutPower();
       case 2 -> world.cutOff(c);
-      case 3 -> world.cut(c, cs.get(random.nextInt(cs.size())));
+      case 3 -> world.cutLink(c, cs.get(random.nextInt(cs.size())));
       case 4 -> x.pause();
-      case 5 -> x.medium.stalled = true;
+      case 5 -> x.storage.stalled = true;
       case 6 -> {
         SimRelay relay = world.relays.get("r" + (1 + random.nextInt(3)));
         relay.kill();
@@ -100,23 +101,26 @@
         world.split(side);
       }
       case 8 -> {
-        for (SimControl y : world.controls.values()) if (random.nextInt(3) > 0) y.power();
+        for (SimControlMachine y : world.controls.values()) if (random.nextInt(3) > 0) y.cutPower();
       }
       case 9, 10, 11 -> {
         // several at once, as many as the set bears
         for (String y : cs)
-          if (random.nextInt(3) == 0 && world.mayLose(y) && !world.newest().all().isEmpty()) {
-            world.lost(y);
-            if (random.nextBoolean() || !world.foundedElsewhere(y))
-              world.controls.get(y).empty(mark + y);
-            else world.controls.get(y).emptyFounder(mark + y);
+          if (random.nextInt(3) == 0
+              && world.mayLose(y)
+              && !world.newestMembers().all().isEmpty()) {
+            world.onDiskLost(y);
+            if (random.nextBoolean() || !world.isFoundedElsewhere(y))
+              world.controls.get(y).replaceDisk(mark + y);
+            else world.controls.get(y).replaceDiskOfFounder(mark + y);
             if (random.nextBoolean()) world.controls.get(y).start();
           }
       }
       case 12, 13 -> {
-        if (cs.size() > 3 && world.mayLose(c) && !world.newest().all().isEmpty()) world.leaves(c);
+        if (cs.size() > 3 && world.mayLose(c) && !world.newestMembers().all().isEmpty())
+          world.removeForGood(c);
         if (random.nextBoolean() && world.controls.size() < 20)
-          world.machine("c" + (world.controls.size() + 1));
+          world.addMachine("c" + (world.controls.size() + 1));
       }
       case 14 -> world.cutOff("r" + (1 + random.nextInt(3)));
       case 15 -> {
@@ -140,15 +144,15 @@
     world.run(random.nextInt(4) == 0 ? 4000 : random.nextInt(800));
   }
 
-  private static void mend(Sim world) {
+  private static void mend(Simulation world) {
     world.healAll();
-    for (SimControl control : world.controls.values()) {
-      if (world.left.contains(control.name)) continue;
-      control.medium.stalled = false;
+    for (SimControlMachine control : world.controls.values()) {
+      if (world.departed.contains(control.name)) continue;
+      control.storage.stalled = false;
       if (!control.up) control.start();
       else {
-        control.medium.go(world, control);
-        if (control.paused) control.wake();
+        control.storage.startWrite(world, control);
+        if (control.paused) control.resume();
       }
     }
   }
@@ -156,29 +160,29 @@
   /**
    * All is mended: every member is up in the newest generation, the others stand by and know it.
    */
-  private static void healthy(Sim world) {
-    MemberSet members = world.newest();
+  private static void healthy(Simulation world) {
+    MemberSet members = world.newestMembers();
     long up = world.controls.values().stream().filter(control -> control.up).count();
     for (MemberSet.Member x : members.all()) {
-      SimControl control = world.controls.get(x.name());
+      SimControlMachine control = world.controls.get(x.name());
       boolean well =
           control.up
-              && control.disk.equals(x.diskId())
+              && control.diskId.equals(x.diskId())
               && control.node.isActive()
               && control.node.members().generation() == members.generation();
       if (!well && up >= members.all().size())
         world.violation("member " + x.name() + " is not well in " + members);
     }
-    if (members.all().size() < Math.min(world.tunables.targetMembers(), up - (up + 1) % 2))
+    if (members.all().size() < Math.min(world.config.targetMembers(), up - (up + 1) % 2))
       world.violation("only " + members.all().size() + " members with " + up + " machines up");
-    for (SimControl control : world.controls.values())
+    for (SimControlMachine control : world.controls.values())
       if (control.up && members.find(control.name) == null && control.node.isActive())
         world.violation(control.name + " thinks it is a member");
   }
 
-  private static int check(long seed, Sim world) {
+  private static int check(long seed, Simulation world) {
     if (!world.violations.isEmpty()) {
-      List<String> l = world.story;
+      List<String> l = world.eventLog;
       Assertions.fail(
           "seed "
               + seed
@@ -189,7 +193,7 @@
               + "\n"
               + String.join("\n", l.subList(Math.max(0, l.size() - 60), l.size())));
     }
-    return world.done();
+    return world.acknowledgedCount();
   }
 
   @Test
@@ -197,9 +201,9 @@
     int done = 0, reads = 0;
     long first = Long.getLong("members.first", 1), seeds = Long.getLong("members.seeds", 30);
     for (long seed = first; seed < first + seeds; seed++) {
-      Sim world = chaos(seed, 30);
+      Simulation world = chaos(seed, 30);
       done += check(seed, world);
-      reads += world.reads;
+      reads += world.readCount;
     }
     Assertions.assertTrue(
         done > 3 * seeds && reads > 20 * seeds, done + " changes, " + reads + " reads");
--- a/emulator/src/test/java/gladelug/emulator/sim/MembersTimelineTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/MembersTimelineTest.java
@@ -21,10 +21,11 @@
 
   private static void play(int machines, int founding, QuorumConfig t, String text) {
     for (long seed = 1; seed <= 8; seed++) {
-      Sim world = new Sim(seed, 2, machines, founding, t);
+      Simulation world = new Simulation(seed, 2, machines, founding, t);
       Timeline.play(world, text);
       if (!world.violations.isEmpty())
-        throw new AssertionError("seed " + seed + " " + world.violations + "\n" + world.story());
+        throw new AssertionError(
+            "seed " + seed + " " + world.violations + "\n" + world.eventLogText());
     }
   }
 
--- a/emulator/src/test/java/gladelug/emulator/sim/OperatorCallers.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/OperatorCallers.java
@@ -63,14 +63,14 @@
     }
   }
 
-  private final Sim sim;
+  private final Simulation sim;
   private final Random random;
   private final double lostAnswers;
   final List<Order> orders = new ArrayList<>();
   private boolean ended;
   private int busy;
 
-  OperatorCallers(Sim sim, long seed, double lostAnswers) {
+  OperatorCallers(Simulation sim, long seed, double lostAnswers) {
     this.sim = sim;
     this.random = new Random(seed);
     this.lostAnswers = lostAnswers;
@@ -95,7 +95,7 @@
 
   // ---- a caller
 
-  private SimControl anyDoor() {
+  private SimControlMachine anyDoor() {
     List<String> names = sim.controlNames();
     return sim.controls.get(names.get(random.nextInt(names.size())));
   }
@@ -110,7 +110,7 @@
   private void look(int caller) {
     if (ended) return;
     boolean[] once = {false};
-    SimControl door = anyDoor();
+    SimControlMachine door = anyDoor();
     door.run(
         () ->
             door.node.readNewest(
@@ -147,13 +147,14 @@
             sim.after(PAUSE_MS, () -> look(order.caller));
           }
         };
-    SimControl door = anyDoor();
+    SimControlMachine door = anyDoor();
     door.run(() -> put(door, order, ROUNDS, answer -> answered(door, order, answer, heard)));
     sim.after(SILENCE_MS, () -> heard.accept(Answer.NOT_CLEAR));
   }
 
-  private void answered(SimControl door, Order order, Answer answer, Consumer<Answer> heard) {
-    if (answer != Answer.NOT_CLEAR) sim.say("op", order + " by " + door.name + ": " + answer);
+  private void answered(
+      SimControlMachine door, Order order, Answer answer, Consumer<Answer> heard) {
+    if (answer != Answer.NOT_CLEAR) sim.log("op", order + " by " + door.name + ": " + answer);
     if (answer == Answer.TAKEN) order.acknowledged = true;
     if (answer == Answer.REFUSED) {
       if (order.acknowledged) sim.violation("refused after it was acknowledged: " + order);
@@ -166,12 +167,12 @@
 
   // ---- a member's listener
 
-  private void put(SimControl door, Order order, int rounds, Consumer<Answer> answer) {
+  private void put(SimControlMachine door, Order order, int rounds, Consumer<Answer> answer) {
     door.node.readNewest(KEY, newest -> put(door, order, newest, rounds, answer));
   }
 
   private void put(
-      SimControl door, Order order, ReadResult newest, int rounds, Consumer<Answer> answer) {
+      SimControlMachine door, Order order, ReadResult newest, int rounds, Consumer<Answer> answer) {
     if (!newest.hasOwner()) {
       answer.accept(Answer.NOT_CLEAR);
       return;
@@ -197,7 +198,7 @@
   void judge() {
     ReadResult[] last = {null};
     for (int i = 0; i < 20 && last[0] == null; i++) {
-      SimControl door = anyDoor();
+      SimControlMachine door = anyDoor();
       door.run(
           () ->
               door.node.readNewest(
--- a/emulator/src/test/java/gladelug/emulator/sim/OperatorsRun.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/OperatorsRun.java
@@ -45,7 +45,7 @@
       int longestRest,
       double lostAnswers,
       int troubles,
-      List<Trouble> kinds,
+      List<FaultKind> kinds,
       int longestCalm) {
     /** A plan drawn from a seed. */
     static Plan of(long seed) {
@@ -61,18 +61,18 @@
           restOfEach * operators * atOnce,
           random.nextInt(3) * 0.25,
           4 + random.nextInt(8),
-          List.of(Trouble.values()),
+          List.of(FaultKind.values()),
           random.nextBoolean() ? 1500 : 6000);
     }
   }
 
   private final long seed;
   private final Plan plan;
-  private final Sim sim;
+  private final Simulation sim;
   private final OperatorCalls calls;
-  private final Troubles troubles;
+  private final FaultInjector troubles;
   private final Random random;
-  private final List<Operator> operators = new ArrayList<>();
+  private final List<RandomOperator> operators = new ArrayList<>();
   private final List<String> findings = new ArrayList<>();
 
   private OperatorsRun(long seed, Plan plan, BrokenRule broken) {
@@ -80,18 +80,18 @@
     this.plan = plan;
     random = new Random(seed * 7907);
     sim =
-        new Sim(
+        new Simulation(
             seed,
             0,
             plan.members,
             plan.members,
             CoreTimes.PLATFORM.with().targetMembers(plan.members).build());
-    sim.connections = plan.connections;
-    sim.broken = broken;
+    sim.usesConnections = plan.connections;
+    sim.brokenRule = broken;
     calls = new OperatorCalls(sim, random);
-    troubles = new Troubles(sim, calls, random);
+    troubles = new FaultInjector(sim, calls, random);
     for (int i = 1; i <= plan.operators; i++)
-      operators.add(new Operator(sim, calls, "op" + i, random, plan.longestRest));
+      operators.add(new RandomOperator(sim, calls, "op" + i, random, plan.longestRest));
   }
 
   /** Plays the run that a seed brings. */
@@ -107,14 +107,14 @@
   }
 
   private void play() {
-    sim.say("sim", "seed " + seed + " " + plan);
+    sim.log("sim", "seed " + seed + " " + plan);
     sim.run(FOUNDING);
-    for (Operator operator : operators) operator.work(plan.atOnce);
-    calls.lostAnswers = plan.lostAnswers;
+    for (RandomOperator operator : operators) operator.start(plan.atOnce);
+    calls.answerLossRate = plan.lostAnswers;
     for (int i = 0; i < plan.troubles; i++) {
-      troubles.begin(plan.kinds.get(random.nextInt(plan.kinds.size())));
+      troubles.inject(plan.kinds.get(random.nextInt(plan.kinds.size())));
       sim.run(random.nextInt(plan.longestCalm));
-      if (random.nextInt(3) == 0) troubles.mend();
+      if (random.nextInt(3) == 0) troubles.repairAll();
     }
     closing();
     readBack();
@@ -122,15 +122,16 @@
   }
 
   private void closing() {
-    troubles.mend();
+    troubles.repairAll();
     sim.run(SETTLES);
-    troubles.closing((plan.members - 1) / 2);
+    troubles.injectClosingFault((plan.members - 1) / 2);
     sim.run(SETTLES);
-    troubles.mend();
+    troubles.repairAll();
     sim.run(SETTLES);
-    calls.lostAnswers = 0;
-    for (Operator operator : operators) operator.stop();
-    for (long waited = 0; waited < LAST_CALLS && !operators.stream().allMatch(Operator::idle); )
+    calls.answerLossRate = 0;
+    for (RandomOperator operator : operators) operator.stop();
+    for (long waited = 0;
+        waited < LAST_CALLS && !operators.stream().allMatch(RandomOperator::isIdle); )
       waited += step();
   }
 
@@ -142,15 +143,15 @@
   /** Everything is well: each member answers, in time, with what was acknowledged. */
   private void readBack() {
     for (String member : calls.members()) {
-      int before = calls.reads;
+      int before = calls.readCount;
       calls.read("end", member, seen -> {});
-      sim.run(OperatorCalls.SILENCE + 1);
-      if (calls.reads == before) findings.add(member + " does not answer a read at the end");
+      sim.run(OperatorCalls.ANSWER_TIMEOUT_MS + 1);
+      if (calls.readCount == before) findings.add(member + " does not answer a read at the end");
     }
-    int before = calls.acknowledged;
-    for (long waited = 0; waited < ANSWERED_WITHIN && calls.acknowledged == before; )
+    int before = calls.acknowledgedCount;
+    for (long waited = 0; waited < ANSWERED_WITHIN && calls.acknowledgedCount == before; )
       waited += lastChangeAgain();
-    if (calls.acknowledged == before) findings.add("no change is acknowledged at the end");
+    if (calls.acknowledgedCount == before) findings.add("no change is acknowledged at the end");
   }
 
   /** The newest acknowledged change is sent once more; where it is not the newest, a new one is. */
@@ -161,9 +162,9 @@
           && sent.outcome() == Outcome.ACKNOWLEDGED
           && sent.change().version() >= newest.version()) newest = sent.change();
     List<String> members = calls.members();
-    calls.change("end", members.get(random.nextInt(members.size())), newest, outcome -> {});
-    sim.run(OperatorCalls.SILENCE + 1);
-    return OperatorCalls.SILENCE;
+    calls.sendChange("end", members.get(random.nextInt(members.size())), newest, outcome -> {});
+    sim.run(OperatorCalls.ANSWER_TIMEOUT_MS + 1);
+    return OperatorCalls.ANSWER_TIMEOUT_MS;
   }
 
   private void judge() {
@@ -182,25 +183,25 @@
   }
 
   int acknowledged() {
-    return calls.acknowledged;
+    return calls.acknowledgedCount;
   }
 
   /** What the operators' calls came to. */
   @Override
   public String toString() {
-    return calls.acknowledged
+    return calls.acknowledgedCount
         + " acknowledged, "
-        + calls.refused
+        + calls.refusedCount
         + " refused, "
-        + calls.unclear
+        + calls.unknownCount
         + " without a clear answer, "
-        + calls.reads
+        + calls.readCount
         + " reads";
   }
 
   /** The findings and the end of the story, for people. */
   String report() {
-    List<String> story = sim.story;
+    List<String> story = sim.eventLog;
     return "seed "
         + seed
         + " "
@@ -214,6 +215,6 @@
   }
 
   String story() {
-    return sim.story();
+    return sim.eventLogText();
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/PartialCutTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/PartialCutTest.java
@@ -21,19 +21,19 @@
   private static int ousted(Cut cut, String other, boolean connections) {
     int ousted = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Sim world = Takeover.fleet(seed, true);
-      world.connections = connections;
-      String owner = world.owner(StateKeys.CONFIGURATION);
-      world.ousted = 0;
-      if (cut != Cut.OWNER_DOES_NOT_HEAR) world.cut(owner, other);
-      if (cut != Cut.OWNER_IS_NOT_HEARD) world.cut(other, owner);
+      Simulation world = Takeover.fleet(seed, true);
+      world.usesConnections = connections;
+      String owner = world.ownersOf(StateKeys.CONFIGURATION);
+      world.lostOwnerships = 0;
+      if (cut != Cut.OWNER_DOES_NOT_HEAR) world.cutLink(owner, other);
+      if (cut != Cut.OWNER_IS_NOT_HEARD) world.cutLink(other, owner);
       world.run(20_000);
       world.healAll();
       world.run(5000);
       Assertions.assertEquals(List.of(), world.violations);
       Assertions.assertTrue(
           Takeover.longestGap(world) <= 30, cut + " " + Takeover.longestGap(world));
-      ousted += world.ousted;
+      ousted += world.lostOwnerships;
     }
     return ousted;
   }
@@ -59,22 +59,22 @@
   @Test
   void ofFiveMembersTwoThatDoNotHearTheOwnerOustItOnceAtMost() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Sim world = Takeover.fleet(seed, 5, true);
-      String owner = world.owner(StateKeys.CONFIGURATION);
+      Simulation world = Takeover.fleet(seed, 5, true);
+      String owner = world.ownersOf(StateKeys.CONFIGURATION);
       List<String> others = new ArrayList<>(world.controlNames());
       others.remove(owner);
-      world.ousted = 0;
+      world.lostOwnerships = 0;
       for (String other : others.subList(0, 2)) {
-        world.cut(owner, other);
-        world.cut(other, owner);
+        world.cutLink(owner, other);
+        world.cutLink(other, owner);
       }
       world.run(20_000);
-      Assertions.assertEquals(0, world.ousted, "during the cut, seed " + seed);
+      Assertions.assertEquals(0, world.lostOwnerships, "during the cut, seed " + seed);
       world.healAll();
       world.run(5000);
       Assertions.assertEquals(List.of(), world.violations);
       Assertions.assertTrue(
-          world.ousted <= Takeover.keys().size(), world.ousted + ", seed " + seed);
+          world.lostOwnerships <= Takeover.keys().size(), world.lostOwnerships + ", seed " + seed);
       Assertions.assertTrue(Takeover.longestGap(world) <= 30);
     }
   }
--- a/emulator/src/test/java/gladelug/emulator/sim/PausedOwnerScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/PausedOwnerScenario.java
@@ -32,21 +32,21 @@
   @Override
   public String get() {
     for (int seed = 1; seed <= SEEDS; seed++) {
-      Sim sim = new Sim(seed, 2);
+      Simulation sim = new Simulation(seed, 2);
       play(sim);
       if (!sim.violations.isEmpty()) return "seed " + seed + ": " + sim.violations.get(0);
     }
     return "";
   }
 
-  private void play(Sim sim) {
+  private void play(Simulation sim) {
     sim.run(FOUNDING);
     change(sim, "c1");
-    String former = sim.owner(StateKeys.CONFIGURATION);
+    String former = sim.ownersOf(StateKeys.CONFIGURATION);
     for (String other : sim.controlNames())
       if (!other.equals(former)) {
-        sim.cut(relay, other);
-        sim.cut(other, relay);
+        sim.cutLink(relay, other);
+        sim.cutLink(other, relay);
       }
     untilRoundBegins(sim, former);
     sim.controls.get(former).pause();
@@ -54,13 +54,13 @@
     until(sim, () -> sim.controls.get(next).node.owns(StateKeys.CONFIGURATION));
     change(sim, next);
     sim.run(ASLEEP_AFTERWARDS);
-    sim.controls.get(former).wake();
+    sim.controls.get(former).resume();
     sim.run(AWAKE);
     sim.healAll();
     sim.settle(SETTLES);
   }
 
-  private void untilRoundBegins(Sim sim, String owner) {
+  private void untilRoundBegins(Simulation sim, String owner) {
     confirming = false;
     sim.observer =
         new TrafficObserver() {
@@ -75,15 +75,15 @@
     sim.observer = TrafficObserver.NONE;
   }
 
-  private static void change(Sim sim, String member) {
-    Sim.Sent sent = sim.send(member, StateKeys.CONFIGURATION, -1);
+  private static void change(Simulation sim, String member) {
+    Simulation.SentChange sent = sim.send(member, StateKeys.CONFIGURATION, -1);
     until(sim, () -> sent.answer()[0] != null);
   }
 
-  private static void until(Sim sim, BooleanSupplier holds) {
-    long from = sim.now();
+  private static void until(Simulation sim, BooleanSupplier holds) {
+    long from = sim.nowMs();
     while (!holds.getAsBoolean()) {
-      if (sim.now() - from > LONGEST) throw new IllegalStateException(sim.story());
+      if (sim.nowMs() - from > LONGEST) throw new IllegalStateException(sim.eventLogText());
       sim.run(1);
     }
   }
--- a/emulator/src/test/java/gladelug/emulator/sim/RequestSimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/RequestSimTest.java
@@ -1,7 +1,7 @@
 package gladelug.emulator.sim;
 
-import gladelug.emulator.sim.RequestSim.Happening;
-import gladelug.emulator.sim.RequestSim.Point;
+import gladelug.emulator.sim.RequestSimulation.InjectedEvent;
+import gladelug.emulator.sim.RequestSimulation.RequestPoint;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of RequestSim. */
+/** Tests of RequestSimulation. */
 final class RequestSimTest {
   private static final int SEEDS = Integer.getInteger("gladelug.seeds", 80);
 
   /** How often each kind of trouble is brought about in one world. */
   private static final int WINDOWS = 16;
 
-  private static String found(RequestSim world, long ms) {
+  private static String found(RequestSimulation world, long ms) {
     world.run(ms);
-    world.judge();
+    world.checkRules();
     return world.violations.toString();
   }
 
@@ -38,8 +38,8 @@
     catches(
         "old-policy",
         off -> {
-          RequestSim world = new RequestSim(1);
-          world.unchecked = off;
+          RequestSimulation world = new RequestSimulation(1);
+          world.identityUnchecked = off;
           world.run(1000);
           for (int i = 0; i < 20; i++) {
             // for the moment before a replica's own report shows it too
@@ -59,35 +59,35 @@
     catches(
         "old-policy",
         off -> {
-          RequestSim world = new RequestSim(2);
+          RequestSimulation world = new RequestSimulation(2);
           world.run(500);
-          for (RequestRelay r : world.fronts.values()) r.drift(off ? 0.05 : 0.995);
-          world.happen(Happening.RELAY_CUT_FROM_CORE, x -> {});
+          for (RequestRelay r : world.requestRelays.values()) r.setClockRate(off ? 0.05 : 0.995);
+          world.trigger(InjectedEvent.RELAY_CUT_FROM_CORE, x -> {});
           return found(world, 6000);
         });
     // a cutoff later than the promise, with replicas that take no requests from their commander
     catches(
         "old-weights",
         off -> {
-          RequestSim world = new RequestSim(3);
-          world.cutoff = off ? 40_000 : 15_000;
-          for (SimControl control : world.controls.values()) {
+          RequestSimulation world = new RequestSimulation(3);
+          world.weightCutoffMs = off ? 40_000 : 15_000;
+          for (SimControlMachine control : world.controls.values()) {
             control.kill();
             control.start();
           }
           world.run(4000);
-          for (SimReplica r : world.replicas.values()) r.deaf = true;
-          world.happen(Happening.WEIGHTS_NAMED, x -> {});
+          for (SimReplica r : world.replicas.values()) r.ignoresCommands = true;
+          world.trigger(InjectedEvent.WEIGHTS_NAMED, x -> {});
           return found(world, 25_000);
         });
     // every core machine steers, whoever owns the key
     catches(
         "had to refuse",
         off -> {
-          RequestSim world = new RequestSim(4);
-          world.anybodyCommands = off;
+          RequestSimulation world = new RequestSimulation(4);
+          world.anyMemberCommands = off;
           for (int i = 0; i < 4; i++) {
-            world.happen(Happening.WEIGHTS_NAMED, x -> {});
+            world.trigger(InjectedEvent.WEIGHTS_NAMED, x -> {});
             world.run(2000);
           }
           return found(world, 2000);
@@ -97,40 +97,44 @@
   @Test
   void whateverHappensBetweenTheStepsOfARequestTheRulesHold() {
     Logger.getLogger("").setLevel(Level.OFF);
-    RequestStories t = RequestStories.play(Long.getLong("gladelug.from", 0), SEEDS, 2);
+    RequestScenarios t = RequestScenarios.run(Long.getLong("gladelug.from", 0), SEEDS, 2);
     System.out.println(t);
-    Assertions.assertEquals(List.of(), t.offenders);
-    Assertions.assertTrue(t.complete.get() > t.requests.get() / 2, t + " prove too little");
-    for (Happening h : Happening.values())
-      for (Point p : Point.values())
-        Assertions.assertTrue(t.met.containsKey(h + "@" + p), h + "@" + p + " was never met");
+    Assertions.assertEquals(List.of(), t.failures);
+    Assertions.assertTrue(
+        t.completeCount.get() > t.requestCount.get() / 2, t + " prove too little");
+    for (InjectedEvent h : InjectedEvent.values())
+      for (RequestPoint p : RequestPoint.values())
+        Assertions.assertTrue(
+            t.heldCounts.containsKey(h + "@" + p), h + "@" + p + " was never met");
   }
 
   @Test
   void whateverHappensToConnectionsNoRequestRunsTwiceAndNoAnswerGoesAstray() {
     Logger.getLogger("").setLevel(Level.OFF);
-    Map<Met, Integer> counts = new EnumMap<>(Met.class);
-    for (Happening h :
+    Map<ConnectionEvent, Integer> counts = new EnumMap<>(ConnectionEvent.class);
+    for (InjectedEvent h :
         List.of(
-            Happening.CONNECTIONS_RESET,
-            Happening.LINKS_SILENT,
-            Happening.ANSWERS_REPEATED,
-            Happening.ANSWERS_REPEATED_LATE,
-            Happening.CALLER_LEAVES)) {
-      RequestSim world = new RequestSim(h.ordinal());
+            InjectedEvent.CONNECTIONS_RESET,
+            InjectedEvent.LINKS_SILENT,
+            InjectedEvent.ANSWERS_REPEATED,
+            InjectedEvent.ANSWERS_REPEATED_LATE,
+            InjectedEvent.CALLER_LEAVES)) {
+      RequestSimulation world = new RequestSimulation(h.ordinal());
       world.run(3000);
       for (int i = 0; i < WINDOWS; i++) {
-        world.arm(h, Point.values()[i % Point.values().length]);
+        world.arm(h, RequestPoint.values()[i % RequestPoint.values().length]);
         world.run(1600);
-        Assertions.assertTrue(world.met >= 0, i + ": " + h + " was not met at " + world.point);
+        Assertions.assertTrue(
+            world.heldAtMs >= 0, i + ": " + h + " was not met at " + world.armedPoint);
       }
-      world.mend();
+      world.repairAll();
       world.run(8000);
-      world.perSecond = 0.001;
+      world.requestsPerSecond = 0.001;
       world.run(6000);
       Assertions.assertEquals("[]", found(world, 0), h.toString());
-      world.counts.forEach((met, n) -> counts.merge(met, n, Integer::sum));
+      world.eventCounts.forEach((met, n) -> counts.merge(met, n, Integer::sum));
     }
-    for (Met m : Met.values()) Assertions.assertTrue(counts.containsKey(m), m + ": " + counts);
+    for (ConnectionEvent m : ConnectionEvent.values())
+      Assertions.assertTrue(counts.containsKey(m), m + ": " + counts);
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/ResentChangesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/ResentChangesTest.java
@@ -2,7 +2,7 @@
 
 import gladelug.common.message.StateKeys;
 import gladelug.control.core.message.ChangeResult;
-import gladelug.emulator.sim.Sim.Sent;
+import gladelug.emulator.sim.Simulation.SentChange;
 import java.util.List;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
@@ -15,20 +15,20 @@
   private static final String KEY = StateKeys.CONFIGURATION;
   private static final long START_MS = 3000, ANSWER_MS = 12_000, TAKEOVER_MS = 6000;
 
-  private static Sim started(long seed) {
-    Sim sim = new Sim(seed, 2);
+  private static Simulation started(long seed) {
+    Simulation sim = new Simulation(seed, 2);
     sim.run(START_MS);
     return sim;
   }
 
-  private static ChangeResult answered(Sim sim, Sent sent) {
+  private static ChangeResult answered(Simulation sim, SentChange sent) {
     for (int ms = 0; ms < ANSWER_MS && sent.answer()[0] == null; ms++) sim.run(1);
     return sent.answer()[0];
   }
 
   /** Sends changes one after the other, each on the number of the one before. */
-  private static Sent[] taken(Sim sim, int count) {
-    Sent[] changes = new Sent[count];
+  private static SentChange[] taken(Simulation sim, int count) {
+    SentChange[] changes = new SentChange[count];
     for (int i = 0; i < count; i++) {
       changes[i] = sim.send("c1", KEY, i);
       assertTaken(sim, changes[i], i + 1, false);
@@ -36,16 +36,16 @@
     return changes;
   }
 
-  private static void assertTaken(Sim sim, Sent sent, long number, boolean repeated) {
+  private static void assertTaken(Simulation sim, SentChange sent, long number, boolean repeated) {
     ChangeResult answer = answered(sim, sent);
     Assertions.assertTrue(
         answer instanceof ChangeResult.Acknowledged done
             && done.number() == number
             && done.repeated() == repeated,
-        () -> "wanted " + number + ", got " + answer + "\n" + sim.story());
+        () -> "wanted " + number + ", got " + answer + "\n" + sim.eventLogText());
   }
 
-  private static void assertSentAgainByAllIsTaken(Sim sim, Sent[] changes) {
+  private static void assertSentAgainByAllIsTaken(Simulation sim, SentChange[] changes) {
     for (String door : sim.controlNames()) {
       if (!sim.controls.get(door).up) continue;
       for (int i = 0; i < changes.length; i++)
@@ -56,36 +56,36 @@
 
   @Test
   void aTakenChangeIsAcknowledgedAgainAfterOthersFollowed() {
-    Sim sim = started(1);
+    Simulation sim = started(1);
     assertSentAgainByAllIsTaken(sim, taken(sim, 4));
   }
 
   @Test
   void aTakenChangeIsAcknowledgedAgainByTheOwnerThatFollows() {
-    Sim sim = started(2);
-    Sent[] changes = taken(sim, 4);
-    sim.controls.get(sim.owner(KEY)).kill();
+    Simulation sim = started(2);
+    SentChange[] changes = taken(sim, 4);
+    sim.controls.get(sim.ownersOf(KEY)).kill();
     sim.run(TAKEOVER_MS);
     assertSentAgainByAllIsTaken(sim, changes);
   }
 
   @Test
   void aTakenChangeIsAcknowledgedAgainAfterAllLostPower() {
-    Sim sim = started(3);
-    Sent[] changes = taken(sim, 4);
-    for (SimControl control : sim.controls.values()) control.power();
-    for (SimControl control : sim.controls.values()) control.start();
+    Simulation sim = started(3);
+    SentChange[] changes = taken(sim, 4);
+    for (SimControlMachine control : sim.controls.values()) control.cutPower();
+    for (SimControlMachine control : sim.controls.values()) control.start();
     sim.run(TAKEOVER_MS);
     assertSentAgainByAllIsTaken(sim, changes);
   }
 
   @Test
   void aTakenChangeIsAcknowledgedAgainByMembersThatCameLater() {
-    Sim sim = started(4);
-    Sent[] changes = taken(sim, 4);
+    Simulation sim = started(4);
+    SentChange[] changes = taken(sim, 4);
     String[] former = sim.controlNames().toArray(String[]::new);
     for (int i = 0; i < former.length; i++) {
-      sim.swap(former[i], "new" + i);
+      sim.replaceMember(former[i], "new" + i);
       sim.run(TAKEOVER_MS);
       sim.controls.get(former[i]).kill();
     }
@@ -95,19 +95,19 @@
 
   @Test
   void ofTwoOnOneNumberTheLoserIsRefusedAtAnyLaterTime() {
-    Sim sim = started(5);
-    Sent[] first = taken(sim, 1);
-    Sent[] rivals = {sim.send("c2", KEY, 1), sim.send("c3", KEY, 1)};
+    Simulation sim = started(5);
+    SentChange[] first = taken(sim, 1);
+    SentChange[] rivals = {sim.send("c2", KEY, 1), sim.send("c3", KEY, 1)};
     int winners = 0;
-    for (Sent rival : rivals)
+    for (SentChange rival : rivals)
       if (answered(sim, rival) instanceof ChangeResult.Acknowledged done) {
         winners++;
         Assertions.assertEquals(2, done.number());
       }
-    Assertions.assertEquals(1, winners, sim::story);
+    Assertions.assertEquals(1, winners, sim::eventLogText);
     assertTaken(sim, sim.send("c1", KEY, 2), 3, false);
     for (String door : sim.controlNames())
-      for (Sent rival : rivals) {
+      for (SentChange rival : rivals) {
         boolean won = rival.answer()[0] instanceof ChangeResult.Acknowledged;
         ChangeResult again = answered(sim, sim.sendAgain(door, rival));
         Assertions.assertTrue(
@@ -116,7 +116,7 @@
                     && done.number() == 2
                     && done.repeated()
                 : again instanceof ChangeResult.Conflict,
-            () -> again + "\n" + sim.story());
+            () -> again + "\n" + sim.eventLogText());
       }
     assertTaken(sim, sim.sendAgain("c3", first[0]), 1, true);
     Assertions.assertEquals(List.of(), sim.violations);
@@ -124,9 +124,9 @@
 
   @Test
   void anOlderValueOnTheNewestNumberIsANewChange() {
-    Sim sim = started(6);
-    Sent[] changes = taken(sim, 3);
-    Sent back = sim.sendOnAnother("c2", changes[0], 3);
+    Simulation sim = started(6);
+    SentChange[] changes = taken(sim, 3);
+    SentChange back = sim.sendAsNewChange("c2", changes[0], 3);
     assertTaken(sim, back, 4, false);
     assertTaken(sim, sim.sendAgain("c3", back), 4, true);
     assertTaken(sim, sim.sendAgain("c1", changes[0]), 1, true);
@@ -134,15 +134,15 @@
 
   @Test
   void anOwnerThatIsCutOffNeitherRefusesNorAcknowledgesAgain() {
-    Sim sim = started(7);
-    Sent[] changes = taken(sim, 2);
-    String cutOff = sim.owner(KEY);
+    Simulation sim = started(7);
+    SentChange[] changes = taken(sim, 2);
+    String cutOff = sim.ownersOf(KEY);
     sim.cutOff(cutOff);
-    Sent stale = sim.send(cutOff, KEY, 0);
-    Sent newest = sim.sendAgain(cutOff, changes[1]);
-    Sent older = sim.sendAgain(cutOff, changes[0]);
+    SentChange stale = sim.send(cutOff, KEY, 0);
+    SentChange newest = sim.sendAgain(cutOff, changes[1]);
+    SentChange older = sim.sendAgain(cutOff, changes[0]);
     Assertions.assertTrue(sim.controls.get(cutOff).node.owns(KEY), "it doesn't know yet");
-    for (Sent sent : List.of(stale, newest, older))
+    for (SentChange sent : List.of(stale, newest, older))
       Assertions.assertEquals(new ChangeResult.NoOwner(), answered(sim, sent));
     sim.healAll();
     sim.run(TAKEOVER_MS);
--- a/emulator/src/test/java/gladelug/emulator/sim/SecondLossSimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/SecondLossSimTest.java
@@ -46,28 +46,29 @@
         .build();
   }
 
-  private static Sim settled(long seed, int machines, QuorumConfig tunables) {
-    Sim world = new Sim(seed, 1, machines, 3, tunables);
+  private static Simulation settled(long seed, int machines, QuorumConfig tunables) {
+    Simulation world = new Simulation(seed, 1, machines, 3, tunables);
     world.run(9000);
-    Assertions.assertEquals(tunables.targetMembers(), world.newest().all().size(), world.story());
+    Assertions.assertEquals(
+        tunables.targetMembers(), world.newestMembers().all().size(), world.eventLogText());
     acknowledged(world);
     return world;
   }
 
   /** Runs until it is so; how long that took, in ms. */
-  private static long until(Sim world, long most, BooleanSupplier so) {
-    long from = world.now();
+  private static long until(Simulation world, long most, BooleanSupplier so) {
+    long from = world.nowMs();
     while (!so.getAsBoolean()) {
-      if (world.now() - from > most)
-        throw new AssertionError("not within " + most + "\n" + world.story());
+      if (world.nowMs() - from > most)
+        throw new AssertionError("not within " + most + "\n" + world.eventLogText());
       world.run(10);
     }
-    return world.now() - from;
+    return world.nowMs() - from;
   }
 
   /** A change is acknowledged by any machine that takes part. */
-  private static void acknowledged(Sim world) {
-    List<Sim.Sent> sent = new ArrayList<>();
+  private static void acknowledged(Simulation world) {
+    List<Simulation.SentChange> sent = new ArrayList<>();
     until(
         world,
         8000,
@@ -81,44 +82,44 @@
   }
 
   /** A machine that takes part and hears a majority. */
-  private static String taking(Sim world) {
-    for (SimControl control : world.controls.values()) {
+  private static String taking(Simulation world) {
+    for (SimControlMachine control : world.controls.values()) {
       if (!control.up || !control.node.isActive()) continue;
       long alive = control.node.memberLiveness().values().stream().filter(x -> x).count();
       if (alive > control.node.members().all().size() / 2) return control.name;
     }
-    return world.anyUp();
+    return world.anyRunning();
   }
 
-  private static boolean member(Sim world, String name) {
-    return world.newest().find(name) != null;
+  private static boolean member(Simulation world, String name) {
+    return world.newestMembers().find(name) != null;
   }
 
-  private static List<String> voters(Sim world) {
-    return world.newest().all().stream().map(MemberSet.Member::name).toList();
+  private static List<String> voters(Simulation world) {
+    return world.newestMembers().all().stream().map(MemberSet.Member::name).toList();
   }
 
-  private static void well(Sim world, String what) {
+  private static void well(Simulation world, String what) {
     world.run(6000);
     acknowledged(world);
     world.settle(3000);
-    Assertions.assertEquals(List.of(), world.violations, what + "\n" + world.story());
+    Assertions.assertEquals(List.of(), world.violations, what + "\n" + world.eventLogText());
   }
 
   @Test
   void twoVotersLostAtOnceAreBothReplacedInTimeForTwoMore() {
     long longest = 0;
     for (long seed = 1; seed <= 10; seed++) {
-      Sim world = settled(seed, 8, OF_FIVE);
+      Simulation world = settled(seed, 8, OF_FIVE);
       List<String> first = voters(world).subList((int) (seed % 4), (int) (seed % 4) + 2);
-      for (String m : first) world.controls.get(m).power();
+      for (String m : first) world.controls.get(m).cutPower();
       long took =
           until(
               world,
               CATCH_UP_OF_FIVE,
-              () -> first.stream().noneMatch(m -> member(world, m)) && world.whole());
+              () -> first.stream().noneMatch(m -> member(world, m)) && world.allMembersActive());
       longest = Math.max(longest, took);
-      for (String m : voters(world).subList(1, 3)) world.controls.get(m).power();
+      for (String m : voters(world).subList(1, 3)) world.controls.get(m).cutPower();
       well(world, "seed " + seed + " " + first);
     }
     Assertions.assertTrue(longest < CATCH_UP_OF_FIVE - PROCESS_START, longest + " ms");
@@ -130,16 +131,16 @@
     long longest = 0;
     for (long seed = 1; seed <= 12; seed++) {
       for (String leaver : List.of("c1", "c2", "c3")) {
-        Sim world = settled(seed, 3, OF_THREE);
-        world.machine("c4");
+        Simulation world = settled(seed, 3, OF_THREE);
+        world.addMachine("c4");
         world.run(2000 + world.random.nextInt(1000));
         world.send(taking(world), StateKeys.CONFIGURATION, -1);
         world.run(world.random.nextInt(30));
         world.controls.get(leaver).terminate();
         longest = Math.max(longest, until(world, 6000, () -> !world.controls.get(leaver).up));
-        world.leaves(leaver);
+        world.removeForGood(leaver);
         String second = voters(world).get(world.random.nextInt(3));
-        world.leaves(second);
+        world.removeForGood(second);
         well(world, "seed " + seed + ", " + leaver + " leaves, then " + second + " is lost");
       }
     }
@@ -149,20 +150,21 @@
   @Test
   void aMemberThatLeavesAndHasNoSuccessorHandsItsKeysOnAndEndsAtOnce() {
     for (long seed = 1; seed <= 6; seed++) {
-      Sim world = settled(seed, 3, OF_THREE);
+      Simulation world = settled(seed, 3, OF_THREE);
       for (String leaver : List.of("c1", "c2", "c3", "c1", "c2", "c3")) {
         SimRelay relay = world.relays.get("r1");
-        relay.longestGap = 0;
+        relay.longestGapMs = 0;
         world.controls.get(leaver).terminate();
         long took = until(world, 6000, () -> !world.controls.get(leaver).up);
-        Assertions.assertTrue(took < 500, leaver + " took " + took + "\n" + world.story());
+        Assertions.assertTrue(took < 500, leaver + " took " + took + "\n" + world.eventLogText());
         world.run(1500);
         acknowledged(world);
         world.controls.get(leaver).start();
         world.run(4000);
-        Assertions.assertTrue(relay.longestGap < 30, relay.longestGap + "\n" + world.story());
+        Assertions.assertTrue(
+            relay.longestGapMs < 30, relay.longestGapMs + "\n" + world.eventLogText());
       }
-      Assertions.assertEquals(1, world.generation(), "restarted, not replaced");
+      Assertions.assertEquals(1, world.newestGeneration(), "restarted, not replaced");
       well(world, "seed " + seed);
     }
   }
@@ -171,15 +173,15 @@
   @Test
   void aMemberKilledAtAnyStepOfItsLeavingIsReplacedAllTheSame() {
     for (int ms = 0; ms <= 240; ms += 4) {
-      Sim world = settled(ms, 3, OF_THREE);
-      world.machine("c4");
+      Simulation world = settled(ms, 3, OF_THREE);
+      world.addMachine("c4");
       world.run(2500);
-      String leaver = world.owner(StateKeys.CORE);
+      String leaver = world.ownersOf(StateKeys.CORE);
       world.controls.get(leaver).terminate();
       world.run(ms);
-      world.leaves(leaver);
-      until(world, CATCH_UP_OF_THREE, () -> !member(world, leaver) && world.whole());
-      world.leaves(voters(world).get(ms / 4 % 3));
+      world.removeForGood(leaver);
+      until(world, CATCH_UP_OF_THREE, () -> !member(world, leaver) && world.allMembersActive());
+      world.removeForGood(voters(world).get(ms / 4 % 3));
       well(world, leaver + " killed " + ms + " ms after it was asked to stop");
     }
   }
@@ -188,15 +190,15 @@
   @Test
   void anyMachineMayBeLostOnceANewOneHasHadItsTimeToCatchUp() {
     for (long seed = 1; seed <= 24; seed++) {
-      Sim world = settled(seed, 3, OF_THREE);
+      Simulation world = settled(seed, 3, OF_THREE);
       String first = List.of("c1", "c2", "c3").get((int) (seed % 3));
-      world.leaves(first);
-      long start = world.now();
+      world.removeForGood(first);
+      long start = world.nowMs();
       world.run(PROCESS_START + world.random.nextInt(300));
-      world.machine("c4");
-      world.run(start + CATCH_UP_OF_THREE - world.now());
+      world.addMachine("c4");
+      world.run(start + CATCH_UP_OF_THREE - world.nowMs());
       String second = voters(world).get(world.random.nextInt(3));
-      world.leaves(second);
+      world.removeForGood(second);
       well(world, "seed " + seed + ", " + first + " then " + second + " lost");
     }
   }
@@ -205,20 +207,23 @@
   @Test
   void aChangeOfMembersIsFinishedWhateverIsLostAtAnyStepOfIt() {
     for (int ms = 0; ms <= 180; ms += 3) {
-      Sim world = settled(ms, 8, OF_FIVE);
+      Simulation world = settled(ms, 8, OF_FIVE);
       List<String> before = voters(world);
-      world.leaves(before.get(ms % 5));
-      until(world, CATCH_UP_OF_FIVE, () -> world.story().contains("membership-change reason=DEAD"));
+      world.removeForGood(before.get(ms % 5));
+      until(
+          world,
+          CATCH_UP_OF_FIVE,
+          () -> world.eventLogText().contains("membership-change reason=DEAD"));
       world.run(ms);
       String second = before.get((ms + 1 + ms / 3 % 4) % 5);
-      SimControl control = world.controls.get(second);
-      if (ms % 2 == 0) control.power();
-      else control.empty("again-" + ms);
+      SimControlMachine control = world.controls.get(second);
+      if (ms % 2 == 0) control.cutPower();
+      else control.replaceDisk("again-" + ms);
       world.run(700);
       control.start();
-      until(world, CATCH_UP_OF_FIVE, world::whole);
+      until(world, CATCH_UP_OF_FIVE, world::allMembersActive);
       well(world, second + " lost " + ms + " ms after the change began");
-      Assertions.assertEquals(5, world.newest().all().size(), world.story());
+      Assertions.assertEquals(5, world.newestMembers().all().size(), world.eventLogText());
     }
   }
 
@@ -226,15 +231,16 @@
   void theCoreGrowsThoughAFounderDiesRightAfterTheFirstStart() {
     for (int ms = 100; ms <= 4000; ms += 150)
       for (boolean forGood : new boolean[] {false, true}) {
-        Sim world = new Sim(ms, 1, 8, 3, OF_FIVE);
-        if (forGood) until(world, 4000, () -> world.generation() > 0);
+        Simulation world = new Simulation(ms, 1, 8, 3, OF_FIVE);
+        if (forGood) until(world, 4000, () -> world.newestGeneration() > 0);
         world.run(ms);
         String founder = "c" + (1 + ms / 150 % 3);
-        world.controls.get(founder).power();
-        if (forGood) world.left.add(founder);
+        world.controls.get(founder).cutPower();
+        if (forGood) world.departed.add(founder);
         world.run(1500);
         if (!forGood) world.controls.get(founder).start();
-        until(world, 8000, () -> world.newest().all().size() == 5 && world.whole());
+        until(
+            world, 8000, () -> world.newestMembers().all().size() == 5 && world.allMembersActive());
         well(world, founder + " lost after " + ms + (forGood ? " for good" : ""));
       }
   }
@@ -243,20 +249,20 @@
   @Test
   void aMemberReplacedWhileItWasDownLearnsItThoughAllOthersWereRestarted() {
     for (long seed = 1; seed <= 6; seed++) {
-      Sim world = settled(seed, 4, OF_THREE);
+      Simulation world = settled(seed, 4, OF_THREE);
       String old = voters(world).get((int) (seed % 3));
-      world.controls.get(old).power();
-      until(world, CATCH_UP_OF_THREE, () -> !member(world, old) && world.whole());
-      for (SimControl control : world.controls.values())
-        if (!control.name.equals(old)) control.power();
+      world.controls.get(old).cutPower();
+      until(world, CATCH_UP_OF_THREE, () -> !member(world, old) && world.allMembersActive());
+      for (SimControlMachine control : world.controls.values())
+        if (!control.name.equals(old)) control.cutPower();
       world.run(500);
-      for (SimControl control : world.controls.values()) control.start();
+      for (SimControlMachine control : world.controls.values()) control.start();
       long took = until(world, 4000, () -> world.controls.get(old).node.isRetired());
-      Assertions.assertTrue(took <= 2500, took + " ms until it knows\n" + world.story());
+      Assertions.assertTrue(took <= 2500, took + " ms until it knows\n" + world.eventLogText());
       // and it is taken in again where it is wanted, with what it had on its disk
       String next = voters(world).get(0);
-      world.leaves(next);
-      until(world, CATCH_UP_OF_THREE, () -> member(world, old) && world.whole());
+      world.removeForGood(next);
+      until(world, CATCH_UP_OF_THREE, () -> member(world, old) && world.allMembersActive());
       well(world, old + " replaced, then in for " + next);
     }
   }
@@ -268,16 +274,16 @@
   void aMemberThatWasCutOffIsInTheNewestGenerationSoonAfterItIsBack() {
     long longest = 0;
     for (long seed = 1; seed <= 8; seed++) {
-      Sim world = settled(seed, 6, OF_FIVE);
+      Simulation world = settled(seed, 6, OF_FIVE);
       List<String> before = voters(world);
       String cut = before.get(0), lost = before.get(1), spare = "c6";
       world.cutOff(cut);
       world.run(900);
-      world.leaves(lost);
+      world.removeForGood(lost);
       until(world, CATCH_UP_OF_FIVE, () -> member(world, spare));
       world.run(10_000);
       acknowledged(world);
-      Assertions.assertTrue(member(world, cut) != member(world, lost), world.story());
+      Assertions.assertTrue(member(world, cut) != member(world, lost), world.eventLogText());
       world.heal(cut);
       longest = Math.max(longest, until(world, CATCH_UP_OF_FIVE, () -> knowsItsPlace(world, cut)));
       world.run(CATCH_UP_OF_FIVE);
@@ -286,10 +292,10 @@
     Assertions.assertTrue(longest <= 1000, longest + " ms");
   }
 
-  private static boolean knowsItsPlace(Sim world, String name) {
-    SimControl control = world.controls.get(name);
+  private static boolean knowsItsPlace(Simulation world, String name) {
+    SimControlMachine control = world.controls.get(name);
     return member(world, name)
-        ? control.node.members().generation() == world.newest().generation()
+        ? control.node.members().generation() == world.newestMembers().generation()
             && control.node.isActive()
         : control.node.isRetired();
   }
@@ -302,15 +308,18 @@
   void aLargeValueIsCopiedToWhoLacksItAndNotAgainWhileItIsOnItsWay() {
     long longest = 0, most = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      Sim world = settled(seed, 8, OF_FIVE);
-      world.padding = 40_000;
+      Simulation world = settled(seed, 8, OF_FIVE);
+      world.paddingBytes = 40_000;
       acknowledged(world);
       world.run(1000);
       world.bytesPerMs = 12_500 / 40;
-      world.controls.get(voters(world).get((int) seed % 5)).power();
-      until(world, CATCH_UP_OF_FIVE, () -> world.story().contains("membership-change reason=DEAD"));
+      world.controls.get(voters(world).get((int) seed % 5)).cutPower();
+      until(
+          world,
+          CATCH_UP_OF_FIVE,
+          () -> world.eventLogText().contains("membership-change reason=DEAD"));
       world.membershipBytes = 0;
-      longest = Math.max(longest, until(world, CATCH_UP_OF_FIVE, world::whole));
+      longest = Math.max(longest, until(world, CATCH_UP_OF_FIVE, world::allMembersActive));
       world.run(1000);
       most = Math.max(most, world.membershipBytes);
       world.bytesPerMs = 0;
--- a/emulator/src/test/java/gladelug/emulator/sim/SilentConnectionsTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/SilentConnectionsTest.java
@@ -12,7 +12,7 @@
   /** A member is cut off for long; a moment after it is back another is. */
   private static long gapOfOneCutAfterAnother(
       long seed, boolean heartbeats, String first, long cut, String second) {
-    Sim world = Takeover.fleet(seed, heartbeats);
+    Simulation world = Takeover.fleet(seed, heartbeats);
     world.cutOff(first);
     world.run(cut);
     world.heal(first);
--- a/emulator/src/test/java/gladelug/emulator/sim/SimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/SimTest.java
@@ -1,7 +1,7 @@
 package gladelug.emulator.sim;
 
 import gladelug.common.message.StateKeys;
-import gladelug.emulator.sim.Sim.Sent;
+import gladelug.emulator.sim.Simulation.SentChange;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
@@ -12,25 +12,26 @@
 /** Tests of Sim. */
 final class SimTest {
   /** Whatever a seed brings, at most one machine at a time, so a majority is mostly there. */
-  private static Sim chaos(long seed, int steps, boolean all) {
-    Sim world = new Sim(seed, 3);
+  private static Simulation chaos(long seed, int steps, boolean all) {
+    Simulation world = new Simulation(seed, 3);
     Random random = new Random(seed * 7919);
-    world.loss = random.nextInt(3) * 0.03;
-    world.repeat = random.nextInt(2) * 0.05;
-    for (SimControl c : world.controls.values()) c.rate(1 + (random.nextDouble() - 0.5) * 0.01);
-    for (SimRelay x : world.relays.values()) x.rate = 1 + (random.nextDouble() - 0.5) * 0.01;
+    world.lossRate = random.nextInt(3) * 0.03;
+    world.duplicateRate = random.nextInt(2) * 0.05;
+    for (SimControlMachine c : world.controls.values())
+      c.setClockRate(1 + (random.nextDouble() - 0.5) * 0.01);
+    for (SimRelay x : world.relays.values()) x.clockRate = 1 + (random.nextDouble() - 0.5) * 0.01;
     world.run(2000);
     for (int i = 0; i < steps; i++) {
       List<String> cs = world.controlNames();
       String c = cs.get(random.nextInt(cs.size()));
-      SimControl x = world.controls.get(c);
+      SimControlMachine x = world.controls.get(c);
       switch (random.nextInt(22)) {
         case 0 -> x.kill();
-        case 1 -> x.power();
+        case 1 -> x.cutPower();
         case 2 -> world.cutOff(c);
-        case 3 -> world.cut(c, cs.get(random.nextInt(cs.size())));
+        case 3 -> world.cutLink(c, cs.get(random.nextInt(cs.size())));
         case 4 -> x.pause();
-        case 5 -> x.medium.stalled = true;
+        case 5 -> x.storage.stalled = true;
         case 6 -> world.cutOff("r" + (1 + random.nextInt(3)));
         case 7 -> {
           SimRelay y = world.relays.get("r" + (1 + random.nextInt(3)));
@@ -38,7 +39,7 @@
           y.start();
         }
         case 8 -> {
-          if (all) for (SimControl y : world.controls.values()) y.power();
+          if (all) for (SimControlMachine y : world.controls.values()) y.cutPower();
         }
         case 10 -> world.split(Set.of(c, "r" + (1 + random.nextInt(3))));
         case 11 -> {
@@ -47,22 +48,22 @@
         }
         case 12 -> {
           // a disk is lost only while the others hold everything
-          if (world.whole()) {
-            x.empty("disk-" + seed + "-" + i);
+          if (world.allMembersActive()) {
+            x.replaceDisk("disk-" + seed + "-" + i);
             x.start();
           }
         }
         case 13 -> {
-          if (world.whole()) world.swap(c, "c" + (world.controls.size() + 1));
+          if (world.allMembersActive()) world.replaceMember(c, "c" + (world.controls.size() + 1));
         }
         case 14, 15 -> {
           // power goes just after an acknowledgement, on one machine, two or all
-          Sent x1 = world.send(c, StateKeys.CONFIGURATION, -1);
+          SentChange x1 = world.send(c, StateKeys.CONFIGURATION, -1);
           for (int j = 0; j < 3000 && x1.answer()[0] == null; j++) world.run(1);
           int most = 1 + random.nextInt(3);
-          for (SimControl y : world.controls.values()) if (most-- > 0) y.power();
+          for (SimControlMachine y : world.controls.values()) if (most-- > 0) y.cutPower();
         }
-        case 9 -> world.cut("r" + (1 + random.nextInt(3)), c);
+        case 9 -> world.cutLink("r" + (1 + random.nextInt(3)), c);
         default -> {
           world.send(c, random.nextInt(3) == 0 ? StateKeys.REPLICAS : StateKeys.CONFIGURATION, -1);
           if (random.nextBoolean())
@@ -74,15 +75,16 @@
       world.run(random.nextInt(800));
     }
     mend(world);
-    world.loss = 0;
+    world.lossRate = 0;
     world.settle(12_000);
-    if (!world.whole()) world.violation("the core is not whole: " + world.generation());
+    if (!world.allMembersActive())
+      world.violation("the core is not whole: " + world.newestGeneration());
     return world;
   }
 
-  private static void check(long seed, Sim world) {
+  private static void check(long seed, Simulation world) {
     if (world.violations.isEmpty()) return;
-    List<String> l = world.story;
+    List<String> l = world.eventLog;
     Assertions.fail(
         "seed "
             + seed
@@ -92,14 +94,14 @@
             + String.join("\n", l.subList(Math.max(0, l.size() - 60), l.size())));
   }
 
-  private static void mend(Sim world) {
+  private static void mend(Simulation world) {
     world.healAll();
-    for (SimControl control : world.controls.values()) {
-      control.medium.stalled = false;
+    for (SimControlMachine control : world.controls.values()) {
+      control.storage.stalled = false;
       if (!control.up) control.start();
       else {
-        control.medium.go(world, control);
-        if (control.paused) control.wake();
+        control.storage.startWrite(world, control);
+        if (control.paused) control.resume();
       }
     }
   }
@@ -108,9 +110,9 @@
   void whateverTheSeedBringsTheRulesHold() {
     int done = 0;
     for (long seed = 1; seed <= 150; seed++) {
-      Sim world = chaos(seed, 40, true);
+      Simulation world = chaos(seed, 40, true);
       check(seed, world);
-      done += world.done();
+      done += world.acknowledgedCount();
     }
     Assertions.assertTrue(
         done > 1000, "only " + done + " changes were acknowledged; the seeds prove too little");
--- a/emulator/src/test/java/gladelug/emulator/sim/StateSimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/StateSimTest.java
@@ -38,80 +38,80 @@
           .drainTimeoutMs(6000)
           .build();
 
-  private static Sim founded(long seed) {
-    Sim world = new Sim(seed, 1, 3, 3, DEPLOYED);
+  private static Simulation founded(long seed) {
+    Simulation world = new Simulation(seed, 1, 3, 3, DEPLOYED);
     world.run(4000);
     return world;
   }
 
   /** So many changes, one after the other, by machines that take part; each is acknowledged. */
-  private static void change(Sim world, int count) {
-    long before = world.now();
+  private static void change(Simulation world, int count) {
+    long before = world.nowMs();
     for (int i = 0; i < count; i++) {
-      Sim.Sent x = world.send(reaching(world), StateKeys.CONFIGURATION, -1);
+      Simulation.SentChange x = world.send(reaching(world), StateKeys.CONFIGURATION, -1);
       until(world, 5000, () -> x.answer()[0] != null);
       if (x.answer()[0] instanceof ChangeResult.Acknowledged) continue;
       i--;
       world.run(50);
-      if (world.now() > before + 60_000L)
-        throw new AssertionError("no changes taken\n" + world.story());
+      if (world.nowMs() > before + 60_000L)
+        throw new AssertionError("no changes taken\n" + world.eventLogText());
     }
   }
 
-  private static String reaching(Sim world) {
-    for (SimControl control : world.controls.values())
+  private static String reaching(Simulation world) {
+    for (SimControlMachine control : world.controls.values())
       if (control.up && control.node.isActive() && !control.node.isUnavailable())
         return control.name;
-    return world.anyUp();
+    return world.anyRunning();
   }
 
-  private static long until(Sim world, long most, BooleanSupplier so) {
-    long from = world.now();
+  private static long until(Simulation world, long most, BooleanSupplier so) {
+    long from = world.nowMs();
     while (!so.getAsBoolean()) {
-      if (world.now() - from > most)
-        throw new AssertionError("not within " + most + "\n" + world.story());
+      if (world.nowMs() - from > most)
+        throw new AssertionError("not within " + most + "\n" + world.eventLogText());
       world.run(5);
     }
-    return world.now() - from;
+    return world.nowMs() - from;
   }
 
-  private static long number(Sim world, String name) {
+  private static long number(Simulation world, String name) {
     return world.controls.get(name).node.storedValue(StateKeys.CONFIGURATION).getKey();
   }
 
-  private static long newest(Sim world) {
-    return world.sent.stream()
+  private static long newest(Simulation world) {
+    return world.sentChanges.stream()
         .filter(x -> x.answer()[0] instanceof ChangeResult.Acknowledged)
         .mapToLong(x -> ((ChangeResult.Acknowledged) x.answer()[0]).number())
         .max()
         .orElse(0);
   }
 
-  private static boolean caughtUp(Sim world, String name) {
-    SimControl control = world.controls.get(name);
+  private static boolean caughtUp(Simulation world, String name) {
+    SimControlMachine control = world.controls.get(name);
     return control.up
         && control.node.isActive()
-        && control.node.members().generation() == world.newest().generation()
+        && control.node.members().generation() == world.newestMembers().generation()
         && number(world, name) >= newest(world);
   }
 
-  private static void well(Sim world, String what) {
+  private static void well(Simulation world, String what) {
     for (String c : MACHINES) world.read(c, StateKeys.CONFIGURATION);
     world.run(1500);
     world.settle(6000);
-    Assertions.assertEquals(List.of(), world.violations, what + "\n" + world.story());
+    Assertions.assertEquals(List.of(), world.violations, what + "\n" + world.eventLogText());
   }
 
   /** How long it took until the machine held the newest state, at the most over all of them. */
   private static long longestCatchUp(int changes, boolean withDisk) {
     long longest = 0;
     for (long seed = 1; seed <= 2; seed++) {
-      Sim world = founded(seed);
+      Simulation world = founded(seed);
       change(world, changes);
       for (String name : MACHINES) {
-        SimControl control = world.controls.get(name);
-        if (withDisk) control.power();
-        else control.empty("again-" + name);
+        SimControlMachine control = world.controls.get(name);
+        if (withDisk) control.cutPower();
+        else control.replaceDisk("again-" + name);
         world.run(500);
         change(world, 3);
         control.start();
@@ -140,7 +140,7 @@
     long longest = 0;
     for (long seed = 1; seed <= 3; seed++)
       for (String name : MACHINES) {
-        Sim world = founded(seed);
+        Simulation world = founded(seed);
         change(world, 100);
         world.cutOff(name);
         world.run(1000);
@@ -160,14 +160,14 @@
   @Test
   void anOwnerThatWakesWithOldStateLeadsNobodyBack() {
     for (long seed = 1; seed <= 6; seed++) {
-      Sim world = founded(seed);
+      Simulation world = founded(seed);
       change(world, 60);
       for (int i = 0; i < 4; i++) {
-        String owner = world.owner(StateKeys.CONFIGURATION);
+        String owner = world.ownersOf(StateKeys.CONFIGURATION);
         world.controls.get(owner).pause();
         world.run(2500);
         change(world, 20);
-        world.controls.get(owner).wake();
+        world.controls.get(owner).resume();
         for (int j = 0; j < 20; j++) {
           world.read(owner, StateKeys.CONFIGURATION);
           world.run(j);
@@ -184,16 +184,17 @@
   void allLosePowerAtAnyStepOfAChangeAfterTheRingsCameRound() {
     long longest = 0;
     for (int ms = 0; ms <= 60; ms += 6) {
-      Sim world = founded(ms);
+      Simulation world = founded(ms);
       change(world, A_DAY);
       world.send(reaching(world), StateKeys.CONFIGURATION, -1);
       world.run(ms);
-      for (SimControl control : world.controls.values()) control.power();
+      for (SimControlMachine control : world.controls.values()) control.cutPower();
       world.run(500);
-      for (SimControl control : world.controls.values()) control.start();
+      for (SimControlMachine control : world.controls.values()) control.start();
       longest =
           Math.max(
-              longest, until(world, 8000, () -> !world.owner(StateKeys.CONFIGURATION).isEmpty()));
+              longest,
+              until(world, 8000, () -> !world.ownersOf(StateKeys.CONFIGURATION).isEmpty()));
       change(world, 1);
       well(world, "power lost " + ms + " ms after a change was sent");
     }
--- a/emulator/src/test/java/gladelug/emulator/sim/Story.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/Story.java
@@ -4,7 +4,7 @@
 import gladelug.emulator.history.Change;
 import gladelug.emulator.history.Counterexample;
 import gladelug.emulator.history.Outcome;
-import gladelug.emulator.sim.OperatorCalls.Seen;
+import gladelug.emulator.sim.OperatorCalls.ReadValue;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -34,19 +34,19 @@
 final class Story {
   private static final long SETTLES = 12_000;
 
-  private final Sim sim;
+  private final Simulation sim;
   private final OperatorCalls calls;
   private final Map<String, Outcome> outcomes = new HashMap<>();
   private final Set<String> acknowledged = new HashSet<>();
-  private Seen lastRead;
+  private ReadValue lastRead;
   private long newest;
   private int toGo;
 
   private Story(long seed, int members) {
     sim =
-        new Sim(
+        new Simulation(
             seed, 0, members, members, CoreTimes.PLATFORM.with().targetMembers(members).build());
-    sim.connections = seed % 2 == 0;
+    sim.usesConnections = seed % 2 == 0;
     calls = new OperatorCalls(sim, new Random(seed));
   }
 
@@ -68,14 +68,14 @@
 
   private void end() {
     sim.healAll();
-    for (SimControl control : sim.controls.values()) {
+    for (SimControlMachine control : sim.controls.values()) {
       if (!control.up) control.start();
-      else if (control.paused) control.wake();
+      else if (control.paused) control.resume();
     }
     sim.run(SETTLES);
     for (String member : calls.members()) {
       read(member);
-      sim.run(OperatorCalls.SILENCE + 1);
+      sim.run(OperatorCalls.ANSWER_TIMEOUT_MS + 1);
       must(lastRead != null, member + " does not answer at the end");
     }
     must(sim.violations.isEmpty(), sim.violations.toString());
@@ -83,7 +83,7 @@
   }
 
   private void must(boolean holds, String what) {
-    if (!holds) Assertions.fail(what + "\n" + sim.story());
+    if (!holds) Assertions.fail(what + "\n" + sim.eventLogText());
   }
 
   private void cell(String cell) {
@@ -119,7 +119,8 @@
 
   private void send(String id, long base, String member) {
     Change change = new Change(id, base, base + 1);
-    calls.change("op-" + id, member, change, outcome -> outcomes.put(id, came(change, outcome)));
+    calls.sendChange(
+        "op-" + id, member, change, outcome -> outcomes.put(id, came(change, outcome)));
   }
 
   private Outcome came(Change change, Outcome outcome) {
@@ -144,7 +145,7 @@
   private void next(String member) {
     if (toGo == 0) return;
     Change change = new Change("S" + (newest + 1), newest, newest + 1);
-    calls.change(
+    calls.sendChange(
         "series",
         member,
         change,
@@ -160,7 +161,7 @@
   }
 
   private void newestAt(String member) {
-    SimControl control = sim.controls.get(member);
+    SimControlMachine control = sim.controls.get(member);
     must(
         control.up
             && control.node.isActive()
--- a/emulator/src/test/java/gladelug/emulator/sim/Takeover.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/Takeover.java
@@ -15,38 +15,38 @@
   /** When a majority last confirmed an owner of the key, by key. */
   private final Map<String, Long> confirmed = new HashMap<>();
 
-  private final Sim sim;
+  private final Simulation sim;
 
   /** The longest time that any leased key went without a majority confirming its owner, ms. */
   long longestUnconfirmed;
 
-  Takeover(Sim sim) {
+  Takeover(Simulation sim) {
     this.sim = sim;
   }
 
   /** A fleet that serves, with connections as TCP's and the platform's times. */
-  static Sim fleet(long seed, boolean heartbeats) {
+  static Simulation fleet(long seed, boolean heartbeats) {
     return fleet(seed, 3, heartbeats);
   }
 
-  static Sim fleet(long seed, int members, boolean heartbeats) {
+  static Simulation fleet(long seed, int members, boolean heartbeats) {
     QuorumConfig tunables = CoreTimes.PLATFORM.with().targetMembers(members).build();
-    Sim world = new Sim(seed, 2, members, members, tunables);
-    world.connections = true;
-    world.heartbeats = heartbeats;
-    world.askEach = CoreTimes.ASK;
+    Simulation world = new Simulation(seed, 2, members, members, tunables);
+    world.usesConnections = true;
+    world.usesHeartbeats = heartbeats;
+    world.subscriptionIntervalMs = CoreTimes.ASK;
     world.run(6000);
     world.send("c1", StateKeys.CONFIGURATION, -1);
     world.run(3000);
-    for (SimRelay relay : world.relays.values()) relay.longestGap = 0;
+    for (SimRelay relay : world.relays.values()) relay.longestGapMs = 0;
     return world;
   }
 
   /** How long the relay that was worst off could not start anything, ms. */
-  static long longestGap(Sim world) {
+  static long longestGap(Simulation world) {
     long gap = 0;
     for (SimRelay relay : world.relays.values())
-      gap = Math.max(gap, Math.max(relay.longestGap, world.now() - relay.lastStart));
+      gap = Math.max(gap, Math.max(relay.longestGapMs, world.nowMs() - relay.lastStartMs));
     return gap;
   }
 
@@ -57,30 +57,30 @@
   }
 
   void run(long ms) {
-    long end = sim.now() + ms;
-    while (sim.now() < end) {
-      sim.run(Math.min(STEP, end - sim.now()));
+    long end = sim.nowMs() + ms;
+    while (sim.nowMs() < end) {
+      sim.run(Math.min(STEP, end - sim.nowMs()));
       look();
     }
   }
 
   private void look() {
-    for (SimControl control : sim.controls.values())
+    for (SimControlMachine control : sim.controls.values())
       if (control.up && control.node.isInitialized())
         for (KeyStatus k : control.node.keyStatuses()) look(control, k);
     for (String k : StateKeys.LEASED)
       if (confirmed.containsKey(k))
-        longestUnconfirmed = Math.max(longestUnconfirmed, sim.now() - confirmed.get(k));
+        longestUnconfirmed = Math.max(longestUnconfirmed, sim.nowMs() - confirmed.get(k));
   }
 
-  private void look(SimControl control, KeyStatus k) {
-    long at = sim.now() - k.confirmedAgoMs();
+  private void look(SimControlMachine control, KeyStatus k) {
+    long at = sim.nowMs() - k.confirmedAgoMs();
     if (k.owner().equals(control.name) && at > 0) confirmed.merge(k.key(), at, Math::max);
   }
 
   /** The member that serves the key, other than this one; null for none. */
-  SimControl owner(String key, SimControl but) {
-    for (SimControl control : sim.controls.values())
+  SimControlMachine owner(String key, SimControlMachine but) {
+    for (SimControlMachine control : sim.controls.values())
       if (control != but
           && control.up
           && !control.paused
@@ -90,12 +90,13 @@
   }
 
   /** Until each of these keys has another owner, by key; missing where none came in this time. */
-  Map<String, Long> untilOthersServe(List<String> keys, SimControl troubled, long within) {
+  Map<String, Long> untilOthersServe(List<String> keys, SimControlMachine troubled, long within) {
     Map<String, Long> after = new HashMap<>();
-    long from = sim.now();
-    while (sim.now() - from < within) {
+    long from = sim.nowMs();
+    while (sim.nowMs() - from < within) {
       run(STEP);
-      for (String k : keys) if (owner(k, troubled) != null) after.putIfAbsent(k, sim.now() - from);
+      for (String k : keys)
+        if (owner(k, troubled) != null) after.putIfAbsent(k, sim.nowMs() - from);
     }
     return after;
   }
--- a/emulator/src/test/java/gladelug/emulator/sim/TakeoverTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TakeoverTest.java
@@ -63,12 +63,12 @@
       | trouble of a key's owner | takeover, median | worst | kept | unconfirmed, worst | relay's gap, worst |
       |---|---|---|---|---|---|""";
 
-  private static List<String> ownedBy(Takeover t, SimControl control) {
+  private static List<String> ownedBy(Takeover t, SimControlMachine control) {
     return Takeover.keys().stream().filter(k -> t.owner(k, null) == control).toList();
   }
 
-  private static void add(Times times, Takeover t, Sim world, OwnerTrouble trouble) {
-    SimControl control = t.owner(StateKeys.CONFIGURATION, null);
+  private static void add(Times times, Takeover t, Simulation world, OwnerTrouble trouble) {
+    SimControlMachine control = t.owner(StateKeys.CONFIGURATION, null);
     if (control == null) control = world.controls.get("c1");
     List<String> keys = ownedBy(t, control);
     trouble.begin(world, control);
@@ -83,7 +83,7 @@
   private static Times alone(OwnerTrouble trouble) {
     Times times = new Times();
     for (long seed = 1; seed <= SEEDS_ALONE; seed++) {
-      Sim world = Takeover.fleet(seed, true);
+      Simulation world = Takeover.fleet(seed, true);
       Takeover t = new Takeover(world);
       t.run(new Random(seed).nextInt(400));
       add(times, t, world, trouble);
@@ -94,9 +94,9 @@
   private static Times after(OwnerTrouble first, OwnerTrouble second) {
     Times times = new Times();
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Sim world = Takeover.fleet(seed, true);
+      Simulation world = Takeover.fleet(seed, true);
       Takeover t = new Takeover(world);
-      SimControl control = t.owner(StateKeys.CONFIGURATION, null);
+      SimControlMachine control = t.owner(StateKeys.CONFIGURATION, null);
       first.begin(world, control);
       t.run(3000 + new Random(seed).nextInt(17_000));
       first.end(world, control);
--- a/emulator/src/test/java/gladelug/emulator/sim/TimelineTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TimelineTest.java
@@ -8,10 +8,11 @@
 final class TimelineTest {
   private static void play(String text) {
     for (long seed = 1; seed <= 12; seed++) {
-      Sim world = new Sim(seed, 2);
+      Simulation world = new Simulation(seed, 2);
       Timeline.play(world, text);
       if (!world.violations.isEmpty())
-        throw new AssertionError("seed " + seed + " " + world.violations + "\n" + world.story());
+        throw new AssertionError(
+            "seed " + seed + " " + world.violations + "\n" + world.eventLogText());
     }
   }
 
@@ -177,14 +178,14 @@
     for (long seed = 1; seed <= 40; seed++)
       ousted +=
           Timeline.play(
-                  new Sim(seed, 2),
+                  new Simulation(seed, 2),
                   """
             t     | c1   | c2   | c3   | c4  | op
             3000  | .    | .    | .    | .   | send c1
             3500  | .    | .    | .    | new | last acknowledged
             4500  | .    | .    | .    | .   | forget, swap c1 c4
             7000  | .    | .    | .    | .   | generation 2, serve, well""")
-              .ousted;
+              .lostOwnerships;
     Assertions.assertTrue(ousted <= 20, ousted + " owners lost a key just taken, in 40 swaps");
   }
 
@@ -194,23 +195,23 @@
     long longest = 0;
     int ousted = 0;
     for (long seed = 1; seed <= 20; seed++) {
-      Sim world = new Sim(seed, 2);
+      Simulation world = new Simulation(seed, 2);
       world.run(3000);
       world.send("c1", StateKeys.CONFIGURATION, -1);
       world.run(800);
-      for (SimControl control : world.controls.values()) control.power();
+      for (SimControlMachine control : world.controls.values()) control.cutPower();
       world.run(2500);
-      for (SimControl control : world.controls.values()) {
-        control.medium.slow = 160;
+      for (SimControlMachine control : world.controls.values()) {
+        control.storage.extraSyncMs = 160;
         control.start();
       }
-      long from = world.now();
-      world.ousted = 0;
-      while (world.now() - from < 40_000
-          && world.relays.values().stream().anyMatch(relay -> world.now() - relay.lastStart > 30))
-        world.run(50);
-      longest = Math.max(longest, world.now() - from);
-      ousted += world.ousted;
+      long from = world.nowMs();
+      world.lostOwnerships = 0;
+      while (world.nowMs() - from < 40_000
+          && world.relays.values().stream()
+              .anyMatch(relay -> world.nowMs() - relay.lastStartMs > 30)) world.run(50);
+      longest = Math.max(longest, world.nowMs() - from);
+      ousted += world.lostOwnerships;
     }
     Assertions.assertTrue(longest < 12_000, longest + " ms, " + ousted + " owners ousted");
   }
--- a/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
@@ -7,8 +7,8 @@
 import gladelug.control.core.message.ChangeResult;
 import gladelug.emulator.Ledger;
 import gladelug.emulator.TraceDigest;
-import gladelug.emulator.sim.RequestSim.Happening;
-import gladelug.emulator.sim.RequestSim.Point;
+import gladelug.emulator.sim.RequestSimulation.InjectedEvent;
+import gladelug.emulator.sim.RequestSimulation.RequestPoint;
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -74,15 +74,16 @@
   }
 
   /** The digest of a world after what its seed brings: faults, changes, reads, new machines. */
-  private static String faults(Sim sim, long seed) {
+  private static String faults(Simulation sim, long seed) {
     TraceDigest trace = new TraceDigest();
     sim.observer = new Recorder(trace);
     Random random = new Random(seed * 15_485_863);
-    sim.loss = random.nextInt(3) * 0.03;
-    sim.repeat = random.nextInt(2) * 0.05;
-    for (SimControl control : sim.controls.values())
-      control.rate(1 + (random.nextDouble() - 0.5) * 0.01);
-    for (SimRelay relay : sim.relays.values()) relay.rate = 1 + (random.nextDouble() - 0.5) * 0.01;
+    sim.lossRate = random.nextInt(3) * 0.03;
+    sim.duplicateRate = random.nextInt(2) * 0.05;
+    for (SimControlMachine control : sim.controls.values())
+      control.setClockRate(1 + (random.nextDouble() - 0.5) * 0.01);
+    for (SimRelay relay : sim.relays.values())
+      relay.clockRate = 1 + (random.nextDouble() - 0.5) * 0.01;
     sim.run(4000);
     for (int i = 0; i < STEPS; i++) {
       fault(sim, random, "disk-" + seed + "-" + i);
@@ -94,50 +95,51 @@
       sim.run(random.nextInt(4) == 0 ? 4000 : random.nextInt(800));
     }
     mend(sim);
-    sim.loss = 0;
+    sim.lossRate = 0;
     sim.settle(12_000);
     outcome(sim, trace);
     return String.format(
         "%d changes done, generation %d, %d violations, %s",
-        sim.done(), sim.generation(), sim.violations.size(), trace.result());
+        sim.acknowledgedCount(), sim.newestGeneration(), sim.violations.size(), trace.result());
   }
 
-  private static List<String> names(Sim sim) {
-    return sim.controlNames().stream().filter(name -> !sim.left.contains(name)).toList();
+  private static List<String> names(Simulation sim) {
+    return sim.controlNames().stream().filter(name -> !sim.departed.contains(name)).toList();
   }
 
-  private static void fault(Sim sim, Random random, String newDisk) {
+  private static void fault(Simulation sim, Random random, String newDisk) {
     List<String> names = names(sim);
     String name = names.get(random.nextInt(names.size()));
     String other = names.get(random.nextInt(names.size()));
     String relay = "r" + (1 + random.nextInt(sim.relays.size()));
-    SimControl control = sim.controls.get(name);
+    SimControlMachine control = sim.controls.get(name);
     switch (random.nextInt(16)) {
       case 0 -> control.kill();
-      case 1 -> control.power();
+      case 1 -> control.cutPower();
       case 2 -> sim.cutOff(name);
-      case 3 -> sim.cut(name, other);
+      case 3 -> sim.cutLink(name, other);
       case 4 -> control.pause();
-      case 5 -> control.medium.stalled = true;
+      case 5 -> control.storage.stalled = true;
       case 6 -> sim.cutOff(relay);
       case 7 -> {
         sim.relays.get(relay).kill();
         sim.relays.get(relay).start();
       }
-      case 8 -> sim.controls.values().forEach(SimControl::power);
+      case 8 -> sim.controls.values().forEach(SimControlMachine::cutPower);
       case 9 -> sim.split(Set.of(name, relay));
       case 10, 11 -> {
-        if (sim.whole() && sim.mayLose(name)) {
-          sim.lost(name);
-          control.empty(newDisk);
+        if (sim.allMembersActive() && sim.mayLose(name)) {
+          sim.onDiskLost(name);
+          control.replaceDisk(newDisk);
           control.start();
         }
       }
       case 12 -> {
-        if (sim.whole()) sim.swap(name, "c" + (sim.controls.size() + 1));
+        if (sim.allMembersActive()) sim.replaceMember(name, "c" + (sim.controls.size() + 1));
       }
       case 13 -> {
-        if (sim.whole() && names.size() > 3 && sim.mayLose(name)) sim.leaves(name);
+        if (sim.allMembersActive() && names.size() > 3 && sim.mayLose(name))
+          sim.removeForGood(name);
       }
       case 14 -> {
         if (control.up) control.terminate();
@@ -146,24 +148,28 @@
     }
   }
 
-  private static void mend(Sim sim) {
+  private static void mend(Simulation sim) {
     sim.healAll();
-    for (SimControl control : sim.controls.values()) {
-      if (sim.left.contains(control.name)) continue;
-      control.medium.stalled = false;
+    for (SimControlMachine control : sim.controls.values()) {
+      if (sim.departed.contains(control.name)) continue;
+      control.storage.stalled = false;
       if (!control.up) control.start();
       else {
-        control.medium.go(sim, control);
-        if (control.paused) control.wake();
+        control.storage.startWrite(sim, control);
+        if (control.paused) control.resume();
       }
     }
   }
 
-  private static void outcome(Sim sim, TraceDigest trace) {
-    for (Sim.Sent sent : sim.sent)
-      trace.add(sent.nr()).add(sent.key()).add(sent.at()).add(bytes(sent.answer()[0]));
-    trace.add(sim.reads);
-    for (SimRelay relay : sim.relays.values()) trace.add(relay.starts).add(relay.refused);
+  private static void outcome(Simulation sim, TraceDigest trace) {
+    for (Simulation.SentChange sent : sim.sentChanges)
+      trace
+          .add(sent.valueNumber())
+          .add(sent.key())
+          .add(sent.sentAtMs())
+          .add(bytes(sent.answer()[0]));
+    trace.add(sim.readCount);
+    for (SimRelay relay : sim.relays.values()) trace.add(relay.startCount).add(relay.refusedCount);
   }
 
   @Test
@@ -171,13 +177,13 @@
     Assertions.assertEquals(
         "20 changes done, generation 5, 0 violations, 107895 "
             + "57d847b4c04c8588df36bd14dd892d7b50d675f688618a7f6e0973f7c9a8a312",
-        faults(new Sim(1, 3), 1));
+        faults(new Simulation(1, 3), 1));
   }
 
   @Test
   void threeMachinesOnHeldConnectionsSendAndWriteTheSameAsBefore() {
-    Sim sim = new Sim(2, 3);
-    sim.connections = true;
+    Simulation sim = new Simulation(2, 3);
+    sim.usesConnections = true;
     Assertions.assertEquals(
         "22 changes done, generation 2, 0 violations, 79231 "
             + "757e04553d928908ec53f6eef2d7c4bd27e42bdf5d96d01cbef8ac8e5c94e6e3",
@@ -189,7 +195,7 @@
     Assertions.assertEquals(
         "31 changes done, generation 10, 0 violations, 413387 "
             + "2e3b860fa56614669f281b1f23f70dabc28bbc462e18872bae08a233a320d907",
-        faults(new Sim(3, 3, 7, 3, fiveVoters()), 3));
+        faults(new Simulation(3, 3, 7, 3, fiveVoters()), 3));
   }
 
   @Test
@@ -197,41 +203,41 @@
     Assertions.assertEquals(
         "30 changes done, generation 15, 0 violations, 279345 "
             + "3881502eca9498d1d75ea0d874dab63654c5a4f7a0504bd86ec7fb7656a55ce1",
-        faults(new Sim(4, 2, 6, 1, fiveVoters()), 4));
+        faults(new Simulation(4, 2, 6, 1, fiveVoters()), 4));
   }
 
   // ---- requests
 
   /** The digest of a world with requests: a window held open, then what its seed brings. */
-  private static String requests(long seed, Happening happening, Point point) {
+  private static String requests(long seed, InjectedEvent happening, RequestPoint point) {
     Logger.getLogger("").setLevel(Level.OFF);
     TraceDigest trace = new TraceDigest();
-    RequestSim sim = new RequestSim(seed);
+    RequestSimulation sim = new RequestSimulation(seed);
     sim.observer = new Recorder(trace);
     sim.arm(happening, point);
-    for (SimControl control : sim.controls.values())
-      control.rate(1 + (sim.random.nextDouble() - 0.5) * 0.01);
-    for (RequestRelay relay : sim.fronts.values())
-      relay.drift(1 + (sim.random.nextDouble() - 0.5) * 0.01);
+    for (SimControlMachine control : sim.controls.values())
+      control.setClockRate(1 + (sim.random.nextDouble() - 0.5) * 0.01);
+    for (RequestRelay relay : sim.requestRelays.values())
+      relay.setClockRate(1 + (sim.random.nextDouble() - 0.5) * 0.01);
     sim.run(3500);
-    sim.mend();
+    sim.repairAll();
     for (int i = 0; i < REQUEST_STEPS; i++) {
-      sim.step();
+      sim.injectRandomFault();
       sim.run(300 + sim.random.nextInt(1500));
-      if (sim.random.nextBoolean()) sim.mend();
+      if (sim.random.nextBoolean()) sim.repairAll();
       sim.run(sim.random.nextInt(700));
     }
-    sim.mend();
+    sim.repairAll();
     sim.run(12_000);
-    sim.perSecond = 0.001;
+    sim.requestsPerSecond = 0.001;
     sim.run(6000);
-    sim.judge();
+    sim.checkRules();
     new TreeMap<>(sim.ledger.calls).values().forEach(call -> add(trace, call));
     new TreeMap<>(sim.ledger.runs).values().forEach(runs -> runs.forEach(run -> add(trace, run)));
-    trace.add(sim.met);
+    trace.add(sim.heldAtMs);
     return String.format(
         "%d of %d requests complete, %d violations, %s",
-        sim.complete(), sim.ledger.calls.size(), sim.violations.size(), trace.result());
+        sim.completeCount(), sim.ledger.calls.size(), sim.violations.size(), trace.result());
   }
 
   private static void add(TraceDigest trace, Ledger.Call call) {
@@ -251,7 +257,7 @@
     Assertions.assertEquals(
         "936 of 993 requests complete, 0 violations, 70933 "
             + "fcb0304ddf8c2f7905608ab6363dc13de0b9e3672ef20d1323131dee11a6d513",
-        requests(11, Happening.CONFIGURATION_MOVES, Point.LOOKUP));
+        requests(11, InjectedEvent.CONFIGURATION_MOVES, RequestPoint.LOOKUP));
   }
 
   @Test
@@ -259,7 +265,7 @@
     Assertions.assertEquals(
         "726 of 823 requests complete, 0 violations, 57029 "
             + "5b8dbfeba2be668f3a1d89153211e9513aba83513a3a188482b3abd2d98c623e",
-        requests(12, Happening.WEIGHTS_NAMED, Point.HANDED));
+        requests(12, InjectedEvent.WEIGHTS_NAMED, RequestPoint.HANDED));
   }
 
   @Test
@@ -267,6 +273,6 @@
     Assertions.assertEquals(
         "920 of 938 requests complete, 0 violations, 65593 "
             + "dc38ca3a17eb8f6c7f9343dea8bf7f5f5ed312cda91fba3f331fb5653a0cbb34",
-        requests(13, Happening.OWNER_DIES, Point.STREAM));
+        requests(13, InjectedEvent.OWNER_DIES, RequestPoint.STREAM));
   }
 }
