--- a/emulator/src/main/java/gladelug/emulator/check/CheckedDisk.java
+++ b/emulator/src/main/java/gladelug/emulator/check/CheckedDisk.java
@@ -7,14 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * The disk of one checked machine: durable entries by name, and writes that are not durable yet, in
- * order. A crash keeps a prefix of those.
- *
- * <p>A disk whose writes become durable one at a time, when the run says so.
+ * The disk of one checked machine: durable entries by name, and an ordered queue of pending writes
+ * that become durable one at a time, when the run says so. A crash keeps a prefix of the pending
+ * writes.
  */
 final class CheckedDisk {
-  /** A write that waits; accept: it was made while a member took an owner's value. */
-  record Write(String entry, byte[] state, boolean accept, Runnable done) {}
+  /**
+   * A pending write. isAccept: whether it was made while a member handled an owner's AcceptRequest.
+   */
+  record Write(String entry, byte[] state, boolean isAccept, Runnable done) {}
 
   final String id;
   private final Map<String, byte[]> durable = new HashMap<>();
@@ -32,37 +33,37 @@
     return durable.get(name);
   }
 
-  /** Durable from the start. */
-  void format(String entry, byte[] state) {
+  /** Stores an entry that is durable from the start. */
+  void writeDurably(String entry, byte[] state) {
     durable.put(entry, state);
   }
 
-  void want(Write w) {
-    pending.add(w);
+  void enqueue(Write write) {
+    pending.add(write);
   }
 
-  /** Ahead of all that waits. */
-  void wantFirst(Write w) {
-    pending.addFirst(w);
+  /** Queues a write ahead of all pending ones. */
+  void enqueueFirst(Write write) {
+    pending.addFirst(write);
   }
 
-  int pending() {
+  int pendingWrites() {
     return pending.size();
   }
 
   /** Makes the oldest pending write durable and returns it. */
   Write syncOldest() {
-    Write w = pending.poll();
-    if (!w.entry().isEmpty()) durable.put(w.entry(), w.state());
-    return w;
+    Write write = pending.poll();
+    if (!write.entry().isEmpty()) durable.put(write.entry(), write.state());
+    return write;
   }
 
-  /** Equal for equal durable entries. */
+  /** Returns a digest that is equal for equal durable entries. */
   long digest() {
-    long h = id.hashCode();
-    for (Map.Entry<String, byte[]> e : new TreeMap<>(durable).entrySet())
-      h = Mixing.mix(h + e.getKey().hashCode(), Arrays.hashCode(e.getValue()));
-    return h;
+    long hash = id.hashCode();
+    for (Map.Entry<String, byte[]> entry : new TreeMap<>(durable).entrySet())
+      hash = HashMixer.mix(hash + entry.getKey().hashCode(), Arrays.hashCode(entry.getValue()));
+    return hash;
   }
 
   void losePending() {
--- a/emulator/src/main/java/gladelug/emulator/check/CheckedMachine.java
+++ b/emulator/src/main/java/gladelug/emulator/check/CheckedMachine.java
@@ -14,36 +14,35 @@
 import java.util.List;
 
 /**
- * One control machine of a checked world: the product's CoreNode with its clock, disk and network
- * replaced. What a member sends itself arrives right after the step that sent it.
- *
- * <p>A machine, the process on it where one runs, and its disk.
+ * One control machine of a checked world: its disk and, while a process runs, the production core
+ * member with clock, disk and network replaced. Messages that a member sends to itself arrive right
+ * after the step that sent them.
  */
 final class CheckedMachine implements CoreHost {
-  private static final long CALL_NUMBERS = 1L << 40;
+  private static final long REQUEST_NUMBER_BOUND = 1L << 40;
 
   final String name;
-  private final World world;
+  private final CheckedWorld world;
   private final int index;
   Address address;
   CheckedDisk disk;
-  boolean founder;
+  boolean isFounder;
   CoreMember node;
-  int life;
-  private int disks;
-  private long clock = 1_000_000;
-  private long draws;
-  private MemberSet connected = MemberSet.NONE;
-  private CoreMessage handled;
-  private final ArrayDeque<Runnable> toItself = new ArrayDeque<>();
-
-  /** What happened at this machine during the present step, for people. */
+  int processNumber;
+  private int diskCount;
+  private long clockMs = 1_000_000;
+  private long drawCount;
+  private MemberSet connectedMembers = MemberSet.NONE;
+  private CoreMessage handledMessage;
+  private final ArrayDeque<Runnable> localTasks = new ArrayDeque<>();
+
+  /** Events at this machine during the current step, for step tables. */
   final List<String> events = new ArrayList<>();
 
-  /** Digest of everything this process was told since it started, and of what it started from. */
+  /** Digest of everything this process received since it started, and of its initial state. */
   long history;
 
-  CheckedMachine(World world, String name, int index, Address address) {
+  CheckedMachine(CheckedWorld world, String name, int index, Address address) {
     this.world = world;
     this.name = name;
     this.index = index;
@@ -52,10 +51,10 @@
   }
 
   private CheckedDisk emptyDisk() {
-    return new CheckedDisk("disk-" + name + ++disks);
+    return new CheckedDisk("disk-" + name + ++diskCount);
   }
 
-  boolean up() {
+  boolean isRunning() {
     return node != null;
   }
 
@@ -64,91 +63,93 @@
   }
 
   void start() {
-    life++;
-    draws = 0;
-    connected = MemberSet.NONE;
-    history = Mixing.mix(Mixing.mix(index, life), disk.digest());
-    BootstrapMembers founding = founder ? new BootstrapMembers(world.founders()) : null;
+    processNumber++;
+    drawCount = 0;
+    connectedMembers = MemberSet.NONE;
+    history = HashMixer.mix(HashMixer.mix(index, processNumber), disk.digest());
+    BootstrapMembers bootstrapMembers = isFounder ? new BootstrapMembers(world.founders()) : null;
     node =
         new CoreMember(
             this,
-            world.setup.tunables(),
+            world.setup.config(),
             member(),
             0,
-            world.disks.opened(disk),
-            founding,
+            world.disks.entriesAtStart(disk),
+            bootstrapMembers,
             new OwnerTasks() {});
-    handleOwnMessages();
+    runLocalTasks();
   }
 
-  /** The process ends; the oldest writes are durable, the others are lost. */
+  /** Ends the process. The oldest pending writes become durable; the others are lost. */
   void crash(long keptWrites) {
-    if (up()) life++;
+    if (isRunning()) processNumber++;
     node = null;
-    toItself.clear();
-    for (long i = 0; i < keptWrites && disk.pending() > 0; i++) durable(disk.syncOldest());
+    localTasks.clear();
+    for (long i = 0; i < keptWrites && disk.pendingWrites() > 0; i++) onDurable(disk.syncOldest());
     disk.losePending();
   }
 
-  void wipe() {
+  void replaceDisk() {
     crash(0);
-    disk = world.disks.keepsId() ? new CheckedDisk(disk.id) : emptyDisk();
+    disk = world.disks.keepsDiskId() ? new CheckedDisk(disk.id) : emptyDisk();
   }
 
-  void advance(long ms) {
-    clock += ms;
+  void advance(long durationMs) {
+    clockMs += durationMs;
   }
 
-  /** Runs an event of the process, then all it sent to itself meanwhile. */
+  /** Runs an event of the process, then everything it sent to itself meanwhile. */
   void run(Runnable event) {
     event.run();
-    handleOwnMessages();
+    runLocalTasks();
   }
 
-  void deliver(Envelope e) {
-    run(() -> handle(e));
+  void deliver(Envelope envelope) {
+    run(() -> handle(envelope));
   }
 
-  private void handle(Envelope e) {
-    handled = e.message();
-    node.onMessage(e);
-    handled = null;
+  private void handle(Envelope envelope) {
+    handledMessage = envelope.message();
+    node.onMessage(envelope);
+    handledMessage = null;
   }
 
-  private void handleOwnMessages() {
-    while (up() && !toItself.isEmpty()) toItself.poll().run();
+  private void runLocalTasks() {
+    while (isRunning() && !localTasks.isEmpty()) localTasks.poll().run();
   }
 
-  /** The oldest writes become durable, and those who waited for them are told. */
+  /** Makes the oldest pending writes durable, all of them for 0, and runs their completions. */
   void sync(long writes) {
-    long n = writes == 0 ? disk.pending() : Math.min(writes, disk.pending());
+    long count = writes == 0 ? disk.pendingWrites() : Math.min(writes, disk.pendingWrites());
     List<CheckedDisk.Write> written = new ArrayList<>();
-    for (long i = 0; i < n; i++) written.add(disk.syncOldest());
-    written.forEach(this::durable);
-    for (CheckedDisk.Write w : written) run(w.done());
+    for (long i = 0; i < count; i++) written.add(disk.syncOldest());
+    written.forEach(this::onDurable);
+    for (CheckedDisk.Write write : written) run(write.done());
   }
 
-  /** Equal for equal processes with equal disks and writes that wait. */
+  /** Returns a digest that is equal for processes with equal state, disks and pending writes. */
   long digest() {
-    return Mixing.mix(up() ? history : index, disk.digest() + disk.pending());
+    return HashMixer.mix(isRunning() ? history : index, disk.digest() + disk.pendingWrites());
   }
 
-  void durable(CheckedDisk.Write w) {
-    world.rules.durable(this, w);
+  void onDurable(CheckedDisk.Write write) {
+    world.rules.onDurable(this, write);
   }
 
-  // ---- the protocol's host
+  // ---- CoreHost
 
   @Override
   public long nowMs() {
-    return clock;
+    return clockMs;
   }
 
   @Override
-  public long random(long below) {
-    long draw = Mixing.mix(Mixing.mix(world.setup.chance(), index * 1009L + life), draws++);
-    if (below < CALL_NUMBERS && world.setup.chance() == 0) return 0;
-    return Math.floorMod(draw, below);
+  public long random(long bound) {
+    long draw =
+        HashMixer.mix(
+            HashMixer.mix(world.setup.randomSeed(), index * 1009L + processNumber), drawCount++);
+    if (bound < REQUEST_NUMBER_BOUND && world.setup.randomSeed() == 0) return 0;
+    return Math.floorMod(draw, bound);
   }
 
   @Override
@@ -157,36 +158,36 @@
   }
 
   @Override
-  public void send(String member, Envelope m) {
-    if (!world.modelled(m.message())) return;
+  public void send(String member, Envelope envelope) {
+    if (!world.isModelled(envelope.message())) return;
     if (member.equals(name)) {
-      sendToItself(m);
+      sendLocally(envelope);
       return;
     }
-    if (m.message() instanceof CoreMessage.PrepareRequest promise)
-      world.rules.asks(this, member, promise);
-    MemberSet.Member to = connected.find(member);
-    if (to != null) sendTo(to.recordsAddress(), m);
+    if (envelope.message() instanceof CoreMessage.PrepareRequest prepare)
+      world.rules.onPromiseRequested(this, member, prepare);
+    MemberSet.Member recipient = connectedMembers.find(member);
+    if (recipient != null) sendTo(recipient.recordsAddress(), envelope);
   }
 
   @Override
-  public void sendTo(Address to, Envelope m) {
-    if (to.equals(address)) sendToItself(m);
-    else world.network.send(this, to, m);
+  public void sendTo(Address recipient, Envelope envelope) {
+    if (recipient.equals(address)) sendLocally(envelope);
+    else world.network.send(this, recipient, envelope);
   }
 
-  private void sendToItself(Envelope m) {
-    tellItself(world.network.mutated(m));
-    world.network.sentToItself(this, m);
+  private void sendLocally(Envelope envelope) {
+    deliverLocally(world.network.applyMutation(envelope));
+    world.network.onLocalMessage(this, envelope);
   }
 
-  void tellItself(Envelope m) {
-    later(() -> handle(m));
+  void deliverLocally(Envelope envelope) {
+    runLater(() -> handle(envelope));
   }
 
-  /** Runs it right after the present event. */
-  void later(Runnable task) {
-    toItself.add(task);
+  /** Runs the task right after the current event. */
+  void runLater(Runnable task) {
+    localTasks.add(task);
   }
 
   @Override
@@ -196,27 +197,27 @@
 
   @Override
   public void sync(String entry, byte[] state, Runnable done) {
-    int writer = life;
+    int writingProcess = processNumber;
     Runnable ifAlive =
         () -> {
-          if (life == writer && up()) done.run();
+          if (processNumber == writingProcess && isRunning()) done.run();
         };
-    boolean accept = handled instanceof CoreMessage.AcceptRequest;
-    world.disks.want(this, handled, new CheckedDisk.Write(entry, state, accept, ifAlive));
+    boolean isAccept = handledMessage instanceof CoreMessage.AcceptRequest;
+    world.disks.write(this, handledMessage, new CheckedDisk.Write(entry, state, isAccept, ifAlive));
   }
 
   @Override
-  public void pushUpdate(String to, StateUpdate update) {}
+  public void pushUpdate(String recipient, StateUpdate update) {}
 
   @Override
   public void onMembersChanged(MemberSet members) {
-    connected = members;
+    connectedMembers = members;
   }
 
   @Override
-  public void logEvent(String what, Object... pairs) {
+  public void logEvent(String eventName, Object... pairs) {
     if (!world.recordsEvents()) return;
-    StringBuilder text = new StringBuilder(what);
+    StringBuilder text = new StringBuilder(eventName);
     for (int i = 0; i + 1 < pairs.length; i += 2)
       text.append(' ').append(pairs[i]).append('=').append(pairs[i + 1]);
     events.add(text.toString());
--- a/emulator/src/main/java/gladelug/emulator/check/CheckedNetwork.java
+++ b/emulator/src/main/java/gladelug/emulator/check/CheckedNetwork.java
@@ -20,129 +20,164 @@
 import java.util.Set;
 
 /**
- * The messages in flight between checked machines. Any of them may arrive next, twice, or never.
- * Mutations that let answers be taken for more than they are live here.
- *
- * <p>A multiset of messages.
+ * The multiset of messages in flight between checked machines. Any of them may arrive next, arrive
+ * twice, or never arrive. Mutations that let responses count for more than they are worth are
+ * implemented here.
  */
 final class CheckedNetwork {
-  /** Beyond this many the oldest is lost, so that a run does not drown in old messages. */
-  private static final int MOST = 90;
+  /**
+   * Limit on messages in flight; beyond it the oldest is lost, so that old messages do not dominate
+   * a run.
+   */
+  private static final int MAX_IN_FLIGHT = 90;
 
-  private final World world;
-  private final List<Flight> flights = new ArrayList<>();
-  private final Set<String> rewritten = new HashSet<>();
+  private final CheckedWorld world;
+  private final List<InFlightMessage> inFlight = new ArrayList<>();
+  private final Set<String> forgedAccepts = new HashSet<>();
 
-  CheckedNetwork(World world) {
+  CheckedNetwork(CheckedWorld world) {
     this.world = world;
   }
 
-  List<Flight> flights() {
-    return flights;
+  List<InFlightMessage> inFlight() {
+    return inFlight;
   }
 
-  void send(CheckedMachine from, Address address, Envelope m) {
-    CheckedMachine receiver = world.at(address);
-    if (receiver == null || !receiver.up() || !world.modelled(m.message())) return;
-    if (world.setup.mutation() == Mutation.NEXT_NEVER_TOLD && m.message() instanceof Activate)
-      return;
-    flights.add(new Flight(from.name, receiver.name, mutated(m)));
-    if (flights.size() > MOST) flights.remove(0);
-    world.budget.sent(m.message());
+  void send(CheckedMachine sender, Address address, Envelope envelope) {
+    CheckedMachine receiver = world.machineAt(address);
+    if (receiver == null || !receiver.isRunning() || !world.isModelled(envelope.message())) return;
+    if (world.setup.mutation() == Mutation.NEXT_NEVER_TOLD
+        && envelope.message() instanceof Activate) return;
+    inFlight.add(new InFlightMessage(sender.name, receiver.name, applyMutation(envelope)));
+    if (inFlight.size() > MAX_IN_FLIGHT) inFlight.remove(0);
+    world.faultBudget.onSent(envelope.message());
   }
 
-  /** A process ended: what was on its way to it is lost. */
-  void ended(CheckedMachine m) {
-    flights.removeIf(flight -> flight.to().equals(m.name));
+  /** Drops all messages to a process that ended. */
+  void dropMessagesTo(CheckedMachine machine) {
+    inFlight.removeIf(message -> message.to().equals(machine.name));
   }
 
-  /** The message a step means, or null where there is none such. */
-  Flight find(Step step) {
-    List<Flight> of = new ArrayList<>();
-    for (Flight flight : flights)
-      if (flight.to().equals(step.machine())
-          && flight.from().equals(step.other())
-          && flight.type().equals(step.what())) of.add(flight);
-    return of.isEmpty() ? null : of.get((int) Math.min(step.amount(), of.size() - 1));
+  /** Returns the message that a step refers to, or null if there is none. */
+  InFlightMessage findMessage(Step step) {
+    List<InFlightMessage> matching = new ArrayList<>();
+    for (InFlightMessage message : inFlight)
+      if (message.to().equals(step.machine())
+          && message.from().equals(step.other())
+          && message.type().equals(step.what())) matching.add(message);
+    return matching.isEmpty()
+        ? null
+        : matching.get((int) Math.min(step.amount(), matching.size() - 1));
   }
 
-  /** The step that delivers, repeats or loses the message at this place. */
-  Step step(Step.Kind kind, int place) {
-    Flight f = flights.get(place);
+  /** Returns the step of the given kind for the message at this index. */
+  Step step(Step.Kind kind, int index) {
+    InFlightMessage message = inFlight.get(index);
     int before = 0;
-    for (int i = 0; i < place; i++) {
-      Flight x = flights.get(i);
-      if (x.to().equals(f.to()) && x.from().equals(f.from()) && x.type().equals(f.type())) before++;
+    for (int i = 0; i < index; i++) {
+      InFlightMessage other = inFlight.get(i);
+      if (other.to().equals(message.to())
+          && other.from().equals(message.from())
+          && other.type().equals(message.type())) before++;
     }
-    return new Step(kind, f.to(), f.from(), f.type(), before);
+    return new Step(kind, message.to(), message.from(), message.type(), before);
   }
 
-  void remove(Flight flight) {
-    flights.remove(flight);
+  void remove(InFlightMessage message) {
+    inFlight.remove(message);
   }
 
-  /** Independent of the order in which the messages were sent. */
+  /** Returns a digest that does not depend on the order in which the messages were sent. */
   long digest() {
     long sum = 0;
-    for (Flight flight : flights) sum += flight.digest();
+    for (InFlightMessage message : inFlight) sum += message.digest();
     return sum;
   }
 
   // ---- mutations
 
-  /** What goes out in place of a message. */
-  Envelope mutated(Envelope m) {
+  /** Returns the message that is sent in place of the given one. */
+  Envelope applyMutation(Envelope envelope) {
     if (world.setup.mutation() != Mutation.CONFIRM_BELOW_PROMISE
-        || !(m.message() instanceof ConfirmResponse c)) return m;
-    List<EpochStatus> all = c.statuses().stream().map(CheckedNetwork::confirmed).toList();
+        || !(envelope.message() instanceof ConfirmResponse response)) return envelope;
+    List<EpochStatus> statuses =
+        response.statuses().stream().map(CheckedNetwork::withRaisedPromise).toList();
     return new Envelope(
-        m.generation(), m.sender(), m.senderDisk(), new ConfirmResponse(c.round(), all));
+        envelope.generation(),
+        envelope.sender(),
+        envelope.senderDisk(),
+        new ConfirmResponse(response.round(), statuses));
   }
 
-  private static EpochStatus confirmed(EpochStatus s) {
+  private static EpochStatus withRaisedPromise(EpochStatus status) {
     return new EpochStatus(
-        s.key(), s.epoch(), true, s.epoch(), s.acceptedEpoch(), s.acceptedNumber());
+        status.key(),
+        status.epoch(),
+        true,
+        status.epoch(),
+        status.acceptedEpoch(),
+        status.acceptedNumber());
   }
 
-  /** Lets answers of others be made up where a mutation says so. */
-  void sentToItself(CheckedMachine m, Envelope e) {
-    world.budget.sent(e.message());
-    CoreMessage forged = forged(e.message());
+  /**
+   * Forges the responses of other members to a message that a member sends to itself, where the
+   * mutation requires it.
+   */
+  void onLocalMessage(CheckedMachine machine, Envelope envelope) {
+    world.faultBudget.onSent(envelope.message());
+    CoreMessage forged = forgedResponse(envelope.message());
     if (forged == null) return;
-    for (MemberSet.Member other : m.node.members().all())
-      if (!other.name().equals(m.name))
-        m.tellItself(new Envelope(e.generation(), other.name(), other.diskId(), forged));
+    for (MemberSet.Member other : machine.node.members().all())
+      if (!other.name().equals(machine.name))
+        machine.deliverLocally(
+            new Envelope(envelope.generation(), other.name(), other.diskId(), forged));
   }
 
-  private CoreMessage forged(CoreMessage said) {
+  private CoreMessage forgedResponse(CoreMessage message) {
     return switch (world.setup.mutation()) {
-      case MAJORITY_OF_ONE -> isOwnConsent(said) ? said : null;
-      case SERVING_WITHOUT_REWRITE -> said instanceof AcceptRequest a ? firstAccepted(a) : null;
-      case READ_WITHOUT_ROUND -> said instanceof ConfirmRequest c ? confirmedByAll(c) : null;
+      case MAJORITY_OF_ONE -> isGranted(message) ? message : null;
+      case SERVING_WITHOUT_REWRITE ->
+          message instanceof AcceptRequest request ? forgedAcceptResponse(request) : null;
+      case READ_WITHOUT_ROUND ->
+          message instanceof ConfirmRequest request ? forgedConfirmResponse(request) : null;
       case SEAL_WITHOUT_MAJORITY ->
-          said instanceof SealResponse s
+          message instanceof SealResponse response
               ? new SealResponse(
-                  s.nextGeneration(), s.requesterIncarnation(), List.of(), s.versions())
+                  response.nextGeneration(),
+                  response.requesterIncarnation(),
+                  List.of(),
+                  response.versions())
               : null;
       default -> null;
     };
   }
 
-  private static boolean isOwnConsent(CoreMessage said) {
-    return said instanceof PrepareResponse p && p.granted()
-        || said instanceof AcceptResponse a && a.granted();
+  private static boolean isGranted(CoreMessage message) {
+    return message instanceof PrepareResponse prepare && prepare.granted()
+        || message instanceof AcceptResponse accept && accept.granted();
   }
 
-  private CoreMessage firstAccepted(AcceptRequest a) {
-    if (!rewritten.add(a.key() + a.epoch())) return null;
+  private CoreMessage forgedAcceptResponse(AcceptRequest request) {
+    if (!forgedAccepts.add(request.key() + request.epoch())) return null;
     return new AcceptResponse(
-        a.key(), a.epoch(), StateDecoder.decodeValue(a).number(), true, a.epoch());
+        request.key(),
+        request.epoch(),
+        StateDecoder.decodeValue(request).number(),
+        true,
+        request.epoch());
   }
 
-  private static CoreMessage confirmedByAll(ConfirmRequest c) {
-    List<EpochStatus> all = new ArrayList<>();
-    for (KeyEpoch x : c.epochs())
-      all.add(new EpochStatus(x.key(), x.epoch(), true, x.epoch(), x.epoch(), Long.MAX_VALUE));
-    return new ConfirmResponse(c.round(), all);
+  private static CoreMessage forgedConfirmResponse(ConfirmRequest request) {
+    List<EpochStatus> statuses = new ArrayList<>();
+    for (KeyEpoch keyEpoch : request.epochs())
+      statuses.add(
+          new EpochStatus(
+              keyEpoch.key(),
+              keyEpoch.epoch(),
+              true,
+              keyEpoch.epoch(),
+              keyEpoch.epoch(),
+              Long.MAX_VALUE));
+    return new ConfirmResponse(request.round(), statuses);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/Exploration.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Exploration.java
@@ -10,15 +10,15 @@
 
 /**
  * Explores every run from a scenario's first state up to a depth. A member's state follows from
- * what it was told, so two runs in which every process was told the same in the same order, with
- * equal disks, equal messages in flight and equal things to judge by, go on alike and only one of
- * them is followed; the order of what happens to different members does not matter thereby. Members
- * can't be copied, so each run is played again from its beginning.
+ * what it received. Two runs in which every process received the same in the same order, with equal
+ * disks, equal messages in flight and equal data to check, therefore continue alike, and only one
+ * of them is followed; the order of events at different members does not matter. Members cannot be
+ * copied, so each run is replayed from its beginning.
  *
- * <p>Breadth first, so that what it finds is as short as can be.
+ * <p>The search is breadth first, so a counterexample has as few moves as possible.
  */
 final class Exploration {
-  /** Several steps that count as one; kind: which allowance of the menu it takes from. */
+  /** Several steps that count as one. kind: the limit of the menu that the move counts against. */
   private record Move(Kind kind, List<Step> steps) {}
 
   private enum Kind {
@@ -30,9 +30,9 @@
     WIPE
   }
 
-  private record Run(Run before, Move move) {}
+  private record Run(Run previous, Move move) {}
 
-  /** depth: to which all was explored; moves: how often a state was left. */
+  /** depth: the depth that was fully explored; moves: how often a state was extended by a move. */
   record Result(
       String scenario,
       int depth,
@@ -56,137 +56,160 @@
   }
 
   private final Scenario scenario;
-  private final Consumer<World> visited;
-  private final Set<Long> seen = new HashSet<>();
+  private final Consumer<CheckedWorld> visited;
+  private final Set<Long> seenStates = new HashSet<>();
   private List<Run> frontier = new ArrayList<>();
-  private long moves;
-  private List<Step> broken;
-  private Rules.Broken rule;
+  private long moveCount;
+  private List<Step> brokenRun;
+  private Rules.Broken brokenRule;
 
-  private Exploration(Scenario scenario, Consumer<World> visited) {
+  private Exploration(Scenario scenario, Consumer<CheckedWorld> visited) {
     this.scenario = scenario;
     this.visited = visited;
   }
 
-  /** Up to a depth, and no deeper once there are so many states. */
-  static Result explore(Scenario scenario, int depth, long mostStates) {
-    return explore(scenario, depth, mostStates, world -> {});
+  /** Explores up to a depth, and no deeper once this many states were found. */
+  static Result explore(Scenario scenario, int depth, long maxStates) {
+    return explore(scenario, depth, maxStates, world -> {});
   }
 
-  /** The same; shows the world after each move, in the order of the exploration. */
-  static Result explore(Scenario scenario, int depth, long mostStates, Consumer<World> visited) {
-    Exploration e = new Exploration(scenario, visited);
-    long begun = System.nanoTime();
+  /**
+   * Explores likewise and passes the world to the consumer after each move, in the order of the
+   * exploration.
+   */
+  static Result explore(
+      Scenario scenario, int depth, long maxStates, Consumer<CheckedWorld> visited) {
+    Exploration exploration = new Exploration(scenario, visited);
+    long startNs = System.nanoTime();
     Run first = new Run(null, null);
-    e.frontier.add(first);
-    e.seen.add(e.key(e.play(first), first));
-    int reached = 0;
-    while (reached < depth && e.rule == null && e.seen.size() < mostStates && e.deeper()) reached++;
-    double seconds = (System.nanoTime() - begun) / 1e9;
-    return new Result(scenario.name(), reached, e.seen.size(), e.moves, seconds, e.broken, e.rule);
-  }
-
-  private boolean deeper() {
+    exploration.frontier.add(first);
+    exploration.seenStates.add(exploration.stateKey(exploration.replay(first), first));
+    int reachedDepth = 0;
+    while (reachedDepth < depth
+        && exploration.brokenRule == null
+        && exploration.seenStates.size() < maxStates
+        && exploration.exploreNextDepth()) reachedDepth++;
+    double seconds = (System.nanoTime() - startNs) / 1e9;
+    return new Result(
+        scenario.name(),
+        reachedDepth,
+        exploration.seenStates.size(),
+        exploration.moveCount,
+        seconds,
+        exploration.brokenRun,
+        exploration.brokenRule);
+  }
+
+  private boolean exploreNextDepth() {
     List<Run> next = new ArrayList<>();
-    for (Run r : frontier)
-      for (Move m : moves(r)) {
-        Run run = new Run(r, m);
-        World world = play(run);
-        moves++;
+    for (Run run : frontier)
+      for (Move move : moves(run)) {
+        Run extended = new Run(run, move);
+        CheckedWorld world = replay(extended);
+        moveCount++;
         visited.accept(world);
-        if (world.rules.broken() != null) {
-          broken = steps(run);
-          rule = world.rules.broken();
+        if (world.rules.brokenRule() != null) {
+          brokenRun = stepsOf(extended);
+          brokenRule = world.rules.brokenRule();
           return false;
         }
-        if (seen.add(key(world, run))) next.add(run);
+        if (seenStates.add(stateKey(world, extended))) next.add(extended);
       }
     frontier = next;
     return !next.isEmpty();
   }
 
-  private World play(Run r) {
-    World world = World.toCompare(scenario.setup());
-    for (Step step : steps(r)) Replay.apply(world, step);
+  private CheckedWorld replay(Run run) {
+    CheckedWorld world = CheckedWorld.forExploration(scenario.setup());
+    for (Step step : stepsOf(run)) Replay.apply(world, step);
     return world;
   }
 
-  private List<Step> steps(Run r) {
+  private List<Step> stepsOf(Run run) {
     List<Run> runs = new ArrayList<>();
-    for (Run x = r; x.before != null; x = x.before) runs.add(0, x);
+    for (Run part = run; part.previous != null; part = part.previous) runs.add(0, part);
     List<Step> steps = new ArrayList<>(scenario.prefix());
-    for (Run x : runs) steps.addAll(x.move.steps);
+    for (Run part : runs) steps.addAll(part.move.steps);
     return steps;
   }
 
-  /** What is left of the allowances belongs to the state. */
-  private long key(World world, Run r) {
-    long h = world.digest();
-    for (Kind k : Kind.values()) if (k != Kind.DELIVERY) h = Mixing.mix(h, used(r, k));
-    return h;
-  }
-
-  private static int used(Run r, Kind kind) {
-    int n = 0;
-    for (Run x = r; x.before != null; x = x.before) if (x.move.kind == kind) n++;
-    return n;
-  }
-
-  private List<Move> moves(Run r) {
-    World world = play(r);
-    List<Move> out = new ArrayList<>();
-    boolean mayCrash = used(r, Kind.CRASH) < scenario.menu().mostCrashes();
-    deliveries(world, mayCrash, out);
-    for (CheckedMachine m : world.machines()) {
-      if (used(r, Kind.TICK) < scenario.menu().mostTicks())
-        for (int ms : scenario.menu().ticks())
-          out.add(synced(Kind.TICK, Step.on(Step.Kind.TICK, m.name, ms)));
-      if (mayCrash) out.add(crash(m.name, List.of()));
-      if (used(r, Kind.WIPE) < scenario.menu().mostWipes()) wipe(world, m, out);
-      if (m.node.owns(StateKeys.CONFIGURATION)) operators(m, r, out);
+  /**
+   * Returns the digest of a state. It includes the moves used so far, since they limit what may
+   * follow.
+   */
+  private long stateKey(CheckedWorld world, Run run) {
+    long hash = world.digest();
+    for (Kind kind : Kind.values())
+      if (kind != Kind.DELIVERY) hash = HashMixer.mix(hash, countUsed(run, kind));
+    return hash;
+  }
+
+  private static int countUsed(Run run, Kind kind) {
+    int count = 0;
+    for (Run part = run; part.previous != null; part = part.previous)
+      if (part.move.kind == kind) count++;
+    return count;
+  }
+
+  private List<Move> moves(Run run) {
+    CheckedWorld world = replay(run);
+    List<Move> moves = new ArrayList<>();
+    boolean mayCrash = countUsed(run, Kind.CRASH) < scenario.menu().maxCrashes();
+    addDeliveries(world, mayCrash, moves);
+    for (CheckedMachine machine : world.machines()) {
+      if (countUsed(run, Kind.TICK) < scenario.menu().maxTicks())
+        for (int durationMs : scenario.menu().tickDurationsMs())
+          moves.add(withSync(Kind.TICK, Step.on(Step.Kind.TICK, machine.name, durationMs)));
+      if (mayCrash) moves.add(crashMove(machine.name, List.of()));
+      if (countUsed(run, Kind.WIPE) < scenario.menu().maxWipes()) addWipes(world, machine, moves);
+      if (machine.node.owns(StateKeys.CONFIGURATION)) addOperatorMoves(machine, run, moves);
     }
-    return out;
-  }
-
-  private void deliveries(World world, boolean mayCrash, List<Move> out) {
-    Set<Long> alike = new HashSet<>();
-    List<Flight> flights = world.network.flights();
-    for (int i = 0; i < flights.size(); i++) {
-      Flight flight = flights.get(i);
-      if (!scenario.menu().messages().contains(flight.type()) || !alike.add(flight.digest()))
-        continue;
-      Step step = world.network.step(Step.Kind.DELIVER, i);
-      out.add(synced(Kind.DELIVERY, step));
-      if (mayCrash) out.add(crash(flight.to(), List.of(step)));
+    return moves;
+  }
+
+  private void addDeliveries(CheckedWorld world, boolean mayCrash, List<Move> moves) {
+    Set<Long> seenDigests = new HashSet<>();
+    List<InFlightMessage> messages = world.network.inFlight();
+    for (int index = 0; index < messages.size(); index++) {
+      InFlightMessage message = messages.get(index);
+      if (!scenario.menu().messageTypes().contains(message.type())
+          || !seenDigests.add(message.digest())) continue;
+      Step step = world.network.step(Step.Kind.DELIVER, index);
+      moves.add(withSync(Kind.DELIVERY, step));
+      if (mayCrash) moves.add(crashMove(message.to(), List.of(step)));
     }
   }
 
-  private void operators(CheckedMachine m, Run r, List<Move> out) {
+  private void addOperatorMoves(CheckedMachine machine, Run run, List<Move> moves) {
     String key = StateKeys.CONFIGURATION;
-    if (used(r, Kind.PROPOSAL) < scenario.menu().mostProposals())
-      out.add(synced(Kind.PROPOSAL, Step.key(Step.Kind.PROPOSE, m.name, key, 1)));
-    if (used(r, Kind.READ) < scenario.menu().mostReads())
-      out.add(synced(Kind.READ, Step.key(Step.Kind.READ, m.name, key, 0)));
+    if (countUsed(run, Kind.PROPOSAL) < scenario.menu().maxProposals())
+      moves.add(withSync(Kind.PROPOSAL, Step.key(Step.Kind.PROPOSE, machine.name, key, 1)));
+    if (countUsed(run, Kind.READ) < scenario.menu().maxReads())
+      moves.add(withSync(Kind.READ, Step.key(Step.Kind.READ, machine.name, key, 0)));
   }
 
-  private void wipe(World world, CheckedMachine m, List<Move> out) {
-    if (world.setup.founded() || scenario.mayJoin()) wipe(world, m, 0, out);
-    if (!world.setup.founded()) wipe(world, m, Step.FOUNDING_AGAIN, out);
+  private void addWipes(CheckedWorld world, CheckedMachine machine, List<Move> moves) {
+    if (world.setup.isFounded() || scenario.mayJoin()) addWipes(world, machine, 0, moves);
+    if (!world.setup.isFounded()) addWipes(world, machine, Step.BOOTSTRAP_AGAIN, moves);
   }
 
-  private static void wipe(World world, CheckedMachine m, long flags, List<Move> out) {
-    if (!world.budget.mayWipe(m, flags != 0)) return;
-    Step wipe = Step.on(Step.Kind.WIPE, m.name, flags);
-    out.add(new Move(Kind.WIPE, List.of(wipe, Step.on(Step.Kind.RESTART, m.name))));
+  private static void addWipes(
+      CheckedWorld world, CheckedMachine machine, long flags, List<Move> moves) {
+    if (!world.faultBudget.mayWipe(machine, flags != 0)) return;
+    Step wipe = Step.on(Step.Kind.WIPE, machine.name, flags);
+    moves.add(new Move(Kind.WIPE, List.of(wipe, Step.on(Step.Kind.RESTART, machine.name))));
   }
 
-  /** With all it writes, and what follows from that at the same machine, durable at once. */
-  private static Move synced(Kind kind, Step step) {
+  /**
+   * Returns a move in which everything the step writes, and what follows from that at the same
+   * machine, becomes durable at once.
+   */
+  private static Move withSync(Kind kind, Step step) {
     Step sync = Step.on(Step.Kind.SYNC, step.machine());
     return new Move(kind, List.of(step, sync, sync));
   }
 
-  private static Move crash(String machine, List<Step> before) {
+  private static Move crashMove(String machine, List<Step> before) {
     List<Step> steps = new ArrayList<>(before);
     steps.add(Step.on(Step.Kind.CRASH, machine));
     steps.add(Step.on(Step.Kind.RESTART, machine));
--- a/emulator/src/main/java/gladelug/emulator/check/FaultBudget.java
+++ b/emulator/src/main/java/gladelug/emulator/check/FaultBudget.java
@@ -14,138 +14,144 @@
 import java.util.Set;
 
 /**
- * Which disks may still be lost. The core promises to bear the loss of a minority of the disks of
- * every set of members that counts: the newest that a majority of its own members has on disk, and
- * those proposed to follow it. Losses beyond that are never brought about.
- *
- * <p>Keeps the losses of disks within what the core promises to bear.
+ * Decides which disks may still be lost. The core guarantees to tolerate the loss of a minority of
+ * the disks of every member set that counts: the newest set that a majority of its own members has
+ * on disk, and those proposed to follow it. The checker never causes losses beyond that.
  */
 final class FaultBudget {
-  /** For how long an owner may choose a machine that it heard of, and some time more, ms. */
-  private static final long REMEMBERED = 6000;
+  /** Time for which an owner may choose a candidate that it has heard of, plus a margin, in ms. */
+  private static final long STANDBY_MEMORY_MS = 6000;
 
-  private final World world;
-  private final Set<MemberSet> sets = new LinkedHashSet<>();
+  private final CheckedWorld world;
+  private final Set<MemberSet> memberSets = new LinkedHashSet<>();
   private final Set<String> wipedFounders = new HashSet<>();
   private final Set<String> foundedAgain = new HashSet<>();
 
-  /**
-   * Machines that stood by when their disks were lost: an owner may choose them a moment longer.
-   */
+  /** Standbys whose disks were lost; an owner may still choose them for a while. */
   private final List<LostStandby> lostStandbys = new ArrayList<>();
 
-  private boolean foundingHolds = true;
+  private boolean majorityOfFoundersKept = true;
 
-  /** reading: what clocks showed then, by machine and life. */
-  private record LostStandby(Map<String, Long> reading) {}
+  /** clockReadings: the clocks at the time of the loss, by machine and process. */
+  private record LostStandby(Map<String, Long> clockReadings) {}
 
-  FaultBudget(World world) {
+  FaultBudget(CheckedWorld world) {
     this.world = world;
   }
 
-  /** Notes the sets of members that are proposed. */
-  void sent(CoreMessage message) {
-    if (message instanceof AcceptRequest a && a.key().equals(StateKeys.CORE)) {
-      byte[] body = StateDecoder.decodeValue(a).body();
-      if (body.length > 0) counts(StateDecoder.decodeMembers(body));
+  /** Records the member set that a message proposes, if any. */
+  void onSent(CoreMessage message) {
+    if (message instanceof AcceptRequest accept && accept.key().equals(StateKeys.CORE)) {
+      byte[] body = StateDecoder.decodeValue(accept).body();
+      if (body.length > 0) addMemberSet(StateDecoder.decodeMembers(body));
     }
   }
 
-  /** How many sets are proposed and not taken by a majority of their own yet. */
-  long proposed() {
-    long established = established();
-    return sets.stream()
+  /**
+   * Returns the number of member sets that were proposed and not yet adopted by a majority of their
+   * own members.
+   */
+  long proposedSetCount() {
+    long established = establishedGeneration();
+    return memberSets.stream()
         .filter(members -> members.generation() > established && established > 0)
         .count();
   }
 
-  /** Notes a set of members that a machine knows. */
-  void counts(MemberSet members) {
-    if (members.generation() > 0) sets.add(members);
+  /** Records a member set that a machine knows. */
+  void addMemberSet(MemberSet members) {
+    if (members.generation() > 0) memberSets.add(members);
   }
 
-  /** Whether the disk of this machine may be lost now. */
-  boolean mayWipe(CheckedMachine m, boolean foundingAgain) {
-    if (foundingAgain && allFounders(foundedAgain, m)) return false;
-    if (established() == 0 && allFounders(wipedFounders, m)) return false;
-    long established = established();
-    for (MemberSet members : sets)
-      if (members.generation() >= established && !bears(members, m)) return false;
+  /** Returns whether the disk of this machine may be lost now. */
+  boolean mayWipe(CheckedMachine machine, boolean bootstrapsAgain) {
+    if (bootstrapsAgain && coverAllFounders(foundedAgain, machine)) return false;
+    if (establishedGeneration() == 0 && coverAllFounders(wipedFounders, machine)) return false;
+    long established = establishedGeneration();
+    for (MemberSet members : memberSets)
+      if (members.generation() >= established && !toleratesLossOf(members, machine)) return false;
     return true;
   }
 
-  /** Whether the core must find back to work once all machines run and reach each other. */
-  boolean recovers() {
-    return foundingHolds;
+  /** Returns whether the core must recover once all machines run and reach each other. */
+  boolean mustRecover() {
+    return majorityOfFoundersKept;
   }
 
-  /** Notes that a disk is about to be lost. */
-  void wiped(CheckedMachine m, boolean foundingAgain) {
-    if (established() == 0 && world.isFounder(m)) {
-      boolean majorityLeft = (wipedFounders.size() + 1) * 2 < world.setup.members();
-      foundingHolds &= majorityLeft;
+  /** Records that a disk is about to be lost. */
+  void onWipe(CheckedMachine machine, boolean bootstrapsAgain) {
+    if (establishedGeneration() == 0 && world.isFounder(machine)) {
+      boolean majorityLeft = (wipedFounders.size() + 1) * 2 < world.setup.memberCount();
+      majorityOfFoundersKept &= majorityLeft;
     }
-    if (isMember(m)) lostStandbys.removeIf(this::forgotten);
-    else lostStandbys.add(new LostStandby(clocks()));
-    if (world.isFounder(m)) wipedFounders.add(m.name);
-    if (foundingAgain) foundedAgain.add(m.name);
+    if (isMember(machine)) lostStandbys.removeIf(this::isForgotten);
+    else lostStandbys.add(new LostStandby(readClocks()));
+    if (world.isFounder(machine)) wipedFounders.add(machine.name);
+    if (bootstrapsAgain) foundedAgain.add(machine.name);
   }
 
-  /** Whether its disk is in a set that counts. */
-  private boolean isMember(CheckedMachine m) {
-    long established = established();
-    return sets.stream()
+  /** Returns whether the machine's disk belongs to a member set that counts. */
+  private boolean isMember(CheckedMachine machine) {
+    long established = establishedGeneration();
+    return memberSets.stream()
         .filter(members -> members.generation() >= established)
-        .anyMatch(members -> members.all().stream().anyMatch(x -> x.diskId().equals(m.disk.id)));
+        .anyMatch(
+            members ->
+                members.all().stream().anyMatch(member -> member.diskId().equals(machine.disk.id)));
   }
 
-  private Map<String, Long> clocks() {
+  private Map<String, Long> readClocks() {
     Map<String, Long> reading = new HashMap<>();
-    for (CheckedMachine m : world.machines())
-      if (m.up()) reading.put(m.name + " " + m.life, m.nowMs());
+    for (CheckedMachine machine : world.machines())
+      if (machine.isRunning())
+        reading.put(machine.name + " " + machine.processNumber, machine.nowMs());
     return reading;
   }
 
-  /** Whether every process that ran at the time has let so much time pass. */
-  private boolean forgotten(LostStandby lost) {
-    Map<String, Long> now = clocks();
-    return lost.reading.entrySet().stream()
-        .allMatch(e -> now.getOrDefault(e.getKey(), Long.MAX_VALUE) - e.getValue() > REMEMBERED);
+  /** Returns whether STANDBY_MEMORY_MS have passed for every process that ran at the time. */
+  private boolean isForgotten(LostStandby lost) {
+    Map<String, Long> clocksNow = readClocks();
+    return lost.clockReadings.entrySet().stream()
+        .allMatch(
+            entry ->
+                clocksNow.getOrDefault(entry.getKey(), Long.MAX_VALUE) - entry.getValue()
+                    > STANDBY_MEMORY_MS);
   }
 
-  /** Whether these and this one are all who found the core. */
-  private boolean allFounders(Set<String> some, CheckedMachine one) {
-    for (MemberSet.Member f : world.founders())
-      if (!some.contains(f.name()) && !f.name().equals(one.name)) return false;
+  /** Returns whether the named machines and this one include all founders. */
+  private boolean coverAllFounders(Set<String> names, CheckedMachine machine) {
+    for (MemberSet.Member founder : world.founders())
+      if (!names.contains(founder.name()) && !founder.name().equals(machine.name)) return false;
     return true;
   }
 
-  /** The newest generation that a majority of its own members has on disk. */
-  private long established() {
-    long newest = 0;
-    for (MemberSet members : sets)
-      if (members.generation() > newest && taken(members)) newest = members.generation();
-    return newest;
+  /** Returns the newest generation that a majority of its own members has on disk. */
+  private long establishedGeneration() {
+    long newestGeneration = 0;
+    for (MemberSet members : memberSets)
+      if (members.generation() > newestGeneration && isTakenByMajority(members))
+        newestGeneration = members.generation();
+    return newestGeneration;
   }
 
-  private boolean taken(MemberSet members) {
-    int took = 0;
-    for (MemberSet.Member x : members.all()) {
-      CheckedMachine m = world.machine(x.name());
-      if (!m.disk.id.equals(x.diskId())) continue;
-      MemberSet onDisk = StateDecoder.decodeMembers(m.disk.entry(StateDecoder.MEMBERS_ENTRY));
-      if (onDisk.generation() >= members.generation()) took++;
+  private boolean isTakenByMajority(MemberSet members) {
+    int takenCount = 0;
+    for (MemberSet.Member member : members.all()) {
+      CheckedMachine machine = world.machine(member.name());
+      if (!machine.disk.id.equals(member.diskId())) continue;
+      MemberSet onDisk = StateDecoder.decodeMembers(machine.disk.entry(StateDecoder.MEMBERS_ENTRY));
+      if (onDisk.generation() >= members.generation()) takenCount++;
     }
-    return took > members.all().size() / 2;
+    return takenCount > members.all().size() / 2;
   }
 
-  private boolean bears(MemberSet members, CheckedMachine loses) {
-    int lost = (int) lostStandbys.stream().filter(x -> !forgotten(x)).count();
-    if (!isMember(loses)) lost++;
-    for (MemberSet.Member x : members.all()) {
-      CheckedMachine m = world.machine(x.name());
-      if (m == loses || !m.disk.id.equals(x.diskId())) lost++;
+  private boolean toleratesLossOf(MemberSet members, CheckedMachine losing) {
+    int lostCount = (int) lostStandbys.stream().filter(standby -> !isForgotten(standby)).count();
+    if (!isMember(losing)) lostCount++;
+    for (MemberSet.Member member : members.all()) {
+      CheckedMachine machine = world.machine(member.name());
+      if (machine == losing || !machine.disk.id.equals(member.diskId())) lostCount++;
     }
-    return lost <= (members.all().size() - 1) / 2;
+    return lostCount <= (members.all().size() - 1) / 2;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/ModelCheck.java
+++ b/emulator/src/main/java/gladelug/emulator/check/ModelCheck.java
@@ -5,87 +5,87 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/**
- * Runs the model checker at length and says what it found.
- *
- * <p>The command fleet-emulator check.
- */
+/** Runs the model checker for the command "fleet-emulator check" and reports the result. */
 public final class ModelCheck {
-  /** members of the core; walks from seed on, of so many steps each. */
+  /** members: size of the core; seed: seed of the first walk; steps: steps of each walk. */
   public record Options(int members, long seed, int walks, int steps) {}
 
   private ModelCheck() {}
 
-  /** The rules that can be switched off, by name. */
+  /** Returns the names of the rules that can be disabled. */
   public static List<String> mutations() {
     return Arrays.stream(Mutation.values()).map(Enum::name).toList();
   }
 
   /**
-   * True where no rule was broken; says how far it went and draws the first counterexample.
-   * mutation: the rule of the protocol that is switched off, NONE for none.
+   * Runs random walks and returns whether no rule was broken. Reports the totals, or the first
+   * counterexample as a table. mutation: the protocol rule to disable, or NONE.
    */
-  public static boolean run(Options o, String mutation, Consumer<String> say) {
-    return run(o, Mutation.valueOf(mutation), say);
+  public static boolean run(Options options, String mutation, Consumer<String> output) {
+    return run(options, Mutation.valueOf(mutation), output);
   }
 
-  private static boolean run(Options o, Mutation mutation, Consumer<String> say) {
-    long begun = System.nanoTime(), steps = 0, done = 0, reads = 0, generations = 0;
-    for (int i = 0; i < o.walks; i++) {
-      long seed = o.seed + i;
-      Setup setup = setup(o.members, seed).with(mutation);
-      RandomWalk.Result r = RandomWalk.run(setup, seed, o.steps);
-      steps += r.steps().size();
-      done += r.done();
-      reads += r.reads();
-      generations += r.generation();
-      if (r.broken() == null) continue;
-      say.accept("seed " + seed + ", step " + r.steps().size() + ": " + r.broken());
-      List<Step> few = Replay.shrink(setup, r.steps(), r.broken().rule());
-      say.accept(few.size() + " steps bring it about\n" + StepTable.draw(setup, few));
+  private static boolean run(Options options, Mutation mutation, Consumer<String> output) {
+    long startNs = System.nanoTime(), steps = 0, acknowledged = 0, reads = 0, generations = 0;
+    for (int i = 0; i < options.walks; i++) {
+      long seed = options.seed + i;
+      Setup setup = setup(options.members, seed).with(mutation);
+      RandomWalk.Result result = RandomWalk.run(setup, seed, options.steps);
+      steps += result.steps().size();
+      acknowledged += result.acknowledgedCount();
+      reads += result.readCount();
+      generations += result.generation();
+      if (result.broken() == null) continue;
+      output.accept("seed " + seed + ", step " + result.steps().size() + ": " + result.broken());
+      List<Step> shortened = Replay.shrink(setup, result.steps(), result.broken().rule());
+      output.accept(shortened.size() + " steps reproduce it\n" + StepTable.draw(setup, shortened));
       return false;
     }
-    double seconds = (System.nanoTime() - begun) / 1e9;
-    say.accept(
+    double seconds = (System.nanoTime() - startNs) / 1e9;
+    output.accept(
         String.format(
             Locale.ROOT,
             "%d members, %d walks from seed %d: %d steps, %.0f a second; %d changes acknowledged, "
                 + "%d reads answered, %d generations of members; no rule broken",
-            o.members,
-            o.walks,
-            o.seed,
+            options.members,
+            options.walks,
+            options.seed,
             steps,
             steps / seconds,
-            done,
+            acknowledged,
             reads,
             generations));
     return true;
   }
 
   /**
-   * Explores every run of so many moves from the beginning of each scenario; true where no rule was
-   * broken.
+   * Explores every run of a number of moves from the beginning of each scenario. Returns whether no
+   * rule was broken.
    */
-  public static boolean explore(int depth, long mostStates, String mutation, Consumer<String> say) {
-    Mutation m = Mutation.valueOf(mutation);
+  public static boolean explore(
+      int depth, long maxStates, String mutation, Consumer<String> output) {
+    Mutation mutationRule = Mutation.valueOf(mutation);
     List<Scenario> scenarios =
         List.of(
-            Scenario.twoOwners(m),
-            Scenario.changeOfMembers(m),
-            Scenario.founding(m),
-            Scenario.lossAtTheFounding(m));
-    boolean well = true;
+            Scenario.twoOwners(mutationRule),
+            Scenario.membershipChange(mutationRule),
+            Scenario.founding(mutationRule),
+            Scenario.founderDiskLoss(mutationRule));
+    boolean allHold = true;
     for (Scenario scenario : scenarios) {
-      Exploration.Result r = Exploration.explore(scenario, depth, mostStates);
-      say.accept(r.toString());
-      if (r.rule() == null) continue;
-      say.accept(StepTable.draw(scenario.setup(), r.broken()));
-      well = false;
+      Exploration.Result result = Exploration.explore(scenario, depth, maxStates);
+      output.accept(result.toString());
+      if (result.rule() == null) continue;
+      output.accept(StepTable.draw(scenario.setup(), result.broken()));
+      allHold = false;
     }
-    return well;
+    return allHold;
   }
 
-  /** One walk in four begins with the founding, the others with a core that is founded. */
+  /**
+   * Returns the setup of a walk: one in four begins with the founding, the others with a core that
+   * is already founded.
+   */
   static Setup setup(int members, long seed) {
     return Setup.of(members, seed % 4 != 0, seed + 1).withSpares(1 + (int) (seed % 2));
   }
--- a/emulator/src/main/java/gladelug/emulator/check/RandomWalk.java
+++ b/emulator/src/main/java/gladelug/emulator/check/RandomWalk.java
@@ -10,191 +10,211 @@
 import java.util.function.Predicate;
 
 /**
- * Seeded random runs of a checked core. The weather of a run changes now and then: which machines
- * stand still, which links are cut, how eagerly disks sync and how often something rare happens.
- *
- * <p>One random run.
+ * A seeded random run of a checked core. A run consists of phases of random length. Each phase
+ * chooses anew which machines are stopped, which links are cut, how eagerly disks sync, and how
+ * often rare steps happen.
  */
 final class RandomWalk {
-  /** How a run ended. */
+  /** The result of a run. */
   record Result(
-      Setup setup, List<Step> steps, Rules.Broken broken, int done, int reads, long generation) {}
-
-  private static final int LONGEST_WEATHER = 3000;
-  private static final int[] USUAL_TICKS = {30, 100, 160, 160};
-  private static final int[] LONG_TICKS = {600, 1200, 3000, 9000};
-
-  private final World world;
+      Setup setup,
+      List<Step> steps,
+      Rules.Broken broken,
+      int acknowledgedCount,
+      int readCount,
+      long generation) {}
+
+  private static final int MAX_PHASE_STEPS = 3000;
+  private static final int[] USUAL_TICKS_MS = {30, 100, 160, 160};
+  private static final int[] LONG_TICKS_MS = {600, 1200, 3000, 9000};
+
+  private final CheckedWorld world;
   private final Setup setup;
   private final Random random;
   private final List<Step> steps = new ArrayList<>();
-  private final Set<String> still = new HashSet<>();
-  private final Set<String> cut = new HashSet<>();
-  private int weather;
-  private boolean orderly;
-  private int turn;
-  private double rare;
-  private double loss;
-  private double sync;
+  private final Set<String> stoppedMachines = new HashSet<>();
+  private final Set<String> cutLinks = new HashSet<>();
+  private int stepsLeftInPhase;
+  private boolean isOrderly;
+  private int nextMachine;
+  private double rareStepRate;
+  private double lossRate;
+  private double syncRate;
 
   private RandomWalk(Setup setup, long seed) {
     this.setup = setup;
-    this.world = World.toPlay(setup, false);
+    this.world = CheckedWorld.forReplay(setup, false);
     this.random = new Random(seed);
   }
 
-  /** Runs up to so many steps, or until a rule breaks. */
+  /** Runs up to the given number of steps, or until a rule is broken. */
   static Result run(Setup setup, long seed, int steps) {
-    RandomWalk w = new RandomWalk(setup, seed);
-    while (w.steps.size() < steps && w.world.rules.broken() == null) w.step();
-    World world = w.world;
+    RandomWalk walk = new RandomWalk(setup, seed);
+    while (walk.steps.size() < steps && walk.world.rules.brokenRule() == null) walk.step();
+    CheckedWorld world = walk.world;
     Recovery.run(world);
     return new Result(
         setup,
-        w.steps,
-        world.rules.broken(),
-        world.operators.done(),
-        world.operators.reads(),
+        walk.steps,
+        world.rules.brokenRule(),
+        world.operators.acknowledgedCount(),
+        world.operators.readCount(),
         world.rules.newestGeneration());
   }
 
-  /** The steps after which this holds for the first time, or null where it never does. */
-  static List<Step> until(Setup setup, long seed, int steps, Predicate<World> there) {
-    RandomWalk w = new RandomWalk(setup, seed);
-    while (w.steps.size() < steps && w.world.rules.broken() == null) {
-      w.step();
-      if (there.test(w.world)) return w.steps;
+  /**
+   * Returns the steps after which the condition holds for the first time, or null if it never does.
+   */
+  static List<Step> stepsUntil(
+      Setup setup, long seed, int steps, Predicate<CheckedWorld> condition) {
+    RandomWalk walk = new RandomWalk(setup, seed);
+    while (walk.steps.size() < steps && walk.world.rules.brokenRule() == null) {
+      walk.step();
+      if (condition.test(walk.world)) return walk.steps;
     }
     return null;
   }
 
   private void step() {
-    if (weather-- <= 0) changeWeather();
-    Step step = choose();
+    if (stepsLeftInPhase-- <= 0) startPhase();
+    Step step = chooseStep();
     if (step != null && Replay.apply(world, step)) steps.add(step);
   }
 
-  private void changeWeather() {
-    weather = 1 + random.nextInt(1 + random.nextInt(LONGEST_WEATHER));
-    still.clear();
-    cut.clear();
-    boolean calm = random.nextInt(3) == 0;
-    orderly = random.nextInt(3) > 0;
-    rare = calm ? 0.001 : 0.02 * random.nextDouble() * random.nextDouble();
-    loss = calm ? 0 : 0.3 * random.nextDouble() * random.nextDouble();
-    sync = calm ? 0.5 : 0.05 + 0.45 * random.nextDouble();
-    if (calm) return;
-    if (random.nextBoolean()) isolate(anyMachine());
-    else scatter();
-  }
-
-  /** One machine is cut off, and perhaps slow. */
-  private void isolate(CheckedMachine alone) {
-    if (random.nextBoolean()) still.add(alone.name);
-    for (CheckedMachine x : world.machines()) {
-      cut.add(alone.name + x.name);
-      cut.add(x.name + alone.name);
+  private void startPhase() {
+    stepsLeftInPhase = 1 + random.nextInt(1 + random.nextInt(MAX_PHASE_STEPS));
+    stoppedMachines.clear();
+    cutLinks.clear();
+    boolean isCalm = random.nextInt(3) == 0;
+    isOrderly = random.nextInt(3) > 0;
+    rareStepRate = isCalm ? 0.001 : 0.02 * random.nextDouble() * random.nextDouble();
+    lossRate = isCalm ? 0 : 0.3 * random.nextDouble() * random.nextDouble();
+    syncRate = isCalm ? 0.5 : 0.05 + 0.45 * random.nextDouble();
+    if (isCalm) return;
+    if (random.nextBoolean()) isolate(randomMachine());
+    else cutRandomLinks();
+  }
+
+  /** Cuts one machine off, and perhaps stops its timers. */
+  private void isolate(CheckedMachine isolated) {
+    if (random.nextBoolean()) stoppedMachines.add(isolated.name);
+    for (CheckedMachine other : world.machines()) {
+      cutLinks.add(isolated.name + other.name);
+      cutLinks.add(other.name + isolated.name);
     }
   }
 
-  private void scatter() {
-    for (CheckedMachine m : world.machines()) {
-      if (random.nextInt(5) == 0) still.add(m.name);
-      for (CheckedMachine x : world.machines())
-        if (random.nextInt(8) == 0) cut.add(m.name + x.name);
+  private void cutRandomLinks() {
+    for (CheckedMachine machine : world.machines()) {
+      if (random.nextInt(5) == 0) stoppedMachines.add(machine.name);
+      for (CheckedMachine other : world.machines())
+        if (random.nextInt(8) == 0) cutLinks.add(machine.name + other.name);
     }
   }
 
-  private Step choose() {
-    if (random.nextDouble() < rare) return rareStep();
+  private Step chooseStep() {
+    if (random.nextDouble() < rareStepRate) return rareStep();
     if (random.nextDouble() < 0.05) return operatorStep();
-    if (orderly) return orderlyStep();
-    CheckedMachine m = anyMachine();
-    if (!m.up()) return random.nextInt(10) == 0 ? Step.on(Step.Kind.RESTART, m.name) : null;
-    if (m.disk.pending() > 0 && random.nextDouble() < sync) return syncStep(m);
-    int flights = world.network.flights().size();
-    if (random.nextInt(flights + 6) < flights) return networkStep();
-    if (still.contains(m.name) && random.nextInt(30) > 0) return null;
-    return tick(m);
-  }
-
-  /** As on a quiet day: writes and messages one after the other, and timers in turn. */
+    if (isOrderly) return orderlyStep();
+    CheckedMachine machine = randomMachine();
+    if (!machine.isRunning())
+      return random.nextInt(10) == 0 ? Step.on(Step.Kind.RESTART, machine.name) : null;
+    if (machine.disk.pendingWrites() > 0 && random.nextDouble() < syncRate)
+      return syncStep(machine);
+    int messages = world.network.inFlight().size();
+    if (random.nextInt(messages + 6) < messages) return networkStep();
+    if (stoppedMachines.contains(machine.name) && random.nextInt(30) > 0) return null;
+    return tick(machine);
+  }
+
+  /** Chooses the next step without races: writes and messages in order, and timers in turn. */
   private Step orderlyStep() {
-    for (CheckedMachine m : world.machines())
-      if (m.up() && m.disk.pending() > 0 && !still.contains(m.name))
-        return Step.on(Step.Kind.SYNC, m.name);
-    if (!world.network.flights().isEmpty()) {
-      Flight flight = world.network.flights().get(0);
-      boolean lost = cut.contains(flight.from() + flight.to()) || random.nextDouble() < loss;
-      return world.network.step(lost ? Step.Kind.DROP : Step.Kind.DELIVER, 0);
+    for (CheckedMachine machine : world.machines())
+      if (machine.isRunning()
+          && machine.disk.pendingWrites() > 0
+          && !stoppedMachines.contains(machine.name)) return Step.on(Step.Kind.SYNC, machine.name);
+    if (!world.network.inFlight().isEmpty()) {
+      InFlightMessage message = world.network.inFlight().get(0);
+      boolean isLost =
+          cutLinks.contains(message.from() + message.to()) || random.nextDouble() < lossRate;
+      return world.network.step(isLost ? Step.Kind.DROP : Step.Kind.DELIVER, 0);
     }
     List<CheckedMachine> all = world.machines();
-    CheckedMachine m = all.get(turn++ % all.size());
-    if (!m.up()) return random.nextInt(10) == 0 ? Step.on(Step.Kind.RESTART, m.name) : null;
-    return still.contains(m.name) ? null : tick(m);
+    CheckedMachine machine = all.get(nextMachine++ % all.size());
+    if (!machine.isRunning())
+      return random.nextInt(10) == 0 ? Step.on(Step.Kind.RESTART, machine.name) : null;
+    return stoppedMachines.contains(machine.name) ? null : tick(machine);
   }
 
-  private CheckedMachine anyMachine() {
+  private CheckedMachine randomMachine() {
     List<CheckedMachine> all = world.machines();
     return all.get(random.nextInt(all.size()));
   }
 
-  private Step tick(CheckedMachine m) {
-    int[] of = random.nextInt(40) == 0 ? LONG_TICKS : USUAL_TICKS;
-    return Step.on(Step.Kind.TICK, m.name, of[random.nextInt(of.length)]);
+  private Step tick(CheckedMachine machine) {
+    int[] durationsMs = random.nextInt(40) == 0 ? LONG_TICKS_MS : USUAL_TICKS_MS;
+    return Step.on(Step.Kind.TICK, machine.name, durationsMs[random.nextInt(durationsMs.length)]);
   }
 
-  private Step syncStep(CheckedMachine m) {
-    int pending = m.disk.pending();
-    long some = random.nextInt(4) == 0 ? 1 + random.nextInt(pending) : 0;
-    return Step.on(Step.Kind.SYNC, m.name, some);
+  private Step syncStep(CheckedMachine machine) {
+    int pending = machine.disk.pendingWrites();
+    long writeCount = random.nextInt(4) == 0 ? 1 + random.nextInt(pending) : 0;
+    return Step.on(Step.Kind.SYNC, machine.name, writeCount);
   }
 
   private Step networkStep() {
-    List<Flight> flights = world.network.flights();
-    int place = random.nextInt(flights.size());
-    if (random.nextInt(3) > 0) place = random.nextInt(place + 1);
-    Flight flight = flights.get(place);
-    boolean lost = cut.contains(flight.from() + flight.to()) || random.nextDouble() < loss;
+    List<InFlightMessage> messages = world.network.inFlight();
+    int index = random.nextInt(messages.size());
+    if (random.nextInt(3) > 0) index = random.nextInt(index + 1);
+    InFlightMessage message = messages.get(index);
+    boolean isLost =
+        cutLinks.contains(message.from() + message.to()) || random.nextDouble() < lossRate;
     Step.Kind kind =
-        lost ? Step.Kind.DROP : random.nextInt(25) == 0 ? Step.Kind.DUPLICATE : Step.Kind.DELIVER;
-    return world.network.step(kind, place);
+        isLost ? Step.Kind.DROP : random.nextInt(25) == 0 ? Step.Kind.DUPLICATE : Step.Kind.DELIVER;
+    return world.network.step(kind, index);
   }
 
   private Step operatorStep() {
-    CheckedMachine m = random.nextBoolean() ? anyMachine() : anyOwner(StateKeys.CONFIGURATION);
-    if (random.nextInt(6) == 0) return Step.on(Step.Kind.RESEND, m.name, random.nextInt(6));
+    CheckedMachine machine =
+        random.nextBoolean() ? randomMachine() : randomOwner(StateKeys.CONFIGURATION);
+    if (random.nextInt(6) == 0) return Step.on(Step.Kind.RESEND, machine.name, random.nextInt(6));
     if (random.nextBoolean())
-      return Step.key(Step.Kind.PROPOSE, m.name, StateKeys.CONFIGURATION, random.nextInt(2));
+      return Step.key(Step.Kind.PROPOSE, machine.name, StateKeys.CONFIGURATION, random.nextInt(2));
     List<String> keys = setup.keys();
-    return Step.key(Step.Kind.READ, m.name, keys.get(random.nextInt(keys.size())), 0);
+    return Step.key(Step.Kind.READ, machine.name, keys.get(random.nextInt(keys.size())), 0);
   }
 
   private Step rareStep() {
-    CheckedMachine m = anyMachine();
+    CheckedMachine machine = randomMachine();
     return switch (random.nextInt(10)) {
-      case 0, 1, 2, 3 -> Step.on(Step.Kind.CRASH, m.name, random.nextInt(m.disk.pending() + 1));
-      case 4, 5, 6 -> Step.on(Step.Kind.WIPE, m.name, random.nextInt(4));
-      case 7 -> Step.on(Step.Kind.HEALTH, m.name, random.nextInt(3) == 0 ? 0 : 1);
-      default -> swap();
+      case 0, 1, 2, 3 ->
+          Step.on(Step.Kind.CRASH, machine.name, random.nextInt(machine.disk.pendingWrites() + 1));
+      case 4, 5, 6 -> Step.on(Step.Kind.WIPE, machine.name, random.nextInt(4));
+      case 7 -> Step.on(Step.Kind.HEALTH, machine.name, random.nextInt(3) == 0 ? 0 : 1);
+      default -> replaceStep();
     };
   }
 
-  /** A machine that takes itself for the owner, or any machine. */
-  private CheckedMachine anyOwner(String key) {
+  /** Returns a random machine that considers itself the owner, or any machine if there is none. */
+  private CheckedMachine randomOwner(String key) {
     List<CheckedMachine> owners = new ArrayList<>();
-    for (CheckedMachine m : world.machines()) if (m.up() && m.node.owns(key)) owners.add(m);
-    return owners.isEmpty() ? anyMachine() : owners.get(random.nextInt(owners.size()));
+    for (CheckedMachine machine : world.machines())
+      if (machine.isRunning() && machine.node.owns(key)) owners.add(machine);
+    return owners.isEmpty() ? randomMachine() : owners.get(random.nextInt(owners.size()));
   }
 
-  private Step swap() {
-    CheckedMachine owner = anyOwner(StateKeys.CORE);
-    if (!owner.up()) return null;
+  private Step replaceStep() {
+    CheckedMachine owner = randomOwner(StateKeys.CORE);
+    if (!owner.isRunning()) return null;
     List<MemberSet.Member> members = owner.node.members().all();
-    List<MemberSet.Member> joiners = owner.node.joinCandidates();
-    if (members.isEmpty() || joiners.isEmpty()) return null;
-    String out = members.get(random.nextInt(members.size())).name();
+    List<MemberSet.Member> candidates = owner.node.joinCandidates();
+    if (members.isEmpty() || candidates.isEmpty()) return null;
+    String leaving = members.get(random.nextInt(members.size())).name();
     return new Step(
-        Step.Kind.SWAP, owner.name, out, joiners.get(random.nextInt(joiners.size())).name(), 0);
+        Step.Kind.SWAP,
+        owner.name,
+        leaving,
+        candidates.get(random.nextInt(candidates.size())).name(),
+        0);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/Recovery.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Recovery.java
@@ -5,79 +5,82 @@
 import java.util.List;
 
 /**
- * The end of a checked run: every machine is started, every disk is well, every message arrives in
- * order and every clock advances. Within a minute of that each key must be served.
- *
- * <p>Sees whether the core finds back to work.
+ * The end of a checked run: every machine is started, every disk is healthy, every message arrives
+ * in order, and every clock advances. Within a minute each key must be served.
  */
 final class Recovery {
-  private static final int MOST_ROUNDS = 600;
-  private static final long ROUND = 100;
-  private static final int MOST_DELIVERIES = 100_000;
+  private static final int MAX_ROUNDS = 600;
+  private static final long ROUND_MS = 100;
+  private static final int MAX_DELIVERIES = 100_000;
 
-  private final World world;
+  private final CheckedWorld world;
   private int deliveries;
 
-  private Recovery(World world) {
+  private Recovery(CheckedWorld world) {
     this.world = world;
   }
 
-  /** Breaks a rule of the world where its core does not recover, or does so with less than told. */
-  static void run(World world) {
-    if (world.rules.broken() != null || !world.budget.recovers()) return;
-    Recovery r = new Recovery(world);
-    for (int round = 0; round < MOST_ROUNDS; round++) {
-      r.round();
-      if (world.rules.broken() != null || round % 10 == 9 && r.unserved().isEmpty()) return;
+  /**
+   * Lets the core recover, and reports a broken rule if it does not or if it lost something that
+   * was acknowledged.
+   */
+  static void run(CheckedWorld world) {
+    if (world.rules.brokenRule() != null || !world.faultBudget.mustRecover()) return;
+    Recovery recovery = new Recovery(world);
+    for (int round = 0; round < MAX_ROUNDS; round++) {
+      recovery.runRound();
+      if (world.rules.brokenRule() != null || round % 10 == 9 && recovery.unservedKeys().isEmpty())
+        return;
     }
-    world.rules.breaks(Rules.Rule.RECOVERS, "not served after a minute: " + r.unserved());
+    world.rules.report(
+        Rules.Rule.RECOVERS, "not served after a minute: " + recovery.unservedKeys());
   }
 
-  private void round() {
-    for (CheckedMachine m : world.machines()) {
-      if (!m.up()) Replay.apply(world, Step.on(Step.Kind.RESTART, m.name));
-      Replay.apply(world, Step.on(Step.Kind.HEALTH, m.name, 1));
-      Replay.apply(world, Step.on(Step.Kind.TICK, m.name, ROUND));
+  private void runRound() {
+    for (CheckedMachine machine : world.machines()) {
+      if (!machine.isRunning()) Replay.apply(world, Step.on(Step.Kind.RESTART, machine.name));
+      Replay.apply(world, Step.on(Step.Kind.HEALTH, machine.name, 1));
+      Replay.apply(world, Step.on(Step.Kind.TICK, machine.name, ROUND_MS));
     }
-    settle();
+    deliverAll();
   }
 
-  /** Until nothing waits for a disk or is in flight. */
-  private void settle() {
+  /** Delivers messages and syncs disks until no write is pending and no message is in flight. */
+  private void deliverAll() {
     boolean idle = false;
-    while (!idle && deliveries++ < MOST_DELIVERIES && world.rules.broken() == null) {
+    while (!idle && deliveries++ < MAX_DELIVERIES && world.rules.brokenRule() == null) {
       idle = true;
-      for (CheckedMachine m : world.machines())
-        if (Replay.apply(world, Step.on(Step.Kind.SYNC, m.name))) idle = false;
-      if (world.network.flights().isEmpty()) continue;
+      for (CheckedMachine machine : world.machines())
+        if (Replay.apply(world, Step.on(Step.Kind.SYNC, machine.name))) idle = false;
+      if (world.network.inFlight().isEmpty()) continue;
       idle = false;
       Replay.apply(world, world.network.step(Step.Kind.DELIVER, 0));
     }
   }
 
-  /** The keys that nobody answers a read of. */
-  private List<String> unserved() {
+  /** Returns the keys for which no member answers a read. */
+  private List<String> unservedKeys() {
     List<String> unserved = new ArrayList<>();
-    for (String key : world.setup.keys()) if (!served(key)) unserved.add(key);
+    for (String key : world.setup.keys()) if (!isServed(key)) unserved.add(key);
     return unserved;
   }
 
-  private boolean served(String key) {
+  private boolean isServed(String key) {
     List<ReadResult> answers = new ArrayList<>();
-    for (CheckedMachine m : world.machines()) {
-      if (!m.node.owns(key)) continue;
-      long least = world.rules.newestTold(key);
-      m.run(
+    for (CheckedMachine machine : world.machines()) {
+      if (!machine.node.owns(key)) continue;
+      long minNumber = world.rules.newestTold(key);
+      machine.run(
           () ->
-              m.node.readNewest(
+              machine.node.readNewest(
                   key,
-                  x -> {
-                    answers.add(x);
-                    world.rules.read(m.name, key, least, x);
+                  answer -> {
+                    answers.add(answer);
+                    world.rules.onRead(machine.name, key, minNumber, answer);
                   }));
     }
-    round();
-    settle();
+    runRound();
+    deliverAll();
     return answers.stream().anyMatch(ReadResult::hasOwner);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/Replay.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Replay.java
@@ -4,75 +4,77 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/**
- * Plays given steps in a new world.
- *
- * <p>Replays and shortens runs.
- */
+/** Replays and shortens runs. */
 final class Replay {
   private Replay() {}
 
-  /** Does a step; what the protocol throws breaks a rule. False where the step is not possible. */
-  static boolean apply(World world, Step step) {
+  /**
+   * Performs a step. An exception of the protocol counts as a broken rule. Returns false where the
+   * step is not possible.
+   */
+  static boolean apply(CheckedWorld world, Step step) {
     try {
       return world.apply(step);
-    } catch (RuntimeException e) {
-      StackTraceElement at = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : null;
-      world.rules.breaks(
-          Rules.Rule.NO_EXCEPTION, step + " at " + step.machine() + ": " + e + " " + at);
+    } catch (RuntimeException exception) {
+      StackTraceElement location =
+          exception.getStackTrace().length > 0 ? exception.getStackTrace()[0] : null;
+      world.rules.report(
+          Rules.Rule.NO_EXCEPTION,
+          step + " at " + step.machine() + ": " + exception + " " + location);
       return true;
     }
   }
 
-  /** The world after these steps and the recovery from them, or when the first rule broke. */
-  static World play(Setup setup, List<Step> steps) {
-    World world = playOnly(setup, steps);
+  /** Returns the world after these steps and the recovery, or when the first rule was broken. */
+  static CheckedWorld replay(Setup setup, List<Step> steps) {
+    CheckedWorld world = replayWithoutRecovery(setup, steps);
     Recovery.run(world);
     return world;
   }
 
-  /** The same without the recovery. */
-  static World playOnly(Setup setup, List<Step> steps) {
-    World world = World.toPlay(setup, false);
+  /** Replays the steps without the recovery. */
+  static CheckedWorld replayWithoutRecovery(Setup setup, List<Step> steps) {
+    CheckedWorld world = CheckedWorld.forReplay(setup, false);
     for (Step step : steps) {
       apply(world, step);
-      if (world.rules.broken() != null) break;
+      if (world.rules.brokenRule() != null) break;
     }
     return world;
   }
 
-  /** The steps with all taken out that the same rule breaks without. */
+  /** Removes all steps that are not needed to break the same rule. */
   static List<Step> shrink(Setup setup, List<Step> steps, Rules.Rule rule) {
-    boolean beforeRecovery = playOnly(setup, steps).rules.broken() != null;
+    boolean beforeRecovery = replayWithoutRecovery(setup, steps).rules.brokenRule() != null;
     return shrink(
         steps,
-        few -> {
-          World world = beforeRecovery ? playOnly(setup, few) : play(setup, few);
-          Rules.Broken b = world.rules.broken();
-          return b != null && b.rule() == rule;
+        candidate -> {
+          CheckedWorld world =
+              beforeRecovery ? replayWithoutRecovery(setup, candidate) : replay(setup, candidate);
+          Rules.Broken found = world.rules.brokenRule();
+          return found != null && found.rule() == rule;
         });
   }
 
-  /** The steps with all taken out that this holds without. */
+  /** Removes all steps that are not needed for the condition to hold. */
   static List<Step> shrink(List<Step> steps, Predicate<List<Step>> holds) {
     List<Step> shortest = new ArrayList<>(steps);
     for (int chunk = Math.max(1, shortest.size() / 2); chunk > 1; chunk /= 2)
-      shortest = without(shortest, holds, chunk);
+      shortest = removeChunks(shortest, holds, chunk);
     int size;
     do {
       size = shortest.size();
-      shortest = without(shortest, holds, 1);
+      shortest = removeChunks(shortest, holds, 1);
     } while (shortest.size() < size);
     return shortest;
   }
 
-  private static List<Step> without(List<Step> steps, Predicate<List<Step>> holds, int chunk) {
-    List<Step> left = new ArrayList<>(steps);
-    for (int from = left.size() - chunk; from >= 0; from -= chunk) {
-      List<Step> tried = new ArrayList<>(left.subList(0, from));
-      tried.addAll(left.subList(from + chunk, left.size()));
-      if (holds.test(tried)) left = tried;
+  private static List<Step> removeChunks(List<Step> steps, Predicate<List<Step>> holds, int chunk) {
+    List<Step> remaining = new ArrayList<>(steps);
+    for (int from = remaining.size() - chunk; from >= 0; from -= chunk) {
+      List<Step> candidate = new ArrayList<>(remaining.subList(0, from));
+      candidate.addAll(remaining.subList(from + chunk, remaining.size()));
+      if (holds.test(candidate)) remaining = candidate;
     }
-    return left;
+    return remaining;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/Rules.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Rules.java
@@ -20,306 +20,340 @@
 import java.util.TreeMap;
 
 /**
- * What must hold after each step of a checked run, whatever failed before. Chosen is a value that a
- * majority of a generation's members had accepted, durably, under one epoch.
- *
- * <p>Judges one run, step by step; the first rule broken ends it.
+ * The rules that must hold after each step of a checked run, whatever failed before; the first
+ * broken rule ends the run. A value is chosen when a majority of a generation's members has
+ * accepted it, durably, under one epoch.
  */
 final class Rules {
-  /** The rules, in the words they are reported in. */
+  /** The rules and the descriptions they are reported by. */
   enum Rule {
-    ONE_VALUE_PER_NUMBER("a number of a key means one value"),
-    CHOSEN_IS_KEPT("what a majority accepted is in all that is accepted later"),
-    ACKNOWLEDGED_IS_CHOSEN("a change is acknowledged only once a majority has it durably"),
-    SERVED_IS_CHOSEN("an owner serves only what a majority has under its epoch"),
+    ONE_VALUE_PER_NUMBER("a number of a key stands for one value"),
+    CHOSEN_IS_KEPT("a value accepted by a majority is contained in every value accepted later"),
+    ACKNOWLEDGED_IS_CHOSEN("a change is acknowledged only after a majority has stored it durably"),
+    SERVED_IS_CHOSEN("an owner serves only what a majority has accepted under its epoch"),
     READ_IS_NEWEST("a read returns nothing older than what was acknowledged before it"),
-    REFUSED_IS_NOT_TAKEN("a change answered as not taken never takes effect"),
-    TAKEN_ONCE("a change sent again is taken once and acknowledged again, not refused"),
+    REFUSED_IS_NOT_TAKEN("a change answered as refused never takes effect"),
+    TAKEN_ONCE("a change sent again is applied once and acknowledged again, not refused"),
     EPOCHS_RISE("promised and accepted epochs on one disk only rise"),
     ONE_OWNER_PER_EPOCH("an epoch has one owner"),
-    EPOCH_IS_FRESH("a member tries for a key with an epoch of its own that was not used before"),
+    EPOCH_IS_FRESH("a member tries for a key with an epoch of its own that it has not used before"),
     ONE_SET_PER_GENERATION("a generation has one set of members"),
     SEALED_BEFORE_NEXT("a generation begins only after a majority of the former is sealed"),
-    NEXT_HAS_ALL("who takes part in a generation has all that was chosen before it"),
-    RECOVERS("once all machines run and reach each other every key is served, with all told"),
-    NO_EXCEPTION("the protocol throws nothing");
+    NEXT_HAS_ALL("a member that adopts a generation has every value chosen before it"),
+    RECOVERS(
+        "once all machines run and reach each other every key is served, with everything acknowledged"),
+    NO_EXCEPTION("the protocol throws no exception");
 
-    final String words;
+    final String description;
 
     Rule(String words) {
-      this.words = words;
+      this.description = words;
     }
   }
 
-  /** A rule that does not hold. */
-  record Broken(Rule rule, String how) {
+  /** A broken rule and how it was broken. */
+  record Broken(Rule rule, String details) {
     @Override
     public String toString() {
-      return rule.words + ": " + how;
+      return rule.description + ": " + details;
     }
   }
 
   private record Served(long epoch, long number) {}
 
-  private final World world;
-  private Broken broken;
+  private final CheckedWorld world;
+  private Broken brokenRule;
 
-  /** By key and number: the digest it stands for. */
-  private final Map<String, Map<Long, String>> meaning = new HashMap<>();
+  /** The digest of each number's value, by key and number. */
+  private final Map<String, Map<Long, String>> digestsByNumber = new HashMap<>();
 
-  /** By key and epoch: the highest value chosen under it. */
-  private final Map<String, NavigableMap<Long, NumberedValue>> chosen = new HashMap<>();
+  /** The highest value chosen under each epoch, by key and epoch. */
+  private final Map<String, NavigableMap<Long, NumberedValue>> chosenValues = new HashMap<>();
 
-  /** By key and epoch, and then by disk: the highest value accepted under it. */
-  private final Map<String, Map<Long, Map<String, NumberedValue>>> accepted = new HashMap<>();
+  /** The highest value accepted under each epoch, by key, epoch and disk. */
+  private final Map<String, Map<Long, Map<String, NumberedValue>>> acceptedValues = new HashMap<>();
 
-  private final Map<String, Long> newestTold = new HashMap<>();
+  private final Map<String, Long> newestToldNumbers = new HashMap<>();
 
-  /** By digest of a value: how many of its sendings were not refused, and the last refusal. */
-  private final Map<String, Integer> notRefused = new HashMap<>();
+  /**
+   * The number of requests for each value that were not refused, by digest of the value; the next
+   * field holds the last refusal.
+   */
+  private final Map<String, Integer> openSendings = new HashMap<>();
 
-  private final Map<String, String> refusal = new HashMap<>();
+  private final Map<String, String> lastRefusals = new HashMap<>();
 
-  /** By digest of a value: the number it was acknowledged as. */
-  private final Map<String, Long> acknowledged = new HashMap<>();
+  /** The number under which each value was acknowledged, by digest of the value. */
+  private final Map<String, Long> acknowledgedNumbers = new HashMap<>();
 
-  private final Map<String, DecodedRegister> cells = new HashMap<>();
-  private final Map<String, String> owners = new HashMap<>();
-  private final Map<String, Served> served = new HashMap<>();
+  private final Map<String, DecodedRegister> registers = new HashMap<>();
+  private final Map<String, String> ownersByEpoch = new HashMap<>();
+  private final Map<String, Served> lastServed = new HashMap<>();
 
-  /** By key and epoch: the member that tried with it. */
-  private final Map<String, String> triedBy = new HashMap<>();
+  /** The member that tried for a key with each epoch. */
+  private final Map<String, String> epochUsers = new HashMap<>();
 
-  /** The promises that were asked for: by which process, of whom, for which key and epoch. */
-  private final Set<String> promisesAsked = new HashSet<>();
+  /** The promises requested so far, by requesting process, asked member, key and epoch. */
+  private final Set<String> requestedPromises = new HashSet<>();
 
-  private final Map<String, Long> generationAt = new HashMap<>();
+  private final Map<String, Long> generationByMachine = new HashMap<>();
   private final Map<Long, MemberSet> generations = new LinkedHashMap<>();
 
-  /** By next generation: the disks that refuse the one before it. */
-  private final Map<Long, Set<String>> sealedFor = new HashMap<>();
+  /** The disks that are sealed for each next generation. */
+  private final Map<Long, Set<String>> sealedDisks = new HashMap<>();
 
   private long digest;
 
-  Rules(World world) {
+  Rules(CheckedWorld world) {
     this.world = world;
   }
 
-  Broken broken() {
-    return broken;
+  Broken brokenRule() {
+    return brokenRule;
   }
 
-  void breaks(Rule rule, String how) {
-    if (broken == null) broken = new Broken(rule, how);
+  void report(Rule rule, String description) {
+    if (brokenRule == null) brokenRule = new Broken(rule, description);
   }
 
-  /** Equal for runs that can be judged alike from here. */
+  /** Returns a digest that is equal for runs that are checked alike from here on. */
   long digest() {
     return digest;
   }
 
-  private void noted(String what, long value) {
-    digest += Mixing.mix(what.hashCode(), value);
+  private void addToDigest(String what, long value) {
+    digest += HashMixer.mix(what.hashCode(), value);
   }
 
   int chosenValues() {
-    return meaning.values().stream().mapToInt(Map::size).sum();
+    return digestsByNumber.values().stream().mapToInt(Map::size).sum();
   }
 
   long newestGeneration() {
-    return generations.keySet().stream().mapToLong(x -> x).max().orElse(0);
+    return generations.keySet().stream().mapToLong(generation -> generation).max().orElse(0);
   }
 
   // ---- disks
 
-  /** A write became durable. */
-  void durable(CheckedMachine m, CheckedDisk.Write w) {
-    String key = StateDecoder.keyOf(w.entry());
+  /** Called when a write has become durable. */
+  void onDurable(CheckedMachine machine, CheckedDisk.Write write) {
+    String key = StateDecoder.keyOf(write.entry());
     if (!key.isEmpty()) {
       if (world.setup.keys().contains(key))
-        durableCell(m, key, StateDecoder.decodeRegister(m.disk.durable(), key), w.accept());
-    } else if (w.entry().equals(StateDecoder.SEALED_ENTRY)) {
-      seals(m, StateDecoder.decodeMembers(w.state()));
-    } else if (w.entry().equals(StateDecoder.MEMBERS_ENTRY)) {
-      MemberSet members = StateDecoder.decodeMembers(w.state());
-      seals(m, members);
-      hasAllChosenBefore(m, members);
+        onRegisterDurable(
+            machine,
+            key,
+            StateDecoder.decodeRegister(machine.disk.durable(), key),
+            write.isAccept());
+    } else if (write.entry().equals(StateDecoder.SEALED_ENTRY)) {
+      recordSeal(machine, StateDecoder.decodeMembers(write.state()));
+    } else if (write.entry().equals(StateDecoder.MEMBERS_ENTRY)) {
+      MemberSet members = StateDecoder.decodeMembers(write.state());
+      recordSeal(machine, members);
+      requireAllChosenBefore(machine, members);
     }
   }
 
-  private void durableCell(CheckedMachine m, String key, DecodedRegister now, boolean accept) {
-    DecodedRegister before = cells.put(m.disk.id + " " + key, now);
-    if (before != null && !rises(before, now))
-      breaks(
+  private void onRegisterDurable(
+      CheckedMachine machine, String key, DecodedRegister now, boolean isAccept) {
+    DecodedRegister before = registers.put(machine.disk.id + " " + key, now);
+    if (before != null && !hasRisen(before, now))
+      report(
           Rule.EPOCHS_RISE,
-          m.name + " had of " + key + " " + words(before) + ", now " + words(now));
-    if (!accept) return;
-    Map<String, NumberedValue> under =
-        accepted
-            .computeIfAbsent(key, k -> new HashMap<>())
-            .computeIfAbsent(now.epoch(), e -> new HashMap<>());
-    under.merge(m.disk.id, now.value(), (a, b) -> b.number() >= a.number() ? b : a);
-    choose(key, now.epoch(), under);
+          machine.name + " had of " + key + " " + describe(before) + ", now " + describe(now));
+    if (!isAccept) return;
+    Map<String, NumberedValue> acceptedUnder =
+        acceptedValues
+            .computeIfAbsent(key, ignored -> new HashMap<>())
+            .computeIfAbsent(now.epoch(), ignored -> new HashMap<>());
+    acceptedUnder.merge(machine.disk.id, now.value(), (a, b) -> b.number() >= a.number() ? b : a);
+    findChosen(key, now.epoch(), acceptedUnder);
   }
 
-  private static boolean rises(DecodedRegister before, DecodedRegister now) {
+  private static boolean hasRisen(DecodedRegister before, DecodedRegister now) {
     boolean value =
         now.epoch() > before.epoch()
             || now.epoch() == before.epoch() && now.value().number() >= before.value().number();
     return value && now.promised() >= before.promised();
   }
 
-  private static String words(DecodedRegister c) {
-    return c.value().number() + " of epoch " + c.epoch() + ", promised " + c.promised();
+  private static String describe(DecodedRegister register) {
+    return register.value().number()
+        + " of epoch "
+        + register.epoch()
+        + ", promised "
+        + register.promised();
   }
 
-  private void choose(String key, long epoch, Map<String, NumberedValue> under) {
+  private void findChosen(String key, long epoch, Map<String, NumberedValue> acceptedUnder) {
     MemberSet members = generations.get(StateDecoder.generationOf(epoch));
     if (members == null) return;
-    List<NumberedValue> had = new ArrayList<>();
-    for (MemberSet.Member x : members.all())
-      if (under.get(x.diskId()) != null) had.add(under.get(x.diskId()));
+    List<NumberedValue> accepted = new ArrayList<>();
+    for (MemberSet.Member member : members.all())
+      if (acceptedUnder.get(member.diskId()) != null)
+        accepted.add(acceptedUnder.get(member.diskId()));
     int majority = members.all().size() / 2 + 1;
-    if (had.size() < majority) return;
-    had.sort(Comparator.comparingLong(NumberedValue::number).reversed());
-    chosen(key, epoch, had.get(majority - 1));
-  }
-
-  private void chosen(String key, long epoch, NumberedValue v) {
-    NavigableMap<Long, NumberedValue> all = chosen.computeIfAbsent(key, k -> new TreeMap<>());
-    NumberedValue known = all.get(epoch);
-    if (known != null && known.number() >= v.number()) return;
-    all.put(epoch, v);
-    noted(key + v.digest(), Mixing.mix(epoch, v.number()));
-    means(key, v, "accepted by a majority under epoch " + epoch);
-    Map.Entry<Long, NumberedValue> lower = all.lowerEntry(epoch), higher = all.higherEntry(epoch);
-    if (lower != null && !contains(v, lower.getValue()))
-      breaks(Rule.CHOSEN_IS_KEPT, lost(key, epoch, v, lower.getKey(), lower.getValue()));
-    if (higher != null && !contains(higher.getValue(), v))
-      breaks(Rule.CHOSEN_IS_KEPT, lost(key, higher.getKey(), higher.getValue(), epoch, v));
-  }
-
-  private static String lost(String key, long epoch, NumberedValue v, long old, NumberedValue was) {
+    if (accepted.size() < majority) return;
+    accepted.sort(Comparator.comparingLong(NumberedValue::number).reversed());
+    addChosen(key, epoch, accepted.get(majority - 1));
+  }
+
+  private void addChosen(String key, long epoch, NumberedValue value) {
+    NavigableMap<Long, NumberedValue> chosenByEpoch =
+        chosenValues.computeIfAbsent(key, ignored -> new TreeMap<>());
+    NumberedValue known = chosenByEpoch.get(epoch);
+    if (known != null && known.number() >= value.number()) return;
+    chosenByEpoch.put(epoch, value);
+    addToDigest(key + value.digest(), HashMixer.mix(epoch, value.number()));
+    recordMeaning(key, value, "accepted by a majority under epoch " + epoch);
+    Map.Entry<Long, NumberedValue> lower = chosenByEpoch.lowerEntry(epoch),
+        higher = chosenByEpoch.higherEntry(epoch);
+    if (lower != null && !contains(value, lower.getValue()))
+      report(
+          Rule.CHOSEN_IS_KEPT, describeLoss(key, epoch, value, lower.getKey(), lower.getValue()));
+    if (higher != null && !contains(higher.getValue(), value))
+      report(
+          Rule.CHOSEN_IS_KEPT, describeLoss(key, higher.getKey(), higher.getValue(), epoch, value));
+  }
+
+  private static String describeLoss(
+      String key, long epoch, NumberedValue value, long oldEpoch, NumberedValue previous) {
     return key
         + " is "
-        + v.number()
+        + value.number()
         + " under epoch "
         + epoch
         + " after "
-        + was.number()
+        + previous.number()
         + " under "
-        + old;
+        + oldEpoch;
   }
 
-  private static boolean contains(NumberedValue v, NumberedValue earlier) {
-    if (v.number() < earlier.number()) return false;
-    String same = v.rememberedDigests().get(earlier.number());
-    return same == null || same.equals(earlier.digest());
+  private static boolean contains(NumberedValue value, NumberedValue earlier) {
+    if (value.number() < earlier.number()) return false;
+    String known = value.rememberedDigests().get(earlier.number());
+    return known == null || known.equals(earlier.digest());
   }
 
   // ---- values
 
-  private void means(String key, NumberedValue v, String where) {
-    v.rememberedDigests().forEach((n, d) -> means(key, n, d, where));
-    if (v.number() > 0) means(key, v.number(), v.digest(), where);
+  private void recordMeaning(String key, NumberedValue value, String where) {
+    value
+        .rememberedDigests()
+        .forEach((number, valueDigest) -> recordMeaning(key, number, valueDigest, where));
+    if (value.number() > 0) recordMeaning(key, value.number(), value.digest(), where);
   }
 
-  private void means(String key, long number, String valueDigest, String where) {
+  private void recordMeaning(String key, long number, String valueDigest, String where) {
     String known =
-        meaning.computeIfAbsent(key, k -> new HashMap<>()).putIfAbsent(number, valueDigest);
-    if (known == null) noted(key + valueDigest, number);
+        digestsByNumber
+            .computeIfAbsent(key, ignored -> new HashMap<>())
+            .putIfAbsent(number, valueDigest);
+    if (known == null) addToDigest(key + valueDigest, number);
     else if (!known.equals(valueDigest))
-      breaks(
+      report(
           Rule.ONE_VALUE_PER_NUMBER,
           key + " " + number + " means another value where it is " + where);
-    if (notRefused.getOrDefault(valueDigest, 1) == 0)
-      breaks(
+    if (openSendings.getOrDefault(valueDigest, 1) == 0)
+      report(
           Rule.REFUSED_IS_NOT_TAKEN,
-          refusal.get(valueDigest) + " and is " + number + " of " + key + ", " + where);
+          lastRefusals.get(valueDigest) + " and is " + number + " of " + key + ", " + where);
   }
 
   private boolean wasChosen(String key, long number, String valueDigest) {
-    for (NumberedValue v : chosen.getOrDefault(key, new TreeMap<>()).values()) {
-      String d = v.number() == number ? v.digest() : v.rememberedDigests().get(number);
-      if (d != null && d.equals(valueDigest)) return true;
+    for (NumberedValue value : chosenValues.getOrDefault(key, new TreeMap<>()).values()) {
+      String storedDigest =
+          value.number() == number ? value.digest() : value.rememberedDigests().get(number);
+      if (storedDigest != null && storedDigest.equals(valueDigest)) return true;
     }
     return false;
   }
 
   // ---- operators
 
-  /** What every answer to a read that begins now must have reached. */
+  /** Returns the number that the answer to a read starting now must have reached. */
   long newestTold(String key) {
-    return newestTold.getOrDefault(key, 0L);
+    return newestToldNumbers.getOrDefault(key, 0L);
   }
 
-  /** An operator sends a value, for the first time or again. */
-  void sent(String valueDigest) {
-    notRefused.merge(valueDigest, 1, Integer::sum);
-    noted(valueDigest, notRefused.get(valueDigest));
+  /** Called when an operator sends a value, for the first time or again. */
+  void onSent(String valueDigest) {
+    openSendings.merge(valueDigest, 1, Integer::sum);
+    addToDigest(valueDigest, openSendings.get(valueDigest));
   }
 
-  /** An operator was answered. */
-  void answered(String key, String valueDigest, String name, ChangeResult result) {
-    if (result instanceof ChangeResult.Acknowledged d) done(key, valueDigest, name, d.number());
-    else if (!(result instanceof ChangeResult.Unknown)) refused(key, valueDigest, name, result);
+  /** Called when an operator was answered. */
+  void onAnswer(String key, String valueDigest, String name, ChangeResult result) {
+    if (result instanceof ChangeResult.Acknowledged acknowledgement)
+      onAcknowledged(key, valueDigest, name, acknowledgement.number());
+    else if (!(result instanceof ChangeResult.Unknown)) onRefused(key, valueDigest, name, result);
   }
 
-  private void done(String key, String valueDigest, String name, long number) {
+  private void onAcknowledged(String key, String valueDigest, String name, long number) {
     if (!wasChosen(key, number, valueDigest))
-      breaks(Rule.ACKNOWLEDGED_IS_CHOSEN, name + " as " + number + " of " + key);
-    Long before = acknowledged.putIfAbsent(valueDigest, number);
+      report(Rule.ACKNOWLEDGED_IS_CHOSEN, name + " as " + number + " of " + key);
+    Long before = acknowledgedNumbers.putIfAbsent(valueDigest, number);
     if (before != null && before != number)
-      breaks(Rule.TAKEN_ONCE, name + " is acknowledged as " + before + " and as " + number);
-    means(key, number, valueDigest, "acknowledged");
-    told(key, number);
+      report(Rule.TAKEN_ONCE, name + " is acknowledged as " + before + " and as " + number);
+    recordMeaning(key, number, valueDigest, "acknowledged");
+    recordTold(key, number);
   }
 
-  private void refused(String key, String valueDigest, String name, ChangeResult result) {
-    if (result instanceof ChangeResult.Conflict && acknowledged.containsKey(valueDigest))
-      breaks(
+  private void onRefused(String key, String valueDigest, String name, ChangeResult result) {
+    if (result instanceof ChangeResult.Conflict && acknowledgedNumbers.containsKey(valueDigest))
+      report(
           Rule.TAKEN_ONCE,
           name + " was acknowledged and is answered " + result + " when sent again");
-    int left = notRefused.merge(valueDigest, -1, Integer::sum);
-    refusal.put(valueDigest, name + " was answered " + result);
-    noted(valueDigest, left - 1_000_000);
-    if (left == 0 && meaning.getOrDefault(key, Map.of()).containsValue(valueDigest))
-      breaks(Rule.REFUSED_IS_NOT_TAKEN, name + " was taken before it was answered " + result);
+    int remaining = openSendings.merge(valueDigest, -1, Integer::sum);
+    lastRefusals.put(valueDigest, name + " was answered " + result);
+    addToDigest(valueDigest, remaining - 1_000_000);
+    if (remaining == 0 && digestsByNumber.getOrDefault(key, Map.of()).containsValue(valueDigest))
+      report(Rule.REFUSED_IS_NOT_TAKEN, name + " was taken before it was answered " + result);
   }
 
-  private void told(String key, long number) {
+  private void recordTold(String key, long number) {
     if (number <= newestTold(key)) return;
-    newestTold.put(key, number);
-    noted("told " + key, number);
+    newestToldNumbers.put(key, number);
+    addToDigest("told " + key, number);
   }
 
-  void read(String door, String key, long least, ReadResult answer) {
+  void onRead(String member, String key, long minNumber, ReadResult answer) {
     if (!answer.hasOwner()) return;
-    if (answer.number() < least)
-      breaks(
+    if (answer.number() < minNumber)
+      report(
           Rule.READ_IS_NEWEST,
-          door + " reads " + answer.number() + " of " + key + " after " + least + " was told");
-    if (answer.number() > 0) means(key, answer.number(), answer.digest(), "read at " + door);
-    told(key, answer.number());
+          member
+              + " reads "
+              + answer.number()
+              + " of "
+              + key
+              + " after "
+              + minNumber
+              + " was told");
+    if (answer.number() > 0)
+      recordMeaning(key, answer.number(), answer.digest(), "read at " + member);
+    recordTold(key, answer.number());
   }
 
   // ---- members and owners
 
-  private void seals(CheckedMachine m, MemberSet next) {
-    if (sealedFor.computeIfAbsent(next.generation(), g -> new HashSet<>()).add(m.disk.id))
-      noted(m.disk.id, next.generation());
+  private void recordSeal(CheckedMachine machine, MemberSet next) {
+    if (sealedDisks
+        .computeIfAbsent(next.generation(), generation -> new HashSet<>())
+        .add(machine.disk.id)) addToDigest(machine.disk.id, next.generation());
   }
 
-  private void hasAllChosenBefore(CheckedMachine m, MemberSet members) {
+  private void requireAllChosenBefore(CheckedMachine machine, MemberSet members) {
     for (String key : world.setup.keys()) {
-      NavigableMap<Long, NumberedValue> all = chosen.getOrDefault(key, new TreeMap<>());
-      Map.Entry<Long, NumberedValue> last = all.lowerEntry(members.generation() << 40);
+      NavigableMap<Long, NumberedValue> chosenByEpoch =
+          chosenValues.getOrDefault(key, new TreeMap<>());
+      Map.Entry<Long, NumberedValue> last = chosenByEpoch.lowerEntry(members.generation() << 40);
       if (last == null) continue;
-      DecodedRegister c = cells.get(m.disk.id + " " + key);
-      if (c == null || !contains(c.value(), last.getValue()))
-        breaks(
+      DecodedRegister register = registers.get(machine.disk.id + " " + key);
+      if (register == null || !contains(register.value(), last.getValue()))
+        report(
             Rule.NEXT_HAS_ALL,
-            m.name
+            machine.name
                 + " takes part in generation "
                 + members.generation()
                 + " without "
@@ -329,70 +363,75 @@
     }
   }
 
-  /** Looks at a machine after a step. */
-  void look(CheckedMachine m) {
-    if (!m.up()) return;
-    MemberSet members = m.node.members();
-    Long before = generationAt.put(m.name, members.generation());
-    if (before == null || before != members.generation()) newGeneration(m, members);
-    for (String key : world.setup.keys()) if (m.node.owns(key)) owner(m, key);
+  /** Checks a machine after a step. */
+  void inspect(CheckedMachine machine) {
+    if (!machine.isRunning()) return;
+    MemberSet members = machine.node.members();
+    Long before = generationByMachine.put(machine.name, members.generation());
+    if (before == null || before != members.generation()) onNewGeneration(machine, members);
+    for (String key : world.setup.keys()) if (machine.node.owns(key)) inspectOwner(machine, key);
   }
 
-  private void newGeneration(CheckedMachine m, MemberSet members) {
+  private void onNewGeneration(CheckedMachine machine, MemberSet members) {
     if (members.generation() == 0) return;
-    world.budget.counts(members);
-    MemberSet same = generations.putIfAbsent(members.generation(), members);
-    if (same != null && !same.equals(members))
-      breaks(Rule.ONE_SET_PER_GENERATION, m.name + " has " + members + ", others " + same);
+    world.faultBudget.addMemberSet(members);
+    MemberSet known = generations.putIfAbsent(members.generation(), members);
+    if (known != null && !known.equals(members))
+      report(Rule.ONE_SET_PER_GENERATION, machine.name + " has " + members + ", others " + known);
     MemberSet former = generations.get(members.generation() - 1);
-    if (same != null || former == null) return;
-    Set<String> sealed = sealedFor.getOrDefault(members.generation(), Set.of());
-    long of = former.all().stream().filter(x -> sealed.contains(x.diskId())).count();
-    if (of <= former.all().size() / 2)
-      breaks(
+    if (known != null || former == null) return;
+    Set<String> sealed = sealedDisks.getOrDefault(members.generation(), Set.of());
+    long sealedCount =
+        former.all().stream().filter(member -> sealed.contains(member.diskId())).count();
+    if (sealedCount <= former.all().size() / 2)
+      report(
           Rule.SEALED_BEFORE_NEXT,
-          m.name
+          machine.name
               + " is in generation "
               + members.generation()
               + " and "
-              + of
+              + sealedCount
               + " are sealed for it");
   }
 
   /**
-   * A process asks another member for its promise. Epochs name their member, are above what is
-   * promised on its own disk, and a process knows those that it tried with; only one that was
-   * started anew may try again with an epoch that came to nothing.
+   * Called when a process asks another member for its promise. An epoch belongs to one member and
+   * is above the epoch promised on that member's own disk. A process never reuses an epoch that it
+   * has tried with; only a restarted process may retry an epoch that won nothing.
    */
-  void asks(CheckedMachine m, String member, CoreMessage.PrepareRequest promise) {
-    String key = promise.key();
-    String under = " asks for " + key + " under epoch " + promise.epoch();
-    String other = triedBy.putIfAbsent(key + " " + promise.epoch(), m.name);
-    if (other != null && !other.equals(m.name))
-      breaks(Rule.EPOCH_IS_FRESH, m.name + under + " as " + other + " did");
-    if (!promisesAsked.add(m.name + " " + m.life + under + " of " + member))
-      breaks(Rule.EPOCH_IS_FRESH, m.name + under + " twice");
-    DecodedRegister own = cells.get(m.disk.id + " " + key);
-    if (own != null && own.promised() >= promise.epoch())
-      breaks(Rule.EPOCH_IS_FRESH, m.name + under + " and has promised " + own.promised());
-  }
-
-  private void owner(CheckedMachine m, String key) {
-    Served now = new Served(m.node.epochOf(key), m.node.storedValue(key).getKey());
-    if (now.equals(served.put(m.name + " " + key, now))) return;
-    String who = m.name + " in its life " + m.life;
-    String other = owners.putIfAbsent(key + " " + now.epoch, who);
-    if (other == null) noted(key + who, now.epoch);
-    else if (!other.equals(who))
-      breaks(
+  void onPromiseRequested(
+      CheckedMachine machine, String member, CoreMessage.PrepareRequest prepare) {
+    String key = prepare.key();
+    String attempt = " asks for " + key + " under epoch " + prepare.epoch();
+    String other = epochUsers.putIfAbsent(key + " " + prepare.epoch(), machine.name);
+    if (other != null && !other.equals(machine.name))
+      report(Rule.EPOCH_IS_FRESH, machine.name + attempt + " as " + other + " did");
+    if (!requestedPromises.add(
+        machine.name + " " + machine.processNumber + attempt + " of " + member))
+      report(Rule.EPOCH_IS_FRESH, machine.name + attempt + " twice");
+    DecodedRegister ownRegister = registers.get(machine.disk.id + " " + key);
+    if (ownRegister != null && ownRegister.promised() >= prepare.epoch())
+      report(
+          Rule.EPOCH_IS_FRESH,
+          machine.name + attempt + " and has promised " + ownRegister.promised());
+  }
+
+  private void inspectOwner(CheckedMachine machine, String key) {
+    Served now = new Served(machine.node.epochOf(key), machine.node.storedValue(key).getKey());
+    if (now.equals(lastServed.put(machine.name + " " + key, now))) return;
+    String process = machine.name + " in its life " + machine.processNumber;
+    String other = ownersByEpoch.putIfAbsent(key + " " + now.epoch, process);
+    if (other == null) addToDigest(key + process, now.epoch);
+    else if (!other.equals(process))
+      report(
           Rule.ONE_OWNER_PER_EPOCH,
-          who + " serves " + key + " under epoch " + now.epoch + " of " + other);
-    NumberedValue under = chosen.getOrDefault(key, new TreeMap<>()).get(now.epoch);
-    if (under == null || under.number() < now.number)
-      breaks(
+          process + " serves " + key + " under epoch " + now.epoch + " of " + other);
+    NumberedValue acceptedUnder = chosenValues.getOrDefault(key, new TreeMap<>()).get(now.epoch);
+    if (acceptedUnder == null || acceptedUnder.number() < now.number)
+      report(
           Rule.SERVED_IS_CHOSEN,
-          who + " serves " + now.number + " of " + key + " under epoch " + now.epoch);
-    for (ChangeRecord t : m.node.changeHistory(key))
-      means(key, t.number(), t.digest(), "served by " + m.name);
+          process + " serves " + now.number + " of " + key + " under epoch " + now.epoch);
+    for (ChangeRecord record : machine.node.changeHistory(key))
+      recordMeaning(key, record.number(), record.digest(), "served by " + machine.name);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/Scenario.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Scenario.java
@@ -8,28 +8,27 @@
 import java.util.function.Predicate;
 
 /**
- * Where an exploration begins and what may happen in it.
- *
- * <p>prefix: the steps that lead to the first state explored.
+ * The first state of an exploration and the moves that may follow. prefix: the steps that lead to
+ * the first state.
  */
 record Scenario(String name, Setup setup, List<Step> prefix, Menu menu) {
   /**
-   * How often each kind of move may be made in one run. ticks: by how much a clock advances, ms;
-   * crashes: with a restart, also in the middle of a message, whose writes are lost then; messages:
-   * the types that may arrive.
+   * How often each kind of move may occur in one run. tickDurationsMs: the possible clock advances;
+   * maxCrashes: crashes, each with a restart, which may also interrupt the handling of a message
+   * and lose its writes; messageTypes: the types of messages that may arrive.
    */
   record Menu(
-      List<Integer> ticks,
-      int mostTicks,
-      int mostProposals,
-      int mostReads,
-      int mostCrashes,
-      int mostWipes,
-      Set<String> messages) {}
+      List<Integer> tickDurationsMs,
+      int maxTicks,
+      int maxProposals,
+      int maxReads,
+      int maxCrashes,
+      int maxWipes,
+      Set<String> messageTypes) {}
 
   private static final Set<String> OWNERSHIP =
       Set.of("PrepareRequest", "PrepareResponse", "AcceptRequest", "AcceptResponse");
-  private static final Set<String> CHANGE_OF_MEMBERS =
+  private static final Set<String> MEMBERSHIP_CHANGE =
       Set.of(
           "PrepareRequest",
           "PrepareResponse",
@@ -39,90 +38,102 @@
           "SealResponse",
           "Activate");
   private static final String JOIN_REQUEST = "JoinRequest";
-  private static final int LONGEST_PREFIX = 4000;
+  private static final int MAX_PREFIX_STEPS = 4000;
 
   /**
-   * Three members; one owns a key and has had a value acknowledged, another tries for the key with
-   * its promises in flight.
+   * Three members: one owns a key and has had a value acknowledged; another tries for the key and
+   * its promise requests are in flight.
    */
   static Scenario twoOwners(Mutation mutation) {
     Setup setup = Setup.of(3, true, 0).withSpares(0).withKeys(List.of(StateKeys.CONFIGURATION));
     Menu menu = new Menu(List.of(), 0, 1, 0, 1, 0, OWNERSHIP);
-    return from("two owners", setup, menu, Scenario::isContested).without(mutation);
+    return search("two owners", setup, menu, Scenario::isContested).withMutation(mutation);
   }
 
-  private static boolean isContested(World world) {
-    boolean told = world.rules.newestTold(StateKeys.CONFIGURATION) > 0;
-    CheckedMachine owner = owner(world, StateKeys.CONFIGURATION);
+  private static boolean isContested(CheckedWorld world) {
+    boolean isTold = world.rules.newestTold(StateKeys.CONFIGURATION) > 0;
+    CheckedMachine owner = ownerOf(world, StateKeys.CONFIGURATION);
     boolean takesChanges = owner != null && !owner.node.isUnavailable();
-    return told && takesChanges && inFlight(world, "PrepareRequest") >= 2;
+    return isTold && takesChanges && countInFlight(world, "PrepareRequest") >= 2;
   }
 
   /**
-   * Three members and a spare; the owner of the members' key has written the next set to none yet.
+   * Three members and a spare: the owner of the membership key has proposed the next member set,
+   * and no other member has received it.
    */
-  static Scenario changeOfMembers(Mutation mutation) {
+  static Scenario membershipChange(Mutation mutation) {
     Setup setup = Setup.of(3, true, 0).withSpares(1);
-    Menu menu = new Menu(List.of(160), 4, 0, 0, 1, 1, CHANGE_OF_MEMBERS);
-    return from("change of members", setup, menu, Scenario::isProposed).without(mutation);
+    Menu menu = new Menu(List.of(160), 4, 0, 0, 1, 1, MEMBERSHIP_CHANGE);
+    return search("change of members", setup, menu, Scenario::isMembershipProposed)
+        .withMutation(mutation);
   }
 
-  private static boolean isProposed(World world) {
-    CheckedMachine owner = owner(world, StateKeys.CORE);
-    boolean told = world.rules.newestTold(StateKeys.CONFIGURATION) > 0;
-    return told
+  private static boolean isMembershipProposed(CheckedWorld world) {
+    CheckedMachine owner = ownerOf(world, StateKeys.CORE);
+    boolean isTold = world.rules.newestTold(StateKeys.CONFIGURATION) > 0;
+    return isTold
         && owner != null
-        && inFlight(world, "AcceptRequest") >= 2
-        && world.budget.proposed() > 0;
+        && countInFlight(world, "AcceptRequest") >= 2
+        && world.faultBudget.proposedSetCount() > 0;
   }
 
-  /** Three founders with empty disks; one of them may lose its disk and found again. */
+  /**
+   * Three founders with empty disks; one of them may lose its disk and take part in the founding
+   * again.
+   */
   static Scenario founding(Mutation mutation) {
-    QuorumConfig tunables = Setup.of(3, false, 0).tunables();
+    QuorumConfig tunables = Setup.of(3, false, 0).config();
     Setup setup =
         new Setup(3, 0, false, 0, List.of(StateKeys.CONFIGURATION), tunables, Mutation.NONE);
     Menu menu = new Menu(List.of(300), 5, 0, 0, 1, 1, Set.of("BootstrapAnnouncement", "Activate"));
-    return new Scenario("founding", setup, List.of(), menu).without(mutation);
+    return new Scenario("founding", setup, List.of(), menu).withMutation(mutation);
   }
 
   /**
-   * Three founders with empty disks; one of them may lose its disk and then only asks to be let in,
-   * or founds again.
+   * Three founders with empty disks; one of them may lose its disk and then either only asks to
+   * join or takes part in the founding again.
    */
-  static Scenario lossAtTheFounding(Mutation mutation) {
+  static Scenario founderDiskLoss(Mutation mutation) {
     Menu menu =
         new Menu(
             List.of(300), 5, 0, 0, 0, 1, Set.of("BootstrapAnnouncement", JOIN_REQUEST, "Activate"));
     return new Scenario("loss at the founding", founding(mutation).setup(), List.of(), menu);
   }
 
-  /** Whether a machine that lost its disk may ask to be let in. */
+  /** Returns whether a machine that lost its disk may ask to join. */
   boolean mayJoin() {
-    return menu.messages().contains(JOIN_REQUEST);
+    return menu.messageTypes().contains(JOIN_REQUEST);
   }
 
-  private Scenario without(Mutation mutation) {
+  private Scenario withMutation(Mutation mutation) {
     return new Scenario(name, setup.with(mutation), prefix, menu);
   }
 
-  static CheckedMachine owner(World world, String key) {
-    for (CheckedMachine m : world.machines()) if (m.up() && m.node.owns(key)) return m;
+  static CheckedMachine ownerOf(CheckedWorld world, String key) {
+    for (CheckedMachine machine : world.machines())
+      if (machine.isRunning() && machine.node.owns(key)) return machine;
     return null;
   }
 
-  private static long inFlight(World world, String type) {
-    return world.network.flights().stream().filter(flight -> flight.type().equals(type)).count();
+  private static long countInFlight(CheckedWorld world, String type) {
+    return world.network.inFlight().stream().filter(message -> message.type().equals(type)).count();
   }
 
-  /** Looks for a run that leads there by random walks, and takes out what it doesn't need. */
-  private static Scenario from(String name, Setup setup, Menu menu, Predicate<World> there) {
+  /**
+   * Finds a run that fulfils the condition by random walks, and removes the steps that it does not
+   * need.
+   */
+  private static Scenario search(
+      String name, Setup setup, Menu menu, Predicate<CheckedWorld> condition) {
     for (long seed = 0; ; seed++) {
-      List<Step> steps = RandomWalk.until(setup, seed, LONGEST_PREFIX, there);
+      List<Step> steps = RandomWalk.stepsUntil(setup, seed, MAX_PREFIX_STEPS, condition);
       if (steps == null) continue;
-      List<Step> few = Replay.shrink(steps, s -> there.test(Replay.playOnly(setup, s)));
+      List<Step> shortened =
+          Replay.shrink(
+              steps, candidate -> condition.test(Replay.replayWithoutRecovery(setup, candidate)));
       List<Step> possible = new ArrayList<>();
-      World world = World.toPlay(setup, false);
-      for (Step step : few) if (Replay.apply(world, step)) possible.add(step);
+      CheckedWorld world = CheckedWorld.forReplay(setup, false);
+      for (Step step : shortened) if (Replay.apply(world, step)) possible.add(step);
       return new Scenario(name, setup, possible, menu);
     }
   }
--- a/emulator/src/main/java/gladelug/emulator/check/Setup.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Setup.java
@@ -5,47 +5,49 @@
 import java.util.List;
 
 /**
- * What a checked world begins with.
- *
- * <p>members: how many found the core; spares: machines that only ask to join; founded: whether the
- * founders know the first generation already; chance: the seed of the members' own random choices,
- * 0 for the smallest each time; keys: those the run is about.
+ * The initial state of a checked world. memberCount: the number of founders; spareCount: machines
+ * that only ask to join; isFounded: whether the founders already know the first generation;
+ * randomSeed: the seed of the members' own random choices, 0 for the smallest choice each time;
+ * keys: the keys that the run covers.
  */
 record Setup(
-    int members,
-    int spares,
-    boolean founded,
-    long chance,
+    int memberCount,
+    int spareCount,
+    boolean isFounded,
+    long randomSeed,
     List<String> keys,
-    QuorumConfig tunables,
+    QuorumConfig config,
     Mutation mutation) {
-  /** Members, a spare and the keys of configuration and members, nothing switched off. */
-  static Setup of(int members, boolean founded, long chance) {
-    QuorumConfig tunables =
+  /**
+   * Returns a setup with two spares and the keys of configuration and membership, with no rule
+   * disabled.
+   */
+  static Setup of(int memberCount, boolean isFounded, long randomSeed) {
+    QuorumConfig config =
         QuorumConfig.builder()
             .acknowledgementMode(QuorumConfig.AcknowledgementMode.CONTACT)
-            .targetMembers(members)
+            .targetMembers(memberCount)
             .replaceDeadAfterMs(2 * QuorumConfig.DEFAULT.peerTimeoutMs())
             .build();
     return new Setup(
-        members,
+        memberCount,
         2,
-        founded,
-        chance,
+        isFounded,
+        randomSeed,
         List.of(StateKeys.CONFIGURATION, StateKeys.CORE),
-        tunables,
+        config,
         Mutation.NONE);
   }
 
-  Setup with(Mutation m) {
-    return new Setup(members, spares, founded, chance, keys, tunables, m);
+  Setup with(Mutation newMutation) {
+    return new Setup(memberCount, spareCount, isFounded, randomSeed, keys, config, newMutation);
   }
 
-  Setup withKeys(List<String> k) {
-    return new Setup(members, spares, founded, chance, k, tunables, mutation);
+  Setup withKeys(List<String> newKeys) {
+    return new Setup(memberCount, spareCount, isFounded, randomSeed, newKeys, config, mutation);
   }
 
-  Setup withSpares(int n) {
-    return new Setup(members, n, founded, chance, keys, tunables, mutation);
+  Setup withSpares(int newSpareCount) {
+    return new Setup(memberCount, newSpareCount, isFounded, randomSeed, keys, config, mutation);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/Step.java
+++ b/emulator/src/main/java/gladelug/emulator/check/Step.java
@@ -1,20 +1,20 @@
 package gladelug.emulator.check;
 
 /**
- * One step of a checked run. Steps name what they act on by what it is, not by an identity of one
- * run, so that a run with some steps taken out can still be replayed.
+ * One step of a checked run. A step describes its target instead of holding a reference to an
+ * object of one run, so that a run can still be replayed with some of its steps removed.
  *
- * <p>One step. other: the sender of a message; what: the type of a message or a key; amount: which
- * of several, milliseconds, or how many writes, by kind.
+ * <p>other: the sender of a message; what: the type of a message, or a key; amount, by kind: an
+ * index, milliseconds, or a number of writes.
  */
 record Step(Kind kind, String machine, String other, String what, long amount) {
-  /** What may happen next in a checked world. */
+  /** The kinds of steps. */
   enum Kind {
     /** The clock of one machine advances by amount and its timer fires. */
     TICK,
     /** The amount-th oldest message of a type from another machine arrives. */
     DELIVER,
-    /** The same, and the message stays in flight as well. */
+    /** Like DELIVER, but the message also stays in flight. */
     DUPLICATE,
     /** The amount-th oldest message of a type is lost. */
     DROP,
@@ -28,22 +28,22 @@
     WIPE,
     /** An operator sends a new value of a key; amount 1: only if the value kept here is current. */
     PROPOSE,
-    /** An operator sends the amount-th last value once more. */
+    /** An operator sends an earlier change again, amount requests back. */
     RESEND,
     /** An operator asks for the newest value of a key. */
     READ,
     /** An operator has the member named by other replaced by the one named by what. */
     SWAP,
-    /** The disk's supervisor finds the disk too slow (0) or well again (1). */
+    /** The disk monitor reports the disk as too slow (0) or healthy (1). */
     HEALTH
   }
 
-  /** Flag of WIPE: the machine is started with the list of founders once more. */
-  static final long FOUNDING_AGAIN = 1;
+  /** Flag of WIPE: the machine is started with the list of founders again. */
+  static final long BOOTSTRAP_AGAIN = 1;
 
   /**
-   * Flag of WIPE: the machine comes back at an address it did not have before; founders are listed
-   * by theirs and keep them.
+   * Flag of WIPE: the machine returns at a new address. Founders keep theirs, since they are listed
+   * by address.
    */
   static final long NEW_ADDRESS = 2;
 
@@ -64,24 +64,25 @@
     String text =
         switch (kind) {
           case TICK -> "tick +" + amount;
-          case DELIVER -> "gets " + what + " of " + other;
-          case DUPLICATE -> "gets a copy of " + what + " of " + other;
-          case DROP -> "never gets " + what + " of " + other;
+          case DELIVER -> "receives " + what + " from " + other;
+          case DUPLICATE -> "receives a copy of " + what + " from " + other;
+          case DROP -> "never receives " + what + " from " + other;
           case SYNC -> amount == 0 ? "syncs" : "syncs the first " + amount;
           case CRASH -> amount == 0 ? "crashes" : "crashes with " + amount + " writes durable";
           case RESTART -> "starts";
           case WIPE -> "loses its disk" + wipeFlags();
-          case PROPOSE -> "is sent a value of " + what + (amount == 1 ? " on the one it has" : "");
-          case RESEND -> "is sent a value once more, " + amount + " back";
+          case PROPOSE ->
+              "is sent a value of " + what + (amount == 1 ? " based on its stored number" : "");
+          case RESEND -> "is sent an earlier value again, " + amount + " back";
           case READ -> "is asked for " + what;
-          case SWAP -> "is told to replace " + other + " by " + what;
-          case HEALTH -> amount == 0 ? "finds its disk slow" : "finds its disk well";
+          case SWAP -> "is asked to replace " + other + " by " + what;
+          case HEALTH -> amount == 0 ? "finds its disk slow" : "finds its disk healthy";
         };
     return text;
   }
 
   private String wipeFlags() {
-    return ((amount & FOUNDING_AGAIN) != 0 ? ", founds again" : "")
+    return ((amount & BOOTSTRAP_AGAIN) != 0 ? ", bootstraps again" : "")
         + ((amount & NEW_ADDRESS) != 0 ? ", new address" : "");
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/check/StepTable.java
+++ b/emulator/src/main/java/gladelug/emulator/check/StepTable.java
@@ -4,50 +4,49 @@
 import java.util.List;
 
 /**
- * A run as a text table: a line a step, a column a machine, and what happened at the machine.
- *
- * <p>Draws a run for people.
+ * Formats a run as a text table with one line for each step, one column for each machine, and what
+ * happened at the machine.
  */
 final class StepTable {
-  private static final int WIDEST = 58;
+  private static final int MAX_CELL_CHARS = 58;
 
   private StepTable() {}
 
-  /** Plays the steps once more and draws each that could be done. */
+  /** Replays the steps and formats each that was possible. */
   static String draw(Setup setup, List<Step> steps) {
-    World world = World.toPlay(setup, true);
+    CheckedWorld world = CheckedWorld.forReplay(setup, true);
     List<List<String>> rows = new ArrayList<>();
-    List<String> head = new ArrayList<>();
-    head.add("step");
-    for (CheckedMachine m : world.machines()) head.add(m.name);
-    rows.add(head);
+    List<String> header = new ArrayList<>();
+    header.add("step");
+    for (CheckedMachine machine : world.machines()) header.add(machine.name);
+    rows.add(header);
     int number = 0;
     for (Step step : steps) {
       if (!Replay.apply(world, step)) continue;
-      rows.addAll(lines(world, step, ++number));
-      if (world.rules.broken() != null) break;
+      rows.addAll(rowsOf(world, step, ++number));
+      if (world.rules.brokenRule() != null) break;
     }
     Recovery.run(world);
-    return layOut(rows) + "broken: " + world.rules.broken() + "\n";
+    return layOut(rows) + "broken: " + world.rules.brokenRule() + "\n";
   }
 
-  private static List<List<String>> lines(World world, Step step, int number) {
-    List<String> said = new ArrayList<>();
-    said.add(step.toString());
-    said.addAll(world.machine(step.machine()).events);
+  private static List<List<String>> rowsOf(CheckedWorld world, Step step, int number) {
+    List<String> texts = new ArrayList<>();
+    texts.add(step.toString());
+    texts.addAll(world.machine(step.machine()).events);
     List<List<String>> rows = new ArrayList<>();
-    for (int i = 0; i < said.size(); i++) {
+    for (int i = 0; i < texts.size(); i++) {
       List<String> row = new ArrayList<>();
       row.add(i == 0 ? String.valueOf(number) : "");
-      for (CheckedMachine m : world.machines())
-        row.add(m.name.equals(step.machine()) ? cut(said.get(i)) : ".");
+      for (CheckedMachine machine : world.machines())
+        row.add(machine.name.equals(step.machine()) ? shorten(texts.get(i)) : ".");
       rows.add(row);
     }
     return rows;
   }
 
-  private static String cut(String text) {
-    return text.length() <= WIDEST ? text : text.substring(0, WIDEST - 3) + "...";
+  private static String shorten(String text) {
+    return text.length() <= MAX_CELL_CHARS ? text : text.substring(0, MAX_CELL_CHARS - 3) + "...";
   }
 
   private static String layOut(List<List<String>> rows) {
--- a/emulator/src/main/java/gladelug/emulator/history/Call.java
+++ b/emulator/src/main/java/gladelug/emulator/history/Call.java
@@ -1,81 +1,71 @@
 package gladelug.emulator.history;
 
 /**
- * One call of an operator: when it began and ended, to whom it went and what came of it. Times are
- * of one clock that all callers share.
- *
- * <p>A call of the register by an operator.
+ * One call of the register by an operator: its times, the member it went to, and its outcome. Times
+ * are in ms on one clock that all callers share.
  */
 public sealed interface Call {
-  /** The end of a call that has no clear answer. */
-  long OPEN = Long.MAX_VALUE;
+  /** The end time of a call that has no clear answer. */
+  long NO_END = Long.MAX_VALUE;
 
-  /** Who called. */
+  /** Returns the operator that made the call. */
   String operator();
 
-  /** The member that was called. */
+  /** Returns the member that was called. */
   String member();
 
-  /** When the call was sent. */
-  long start();
+  /** Returns the time at which the call was sent. */
+  long startMs();
 
-  /** When its answer arrived. */
-  long end();
+  /** Returns the time at which its answer arrived, or NO_END. */
+  long endMs();
 
-  /** Whether the call says anything that an order of effects has to explain. */
-  boolean constrains();
+  /** Returns whether an order of effects has to explain this call. */
+  boolean mustBeExplained();
 
-  /** The same call with nothing known of its outcome; null where nothing is left of it. */
+  /** Returns the same call with an unknown outcome, or null if nothing remains of it. */
   Call withoutOutcome();
 
-  /**
-   * A change was sent.
-   *
-   * @param current the version a refusal named as current, or UNTOLD
-   */
+  /** A call that sent a change. */
   record ChangeCall(
       String operator,
       String member,
-      long start,
-      long end,
+      long startMs,
+      long endMs,
       Change change,
       Outcome outcome,
-      long current)
+      long currentVersion)
       implements Call {
-    /** A refusal that names no current version. */
-    public static final long UNTOLD = -1;
+    /** The current version of a refusal that names none. */
+    public static final long UNKNOWN_VERSION = -1;
 
     public ChangeCall {
-      if (outcome == Outcome.UNKNOWN) end = OPEN;
-      if (end < start) throw new IllegalArgumentException("ends before it begins");
+      if (outcome == Outcome.UNKNOWN) endMs = NO_END;
+      if (endMs < startMs) throw new IllegalArgumentException("the call ends before it starts");
     }
 
     @Override
-    public boolean constrains() {
+    public boolean mustBeExplained() {
       return outcome == Outcome.ACKNOWLEDGED || outcome == Outcome.REFUSED;
     }
 
     @Override
     public Call withoutOutcome() {
-      return new ChangeCall(operator, member, start, OPEN, change, Outcome.UNKNOWN, UNTOLD);
+      return new ChangeCall(
+          operator, member, startMs, NO_END, change, Outcome.UNKNOWN, UNKNOWN_VERSION);
     }
 
-    /** Whether the change can take effect by this call. */
+    /** Returns whether the change can take effect by this call. */
     boolean mayTakeEffect() {
       return outcome == Outcome.ACKNOWLEDGED || outcome == Outcome.UNKNOWN;
     }
   }
 
-  /**
-   * The newest value was read; reads without an answer are in no history.
-   *
-   * @param version the version read, 0 for a register never written
-   * @param id the value read, empty for a register never written
-   */
-  record ReadCall(String operator, String member, long start, long end, long version, String id)
+  /** A call that read the newest value; reads without an answer are not recorded. */
+  record ReadCall(String operator, String member, long startMs, long endMs, long version, String id)
       implements Call {
     @Override
-    public boolean constrains() {
+    public boolean mustBeExplained() {
       return true;
     }
 
--- a/emulator/src/main/java/gladelug/emulator/history/Change.java
+++ b/emulator/src/main/java/gladelug/emulator/history/Change.java
@@ -1,18 +1,17 @@
 package gladelug.emulator.history;
 
 /**
- * A change of the versioned register, as an operator means it: however often it is sent, it is the
- * same change.
+ * A compare-and-set of the versioned register. However often it is sent, it remains the same
+ * change.
  *
- * <p>A compare-and-set of the register.
- *
- * @param id the value, unlike that of any other change
- * @param base the version it replaces; it takes effect only while this is current
- * @param version the version it makes, above base; two changes may name the same
+ * @param id the value, different from that of any other change
+ * @param baseVersion the version it replaces; it takes effect only while this version is current
+ * @param version the version it creates, above baseVersion; two changes may name the same
  */
-public record Change(String id, long base, long version) {
+public record Change(String id, long baseVersion, long version) {
   public Change {
-    if (version <= base)
-      throw new IllegalArgumentException(id + " makes " + version + ", not above " + base);
+    if (version <= baseVersion)
+      throw new IllegalArgumentException(
+          id + " creates version " + version + ", which is not above " + baseVersion);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/history/Counterexample.java
+++ b/emulator/src/main/java/gladelug/emulator/history/Counterexample.java
@@ -10,133 +10,144 @@
 import java.util.TreeSet;
 
 /**
- * A small part of a history that no register explains, for people: two calls that contradict each
- * other where there are such, else what is left when outcomes are forgotten one by one as long as
- * the rest still contradicts itself. Forgetting an outcome only allows more, so what is left
- * contradicts itself by its own calls.
- *
- * <p>The calls that contradict each other, and in what.
+ * A small part of a history that no register can explain, reduced for display: two calls that
+ * contradict each other if there are such, otherwise what remains when outcomes are dropped one by
+ * one as long as the rest is still contradictory. Dropping an outcome only allows more, so what
+ * remains is contradictory by itself.
  */
 public record Counterexample(History history, Violation violation) {
-  private static final int BAR = 40;
+  private static final int BAR_CHARS = 40;
 
-  /** The contradiction of a history, or empty where it is linearizable. */
+  /** Returns the counterexample of a history, or empty if the history is linearizable. */
   public static Optional<Counterexample> of(History history) {
-    if (LinearizabilityChecker.linearizable(history)) return Optional.empty();
+    if (LinearizabilityChecker.isLinearizable(history)) return Optional.empty();
     History prefix = shortestPrefix(history);
-    Optional<Violation.Pair> pair = Violation.pair(prefix);
+    Optional<Violation.Pair> pair = Violation.worstPair(prefix);
     if (pair.isPresent()) {
       Violation.Pair found = pair.get();
       return Optional.of(
           new Counterexample(
-              withOutcomesOnlyOf(prefix, Set.of(found.one(), found.other())), found.violation()));
+              keepOutcomesOf(prefix, Set.of(found.first(), found.second())), found.violation()));
     }
-    History smallest = withoutNeedlessOutcomes(prefix);
-    return Optional.of(new Counterexample(smallest, Violation.ofSeveral(smallest)));
+    History smallest = minimize(prefix);
+    return Optional.of(new Counterexample(smallest, Violation.ofMinimizedHistory(smallest)));
   }
 
-  /** Whatever contradicts itself at one time still does later, so the first time can be halved. */
+  /**
+   * Returns the shortest contradictory prefix, by bisection: a history that is contradictory at one
+   * time stays so at any later time.
+   */
   private static History shortestPrefix(History history) {
     TreeSet<Long> ends = new TreeSet<>();
-    for (Call call : history.calls()) if (call.constrains()) ends.add(call.end());
-    List<Long> times = new ArrayList<>(ends);
+    for (Call call : history.calls()) if (call.mustBeExplained()) ends.add(call.endMs());
+    List<Long> endTimesMs = new ArrayList<>(ends);
     int low = 0;
-    int high = times.size() - 1;
+    int high = endTimesMs.size() - 1;
     while (low < high) {
       int middle = (low + high) / 2;
-      if (LinearizabilityChecker.linearizable(history.until(times.get(middle)))) low = middle + 1;
+      if (LinearizabilityChecker.isLinearizable(history.until(endTimesMs.get(middle))))
+        low = middle + 1;
       else high = middle;
     }
-    return history.until(times.get(low));
+    return history.until(endTimesMs.get(low));
   }
 
-  private static History withoutNeedlessOutcomes(History history) {
+  private static History minimize(History history) {
     Set<Call> kept = new LinkedHashSet<>();
-    for (Call call : history.calls()) if (call.constrains()) kept.add(call);
+    for (Call call : history.calls()) if (call.mustBeExplained()) kept.add(call);
     for (int size = Math.max(1, kept.size() / 2); size > 0; size /= 2) {
       List<Call> calls = new ArrayList<>(kept);
-      for (int from = 0; from < calls.size(); from += size) {
+      for (int start = 0; start < calls.size(); start += size) {
         Set<Call> fewer = new LinkedHashSet<>(kept);
-        calls.subList(from, Math.min(calls.size(), from + size)).forEach(fewer::remove);
-        if (!LinearizabilityChecker.linearizable(withOutcomesOnlyOf(history, fewer))) kept = fewer;
+        calls.subList(start, Math.min(calls.size(), start + size)).forEach(fewer::remove);
+        if (!LinearizabilityChecker.isLinearizable(keepOutcomesOf(history, fewer))) kept = fewer;
       }
     }
-    return withOutcomesOnlyOf(history, kept);
+    return keepOutcomesOf(history, kept);
   }
 
-  private static History withOutcomesOnlyOf(History history, Set<Call> kept) {
-    List<Call> weaker = new ArrayList<>();
+  private static History keepOutcomesOf(History history, Set<Call> kept) {
+    List<Call> weakened = new ArrayList<>();
     for (Call call : history.calls()) {
-      Call seen = call.constrains() && !kept.contains(call) ? call.withoutOutcome() : call;
-      if (seen != null) weaker.add(seen);
+      Call seen = call.mustBeExplained() && !kept.contains(call) ? call.withoutOutcome() : call;
+      if (seen != null) weakened.add(seen);
     }
-    return new History(weaker);
+    return new History(weakened);
   }
 
-  /** A line a call: its times, a bar on the common scale, who called whom, and what came of it. */
+  /**
+   * Formats one line for each call: its times, a bar on the common scale, operator and member, and
+   * the outcome.
+   */
   public String timeline() {
     List<Call> shown = new ArrayList<>();
-    for (Call call : history.calls()) if (call.constrains() || touches(call)) shown.add(call);
-    long first = shown.get(0).start();
-    long last = first;
+    for (Call call : history.calls())
+      if (call.mustBeExplained() || isRelated(call)) shown.add(call);
+    long firstMs = shown.get(0).startMs();
+    long lastMs = firstMs;
     for (Call call : shown)
-      last = Math.max(last, call.end() == Call.OPEN ? call.start() : call.end());
+      lastMs = Math.max(lastMs, call.endMs() == Call.NO_END ? call.startMs() : call.endMs());
     StringBuilder text = new StringBuilder(violation + "\n");
-    for (Call call : shown) line(text, call, first, Math.max(1, last - first));
+    for (Call call : shown) appendLine(text, call, firstMs, Math.max(1, lastMs - firstMs));
     int hidden = history.calls().size() - shown.size();
     if (hidden > 0) text.append("and ").append(hidden).append(" calls with no clear answer\n");
     return text.toString();
   }
 
-  /** Whether a call without an outcome is of a version that a call with one speaks of. */
-  private boolean touches(Call call) {
-    if (!(call instanceof ChangeCall sent)) return false;
+  /**
+   * Returns whether a call without an outcome concerns a version that a call with one refers to.
+   */
+  private boolean isRelated(Call call) {
+    if (!(call instanceof ChangeCall changeCall)) return false;
     for (Call other : history.calls()) {
-      if (!other.constrains()) continue;
-      if (other instanceof ReadCall read && read.version() == sent.change().version()) return true;
+      if (!other.mustBeExplained()) continue;
+      if (other instanceof ReadCall read && read.version() == changeCall.change().version())
+        return true;
       if (other instanceof ChangeCall change
-          && (change.change().base() == sent.change().base()
-              || change.change().base() == sent.change().version())) return true;
+          && (change.change().baseVersion() == changeCall.change().baseVersion()
+              || change.change().baseVersion() == changeCall.change().version())) return true;
     }
     return false;
   }
 
-  private static void line(StringBuilder text, Call call, long first, long span) {
-    boolean open = call.end() == Call.OPEN;
-    int from = (int) ((call.start() - first) * (BAR - 1) / span);
-    int to = open ? BAR - 1 : (int) ((call.end() - first) * (BAR - 1) / span);
-    StringBuilder bar = new StringBuilder(" ".repeat(BAR));
-    for (int i = from; i <= to; i++) bar.setCharAt(i, '-');
-    bar.setCharAt(from, '[');
-    bar.setCharAt(to, open ? '>' : ']');
+  private static void appendLine(StringBuilder text, Call call, long firstMs, long spanMs) {
+    boolean open = call.endMs() == Call.NO_END;
+    int start = (int) ((call.startMs() - firstMs) * (BAR_CHARS - 1) / spanMs);
+    int end = open ? BAR_CHARS - 1 : (int) ((call.endMs() - firstMs) * (BAR_CHARS - 1) / spanMs);
+    StringBuilder bar = new StringBuilder(" ".repeat(BAR_CHARS));
+    for (int i = start; i <= end; i++) bar.setCharAt(i, '-');
+    bar.setCharAt(start, '[');
+    bar.setCharAt(end, open ? '>' : ']');
     text.append(
         String.format(
             "%8d %8s %s %-4s %-4s %s%n",
-            call.start(),
-            open ? "" : call.end(),
+            call.startMs(),
+            open ? "" : call.endMs(),
             bar,
             call.operator(),
             call.member(),
-            words(call)));
+            describe(call)));
   }
 
-  private static String words(Call call) {
+  private static String describe(Call call) {
     if (call instanceof ReadCall read)
       return read.version() == 0
           ? "reads that nothing was written"
           : "reads " + read.version() + " " + read.id();
-    ChangeCall sent = (ChangeCall) call;
-    Change change = sent.change();
-    String told =
-        sent.current() == ChangeCall.UNTOLD ? "" : ", " + sent.current() + " said to be current";
+    ChangeCall changeCall = (ChangeCall) call;
+    Change change = changeCall.change();
+    String currentText =
+        changeCall.currentVersion() == ChangeCall.UNKNOWN_VERSION
+            ? ""
+            : ", " + changeCall.currentVersion() + " reported as current";
     return "changes "
-        + change.base()
+        + change.baseVersion()
         + " to "
         + change.version()
         + " "
         + change.id()
         + ": "
-        + sent.outcome()
-        + told;
+        + changeCall.outcome()
+        + currentText;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/history/History.java
+++ b/emulator/src/main/java/gladelug/emulator/history/History.java
@@ -7,24 +7,23 @@
 import java.util.List;
 
 /**
- * What several operators called and were told, in the order in which their calls began.
- *
- * <p>A history of calls of one register.
+ * The calls of several operators of one register and their answers, in the order in which the calls
+ * started.
  */
 public record History(List<Call> calls) {
   public History {
     List<Call> sorted = new ArrayList<>(calls);
-    sorted.sort(Comparator.comparingLong(Call::start));
+    sorted.sort(Comparator.comparingLong(Call::startMs));
     calls = List.copyOf(sorted);
   }
 
-  /** What was known at a time: calls that ended later have no outcome yet. */
-  History until(long time) {
+  /** Returns what was known at a time: calls that ended later have no outcome yet. */
+  History until(long timeMs) {
     List<Call> known = new ArrayList<>();
     for (Call call : calls) {
-      if (call.start() > time) continue;
-      Call seen = call.end() <= time ? call : call.withoutOutcome();
-      if (seen != null) known.add(seen);
+      if (call.startMs() > timeMs) continue;
+      Call visible = call.endMs() <= timeMs ? call : call.withoutOutcome();
+      if (visible != null) known.add(visible);
     }
     return new History(known);
   }
@@ -33,28 +32,40 @@
   public static final class Builder {
     private final List<Call> calls = new ArrayList<>();
 
-    /** A change that was acknowledged, or that has no effect by this call, or no clear answer. */
+    /**
+     * Adds a change that was acknowledged, that had no effect by this call, or that got no clear
+     * answer.
+     */
     public Builder change(
-        String operator, String member, long start, long end, Change change, Outcome outcome) {
-      calls.add(new ChangeCall(operator, member, start, end, change, outcome, ChangeCall.UNTOLD));
+        String operator, String member, long startMs, long endMs, Change change, Outcome outcome) {
+      calls.add(
+          new ChangeCall(
+              operator, member, startMs, endMs, change, outcome, ChangeCall.UNKNOWN_VERSION));
       return this;
     }
 
-    /** A change that was refused, as another version is current. */
+    /** Adds a change that was refused because another version is current. */
     public Builder refused(
-        String operator, String member, long start, long end, Change change, long current) {
-      calls.add(new ChangeCall(operator, member, start, end, change, Outcome.REFUSED, current));
+        String operator,
+        String member,
+        long startMs,
+        long endMs,
+        Change change,
+        long currentVersion) {
+      calls.add(
+          new ChangeCall(
+              operator, member, startMs, endMs, change, Outcome.REFUSED, currentVersion));
       return this;
     }
 
-    /** A read that was answered. */
+    /** Adds a read that was answered. */
     public Builder read(
-        String operator, String member, long start, long end, long version, String id) {
-      calls.add(new ReadCall(operator, member, start, end, version, id));
+        String operator, String member, long startMs, long endMs, long version, String id) {
+      calls.add(new ReadCall(operator, member, startMs, endMs, version, id));
       return this;
     }
 
-    /** The history so far. */
+    /** Returns the history so far. */
     public History build() {
       return new History(calls);
     }
--- a/emulator/src/main/java/gladelug/emulator/history/Outcome.java
+++ b/emulator/src/main/java/gladelug/emulator/history/Outcome.java
@@ -1,31 +1,27 @@
 package gladelug.emulator.history;
 
-/**
- * What the caller of a change was told.
- *
- * <p>How one call of a change ended for its caller.
- */
+/** The outcome of one call of a change, as its caller was told. */
 public enum Outcome {
-  /** It is in force, or was and has been replaced since. */
+  /** The change is in force, or was and has since been replaced. */
   ACKNOWLEDGED("acknowledged"),
 
-  /** Another version than its base is current; the change never takes effect. */
+  /** A version other than its base is current; the change never takes effect. */
   REFUSED("refused as stale"),
 
-  /** No clear answer: it may take effect at any time after the call began, or never. */
+  /** No clear answer: the change may take effect at any time after the call started, or never. */
   UNKNOWN("no clear answer"),
 
-  /** This one call has no effect; another call of the same change may have. */
+  /** This call has no effect; another call of the same change may have one. */
   NOT_TAKEN("not taken by this call");
 
-  private final String words;
+  private final String description;
 
   Outcome(String words) {
-    this.words = words;
+    this.description = words;
   }
 
   @Override
   public String toString() {
-    return words;
+    return description;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/history/package-info.java
+++ b/emulator/src/main/java/gladelug/emulator/history/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Operators' histories and their judgement: a search for an order of effects of one versioned
- * register that explains every answer (linearizability, by Wing and Gong's search with Lowe's
- * memoisation).
+ * Operators' histories and their check for linearizability: a search for an order of effects of one
+ * versioned register that explains every answer (Wing and Gong's search with Lowe's memoization).
  */
 package gladelug.emulator.history;
--- a/emulator/src/main/java/gladelug/emulator/sim/BrokenRule.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/BrokenRule.java
@@ -7,12 +7,16 @@
 import gladelug.control.core.message.CoreMessage.PrepareResponse;
 
 /**
- * Rules of the core that a test breaks on purpose, to show that the judges of the simulator notice.
+ * Rules of the core that a test can disable, to show that the simulator's checks detect the
+ * violation.
  */
 enum BrokenRule {
   NONE,
 
-  /** A member that tries to own a key asks itself alone, and its promise counts as that of all. */
+  /**
+   * A candidate sends its promise request only to itself, and its own promise counts as that of
+   * every member.
+   */
   PROMISES_OF_A_MAJORITY,
 
   /** A member's own write counts as that of every member. */
@@ -21,21 +25,24 @@
   /** A member's own confirmation counts as that of every member. */
   CONFIRMATIONS_OF_A_MAJORITY,
 
-  /** A member answers before its disk has what it answers for. */
+  /** A member answers before the state behind its answer is durable. */
   DURABLE_BEFORE_ANSWERED,
 
-  /** Changes that were taken are not remembered once others follow. */
+  /** Acknowledged changes are forgotten once later changes follow. */
   TAKEN_CHANGES_REMEMBERED,
 
-  /** A member whose disk was lost comes back as though it were the same. */
+  /** A member that lost its disk returns under the id of the old disk. */
   EMPTY_DISK_IS_ANOTHER;
 
-  /** Whether a question to the others goes to the asking member itself in their place. */
+  /** Returns whether a request to the other members is delivered to the sending member instead. */
   boolean sendsOnlyToSelf(CoreMessage message) {
     return this == PROMISES_OF_A_MAJORITY && message instanceof PrepareRequest;
   }
 
-  /** Whether what a member says to itself is believed to be said by all. */
+  /**
+   * Returns whether a member's response to itself is also delivered as the response of every other
+   * member.
+   */
   boolean countsForAllMembers(CoreMessage message) {
     return switch (this) {
       case PROMISES_OF_A_MAJORITY -> message instanceof PrepareResponse;
--- a/emulator/src/main/java/gladelug/emulator/sim/ConfigurationOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/ConfigurationOperator.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * The operator of the simulated world with requests: what it means at present, and its changes. One
- * that was not taken stays meant and goes out with the next.
+ * The operator of the simulation with requests: the configuration it intends at present, and its
+ * changes. A change that was not acknowledged stays intended and goes out with the next one.
  */
 final class ConfigurationOperator {
   private final RequestSimulation sim;
@@ -28,25 +28,27 @@
   private final Set<String> revokedTenants = new HashSet<>();
   private final Set<String> isolatedTenants = new HashSet<>(Set.of("walled"));
 
-  /** Tenants that aren't configured at present. */
+  /** Tenants that are left out of the configuration at present. */
   private final Set<String> removedTenants = new HashSet<>();
 
   private boolean narrowAllowed;
   private int weightsNumber;
 
-  /** Makes each configuration another than those before. */
+  /** Counter that makes each configuration unique. */
   private int configurationCount;
 
   ConfigurationOperator(RequestSimulation sim) {
     this.sim = sim;
   }
 
-  /** Sends the configuration as it is meant at present. */
+  /** Sends the configuration as it is intended at present. */
   void sendConfiguration(Consumer<Boolean> onDone) {
     send(StateKeys.CONFIGURATION, -1, configuration(), onDone);
   }
 
-  /** Moves two routes to other services, and perhaps narrows what a service allows. */
+  /**
+   * Moves two routes to other services, and perhaps narrows the addresses that a service allows.
+   */
   void moveServices(Consumer<Boolean> onDone) {
     change(
         () -> {
@@ -65,7 +67,7 @@
     return applicationService.equals("app") ? "app-two" : "app";
   }
 
-  /** How many tenants have a key by the configuration that was sent last. */
+  /** Returns how many tenants have a key in the configuration sent last. */
   int tenantsWithKeys() {
     int tenants = 0;
     for (String tenant : RequestSimulation.TENANTS) if (holdsKey(tenant)) tenants++;
@@ -76,7 +78,7 @@
     return !revokedTenants.contains(tenant) && !removedTenants.contains(tenant);
   }
 
-  /** Takes the key from one tenant and gives back all others theirs. */
+  /** Revokes the key of one tenant and restores those of all others. */
   void revokeKey(Consumer<Boolean> onDone) {
     change(
         () -> {
@@ -87,7 +89,10 @@
         onDone);
   }
 
-  /** Isolates a tenant, or no longer; two in turn, or one that was away meanwhile. */
+  /**
+   * Changes the isolation of one tenant, of two in opposite directions, or of one that is removed
+   * and added back.
+   */
   void changeIsolation(Consumer<Boolean> onDone) {
     change(
         () -> {
@@ -111,7 +116,7 @@
     if (!names.remove(name)) names.add(name);
   }
 
-  /** Weights that a replica may boot with. */
+  /** Returns weights that a replica may start with: the current or the previous ones. */
   String currentOrPreviousWeights() {
     return "w" + (sim.random.nextBoolean() ? weightsNumber : Math.max(1, weightsNumber - 1));
   }
@@ -192,9 +197,9 @@
       expected.put("allowed m9", narrowAllowed ? "no" : "yes");
     } else expected.put("weights", "w" + weightsNumber);
     long sentAtMs = sim.nowMs();
-    List<Promises.Told> tenants = new ArrayList<>();
+    List<Promises.Told> facts = new ArrayList<>();
     expected.forEach(
-        (subject, meaning) -> tenants.add(sim.promises.sent(subject, meaning, sentAtMs)));
+        (subject, meaning) -> facts.add(sim.promises.sent(subject, meaning, sentAtMs)));
     boolean[] answered = {false};
     ready
         .get(sim.random.nextInt(ready.size()))
@@ -207,21 +212,21 @@
               answered[0] = true;
               boolean acknowledged = result instanceof ChangeResult.Acknowledged;
               sim.log("op", key + " " + expected + ": " + result);
-              sim.recordAnswer(tenants, result);
+              sim.recordAnswer(facts, result);
               onDone.accept(acknowledged);
             });
   }
 
   /**
-   * Sends a configuration that was changed somehow; if it was not taken, the operator's wish stays
-   * and goes out with the next.
+   * Applies an edit and sends the configuration. If it is not acknowledged, the edit stays and goes
+   * out with the next change.
    */
   private void change(Runnable edit, Consumer<Boolean> onDone) {
     edit.run();
     sendConfiguration(onDone);
   }
 
-  /** Names the next weights of both models. */
+  /** Assigns the next weights to both models. */
   void assignWeights(Consumer<Boolean> onDone) {
     SimControlMachine control = sim.controls.get(sim.anyRunning());
     if (control.node == null || !control.node.isInitialized()) {
--- a/emulator/src/main/java/gladelug/emulator/sim/ConnectionEvent.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/ConnectionEvent.java
@@ -1,8 +1,8 @@
 package gladelug.emulator.sim;
 
 /**
- * What may come about between a relay and a replica and is judged only if it did: counted by the
- * simulator.
+ * Events on connections between relays and replicas that the simulator counts, so that a test can
+ * require that each of them occurred.
  */
 enum ConnectionEvent {
   /** A pooled connection with no request on it was reset. */
@@ -17,12 +17,12 @@
   /** A connection was reset while its request was at the replica. */
   RESET_WHILE_RUNNING,
 
-  /** A second answer came on a connection with no request on it. */
+  /** A duplicate answer arrived on a connection without a request. */
   SURPLUS_WHILE_IDLE,
 
-  /** A second answer came where the answer to a later request was due. */
+  /** A duplicate answer arrived where the answer to a later request was due. */
   SURPLUS_AT_NEXT_REQUEST,
 
-  /** An answer came after its caller left or its request was given up. */
+  /** An answer arrived after its caller left or its request was cancelled. */
   ANSWER_AFTER_IT_WAS_GIVEN_UP
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/FaultInjector.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/FaultInjector.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * Brings about each kind of trouble in the simulator, on a member that the seed chooses, often the
- * owner of the configuration, and ends it again after a while. Disks are lost, and machines leave,
- * only while the members bear it.
+ * Injects each kind of fault on a member chosen by the seed, often the owner of the configuration,
+ * and ends it after a while. Disks are lost and machines removed only while the member set
+ * tolerates it.
  */
 final class FaultInjector {
   private static final int MAX_DELAY_AFTER_ACKNOWLEDGEMENT_MS = 400;
@@ -27,7 +27,7 @@
     this.random = random;
   }
 
-  /** Begins a trouble now; it ends by itself. */
+  /** Injects a fault now; it ends by itself. */
   void inject(FaultKind kind) {
     SimControlMachine member = randomMember();
     sim.log("sim", kind + " " + member.name);
@@ -54,7 +54,7 @@
     }
   }
 
-  /** The fault at the end of a day, right after an acknowledgement. */
+  /** Injects the closing fault of a run right after an acknowledgement. */
   void injectClosingFault(int tolerated) {
     calls.onNextAcknowledgement(
         () -> {
@@ -67,7 +67,7 @@
         });
   }
 
-  /** Ends all troubles that would end by themselves. */
+  /** Ends all faults that would end by themselves. */
   void repairAll() {
     sim.healAll();
     for (SimControlMachine control : presentMachines()) {
@@ -117,7 +117,7 @@
     sim.after(durationMs, () -> sim.heal(member.name));
   }
 
-  /** Every packet is answered with a reset, which ends the connections. */
+  /** Answers every packet with a reset, which ends the connections. */
   private void cutWithResets(SimControlMachine member, long durationMs) {
     sim.cutWithResets(member.name);
     sim.after(durationMs, () -> sim.heal(member.name));
@@ -190,7 +190,7 @@
     return true;
   }
 
-  /** Every machine of now is replaced, one after the other, each once the core bears it. */
+  /** Replaces every present machine, one after the other, each as soon as the core tolerates it. */
   private void replaceAll() {
     replaceAll(new ArrayList<>(presentMachines()));
   }
--- a/emulator/src/main/java/gladelug/emulator/sim/FaultKind.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/FaultKind.java
@@ -1,9 +1,7 @@
 package gladelug.emulator.sim;
 
 /**
- * The kinds of trouble that a core may meet in the simulator while operators call it.
- *
- * <p>A kind of trouble; see Troubles for how each is brought about.
+ * Kinds of faults injected while operators call a simulated core; FaultInjector implements them.
  */
 public enum FaultKind {
   ONE_WAY_CUT,
--- a/emulator/src/main/java/gladelug/emulator/sim/OperatorCalls.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/OperatorCalls.java
@@ -13,19 +13,20 @@
 import java.util.function.Consumer;
 
 /**
- * The way of operators' calls to members and back: each takes a while, answers may be lost, a
- * member that is down refuses the connection at once, one that is paused says nothing. Members cut
- * off from each other are still reached. Whatever the callers were told goes into one history.
+ * Carries operators' calls to members and their answers back. Each direction takes a random delay
+ * and answers may be lost. A member that is down refuses the connection at once; a paused member
+ * does not answer. Cuts between members do not affect operators. Every answer is recorded in one
+ * history.
  */
 final class OperatorCalls {
-  /** How long a caller waits for an answer, ms. */
+  /** Time that a caller waits for an answer. */
   static final long ANSWER_TIMEOUT_MS = 1000;
 
   private static final int USUAL_MAX_DELAY_MS = 12;
   private static final int RARE_MAX_DELAY_MS = 120;
   private static final String PADDING = " of a configuration, with routes and services".repeat(4);
 
-  /** What a read showed. */
+  /** The value that a read returned. */
   record ReadValue(long version, String id) {}
 
   private final Simulation sim;
@@ -33,7 +34,7 @@
   private final History.Builder history = new History.Builder();
   private final List<Runnable> acknowledgementListeners = new ArrayList<>();
 
-  /** The share of answers that are lost on their way. */
+  /** Probability that an answer is lost on its way. */
   double answerLossRate;
 
   int acknowledgedCount;
@@ -50,19 +51,19 @@
     return history.build();
   }
 
-  /** Runs once, right when the next acknowledgement reaches an operator. */
+  /** Runs the listener once, when the next acknowledgement reaches an operator. */
   void onNextAcknowledgement(Runnable listener) {
     acknowledgementListeners.add(listener);
   }
 
-  /** Members that an operator may choose among. */
+  /** Returns the members that an operator may choose among. */
   List<String> members() {
     List<String> names = sim.controlNames();
     names.removeAll(sim.departed);
     return names;
   }
 
-  /** Sends a change to a member; told once, whatever becomes of the answer. */
+  /** Sends a change to a member. Calls back exactly once, also when the answer is lost. */
   void sendChange(String operator, String member, Change change, Consumer<Outcome> onAnswer) {
     long startMs = sim.nowMs();
     SingleAnswer<ChangeResult> singleAnswer =
@@ -76,13 +77,13 @@
         control ->
             control.propose(
                 StateKeys.CONFIGURATION,
-                change.base(),
+                change.baseVersion(),
                 body,
                 answer -> sendBack(() -> singleAnswer.answer(answer))));
     sim.after(ANSWER_TIMEOUT_MS, singleAnswer::timeOut);
   }
 
-  /** Asks a member for the newest value; told null where there is no clear answer. */
+  /** Asks a member for the newest value. Calls back with null where there is no clear answer. */
   void read(String operator, String member, Consumer<ReadValue> onAnswer) {
     long startMs = sim.nowMs();
     SingleAnswer<ReadResult> singleAnswer =
@@ -121,7 +122,8 @@
 
   private Outcome recordChange(
       String operator, String member, long startMs, Change change, ChangeResult answer) {
-    sim.log(operator, change.id() + " on " + change.base() + " at " + member + ": " + answer);
+    sim.log(
+        operator, change.id() + " on " + change.baseVersion() + " at " + member + ": " + answer);
     if (answer instanceof ChangeResult.Conflict conflict) {
       refusedCount++;
       history.refused(operator, member, startMs, sim.nowMs(), change, conflict.current());
@@ -143,7 +145,8 @@
   private void recordAcknowledgement(Change change, ChangeResult.Acknowledged acknowledgement) {
     acknowledgedCount++;
     if (acknowledgement.number() != change.version())
-      sim.violation(change + " was acknowledged as number " + acknowledgement.number());
+      sim.violation(
+          change + " was acknowledged under the unexpected number " + acknowledgement.number());
     List<Runnable> listeners = new ArrayList<>(acknowledgementListeners);
     acknowledgementListeners.clear();
     listeners.forEach(Runnable::run);
@@ -158,7 +161,7 @@
     return new ReadValue(newest.number(), id);
   }
 
-  /** Passes on the first answer alone, or that there was none in time. */
+  /** Passes on only the first answer, or the timeout answer where none arrives in time. */
   private static final class SingleAnswer<T> {
     private final Consumer<T> callback;
     private final T timeoutAnswer;
--- a/emulator/src/main/java/gladelug/emulator/sim/RandomOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RandomOperator.java
@@ -6,10 +6,10 @@
 import java.util.Random;
 
 /**
- * One operator in the simulator, with the habits of callers: reads the newest version from any
- * member, sends a change on top of it, goes on to the next member after a failure or a second of
- * silence with a pause that grows, and sends the same change again, unchanged, until it has a clear
- * answer. Several changes may be under way at once.
+ * A simulated operator. It reads the newest version from any member, sends a change based on it,
+ * and after a failure or an answer timeout goes on to the next member with a growing delay. It
+ * sends the same change unchanged until the answer is clear. Several changes may be in progress at
+ * once.
  */
 final class RandomOperator {
   private static final int MAX_ATTEMPTS = 12;
@@ -27,7 +27,7 @@
   private boolean stopped;
 
   /**
-   * @param maxPauseMs the most that is waited between two changes, ms
+   * @param maxPauseMs the longest wait between two changes
    */
   RandomOperator(Simulation sim, OperatorCalls calls, String name, Random random, int maxPauseMs) {
     this.sim = sim;
@@ -37,12 +37,12 @@
     this.maxPauseMs = maxPauseMs;
   }
 
-  /** Keeps up to this many changes under way until it is stopped. */
+  /** Keeps up to this many changes in progress until the operator is stopped. */
   void start(int concurrency) {
     for (int i = 0; i < concurrency; i++) scheduleNextChange(1);
   }
 
-  /** Begins nothing more; what is under way goes on to its end. */
+  /** Starts no further changes; those in progress run to their end. */
   void stop() {
     stopped = true;
   }
@@ -97,7 +97,10 @@
         });
   }
 
-  /** Now and then the answer reaches the operator and is dropped there: it is sent once more. */
+  /**
+   * Occasionally sends an acknowledged change once more, as an operator would whose answer was lost
+   * after it arrived.
+   */
   private void onAcknowledged(Change change) {
     if (random.nextInt(RESEND_ONE_IN) > 0) finish();
     else calls.sendChange(name, randomMember(), change, outcome -> finish());
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
@@ -29,9 +29,10 @@
 import java.util.Set;
 
 /**
- * A whole relay in the simulated world: the product's news, stages, queue, budget and hand-over
- * over simulated connections, with its callers. It can be killed, paused, and run on a clock that
- * drifts. What its callers see goes into the ledger.
+ * A complete relay in the simulation: the production state subscription, filter chain, admission
+ * queue, retry budget and hand-over on simulated connections, together with its callers. It can be
+ * killed, paused, and run with a drifting clock. What its callers observe is recorded in the
+ * ledger.
  */
 final class RequestRelay {
   private static final long MAX_LATENESS_MS = 1700;
@@ -65,7 +66,7 @@
     return clockBaseMs + (long) ((sim.nowMs() - clockSinceMs) * clockRate);
   }
 
-  /** From now on its clock goes so much as fast as time. */
+  /** Lets the relay's clock advance at this multiple of simulated time from now on. */
   void setClockRate(double rate) {
     clockBaseMs = nowMs();
     clockSinceMs = sim.nowMs();
@@ -90,15 +91,18 @@
         new Relay(
             this::nowMs,
             subscription,
-            x ->
+            owner ->
                 new Backends(
-                    this::nowMs, (rate, told) -> sim.fetchLoad(this, rate, told), x::admitWaiting),
+                    this::nowMs,
+                    (replica, onLoad) -> sim.fetchLoad(this, replica, onLoad),
+                    owner::admitWaiting),
             "z",
             RelaySettings.builder().maxQueuedRequests(64).build(),
             () -> sim.requestRelays.size());
     filterChain =
         relay.filterChain(
-            blocks -> Uni.createFrom().emitter(e -> sim.lookup(this, blocks, e::complete)),
+            blocks ->
+                Uni.createFrom().emitter(emitter -> sim.lookup(this, blocks, emitter::complete)),
             ChoiceMode.SUMMARY,
             new LineExchange(relay, connections));
     runEvery(ownProcess, 50, () -> relay.tick());
@@ -118,7 +122,10 @@
       sim.sendSubscriptionRequest(name, control, subscriptionRequest);
   }
 
-  /** On the request thread of this life, or when its pause is over. */
+  /**
+   * Runs the task unless the process has ended since; while the relay is paused, the task waits
+   * until it resumes.
+   */
   void run(int ownProcess, Runnable task) {
     if (!up || ownProcess != processNumber) return;
     if (paused) heldTasks.add(task);
@@ -155,29 +162,32 @@
     if (up) connections.onReplicaCrashed(replica);
   }
 
-  /** All connections to a replica are reset at its end. */
+  /** Resets all connections to a replica from the replica's end. */
   void resetConnections(SimReplica replica) {
     if (up) connections.resetAllTo(replica);
   }
 
-  /** The caller of a request goes away, if it is this relay's and is not answered yet. */
+  /** Disconnects the caller of a request, if the request is at this relay and not answered yet. */
   void callerLeaves(String tag) {
     for (Map.Entry<Request, Ledger.Call> entry : new ArrayList<>(calls.entrySet()))
       if (entry.getValue().tag.equals(tag)) run(processNumber, () -> onCallerGone(entry.getKey()));
   }
 
-  /** The caller of the request that came last goes away. */
+  /** Disconnects the caller of the newest open request. */
   void lastCallerLeaves() {
     String last = "";
     for (Ledger.Call call : openCalls) last = call.tag;
     callerLeaves(last);
   }
 
-  /** Who the relay's list says is at an address. */
+  /**
+   * Returns "service/instance" of the replica that the relay's list names for an address, or an
+   * empty string.
+   */
   String listedIdentity(String address) {
     return subscription.snapshot().replicas().all.stream()
-        .filter(rate -> rate.address().toString().equals(address))
-        .map(rate -> rate.service() + "/" + rate.instance())
+        .filter(replica -> replica.address().toString().equals(address))
+        .map(replica -> replica.service() + "/" + replica.instance())
         .findFirst()
         .orElse("");
   }
@@ -192,7 +202,7 @@
     call.done = sim.nowMs();
   }
 
-  /** A caller sends a request, and perhaps goes away before its end. */
+  /** Sends a request of a caller, who may disconnect before its end. */
   void send(
       String kind, String path, String tenant, boolean repeatable, String prompt, String tag) {
     Ledger.Call call = new Ledger.Call(tag, kind, tenant, name, repeatable, sim.nowMs());
@@ -235,7 +245,7 @@
     relay.callerGone(request);
   }
 
-  /** What a caller is told, checked as a caller would. */
+  /** Receives what the relay tells a caller and checks it as a caller would. */
   private final class CallerSide implements Request.Caller {
     @Override
     public void refuse(Request request, FilterResult.Refuse refusal) {
@@ -243,16 +253,16 @@
       if (call == null) return;
       call.status = refusal.status();
       call.reason = refusal.reason();
-      if (call.pieces > 0) sim.violation(request.id() + " was turned away after pieces went out");
+      if (call.pieces > 0) sim.violation(request.id() + " was refused after pieces had been sent");
       if (refusal.status() >= 500 && refusal.retryAfterMs() <= 0)
-        sim.violation(request.id() + " is not told when to come back");
+        sim.violation(request.id() + " was refused without a retry delay");
       if (request.deadlineMs > 0
           && nowMs() > Math.max(request.deadlineMs, wokeAtMs) + MAX_LATENESS_MS)
         sim.violation(
             request.id()
                 + " was answered "
                 + (nowMs() - request.deadlineMs)
-                + " ms after its expiry");
+                + " ms after its deadline");
       closeCall(call, refusal.outcome());
     }
 
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestScenarios.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestScenarios.java
@@ -12,13 +12,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stories of the simulated world with requests: each holds a window open, then brings whatever its
- * seed says, then mends everything and is judged. What many of them came to is summed up here.
+ * Runs seeded scenarios of the simulation with requests. Each holds a request at a point while an
+ * event is injected, then injects random faults, then repairs everything and is checked. The
+ * results of all runs are summed up here.
  */
 public final class RequestScenarios {
   private static final int STEPS_PER_SCENARIO = 8;
 
-  /** Requests that must complete within QUIET_MS once all is well, if all tenants have a key. */
+  /** Requests that must complete within QUIET_MS after recovery, if all tenants have a key. */
   private static final int MIN_COMPLETE_WHEN_WELL = 40;
 
   private static final int QUIET_MS = 3000;
@@ -34,7 +35,10 @@
 
   private RequestScenarios() {}
 
-  /** Plays so many stories from a seed on, on so many threads; each is a world of its own. */
+  /**
+   * Runs scenarios for consecutive seeds on several threads; each scenario has a simulation of its
+   * own.
+   */
   public static RequestScenarios run(long firstSeed, int seedCount, int threadCount) {
     RequestScenarios all = new RequestScenarios();
     AtomicLong next = new AtomicLong(firstSeed);
@@ -65,26 +69,26 @@
     try {
       world = runScenario(seed, STEPS_PER_SCENARIO);
     } catch (RuntimeException e) {
-      failures.add("seed " + seed + " ended with " + e);
+      failures.add("seed " + seed + " failed with " + e);
       return;
     }
     if (!world.violations.isEmpty()) failures.add(failureReport(seed, world));
     if (world.heldAtMs >= 0)
       heldCounts.merge(world.armedEvent + "@" + world.armedPoint, 1, Integer::sum);
-    world.eventCounts.forEach((what, n) -> eventCounts.merge(what, n, Integer::sum));
+    world.eventCounts.forEach((event, count) -> eventCounts.merge(event, count, Integer::sum));
     requestCount.addAndGet(world.ledger.calls.size());
     completeCount.addAndGet(world.completeCount());
     for (List<Ledger.Run> runs : world.ledger.runs.values())
       secondTryCount.addAndGet(runs.size() - 1);
   }
 
-  /** What went wrong, and the last lines of the story. */
+  /** Describes a failed run by its first violations and the last lines of its event log. */
   private static String failureReport(long seed, RequestSimulation world) {
     String[] lines =
         world
             .eventLogText()
             .lines()
-            .filter(worker -> !worker.contains(" owner-"))
+            .filter(line -> !line.contains(" owner-"))
             .toArray(String[]::new);
     return "seed "
         + seed
@@ -97,7 +101,7 @@
                 .subList(Math.max(0, lines.length - MAX_SHOWN_LINES), lines.length));
   }
 
-  /** One story: a window held open, trouble as the seed brings it, then all is well. */
+  /** Runs one scenario: a held request with an injected event, random faults, and recovery. */
   static RequestSimulation runScenario(long seed, int steps) {
     RequestSimulation world = new RequestSimulation(seed);
     InjectedEvent[] events = InjectedEvent.values();
@@ -127,7 +131,7 @@
             / RequestSimulation.TENANTS.length;
     if (world.completeCount() - completeBefore < required)
       world.violation(
-          "only " + (world.completeCount() - completeBefore) + " orders complete when all is well");
+          "only " + (world.completeCount() - completeBefore) + " requests complete after recovery");
     world.requestsPerSecond = 0.001;
     world.run(6000);
     world.checkRules();
@@ -136,15 +140,15 @@
 
   @Override
   public String toString() {
-    return "orders "
+    return "requests "
         + requestCount
         + ", complete "
         + completeCount
         + ", second tries "
         + secondTryCount
-        + ", brought about "
+        + ", events "
         + eventCounts
-        + ", windows met "
+        + ", requests held "
         + heldCounts;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestSimulation.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestSimulation.java
@@ -34,16 +34,18 @@
 import java.util.function.Consumer;
 
 /**
- * The simulated world with requests in it: the core's machines, platform, configurations, weights
- * and commanders of Sim, and whole relays, an index and replicas around them, all the product's own
- * code but for links, disks and clocks. Each promise is judged in its strict form: from the instant
- * of the acknowledgement nothing leaves for a replica under what was before. A window that chance
- * seldom meets is held open by name: something happens between two steps of one request.
+ * The simulation with requests: the control machines, platform, configurations, weights and
+ * commanders of Simulation, and complete relays, an index and replicas around them. All of it is
+ * production code except links, disks and clocks.
+ *
+ * <p>Each promise is checked in its strictest form: from the moment of the acknowledgement, no
+ * request may be sent to a replica under the previous state. To reach windows that random schedules
+ * seldom meet, a request is held at a named point while an injected event takes place.
  */
 public final class RequestSimulation extends Simulation {
   /**
-   * Where a request is: asking the index, opening a connection, on the wire to its replica, between
-   * pieces.
+   * Points at which a request can be held: at the index lookup, at opening a connection, on its way
+   * to the replica, and between two pieces of the answer.
    */
   enum RequestPoint {
     LOOKUP,
@@ -52,7 +54,7 @@
     STREAM
   }
 
-  /** What may happen there. */
+  /** Events that can be injected while a request is held. */
   enum InjectedEvent {
     CONFIGURATION_MOVES,
     KEY_REVOKED,
@@ -87,14 +89,14 @@
   private boolean platformSilent;
 
   /**
-   * Rules switched off, to see that what they prevent is found: the check of connections, and who
-   * may command.
+   * Rules that a test disables to show that the checks detect the violation: the identity check of
+   * connections, and the restriction on who may command replicas.
    */
   boolean identityUnchecked;
 
   boolean anyMemberCommands;
   final ConfigurationOperator operator = new ConfigurationOperator(this);
-  // the window that is to be held open
+  // the event to inject and the point at which to hold a request for it
   InjectedEvent armedEvent;
   RequestPoint armedPoint;
   private String heldRequestTag;
@@ -104,12 +106,13 @@
   private int sentCount;
   double requestsPerSecond = 40;
 
-  /** How often what the judges are to look at came about. */
+  /** Counts of the events that the checks depend on. */
   final Map<ConnectionEvent, Integer> eventCounts = new EnumMap<>(ConnectionEvent.class);
 
   RequestSimulation(long seed) {
     super(seed, 0);
-    for (int i = 1; i <= 3; i++) requestRelays.put("r" + i, new RequestRelay(this, "r" + i));
+    for (int i = 1; i <= 3; i++)
+      requestRelays.put("relay" + i, new RequestRelay(this, "relay" + i));
     addReplica("m", "m1", "10.1.0.1", true);
     addReplica("m", "m2", "10.1.0.2", true);
     addReplica("m", "m3", "10.1.0.3", true);
@@ -118,19 +121,19 @@
     addReplica("app", "a1", "10.1.0.5", false);
     addReplica("app-two", "b1", "10.1.0.6", false);
     index = new SimIndex(this);
-    for (RequestRelay r : requestRelays.values()) r.start();
+    for (RequestRelay relay : requestRelays.values()) relay.start();
     after(100, index::poll);
     run(2500);
-    operator.sendConfiguration(newReplica -> {});
+    operator.sendConfiguration(taken -> {});
     run(500);
-    operator.assignWeights(newReplica -> {});
+    operator.assignWeights(taken -> {});
     run(1500);
     for (String kind : new String[] {"ask", "again", "stop"}) startCallers(kind);
   }
 
-  private SimReplica addReplica(String service, String name, String host, boolean model) {
+  private SimReplica addReplica(String service, String name, String host, boolean isModel) {
     SimReplica replica =
-        new SimReplica(this, service, name, new Address(host, 9), model, model ? "w0" : "");
+        new SimReplica(this, service, name, new Address(host, 9), isModel, isModel ? "w0" : "");
     replicas.put(name, replica);
     byAddress.put(replica.address.toString(), replica);
     setListedState(name, "ready");
@@ -148,8 +151,8 @@
   // ---- platform
 
   /**
-   * The platform's word is learned when its next answer is given; here, strictly, when the core
-   * acknowledges it.
+   * Sets the state in which the platform lists an instance; an empty state removes it. A promise
+   * starts only when the core acknowledges the list, the strictest moment to check from.
    */
   void setListedState(String instance, String state) {
     if (state.isEmpty()) listedStates.remove(instance);
@@ -176,20 +179,19 @@
   void runDuties(SimControlMachine control) {
     if (control.node == null || !control.node.isInitialized()) return;
     if (control.node.owns(StateKeys.REPLICAS) && !platformSilent) {
-      Map<String, String> onAnswer = new LinkedHashMap<>(listedStates);
+      Map<String, String> stateByReplica = new LinkedHashMap<>(listedStates);
       if (Replicas.parse(platformListJson()) instanceof Result.Good<Replicas> good) {
         byte[] newValue = good.value().toJson().getBytes(StandardCharsets.UTF_8);
-        var storedValue = control.node.storedValue(StateKeys.REPLICAS);
-        if (storedValue.getKey() == 0 || !Arrays.equals(storedValue.getValue(), newValue)) {
+        var stored = control.node.storedValue(StateKeys.REPLICAS);
+        if (stored.getKey() == 0 || !Arrays.equals(stored.getValue(), newValue)) {
           long sentAtMs = nowMs();
           List<Promises.Told> facts = new ArrayList<>();
-          for (String r : replicas.keySet())
-            facts.add(promises.sent("replica " + r, onAnswer.getOrDefault(r, "gone"), sentAtMs));
+          for (String target : replicas.keySet())
+            facts.add(
+                promises.sent(
+                    "replica " + target, stateByReplica.getOrDefault(target, "gone"), sentAtMs));
           control.node.change(
-              StateKeys.REPLICAS,
-              storedValue.getKey(),
-              newValue,
-              result -> recordAnswer(facts, result));
+              StateKeys.REPLICAS, stored.getKey(), newValue, result -> recordAnswer(facts, result));
         }
       }
     }
@@ -201,26 +203,31 @@
             control.node.storedValue(StateKeys.WEIGHTS).getValue(),
             control.node.storedValue(StateKeys.CONFIGURATION).getValue(),
             control.node.knownAgeMs(StateKeys.WEIGHTS)));
-    for (Replicas.Replica r : rollout.rolloutTargets()) {
-      String key = StateKeys.REPLICA_CONTROLLER_PREFIX + r.instance();
+    for (Replicas.Replica target : rollout.rolloutTargets()) {
+      String key = StateKeys.REPLICA_CONTROLLER_PREFIX + target.instance();
       control.node.ensureKey(key);
-      SimReplica replica = replicaAt(r.address().toString());
-      if (replica == null || !replica.isAnswering() || !replica.instance.equals(r.instance()))
+      SimReplica replica = replicaAt(target.address().toString());
+      if (replica == null || !replica.isAnswering() || !replica.instance.equals(target.instance()))
         continue;
-      int list = control.processNumber;
+      int ownProcess = control.processNumber;
       transmit(
           replica.instance,
           control.name,
           () ->
               control.run(
                   () -> {
-                    if (list != control.processNumber) return;
+                    if (ownProcess != control.processNumber) return;
                     rollout.onReported(
-                        r, r.service(), replica.currentWeights(), replica.isLoading(), nowMs());
-                    WeightRollout.WeightAssignment assignment = rollout.nextAssignment(r, nowMs());
+                        target,
+                        target.service(),
+                        replica.currentWeights(),
+                        replica.isLoading(),
+                        nowMs());
+                    WeightRollout.WeightAssignment assignment =
+                        rollout.nextAssignment(target, nowMs());
                     if (assignment == null || !anyMemberCommands && !control.node.mayCommand(key))
                       return;
-                    rollout.onOrderSent(r, assignment, nowMs());
+                    rollout.onOrderSent(target, assignment, nowMs());
                     long epoch = control.node.epochOf(key);
                     observer.sentText(
                         nowMs(),
@@ -268,7 +275,9 @@
     };
   }
 
-  /** What became of something that was told. */
+  /**
+   * Records the outcome of facts that were sent to the core; an unknown outcome leaves them open.
+   */
   void recordAnswer(List<Promises.Told> facts, ChangeResult result) {
     if (result instanceof ChangeResult.Unknown) return;
     for (Promises.Told fact : facts)
@@ -281,28 +290,30 @@
     after(
         1 + (long) (-Math.log(1 - random.nextDouble()) * 3000 / requestsPerSecond),
         () -> {
-          String fact = TENANTS[random.nextInt(TENANTS.length)];
-          String tag = kind + "-" + fact + "-" + sentCount++;
+          String tenant = TENANTS[random.nextInt(TENANTS.length)];
+          String tag = kind + "-" + tenant + "-" + sentCount++;
           String prompt =
               ("Told of " + kind + " to all and at length " + random.nextInt(3)).repeat(3) + tag;
-          List<RequestRelay> statuses = new ArrayList<>(requestRelays.values());
-          statuses
-              .get(random.nextInt(statuses.size()))
-              .send(kind, "/" + kind, fact, kind.equals("again"), prompt, tag);
+          List<RequestRelay> relays = new ArrayList<>(requestRelays.values());
+          relays
+              .get(random.nextInt(relays.size()))
+              .send(kind, "/" + kind, tenant, kind.equals("again"), prompt, tag);
           startCallers(kind);
         });
   }
 
-  // ---- what relays ask
+  // ---- requests from relays
 
   void fetchLoad(
-      RequestRelay relay, Replicas.Replica r, Consumer<io.vertx.core.json.JsonObject> onAnswer) {
-    int list = relay.processNumber;
-    SimReplica replica = replicaAt(r.address().toString());
+      RequestRelay relay,
+      Replicas.Replica target,
+      Consumer<io.vertx.core.json.JsonObject> onAnswer) {
+    int ownProcess = relay.processNumber;
+    SimReplica replica = replicaAt(target.address().toString());
     if (replica == null || !replica.isAnswering())
       after(
           replica == null || !replica.up ? 3 : 1000,
-          () -> relay.run(list, () -> onAnswer.accept(null)));
+          () -> relay.run(ownProcess, () -> onAnswer.accept(null)));
     else
       transmit(
           relay.name,
@@ -311,13 +322,15 @@
             if (replica.isAnswering()) {
               io.vertx.core.json.JsonObject json = replica.loadReport();
               transmit(
-                  replica.instance, relay.name, () -> relay.run(list, () -> onAnswer.accept(json)));
+                  replica.instance,
+                  relay.name,
+                  () -> relay.run(ownProcess, () -> onAnswer.accept(json)));
             }
           });
   }
 
   void lookup(RequestRelay relay, long[] blocks, Consumer<Lookups.LookupResult> onFound) {
-    int list = relay.processNumber;
+    int ownProcess = relay.processNumber;
     Lookup.Response response = index.answer(blocks);
     passPoint(
         RequestPoint.LOOKUP,
@@ -327,7 +340,7 @@
                 random.nextInt(8),
                 () ->
                     relay.run(
-                        list,
+                        ownProcess,
                         () ->
                             onFound.accept(
                                 new Lookups.LookupResult(
@@ -335,11 +348,11 @@
                                     response.matches())))));
   }
 
-  /** The strict moment of every promise: the request leaves for its replica. */
+  /** Called when a request leaves for its replica, the moment at which every promise is checked. */
   void onHandedOver(RequestRelay relay, String json) {
-    JsonObject offender = Json.parse(json).asObject();
+    JsonObject request = Json.parse(json).asObject();
     if (relay.paused)
-      violation(relay.name + " handed " + offender.getString("order", "") + " over while paused");
+      violation(relay.name + " handed " + request.getString("order", "") + " over while paused");
   }
 
   @Override
@@ -350,21 +363,18 @@
 
   @Override
   List<String> dataPlaneNames() {
-    List<String> list = new ArrayList<>();
+    List<String> names = new ArrayList<>();
     if (requestRelays != null) {
-      list.addAll(requestRelays.keySet());
-      list.addAll(replicas.keySet());
-      list.add(SimIndex.NAME);
+      names.addAll(requestRelays.keySet());
+      names.addAll(replicas.keySet());
+      names.add(SimIndex.NAME);
     }
-    return list;
+    return names;
   }
 
-  // ---- windows held open
+  // ---- held requests
 
-  /**
-   * From now on, the first request that passes the point is held there until the happening has been
-   * acknowledged.
-   */
+  /** Holds the first request that passes the point from now on, until the event is acknowledged. */
   void arm(InjectedEvent event, RequestPoint point) {
     armedEvent = event;
     armedPoint = point;
@@ -372,7 +382,9 @@
     heldAtMs = -1;
   }
 
-  /** A request passes a point: it goes on at once, or is held there. */
+  /**
+   * Continues a request that passes a point, or holds it there while the armed event takes place.
+   */
   void passPoint(RequestPoint point, String requestTag, Runnable proceed) {
     if (point != armedPoint || heldAtMs >= 0 || nowMs() < armedAtMs) {
       proceed.run();
@@ -396,7 +408,7 @@
   }
 
   private SimReplica randomModelReplica() {
-    List<SimReplica> list =
+    List<SimReplica> candidates =
         replicas.values().stream()
             .filter(
                 replica ->
@@ -404,7 +416,9 @@
                         && replica.up
                         && "ready".equals(listedStates.get(replica.instance)))
             .toList();
-    return list.isEmpty() ? replicas.get("m1") : list.get(random.nextInt(list.size()));
+    return candidates.isEmpty()
+        ? replicas.get("m1")
+        : candidates.get(random.nextInt(candidates.size()));
   }
 
   void crash(SimReplica replica) {
@@ -413,8 +427,8 @@
   }
 
   /**
-   * Nothing comes through between a replica and the relays for a while, and nobody is told; what
-   * was sent meanwhile arrives afterwards.
+   * Blocks all traffic between a replica and the relays for a while without notice; what was sent
+   * meanwhile arrives afterwards.
    */
   private void silenceReplica(SimReplica replica) {
     for (String relay : requestRelays.keySet()) {
@@ -458,8 +472,8 @@
         operator.moveApplication(whenDone);
       }
       case CONNECTIONS_RESET -> {
-        for (SimReplica r : replicas.values())
-          for (RequestRelay relay : requestRelays.values()) relay.resetConnections(r);
+        for (SimReplica replica : replicas.values())
+          for (RequestRelay relay : requestRelays.values()) relay.resetConnections(replica);
         whenDone.accept(true);
       }
       case LINKS_SILENT -> {
@@ -467,13 +481,13 @@
         whenDone.accept(true);
       }
       case ANSWERS_REPEATED -> {
-        for (SimReplica r : replicas.values()) r.answerRepeatRate = 0.5;
+        for (SimReplica replica : replicas.values()) replica.answerRepeatRate = 0.5;
         whenDone.accept(true);
       }
       case ANSWERS_REPEATED_LATE -> {
-        for (SimReplica r : replicas.values()) {
-          r.answerRepeatRate = 0.5;
-          r.maxRepeatDelayMs = MAX_SURPLUS_DELAY_MS;
+        for (SimReplica replica : replicas.values()) {
+          replica.answerRepeatRate = 0.5;
+          replica.maxRepeatDelayMs = MAX_SURPLUS_DELAY_MS;
         }
         whenDone.accept(true);
       }
@@ -484,7 +498,7 @@
         whenDone.accept(true);
       }
       default -> {
-        // the machine dies and its address is given to a replica of another service
+        // the machine dies and its address goes to a replica of another service
         SimReplica old = replicas.get("m2");
         crash(old);
         SimReplica newReplica =
@@ -495,7 +509,7 @@
     }
   }
 
-  /** All is well again. */
+  /** Ends all injected faults and starts every process that is down. */
   void repairAll() {
     healAll();
     platformSilent = false;
@@ -507,9 +521,9 @@
         if (control.paused) control.resume();
       }
     }
-    for (RequestRelay r : requestRelays.values()) {
-      if (!r.up) r.start();
-      if (r.paused) r.resume();
+    for (RequestRelay relay : requestRelays.values()) {
+      if (!relay.up) relay.start();
+      if (relay.paused) relay.resume();
     }
     index.eventLossRate = index.eventDelayRate = 0;
     for (SimReplica replica : replicas.values()) {
@@ -522,19 +536,20 @@
     }
   }
 
-  // ---- what must never be
+  // ---- checks
 
   void checkRules() {
-    for (Judge.Finding relay : Judge.all(ledger))
-      for (String offender : relay.offenders()) violation(relay.rule() + ": " + offender);
+    for (Judge.Finding finding : Judge.all(ledger))
+      for (String offender : finding.offenders()) violation(finding.rule() + ": " + offender);
     promises
         .judge(ledger, STRICT)
-        .forEach((kind, v) -> v.forEach(offender -> violation(kind + ": " + offender)));
-    int restarts = requestRelays.values().stream().mapToInt(r -> r.restartCount).sum();
+        .forEach(
+            (rule, offenders) -> offenders.forEach(offender -> violation(rule + ": " + offender)));
+    int restarts = requestRelays.values().stream().mapToInt(relay -> relay.restartCount).sum();
     Judge.secondTries(ledger, 0.2, 3 * requestRelays.size() + restarts)
         .forEach(offender -> violation("second tries: " + offender));
-    for (Ledger.Call control : ledger.calls.values())
-      if (control.done < 0) violation(control.tag + " was never answered");
+    for (Ledger.Call call : ledger.calls.values())
+      if (call.done < 0) violation(call.tag + " was never answered");
     index.checkEntries();
   }
 
@@ -542,7 +557,7 @@
     return (int) requestRelays.values().stream().mapToLong(relay -> relay.completeCount).sum();
   }
 
-  /** Whatever the seed brings next. */
+  /** Injects one fault or event chosen by the seed. */
   void injectRandomFault() {
     List<String> names = controlNames();
     SimControlMachine control = controls.get(names.get(random.nextInt(names.size())));
@@ -573,12 +588,12 @@
       case 12 -> platformSilent = true;
       case 13 -> replica.neverLoads = true;
       case 14 -> {
-        for (SimControlMachine newReplica : controls.values()) newReplica.cutPower();
+        for (SimControlMachine other : controls.values()) other.cutPower();
       }
       case 15 -> split(Set.of(control.name, relay.name));
       default -> {
         InjectedEvent[] events = InjectedEvent.values();
-        trigger(events[random.nextInt(events.length)], newReplica -> {});
+        trigger(events[random.nextInt(events.length)], other -> {});
       }
     }
   }
