--- a/emulator/src/main/java/gladelug/emulator/sim/SimControlMachine.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimControlMachine.java
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 
 /**
- * One control machine in the simulator: the product's CoreNode with its clock, disk and links
- * replaced. It can be killed, lose power, pause, or have its clock run a little fast or slow.
+ * One simulated control machine: the production core member with its clock, disk and links
+ * replaced. It can be killed, lose power, pause, or run with a clock that drifts.
  */
 final class SimControlMachine implements CoreHost {
   final String name;
@@ -32,7 +32,7 @@
   boolean up;
   boolean paused;
 
-  /** The machine has no power. */
+  /** Whether the machine has no power. */
   boolean poweredOff;
 
   int processNumber;
@@ -48,12 +48,12 @@
       String name,
       String diskId,
       List<MemberSet.Member> founders,
-      boolean founded) {
+      boolean isFounder) {
     this.sim = sim;
     this.name = name;
     this.diskId = diskId;
     this.founders = founders;
-    this.isFounder = founded;
+    this.isFounder = isFounder;
     this.storage = new SimDisk(sim.random);
   }
 
@@ -61,7 +61,7 @@
     return isFounder;
   }
 
-  /** Whether its disk is the one the process that ran last had. */
+  /** Returns whether the disk is the one that the last process used. */
   boolean hasOriginalDisk() {
     return !diskReplaced;
   }
@@ -81,10 +81,10 @@
     Map<String, byte[]> entries;
     try {
       entries = storage.open();
-    } catch (IOException envelope) {
+    } catch (IOException exception) {
       up = false;
-      startFailure = envelope.getMessage();
-      sim.log(name, "will not start: " + startFailure);
+      startFailure = exception.getMessage();
+      sim.log(name, "does not start: " + startFailure);
       return;
     }
     node =
@@ -131,11 +131,14 @@
     storage.processEnded();
   }
 
-  /** The process is asked to stop and ends once it may, or when its time to leave is over. */
+  /**
+   * Asks the process to stop: it ends once that is safe, at the latest when its drain timeout
+   * expires.
+   */
   void terminate() {
     int ownProcess = processNumber;
     run(() -> node.startDraining());
-    sim.after(sim.config.drainTimeoutMs(), () -> stopProcess(ownProcess, "its time is over"));
+    sim.after(sim.config.drainTimeoutMs(), () -> stopProcess(ownProcess, "drain timeout expired"));
     stopWhenSafe(ownProcess);
   }
 
@@ -143,7 +146,7 @@
     if (ownProcess != processNumber) return;
     run(
         () -> {
-          if (node.isSafeToStop()) stopProcess(ownProcess, "the others can do without it");
+          if (node.isSafeToStop()) stopProcess(ownProcess, "safe to stop");
         });
     sim.after(50, () -> stopWhenSafe(ownProcess));
   }
@@ -161,7 +164,7 @@
   }
 
   void onDiskFailed() {
-    sim.log(name, "disk failed, stops");
+    sim.log(name, "disk failed, process stops");
     kill();
   }
 
@@ -180,13 +183,13 @@
     clockRate = rate;
   }
 
-  /** The monotonic clock goes on from so many milliseconds later. */
+  /** Moves the monotonic clock forward. */
   void stepClock(long offsetMs) {
     clockBaseMs = nowMs() + offsetMs;
     rateSinceMs = sim.nowMs();
   }
 
-  /** Runs now, or when the pause is over, unless the process it was meant for is gone. */
+  /** Runs the task now, or when the pause ends, unless its process has ended. */
   void run(Runnable task) {
     if (!up) return;
     if (paused) {
@@ -220,7 +223,7 @@
     return (long) (sim.random.nextDouble() * bound);
   }
 
-  /** Jumps about; nothing may come of it. */
+  /** Returns random times: the protocol must not depend on the wall clock. */
   @Override
   public long wallClockMs() {
     return wallClockRandom.nextLong();
@@ -255,9 +258,9 @@
 
   @Override
   public void sendTo(Address address, CoreMessage.Envelope envelope) {
-    String name = sim.nameOf(address);
+    String receiver = sim.nameOf(address);
     sim.observer.sent(sim.nowMs(), name, address.toString(), envelope);
-    if (name != null) sim.sendCoreMessage(name, name, envelope);
+    if (receiver != null) sim.sendCoreMessage(name, receiver, envelope);
   }
 
   @Override
@@ -265,13 +268,16 @@
     return sim.allAddresses();
   }
 
-  /** The machine comes back with an empty disk: it can only join. */
+  /** Replaces the disk by an empty one; the machine can then only ask to join. */
   void replaceDisk(String newDisk) {
     replaceDiskOfFounder(newDisk);
     isFounder = false;
   }
 
-  /** The machine comes back with an empty disk and what it was started with the first time. */
+  /**
+   * Replaces the disk by an empty one but keeps the list of founders that the machine was first
+   * started with.
+   */
   void replaceDiskOfFounder(String newDisk) {
     kill();
     storage.wipe();
--- a/emulator/src/main/java/gladelug/emulator/sim/SimDisk.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimDisk.java
@@ -11,28 +11,28 @@
 import java.util.Random;
 
 /**
- * A disk in the simulator: the product's own ring over a medium in memory. A sync takes a while; if
- * power goes before it is done, each sector of that write may or may not have reached the medium.
- * It can stall, fill, fail, be lost whole, or rot.
+ * A simulated disk: the production record ring on an in-memory medium. A sync takes time; if the
+ * power fails before it completes, each sector of that write may or may not have reached the
+ * medium. The disk can stall, fill up, fail, be lost as a whole, or become corrupt.
  */
 final class SimDisk implements Storage {
   private static final int FILE_COUNT = 4, FILE_BYTES = 96 << 10;
 
   private static final int SECTOR_BYTES = 512;
 
-  /** Between two tries of a write that a full disk refused, ms. */
+  /** Delay before a write that a full disk refused is tried again. */
   private static final long RETRY_DELAY_MS = 100;
 
   private record Replaced(int file, int offset, byte[] bytes) {
-    int lengthFrom(int offset) {
-      return Math.min(SECTOR_BYTES, bytes.length - offset);
+    int lengthFrom(int position) {
+      return Math.min(SECTOR_BYTES, bytes.length - position);
     }
   }
 
   private final Random random;
   private byte[][] files = new byte[FILE_COUNT][FILE_BYTES];
 
-  /** What the write under way has replaced. */
+  /** Previous contents of the sectors that the current write replaces. */
   private final List<Replaced> replaced = new ArrayList<>();
 
   private RecordRing ring;
@@ -43,10 +43,10 @@
   boolean stalled;
   boolean failing;
 
-  /** Refuses every write, as a full disk does; what waits is tried again. */
+  /** Whether every write is refused, as by a full disk; pending writes are retried. */
   boolean full;
 
-  /** Milliseconds more for each sync, as on a machine with too much to do. */
+  /** Extra duration of each sync, as on an overloaded machine. */
   int extraSyncMs;
 
   long busySinceMs = -1;
@@ -65,7 +65,7 @@
     return ring.live();
   }
 
-  /** The power goes: what was being synced may be torn, what waited is gone. */
+  /** Cuts the power: the sync in progress may be torn, and pending writes are lost. */
   void cutPower() {
     if (busy)
       for (Replaced old : replaced)
@@ -75,7 +75,7 @@
     processEnded();
   }
 
-  /** Nobody writes any more; what waited to be written is gone with the process. */
+  /** Ends the process: writes that were still pending are lost with it. */
   void processEnded() {
     processNumber++;
     busy = false;
@@ -111,10 +111,10 @@
     replaced.clear();
     try {
       ring.write(new ArrayList<>(newestByKey.values()));
-    } catch (RecordRing.WriteRefusedException entry) {
+    } catch (RecordRing.WriteRefusedException exception) {
       retryLater(sim, owner, new ArrayList<>(newestByKey.values()), pendingCompletions);
       return;
-    } catch (IOException entry) {
+    } catch (IOException exception) {
       owner.onDiskFailed();
       return;
     }
@@ -122,7 +122,7 @@
     finishLater(sim, owner, ownProcess, pendingCompletions);
   }
 
-  /** Nothing was written: it waits in front of whatever has come since. */
+  /** Puts refused writes back in front of those that arrived since. */
   private void retryLater(
       Simulation sim,
       SimControlMachine owner,
--- a/emulator/src/main/java/gladelug/emulator/sim/SimIndex.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimIndex.java
@@ -11,8 +11,8 @@
 import gladelug.data.state.StateSubscription;
 
 /**
- * The index in the simulated world, a data-plane process of its own: it hears of replicas from the
- * core and follows their cache events, of which some are lost, repeated or late.
+ * The index as a data-plane process of the simulation: it learns of replicas from the core and
+ * follows their cache events, some of which are lost, duplicated or late.
  */
 final class SimIndex {
   static final String NAME = "index";
@@ -21,7 +21,10 @@
   private final FleetSummary summary = new FleetSummary(16);
   private final StateSubscription subscription;
 
-  /** The parts of cache events that are lost or come twice, and that come late. */
+  /**
+   * Probability that a cache event is lost, and that one is duplicated; the next field is the
+   * probability that one is late.
+   */
   double eventLossRate;
 
   double eventDelayRate;
@@ -36,7 +39,7 @@
             snapshot -> summary.updateHolders(snapshot, sim.nowMs()));
   }
 
-  /** Who keeps these blocks, as far as the index knows. */
+  /** Answers which replicas keep these blocks, as far as the index knows. */
   Lookup.Response answer(long[] blocks) {
     return summary.answer(new Lookup.Query(1, blocks));
   }
@@ -46,7 +49,7 @@
       sim.requestFullValue(NAME, ((StateUpdate.ValuePush) update).key());
   }
 
-  /** Asks the core for news and its holders for what they keep, and comes again. */
+  /** Renews the subscription, polls the block holders, and schedules the next round. */
   void poll() {
     StateUpdate.SubscriptionRequest subscriptionRequest = subscription.subscriptionRequest();
     for (String control : sim.controlNames())
@@ -92,7 +95,7 @@
         });
   }
 
-  /** A replica tells a change of what it keeps; some are lost, come twice or late. */
+  /** Receives a change of a replica's blocks; events may be lost, duplicated or late. */
   void cacheEvent(
       SimReplica replica, String incarnation, long sequence, boolean isStore, long block) {
     CacheEvent event =
@@ -113,7 +116,10 @@
     }
   }
 
-  /** Once quiet, whatever a holder keeps is found, and next to nothing else. */
+  /**
+   * Checks, once no more events are in flight, that the index has exactly the entries that holders
+   * keep.
+   */
   void checkEntries() {
     if (!summary.isWarm()) {
       sim.violation("the index is not warm");
--- a/emulator/src/main/java/gladelug/emulator/sim/SimLink.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimLink.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * The simulated counterpart of Held: one connection of a process to another, begun anew after it
- * ends, with the product's own rule for when silence ends it, or with none as a control.
+ * A simulated link from one process to another that opens a new connection whenever the last one
+ * ends. Silence is detected by the production liveness rule, or not at all in control experiments.
  */
 final class SimLink {
   private final Simulation sim;
@@ -35,7 +35,7 @@
     connect();
   }
 
-  /** Whether it belongs to a process that has ended. */
+  /** Returns whether the calling process has ended. */
   boolean isOver() {
     return sim.processNumber(caller) != callerProcess;
   }
@@ -66,7 +66,10 @@
     reconnectAfter(0);
   }
 
-  /** received: at the other process, with the connection it came by. Lost without a connection. */
+  /**
+   * Sends bytes over the current connection; they are lost where there is none. The callback runs
+   * at the other process and gets the connection they came by.
+   */
   void send(int bytes, Consumer<SimTcpConnection> onReceived) {
     closeIfSilent();
     SimTcpConnection current = connection;
@@ -79,7 +82,7 @@
         });
   }
 
-  /** What the other process sends by a connection of this one. */
+  /** Sends bytes back over a connection of this link. */
   void sendBack(SimTcpConnection current, Runnable onReceived) {
     current.toCaller.send(
         () -> {
@@ -100,7 +103,7 @@
         });
   }
 
-  /** The network resets the connection. */
+  /** Resets the current connection, as the network does. */
   void reset() {
     if (connection != null) connection.reset();
   }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimNetwork.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimNetwork.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * The connections of a simulated fleet: which process holds one to which, and by which of them news
- * goes back to a relay.
+ * The connections of a simulated fleet: which process holds one to which, and over which of them
+ * updates go back to a relay.
  */
 final class SimNetwork {
-  /** Without heartbeats attempts to connect took this long, ms. */
+  /** Timeouts used without heartbeats, where an attempt to connect takes 1000 ms. */
   private static final Liveness WITHOUT_HEARTBEATS = new Liveness(1, 1, 1000, 200);
 
   private record Pair(String caller, String callee) {}
@@ -20,7 +20,7 @@
   private final Simulation sim;
   private final Map<Pair, SimLink> links = new HashMap<>();
 
-  /** By member and relay: the connection that the relay asked by last. */
+  /** The connection over which a relay last renewed its subscription, by member and relay. */
   private final Map<Pair, RelaySubscription> subscriptions = new HashMap<>();
 
   SimNetwork(Simulation sim) {
@@ -45,24 +45,24 @@
         sim, caller, callee, sim.usesHeartbeats ? liveness : WITHOUT_HEARTBEATS, onOpened);
   }
 
-  /** received: at the callee, by the process that runs there. */
+  /** Sends bytes to the callee; the callback runs in the process that runs there then. */
   void send(String caller, String callee, int bytes, Runnable onReceived) {
     linkOf(caller, callee).send(bytes, connection -> onReceived.run());
   }
 
-  /** What a relay asks, so that news can go back by the same connection. */
-  void subscribe(String relay, String isMember, int bytes, Runnable onReceived) {
-    SimLink link = linkOf(relay, isMember);
+  /** Sends a subscription request and remembers its connection for the updates that follow. */
+  void subscribe(String relay, String member, int bytes, Runnable onReceived) {
+    SimLink link = linkOf(relay, member);
     link.send(
         bytes,
         connection -> {
-          subscriptions.put(new Pair(isMember, relay), new RelaySubscription(link, connection));
+          subscriptions.put(new Pair(member, relay), new RelaySubscription(link, connection));
           onReceived.run();
         });
   }
 
-  void pushUpdate(String isMember, String relay, Runnable onReceived) {
-    RelaySubscription subscription = subscriptions.get(new Pair(isMember, relay));
+  void pushUpdate(String member, String relay, Runnable onReceived) {
+    RelaySubscription subscription = subscriptions.get(new Pair(member, relay));
     if (subscription != null && subscription.connection.isOpen())
       subscription.link.sendBack(subscription.connection, onReceived);
   }
@@ -74,7 +74,7 @@
         });
   }
 
-  /** Resets all connections of this process, begun by it or by others. */
+  /** Resets all connections of a process, whichever side opened them. */
   void resetAll(String process) {
     links.forEach(
         (pair, link) -> {
--- a/emulator/src/main/java/gladelug/emulator/sim/SimRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimRelay.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * One relay in the simulator: the product's NewsBook, asking every control machine it can reach,
- * and "starting a request" every few milliseconds wherever its leases let it. Each start is shown
- * to the invariants.
+ * One simulated relay: the production ReplicatedStateView, subscribed at every control machine it
+ * can reach. It starts a request every few milliseconds while its leases are valid; each start is
+ * checked against the invariants.
  */
 final class SimRelay {
   final String name;
@@ -63,7 +63,7 @@
     sim.after(sim.subscriptionIntervalMs, () -> subscribeRegularly(ownProcess));
   }
 
-  /** A new connection to a member stands. */
+  /** Called when a new connection to a member has been established. */
   void onConnected(String control) {
     if (!paused) sim.sendSubscriptionRequest(name, control, stateView.subscriptionRequest(nowMs()));
   }
@@ -97,7 +97,7 @@
     if (update instanceof StateUpdate.ValuePush push) {
       if (stateView.number(push.key()) < numberBefore)
         sim.violation(
-            name + " went back from " + numberBefore + " to " + stateView.number(push.key()));
+            name + " regressed from " + numberBefore + " to " + stateView.number(push.key()));
       subscribe();
     }
   }
--- a/emulator/src/main/java/gladelug/emulator/sim/SimReplica.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimReplica.java
@@ -11,10 +11,11 @@
 import java.util.List;
 
 /**
- * A model or application replica in the simulated world: prefills one request at a time, decodes up
- * to its slots, keeps prefix blocks under the weights and wall they were made with, tells cache
- * events, loads weights when steered, and writes all it does into the ledger. It can crash, vanish
- * (nobody is told), hang, refuse requests, break streams, send bytes after its end.
+ * A simulated model or application replica. It prefills one request at a time, decodes as many as
+ * it has slots, keeps prefix blocks under the weights and isolation scope they were made with,
+ * publishes cache events, loads weights when commanded, and records everything in the ledger. It
+ * can crash, vanish without notice, hang, refuse requests, break streams, and send bytes after the
+ * end of an answer.
  */
 final class SimReplica {
   static final int BLOCK_BYTES = 16;
@@ -24,10 +25,13 @@
       MS_PER_PIECE = 6,
       LOAD_MS = 1200;
 
-  /** What a block was made under, and the tag of the request that made it first. */
+  /**
+   * The weights and isolation scope that a block was made under, and the tag of the request that
+   * made it.
+   */
   private record KeptBlock(String weights, String wall, String maker) {}
 
-  /** One request as it has it. */
+  /** One request at the replica. */
   static final class Job {
     final SimReplicaConnections.ConnectionUse line;
     final JsonObject request;
@@ -52,7 +56,7 @@
   boolean up = true;
   boolean hung;
 
-  /** A machine that vanished: nothing is answered and no connection is told. */
+  /** Whether the machine has vanished: nothing is answered and no connection is closed. */
   boolean vanished;
 
   int processNumber;
@@ -60,13 +64,13 @@
   double streamBreakRate;
   boolean sendsLateBytes;
 
-  /** How often an answer is sent a second time, at once or within so many ms. */
+  /** Probability that an answer is sent a second time, within maxRepeatDelayMs. */
   double answerRepeatRate;
 
   long maxRepeatDelayMs = 1;
   boolean neverLoads;
 
-  /** Hears nothing of its commander. */
+  /** Whether commands from control machines are ignored. */
   boolean ignoresCommands;
 
   private final LinkedHashMap<Long, KeptBlock> keptBlocks = new LinkedHashMap<>(64, 0.75f, true);
@@ -109,7 +113,7 @@
     waitingJobs.clear();
   }
 
-  /** Empty, and on the weights it boots with, which may be old ones. */
+  /** Starts the process with no blocks and the given weights, which may be outdated. */
   void start(String bootWeights) {
     if (up) return;
     up = true;
@@ -155,7 +159,7 @@
   }
 
   long[] keptBlockIds() {
-    return keptBlocks.keySet().stream().mapToLong(x -> x).toArray();
+    return keptBlocks.keySet().stream().mapToLong(id -> id).toArray();
   }
 
   boolean has(long block) {
@@ -254,7 +258,10 @@
         });
   }
 
-  /** Later, if both are still there then; one that hangs goes on when it wakes. */
+  /**
+   * Runs a task later if process and job still exist then; a hanging process continues when it
+   * resumes.
+   */
   private void runLater(Job job, long delayMs, Runnable task) {
     int ownProcess = processNumber;
     sim.after(
@@ -271,7 +278,7 @@
         Math.min(job.request.getInt("maxPieces", 1), StandInContent.piecesOf(job.run.tag, 12));
     if (job.sentPieces > 1 && sim.random.nextDouble() < streamBreakRate) {
       cancel(job);
-      job.line.sendToRelay(answer -> answer.closed("the answer broke off"));
+      job.line.sendToRelay(answer -> answer.closed("the answer was cut off"));
       job.line.onStreamBroken();
       return;
     }
@@ -294,7 +301,7 @@
     if (sendsLateBytes)
       job.line.sendToRelay(
           answer -> answer.line("{\"piece\":" + pieceCount + ",\"text\":\"after the end\"}"));
-    job.line.sendToRelay(answer -> answer.closed("the answer ended without saying so"));
+    job.line.sendToRelay(answer -> answer.closed("the connection closed without an end line"));
     job.line.onAnswerSent();
     if (sim.random.nextDouble() < answerRepeatRate)
       job.line.sendSurplus(wholeAnswer(job), sim.random.nextLong(maxRepeatDelayMs));
@@ -347,7 +354,7 @@
     sim.index.cacheEvent(this, eventIncarnation, eventSequence, isStore, block);
   }
 
-  // ---- its commander
+  // ---- commands
 
   void onCommand(String sender, long commandEpoch, String commandedWeights) {
     if (!isAnswering() || ignoresCommands) return;
--- a/emulator/src/main/java/gladelug/emulator/sim/SimReplicaConnections.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimReplicaConnections.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * The simulated side of the hand-over's seam: connections from one relay to replicas, kept and used
- * again as a pool does. Bytes keep their order each way; while a pair is cut they wait and the
- * connection stays open; a crash breaks it, a machine that vanished says nothing.
+ * Simulated connections from one relay to replicas, behind the interface of the hand-over and
+ * pooled for reuse. Bytes keep their order in each direction. While a pair is cut they wait and the
+ * connection stays open; a crash of the replica breaks it, and a vanished machine stays silent.
  */
 final class SimReplicaConnections implements ReplicaConnections {
   private static final long CONNECT_TIMEOUT_MS = 500, IDENTIFY_TIMEOUT_MS = 1000;
@@ -38,7 +38,8 @@
     boolean closed;
 
     /**
-     * The other end reset it: nothing more is read there, whether the relay knows it yet or not.
+     * Whether the replica has reset the connection. It reads nothing more, whether the relay knows
+     * of the reset or not.
      */
     boolean resetByPeer;
 
@@ -59,7 +60,10 @@
           || sim.replicaAt(address) != replica;
     }
 
-    /** The other end resets it; the relay hears of it after what is on its way back already. */
+    /**
+     * Resets the connection at the replica; the relay learns of it after everything already on its
+     * way back.
+     */
     void reset() {
       if (closed || resetByPeer) return;
       resetByPeer = true;
@@ -74,7 +78,7 @@
           });
     }
 
-    /** Lines that answer no request that is open here. */
+    /** Receives lines that answer no request open on this connection. */
     void onSurplusLines(List<String> lines) {
       if (closed) return;
       if (currentUse == null || currentUse.answer == null) {
@@ -108,25 +112,26 @@
     }
   }
 
-  /** The other end's process died or the stream broke: all that was on its way to it is lost. */
-  void onReplicaCrashed(SimReplica end) {
+  /** Called when a replica's process ends: everything on its way to it is lost. */
+  void onReplicaCrashed(SimReplica replica) {
     for (PooledConnection connection : new ArrayList<>(openConnections)) {
-      if (connection.replica != end || connection.replicaProcess != end.processNumber - 1) continue;
+      if (connection.replica != replica || connection.replicaProcess != replica.processNumber - 1)
+        continue;
       openConnections.remove(connection);
-      ConnectionUse idleConnections = connection.currentUse;
+      ConnectionUse use = connection.currentUse;
       connection.transmit(
           connection.toRelay,
           () -> {
             connection.closed = true;
-            if (idleConnections != null) idleConnections.endWith("the circuit broke");
+            if (use != null) use.endWith("the connection broke");
           });
     }
   }
 
-  /** The replica's machine resets whatever connections it has with this relay. */
-  void resetAllTo(SimReplica end) {
+  /** Resets all connections between a replica and this relay. */
+  void resetAllTo(SimReplica replica) {
     for (PooledConnection connection : new ArrayList<>(openConnections))
-      if (connection.replica == end) connection.reset();
+      if (connection.replica == replica) connection.reset();
   }
 
   @Override
@@ -162,11 +167,11 @@
                   }));
   }
 
-  private void runLater(long ms, Runnable task) {
-    sim.after(ms, () -> relay.run(ownProcess, task));
+  private void runLater(long delayMs, Runnable task) {
+    sim.after(delayMs, () -> relay.run(ownProcess, task));
   }
 
-  /** One use of a connection. */
+  /** One use of a pooled connection. */
   final class ConnectionUse implements Connection {
     private final PooledConnection pooled;
     private Answer answer;
@@ -215,8 +220,8 @@
     }
 
     @Override
-    public void send(String json, Answer answer) {
-      answer = answer;
+    public void send(String json, Answer receiver) {
+      answer = receiver;
       used = true;
       long handedAtMs = sim.nowMs();
       String tag = StandInContent.tagOf(Json.parse(json).asObject().getString("prompt", ""));
@@ -234,7 +239,8 @@
     }
 
     /**
-     * A process that hangs reads it when it wakes, and may do so even if it was reset meanwhile.
+     * Delivers the request to the replica. A hanging process reads it when it resumes, possibly
+     * even if the connection was reset meanwhile.
      */
     private void onRequestArrived(String json, long handedAtMs) {
       if (pooled.resetByPeer) sim.countEvent(ConnectionEvent.RESET_BEFORE_IT_WAS_READ);
@@ -259,7 +265,7 @@
                   }));
     }
 
-    /** Lines of another answer come where this request's answer is due. */
+    /** Receives lines of another answer where this request's answer is due. */
     private void onSurplusLines(List<String> lines) {
       relay.run(
           ownProcess,
@@ -268,19 +274,22 @@
           });
     }
 
-    /** Bytes that belong to no request, after an answer and perhaps much later. */
+    /** Sends bytes that belong to no request, after an answer and possibly much later. */
     void sendSurplus(List<String> lines, long afterMs) {
       sim.after(afterMs, () -> pooled.transmit(pooled.toRelay, () -> pooled.onSurplusLines(lines)));
     }
 
-    /** The connection was reset at the replica's end: most drop the request then. */
+    /**
+     * Called when the connection is reset at the replica's end: most replicas drop the request
+     * then.
+     */
     private void onResetByPeer() {
       if (job == null) return;
       sim.countEvent(ConnectionEvent.RESET_WHILE_RUNNING);
       if (sim.random.nextInt(4) > 0) pooled.replica.cancel(job);
     }
 
-    /** The replica is through with it: the connection may be used again. */
+    /** Called when the replica has sent its whole answer: the connection may be used again. */
     void onAnswerSent() {
       pooled.transmit(pooled.toRelay, this::returnToPool);
     }
@@ -307,7 +316,7 @@
           });
     }
 
-    /** A connection that carries a request of ours is given up with it. */
+    /** Gives up the connection together with the request that it carries. */
     @Override
     public void reset() {
       if (reset) return;
@@ -339,7 +348,7 @@
     public void resume() {}
   }
 
-  /** The relay's process died: its connections close. */
+  /** Closes all connections when the relay's process ends. */
   void closeAll() {
     for (PooledConnection connection : openConnections) {
       ConnectionUse idleConnections = connection.currentUse;
--- a/emulator/src/main/java/gladelug/emulator/sim/SimTcpConnection.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimTcpConnection.java
@@ -3,15 +3,15 @@
 import java.util.ArrayDeque;
 
 /**
- * One simulated TCP connection between two processes, as those who use it see it. Bytes keep their
- * order. What meets a cut is sent again after a time that doubles, so that after a cut the
- * connection is silent for about as long again, unless it is reset; a connection begun anew works
- * at once. A process that ends resets its connections, a machine without power says nothing.
+ * One simulated TCP connection between two processes, as its users see it. Bytes keep their order.
+ * Bytes sent into a cut are retransmitted with exponential backoff, so that after a cut the
+ * connection stays silent for about as long again unless it is reset; a new connection works at
+ * once. A process that ends resets its connections; a machine without power stays silent.
  */
 final class SimTcpConnection {
   private static final long MIN_RETRANSMISSION_MS = 200, MAX_RETRANSMISSION_MS = 60_000;
 
-  /** What one side sends, in order. */
+  /** The ordered bytes of one direction. */
   final class Stream {
     private final String from;
     private final String to;
@@ -26,7 +26,7 @@
       this.to = to;
     }
 
-    /** Has the other side receive this, unless the connection ends first. */
+    /** Delivers the callback to the other side, unless the connection ends first. */
     void send(Runnable onReceived) {
       if (isOver()) return;
       waiting.add(onReceived);
@@ -35,7 +35,10 @@
       else stall(MIN_RETRANSMISSION_MS);
     }
 
-    /** Bytes may pass for a moment while their acknowledgements don't; then TCP holds back. */
+    /**
+     * Returns whether bytes arrive now. They may arrive for a moment while their acknowledgements
+     * do not; then TCP stops sending.
+     */
     private boolean canTransmit() {
       if (sim.isCut(from, to) || sim.isPoweredOff(to) || sim.random.nextDouble() < sim.lossRate)
         return false;
@@ -84,7 +87,10 @@
   final Stream toCallee;
   final Stream toCaller;
 
-  /** ended: told where the connection is reset by anyone, after it was. */
+  /**
+   * Creates an open connection. The callback runs after the connection was reset by either side or
+   * by the network.
+   */
   SimTcpConnection(Simulation sim, String caller, String callee, Runnable onReset) {
     this.sim = sim;
     this.caller = caller;
@@ -95,8 +101,8 @@
     this.toCaller = new Stream(callee, caller);
   }
 
-  private int processOf(String who) {
-    return who.equals(caller) ? callerProcess : calleeProcess;
+  private int processOf(String name) {
+    return name.equals(caller) ? callerProcess : calleeProcess;
   }
 
   private boolean isOver() {
@@ -107,7 +113,7 @@
     return !isOver();
   }
 
-  /** Nothing that is still on its way arrives. */
+  /** Resets the connection: nothing that is still in flight arrives. */
   void reset() {
     if (reset) return;
     reset = true;
--- a/emulator/src/main/java/gladelug/emulator/sim/Simulation.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/Simulation.java
@@ -25,19 +25,21 @@
 import java.util.TreeMap;
 
 /**
- * A seeded world of control machines and relays run by one queue of events: links lose, delay,
- * repeat and are cut one way or both; machines die, lose power, pause; disks tear, stall, fail and
- * are lost; monotonic clocks drift. While it runs it checks the rules that must never be broken,
- * the strict way: from the moment an operator was told "taken", no relay may start a request on a
- * lower number, whatever happens.
+ * A seeded simulation of control machines and relays, driven by one event queue. Links lose, delay,
+ * duplicate and can be cut in one or both directions; machines crash, lose power and pause; disks
+ * tear writes, stall, fail and are lost; monotonic clocks drift.
+ *
+ * <p>While it runs it checks the safety rules in their strictest form: from the moment an operator
+ * was told that a change is acknowledged, no relay may start a request under a lower number,
+ * whatever fails.
  */
 public class Simulation {
   private record Event(long atMs, long sequence, Runnable task) implements Comparable<Event> {
     @Override
-    public int compareTo(Event owners) {
-      return atMs != owners.atMs
-          ? Long.compare(atMs, owners.atMs)
-          : Long.compare(sequence, owners.sequence);
+    public int compareTo(Event other) {
+      return atMs != other.atMs
+          ? Long.compare(atMs, other.atMs)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -58,36 +60,42 @@
   private final Map<String, Address> addresses = new LinkedHashMap<>();
   private final Set<String> cutLinks = new HashSet<>();
 
-  /** How long after a naming requests may begin on old weights; read as a machine starts. */
+  /**
+   * Time after a weight assignment during which requests may still start on the previous weights,
+   * in ms; read when a machine starts.
+   */
   int weightCutoffMs = 15_000;
 
-  /** The rule that a test breaks. */
+  /** The rule that a test has disabled. */
   BrokenRule brokenRule = BrokenRule.NONE;
 
-  /** Whether records go by connections as TCP's, else each finds its own way. */
+  /**
+   * Whether records travel on simulated TCP connections; otherwise each record is transmitted
+   * independently.
+   */
   boolean usesConnections;
 
-  /** Whether connections that fall silent are begun anew; only a control is without. */
+  /** Whether silent connections are detected and opened again; off only in control experiments. */
   boolean usesHeartbeats = true;
 
-  /** How often a relay asks, ms. */
+  /** Interval at which a relay renews its subscription, in ms. */
   long subscriptionIntervalMs = 400;
 
-  /** Sees what is sent and written from when it is set. */
+  /** Observes sent and written data from the moment it is set. */
   TrafficObserver observer = TrafficObserver.NONE;
 
   private final SimNetwork network = new SimNetwork(this);
 
-  /** Machines whose cut links answer with resets. */
+  /** Machines whose cut links answer every packet with a reset. */
   private final Set<String> resettingMachines = new HashSet<>();
 
-  /** What a control machine's link carries, or 0 for any amount at once. */
+  /** Bandwidth of a control machine's link; 0 means unlimited. */
   int bytesPerMs;
 
-  /** What control machines sent for changes of members while links were narrow. */
+  /** Bytes that control machines sent for membership changes while the bandwidth was limited. */
   long membershipBytes;
 
-  /** Bytes that each value an operator sends is longer than usual. */
+  /** Extra bytes in each value that an operator sends. */
   int paddingBytes;
 
   private final Map<String, Long> linkFreeAtMs = new HashMap<>();
@@ -99,7 +107,7 @@
   public final List<SentChange> sentChanges = new ArrayList<>();
   private final Map<String, Long> acknowledgedNumbers = new HashMap<>();
 
-  /** By key and number: when it was acknowledged first. */
+  /** When each number of a key was first acknowledged. */
   private final Map<String, TreeMap<Long, Long>> acknowledgedAtMs = new HashMap<>();
 
   private final Map<Long, MemberSet> generations = new TreeMap<>();
@@ -109,7 +117,7 @@
   private final Map<String, Long> lastCommandAtMs = new HashMap<>();
   final QuorumConfig config;
 
-  /** Machines that left for good. */
+  /** Machines that were removed for good. */
   final Set<String> departed = new HashSet<>();
 
   public int readCount;
@@ -120,7 +128,9 @@
     this(seed, relayCount, 3, 3, QuorumConfig.DEFAULT);
   }
 
-  /** The first of the machines found the fleet, the others ask to be let in. */
+  /**
+   * Creates a simulation in which the first machines are the founders and the others ask to join.
+   */
   public Simulation(
       long seed, int relayCount, int machineCount, int founderCount, QuorumConfig config) {
     this.config = config;
@@ -157,7 +167,7 @@
     clockMs = end;
   }
 
-  /** How often an owner found that another had taken its key. */
+  /** How often an owner found that another member had taken its key. */
   int lostOwnerships;
 
   void log(String name, String text) {
@@ -185,7 +195,7 @@
     return new ArrayList<>(addresses.values());
   }
 
-  /** A new control machine, up, with an empty disk. */
+  /** Adds and starts a control machine with an empty disk. */
   public SimControlMachine addMachine(String name) {
     addresses.put(name, new Address("10.0.1." + addresses.size(), 100));
     SimControlMachine control =
@@ -196,8 +206,8 @@
   }
 
   String nameOf(Address address) {
-    for (Map.Entry<String, Address> event : addresses.entrySet())
-      if (event.getValue().equals(address)) return event.getKey();
+    for (Map.Entry<String, Address> entry : addresses.entrySet())
+      if (entry.getValue().equals(address)) return entry.getKey();
     return null;
   }
 
@@ -217,7 +227,7 @@
       }
   }
 
-  /** Nothing it sends arrives, or else nothing arrives at it. */
+  /** Cuts either all links from a machine or all links to it. */
   void cutOneWay(String name, boolean leaving) {
     for (String other : allNames()) {
       if (other.equals(name)) continue;
@@ -226,14 +236,14 @@
     }
   }
 
-  /** Two sides that hear nothing of each other. */
-  public void split(Set<String> side) {
-    for (String request : allNames())
-      for (String b : allNames())
-        if (side.contains(request) != side.contains(b)) cutLink(request, b);
+  /** Cuts all links between the given group and all others. */
+  public void split(Set<String> group) {
+    for (String name : allNames())
+      for (String other : allNames())
+        if (group.contains(name) != group.contains(other)) cutLink(name, other);
   }
 
-  /** Cut off by something that answers every packet with a reset. */
+  /** Cuts a machine off by something that answers every packet with a reset. */
   void cutWithResets(String name) {
     cutOff(name);
     resettingMachines.add(name);
@@ -266,7 +276,7 @@
     if (random.nextDouble() < duplicateRate) after(1 + random.nextInt(100), task);
   }
 
-  /** How long a record is on its way. */
+  /** Returns the random delay of one record on a link. */
   long linkDelayMs() {
     return 1L + random.nextInt(random.nextInt(20) == 0 ? 60 : 4);
   }
@@ -286,7 +296,10 @@
         || message instanceof CoreMessage.Activate;
   }
 
-  /** How long until the last byte has left a machine whose link carries one record at a time. */
+  /**
+   * Returns the time until the last byte has left a machine whose link transmits one record at a
+   * time.
+   */
   private long transmissionMs(String from, int bytes) {
     long start = Math.max(clockMs, linkFreeAtMs.getOrDefault(from, 0L));
     long end = start + bytes / bytesPerMs;
@@ -303,8 +316,8 @@
             // a connection ends with the process at its end
             if (control.processNumber == processNumber || usesConnections)
               control.deliver(WireRecord.decode(bytes, CoreMessage.Envelope::read));
-          } catch (IOException event) {
-            violation("a record that can't be read back: " + message);
+          } catch (IOException exception) {
+            violation("a record cannot be decoded: " + message);
           }
         };
     if (usesConnections) network.send(from, to, bytes.length, received);
@@ -313,30 +326,30 @@
 
   // ---- processes, as connections see them
 
-  /** Counts the processes that ran under this name. */
+  /** Returns how many processes have run under this name so far. */
   int processNumber(String name) {
     SimControlMachine control = controls.get(name);
     return control != null ? control.processNumber : relays.get(name).processNumber;
   }
 
-  /** Whether the machine is there and no process listens. */
+  /** Returns whether the machine has power but no process listens on it. */
   boolean refusesConnections(String name) {
     SimControlMachine control = controls.get(name);
     return control != null && !control.up && !control.poweredOff;
   }
 
-  /** Whether the machine has no power. */
+  /** Returns whether the machine has no power. */
   boolean isPoweredOff(String name) {
     SimControlMachine control = controls.get(name);
     return control != null && control.poweredOff;
   }
 
-  /** Runs in a control machine's process, once it does. */
+  /** Runs a task in a control machine's process, after its pause if it is paused. */
   void runInProcess(String name, Runnable task) {
     controls.get(name).run(task);
   }
 
-  /** A new connection stands. */
+  /** Called when a new connection has been established. */
   void onConnectionOpened(String from, String to) {
     SimControlMachine control = controls.get(from);
     if (control != null) control.run(() -> control.node.onPeerConnected(to));
@@ -350,8 +363,8 @@
   void sendSubscriptionRequest(
       String relay, String control, StateUpdate.SubscriptionRequest request) {
     observer.sent(clockMs, relay, control, request);
-    SimControlMachine c = controls.get(control);
-    Runnable received = () -> c.run(() -> c.node.onSubscriptionRequest(request));
+    SimControlMachine receiver = controls.get(control);
+    Runnable received = () -> receiver.run(() -> receiver.node.onSubscriptionRequest(request));
     if (usesConnections)
       network.subscribe(relay, control, WireRecord.encode(request).length, received);
     else transmit(relay, control, received);
@@ -373,18 +386,18 @@
     else transmit(control, relay, received);
   }
 
-  /** News has reached a data-plane process. */
+  /** Called when an update reaches a data-plane process. */
   void onUpdate(String relay, StateUpdate update) {
-    SimRelay r = relays.get(relay);
-    if (r != null) r.onUpdate(update);
+    SimRelay receiver = relays.get(relay);
+    if (receiver != null) receiver.onUpdate(update);
   }
 
-  /** Everybody who has links, beside control machines. */
+  /** Returns all names with links other than the control machines. */
   List<String> dataPlaneNames() {
     return new ArrayList<>(relays.keySet());
   }
 
-  /** What a control machine does beside keeping state, each 250 ms while it runs. */
+  /** Runs a control machine's duties besides keeping state, every 250 ms while it runs. */
   void runDuties(SimControlMachine control) {}
 
   OwnerTasks ownerTasks() {
@@ -397,21 +410,19 @@
 
   // ---- operators
 
-  /**
-   * Sends a value nobody sent before, through the door of one machine. match -1: whatever is there.
-   */
+  /** Sends a new value through one member. A required number of -1 accepts any current number. */
   public SentChange send(String member, String key, long requiredNumber) {
     return send(member, key, requiredNumber, ++sentValueCount);
   }
 
-  /** Sends again what was sent before, unchanged, as one does whose answer was lost. */
-  public SentChange sendAgain(String member, SentChange before) {
-    return send(member, before.key, before.requiredNumber, before.valueNumber);
+  /** Sends an earlier change again, unchanged, as an operator does whose answer was lost. */
+  public SentChange sendAgain(String member, SentChange earlier) {
+    return send(member, earlier.key, earlier.requiredNumber, earlier.valueNumber);
   }
 
-  /** Sends a value that was sent before as a new change on another number. */
-  public SentChange sendAsNewChange(String member, SentChange before, long requiredNumber) {
-    return send(member, before.key, requiredNumber, before.valueNumber);
+  /** Sends the value of an earlier change as a new change based on another number. */
+  public SentChange sendAsNewChange(String member, SentChange earlier, long requiredNumber) {
+    return send(member, earlier.key, requiredNumber, earlier.valueNumber);
   }
 
   private byte[] valueBody(int valueNumber) {
@@ -442,14 +453,14 @@
                 recordDigest(key, acknowledged.number(), sentChange.digest, "an answer");
                 acknowledgedNumbers.merge(key, acknowledged.number(), Math::max);
                 acknowledgedAtMs
-                    .computeIfAbsent(key, leasedKey -> new TreeMap<>())
+                    .computeIfAbsent(key, ignored -> new TreeMap<>())
                     .putIfAbsent(acknowledged.number(), clockMs);
               }
             });
     return sentChange;
   }
 
-  /** An operator reads the newest value through the door of one machine. */
+  /** Reads the newest value through one member, as an operator does. */
   public void read(String member, String key) {
     long minNumber = acknowledgedNumbers.getOrDefault(key, 0L);
     controls
@@ -461,53 +472,53 @@
                     .node
                     .readNewest(
                         key,
-                        other -> {
-                          if (!other.hasOwner()) return;
+                        newest -> {
+                          if (!newest.hasOwner()) return;
                           readCount++;
-                          if (other.number() < minNumber)
+                          if (newest.number() < minNumber)
                             violation(
                                 "a read by "
                                     + member
                                     + " of "
                                     + key
                                     + " says "
-                                    + other.number()
+                                    + newest.number()
                                     + " after "
                                     + minNumber);
-                          if (other.number() > 0)
+                          if (newest.number() > 0)
                             recordDigest(
-                                key, other.number(), other.digest(), "a read by " + member);
+                                key, newest.number(), newest.digest(), "a read by " + member);
                         }));
   }
 
-  // ---- what must never be
+  // ---- checks
 
   private void recordDigest(String key, long number, String digest, String where) {
     String earlier =
         digestsByNumber
-            .computeIfAbsent(key, leasedKey -> new HashMap<>())
+            .computeIfAbsent(key, ignored -> new HashMap<>())
             .putIfAbsent(number, digest);
     if (earlier != null && !earlier.equals(digest))
-      violation(key + " " + number + " means two things, the second by " + where);
+      violation(key + " " + number + " has two values, the second in " + where);
   }
 
-  void onValuePushed(String relay, StateUpdate.ValuePush p) {
-    if (!p.key().equals(StateKeys.CORE))
-      recordDigest(p.key(), p.number(), p.digest(), "a push to " + relay);
+  void onValuePushed(String relay, StateUpdate.ValuePush push) {
+    if (!push.key().equals(StateKeys.CORE))
+      recordDigest(push.key(), push.number(), push.digest(), "a push to " + relay);
   }
 
-  void onRequestStarted(SimRelay relay, ReplicatedStateView b) {
+  void onRequestStarted(SimRelay relay, ReplicatedStateView state) {
     for (String leasedKey : StateKeys.LEASED) {
-      long request = lowestAllowedNumber(leasedKey);
-      if (b.number(leasedKey) < request)
+      long minNumber = lowestAllowedNumber(leasedKey);
+      if (state.number(leasedKey) < minNumber)
         violation(
             relay.name
-                + " starts an order under "
+                + " starts a minNumber under "
                 + leasedKey
                 + " "
-                + b.number(leasedKey)
+                + state.number(leasedKey)
                 + " after "
-                + request
+                + minNumber
                 + " was acknowledged");
     }
     for (String key : new String[] {StateKeys.CONFIGURATION, StateKeys.REPLICAS}) {
@@ -524,78 +535,87 @@
     }
   }
 
-  /** The lowest number that may be acted on now. */
+  /** Returns the lowest number that a relay may act on now. */
   private long lowestAllowedNumber(String key) {
     if (config.acknowledgementMode() == QuorumConfig.AcknowledgementMode.STRICT)
       return acknowledgedNumbers.getOrDefault(key, 0L);
-    long request = 0;
-    for (Map.Entry<Long, Long> event :
+    long lowest = 0;
+    for (Map.Entry<Long, Long> entry :
         acknowledgedAtMs.getOrDefault(key, new TreeMap<>()).entrySet())
-      if (clockMs - event.getValue() > config.leaseMs())
-        request = Math.max(request, event.getKey());
-    return request;
+      if (clockMs - entry.getValue() > config.leaseMs()) lowest = Math.max(lowest, entry.getKey());
+    return lowest;
   }
 
   /**
-   * Two who command in turn keep apart by what is asked of them, less two in a hundred for clocks.
+   * Checks that two commanders in turn keep the required distance, with 2 % tolerance for clock
+   * drift.
    */
   private void recordCommand(String key, String name) {
-    String last = lastCommander.put(key, name);
-    Long at = lastCommandAtMs.put(key, clockMs);
-    long gap = config.commandHandoverGapMs();
-    long apart = gap - config.commandLeaseMs() - gap / 50;
-    if (last != null && !last.equals(name) && clockMs - at < apart)
-      violation(name + " commands " + key + " " + (clockMs - at) + " ms after " + last);
+    String previous = lastCommander.put(key, name);
+    Long lastAtMs = lastCommandAtMs.put(key, clockMs);
+    long gapMs = config.commandHandoverGapMs();
+    long minDistanceMs = gapMs - config.commandLeaseMs() - gapMs / 50;
+    if (previous != null && !previous.equals(name) && clockMs - lastAtMs < minDistanceMs)
+      violation(name + " commands " + key + " " + (clockMs - lastAtMs) + " ms after " + previous);
   }
 
   // ---- members
 
-  /** A control machine took these members. */
+  /** Called when a control machine adopts a member set. */
   void onGeneration(MemberSet members) {
     MemberSet earlier = generations.putIfAbsent(members.generation(), members);
     if (earlier != null && !earlier.equals(members))
-      violation("generation " + members.generation() + " has two sets of members");
+      violation("generation " + members.generation() + " has two member sets");
   }
 
-  /** An owner of the key core began to have the members changed; in: as name/disk. */
+  /**
+   * Called when the owner of the key "core" begins a membership change. Joining members are given
+   * as name/disk.
+   */
   void onMembershipChange(List<?> leaving, List<?> joining, long generation) {
-    MemberSet before = generations.get(generation - 1);
-    List<MemberSet.Member> names = new ArrayList<>(before.all());
-    names.removeIf(message -> leaving.contains(message.name()));
-    for (Object owners : joining) {
-      String[] other = owners.toString().split("/");
-      Address address = addressOf(other[0]);
-      names.add(new MemberSet.Member(other[0], other[1], address, address));
+    MemberSet previous = generations.get(generation - 1);
+    List<MemberSet.Member> members = new ArrayList<>(previous.all());
+    members.removeIf(member -> leaving.contains(member.name()));
+    for (Object nameAndDisk : joining) {
+      String[] parts = nameAndDisk.toString().split("/");
+      Address address = addressOf(parts[0]);
+      members.add(new MemberSet.Member(parts[0], parts[1], address, address));
     }
-    proposedMembers.add(new MemberSet(generation, names));
+    proposedMembers.add(new MemberSet(generation, members));
   }
 
-  /** The newest members that any machine took. */
+  /** Returns the newest member set that any machine has adopted. */
   MemberSet newestMembers() {
-    MemberSet message = MemberSet.NONE;
-    for (MemberSet other : generations.values()) message = other;
-    return message;
+    MemberSet newest = MemberSet.NONE;
+    for (MemberSet members : generations.values()) newest = members;
+    return newest;
   }
 
-  /** Whether one disk more may be lost: no set that still counts loses more than it bears. */
+  /**
+   * Returns whether one more disk may be lost: no member set that still counts then loses more
+   * disks than it tolerates.
+   */
   boolean mayLose(String name) {
-    MemberSet message = newestMembers();
-    int took = 0;
-    for (MemberSet.Member other : message.all()) {
-      SimControlMachine control = controls.get(other.name());
-      if (control.diskId.equals(other.diskId())
-          && control.node.members().generation() == message.generation()) took++;
+    MemberSet newest = newestMembers();
+    int adoptedCount = 0;
+    for (MemberSet.Member member : newest.all()) {
+      SimControlMachine control = controls.get(member.name());
+      if (control.diskId.equals(member.diskId())
+          && control.node.members().generation() == newest.generation()) adoptedCount++;
     }
-    MemberSet before = generations.get(message.generation() - 1);
-    for (MemberSet i : proposedMembers)
-      if (i.generation() > message.generation() && !toleratesLossOf(i, name)) return false;
-    return toleratesLossOf(message, name)
-        && (took > message.all().size() / 2 || before == null || toleratesLossOf(before, name));
+    MemberSet previous = generations.get(newest.generation() - 1);
+    for (MemberSet proposed : proposedMembers)
+      if (proposed.generation() > newest.generation() && !toleratesLossOf(proposed, name))
+        return false;
+    return toleratesLossOf(newest, name)
+        && (adoptedCount > newest.all().size() / 2
+            || previous == null
+            || toleratesLossOf(previous, name));
   }
 
   /**
-   * Whether a founder other than this one keeps a disk that knows the fleet: else it may be founded
-   * twice.
+   * Returns whether another founder keeps a disk that knows the fleet; otherwise the fleet could be
+   * founded twice.
    */
   boolean isFoundedElsewhere(String name) {
     return controls.values().stream()
@@ -609,24 +629,24 @@
   }
 
   private boolean toleratesLossOf(MemberSet members, String name) {
-    int lost = members.find(name) == null ? 1 : 0;
-    for (MemberSet.Member other : members.all())
-      if (other.name().equals(name)
-          || departed.contains(other.name())
-          || !controls.get(other.name()).diskId.equals(other.diskId())) lost++;
-    // one that stands by may have been chosen for a next set a moment before
-    for (Map.Entry<String, Long> event : standbyLostAtMs.entrySet())
-      if (clockMs - event.getValue() < 6000) lost++;
-    return lost <= (members.all().size() - 1) / 2;
-  }
-
-  /** What a machine had on its disk is gone. */
+    int lostCount = members.find(name) == null ? 1 : 0;
+    for (MemberSet.Member member : members.all())
+      if (member.name().equals(name)
+          || departed.contains(member.name())
+          || !controls.get(member.name()).diskId.equals(member.diskId())) lostCount++;
+    // a standby may have been chosen for the next set a moment before
+    for (Map.Entry<String, Long> entry : standbyLostAtMs.entrySet())
+      if (clockMs - entry.getValue() < 6000) lostCount++;
+    return lostCount <= (members.all().size() - 1) / 2;
+  }
+
+  /** Called when a machine's disk is lost. */
   void onDiskLost(String name) {
     if (newestMembers().find(name) == null) standbyLostAtMs.put(name, clockMs);
     log(name, "loses its disk");
   }
 
-  /** The machine is gone for good, with its disk. */
+  /** Removes a machine and its disk for good. */
   void removeForGood(String name) {
     departed.add(name);
     onDiskLost(name);
@@ -635,26 +655,27 @@
   }
 
   /**
-   * At the end of a story, with everything healed: nothing acknowledged lost, nothing refused
-   * taken, all serve again.
+   * Checks the end of a scenario, with all faults repaired: nothing acknowledged is lost, nothing
+   * refused took effect, and all relays serve again.
    */
   public void settle(long withinMs) {
-    Map<String, Long> before = new HashMap<>();
+    Map<String, Long> startsBefore = new HashMap<>();
     run(withinMs);
-    for (SimRelay relay : relays.values()) if (relay.up) before.put(relay.name, relay.startCount);
+    for (SimRelay relay : relays.values())
+      if (relay.up) startsBefore.put(relay.name, relay.startCount);
     run(1000);
     for (SimRelay relay : relays.values())
-      if (relay.up && relay.startCount - before.get(relay.name) < 100)
+      if (relay.up && relay.startCount - startsBefore.get(relay.name) < 100)
         violation(relay.name + " does not serve " + withinMs + " ms after all was well");
     for (String key :
         new String[] {StateKeys.CONFIGURATION, StateKeys.WEIGHTS, StateKeys.REPLICAS}) {
-      Map<Long, String> message = digestsByNumber.getOrDefault(key, Map.of());
+      Map<Long, String> digests = digestsByNumber.getOrDefault(key, Map.of());
       for (SimRelay relay : relays.values())
         if (relay.up && acknowledgedNumbers.getOrDefault(key, 0L) > relay.versionOf(key))
           violation(relay.name + " is behind what was acknowledged of " + key);
       for (SentChange sentChange : sentChanges) {
         if (!sentChange.key.equals(key)) continue;
-        boolean taken = message.containsValue(sentChange.digest);
+        boolean taken = digests.containsValue(sentChange.digest);
         ChangeResult result = sentChange.answer[0];
         if (taken
             && (result instanceof ChangeResult.Conflict
@@ -667,10 +688,10 @@
   }
 
   public int acknowledgedCount() {
-    int valueNumber = 0;
+    int count = 0;
     for (SentChange sentChange : sentChanges)
-      if (sentChange.answer[0] instanceof ChangeResult.Acknowledged) valueNumber++;
-    return valueNumber;
+      if (sentChange.answer[0] instanceof ChangeResult.Acknowledged) count++;
+    return count;
   }
 
   public long newestGeneration() {
@@ -681,7 +702,7 @@
     return newest;
   }
 
-  /** All members of the newest generation are up and know it. */
+  /** Returns whether all members of the newest generation run and have adopted it. */
   public boolean allMembersActive() {
     long newest = newestGeneration();
     MemberSet members = null;
@@ -690,31 +711,31 @@
           && control.node.isInitialized()
           && control.node.members().generation() == newest) members = control.node.members();
     if (members == null) return false;
-    for (MemberSet.Member other : members.all()) {
-      SimControlMachine control = controls.get(other.name());
+    for (MemberSet.Member member : members.all()) {
+      SimControlMachine control = controls.get(member.name());
       if (!control.up
           || control.paused
-          || !control.diskId.equals(other.diskId())
+          || !control.diskId.equals(member.diskId())
           || control.node.members().generation() != newest
           || control.node.isSealed()) return false;
     }
     return true;
   }
 
-  /** An operator brings a new machine and has it swapped in. */
+  /** Adds a new machine and has it replace a member, as an operator does. */
   public void replaceMember(String leaving, String joining) {
     addMachine(joining);
     for (int i = 0; i < 40; i++) {
       run(100);
-      boolean[] begun = {false};
+      boolean[] started = {false};
       for (SimControlMachine control : controls.values())
         if (control.up
             && !control.paused
             && control.node.isInitialized()
             && control.node.owns(StateKeys.CORE)
             && control.node.replaceMember(leaving, joining, result -> {}).isEmpty())
-          begun[0] = true;
-      if (begun[0]) return;
+          started[0] = true;
+      if (started[0]) return;
     }
   }
 
--- a/emulator/src/main/java/gladelug/emulator/sim/Timeline.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/Timeline.java
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * Plays a story drawn as text, a column a node: the first line names the columns, each further line
- * is a time in milliseconds and what happens to each node then ("." is nothing). The column op is
- * the operator and the onlooker: it sends values and says what must be seen by then. A column named
- * calls is left to whoever plays the story.
+ * Plays a scenario written as a text table with one column for each node. The first line names the
+ * columns; each further line is a time in milliseconds and what happens to each node then ("." is
+ * nothing). The column "op" is the operator: it sends values and states what must hold at that
+ * time. The column "calls" is handled by the caller.
  */
 final class Timeline {
   private Timeline() {}
@@ -22,11 +22,11 @@
         world,
         text,
         cell -> {
-          throw new IllegalArgumentException("nobody takes " + cell);
+          throw new IllegalArgumentException("no handler for the column calls: " + cell);
         });
   }
 
-  /** Plays a story whose column calls is told to the given consumer. */
+  /** Plays a scenario and passes the cells of its column "calls" to the consumer. */
   static Simulation play(Simulation world, String text, Consumer<String> calls) {
     List<String> columns = null;
     long baseMs = world.nowMs();
@@ -38,7 +38,8 @@
         continue;
       }
       long atMs = baseMs + Long.parseLong(cells.get(0));
-      if (atMs < world.nowMs()) throw new IllegalArgumentException("goes back in time: " + line);
+      if (atMs < world.nowMs())
+        throw new IllegalArgumentException("time is before that of the previous line: " + line);
       world.run(atMs - world.nowMs());
       Set<String> group = new HashSet<>();
       for (int i = 1; i < cells.size(); i++)
@@ -123,11 +124,11 @@
                 StateKeys.CONFIGURATION,
                 words.length > 2 ? Long.parseLong(words[2]) : -1);
         case "swap" -> {
-          boolean holds = false;
+          boolean started = false;
           for (SimControlMachine control : world.controls.values())
             if (control.up && control.node.isInitialized() && control.node.owns(StateKeys.CORE))
-              holds |= control.node.replaceMember(words[1], words[2], answer -> {}).isEmpty();
-          if (!holds) throw new AssertionError("no swap begun " + context);
+              started |= control.node.replaceMember(words[1], words[2], answer -> {}).isEmpty();
+          if (!started) throw new AssertionError("no member replacement started " + context);
         }
         case "owner" ->
             require(
@@ -136,7 +137,7 @@
         case "retired" ->
             require(
                 world.controls.get(words[1]).node.isRetired(),
-                words[1] + " doesn't know that it is out " + context);
+                words[1] + " does not know that it was replaced " + context);
         case "members" ->
             require(
                 world.newestMembers().all().stream()
@@ -189,7 +190,7 @@
           for (SimRelay relay : world.relays.values())
             require(
                 relay.longestGapMs <= Long.parseLong(words[1]),
-                relay.name + " had a gap of " + relay.longestGapMs + " " + context);
+                relay.name + " served nothing for " + relay.longestGapMs + " " + context);
         }
         case "forget" -> {
           world.lostOwnerships = 0;
@@ -201,7 +202,7 @@
     }
   }
 
-  private static void require(boolean holds, String action) {
-    if (!holds) throw new AssertionError(action);
+  private static void require(boolean holds, String description) {
+    if (!holds) throw new AssertionError(description);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/TrafficObserver.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/TrafficObserver.java
@@ -3,20 +3,22 @@
 import gladelug.common.message.WireRecord;
 
 /**
- * Sees what the processes of a simulated world send and write, in the order in which they do.
- * Called on the simulation's thread; times are simulated ones in ms. Draws no randomness and
- * changes nothing.
+ * Observes what the processes of a simulation send and write, in order. Called on the simulation's
+ * thread with simulated times in ms. Implementations draw no randomness and change nothing.
  */
 interface TrafficObserver {
-  /** Sees nothing. */
+  /** Ignores everything. */
   TrafficObserver NONE = new TrafficObserver() {};
 
-  /** A record leaves its sender, whether it arrives or not; a sender may be its own receiver. */
+  /**
+   * Called when a record leaves its sender, whether it arrives or not; sender and receiver may be
+   * the same.
+   */
   default void sent(long atMs, String from, String to, WireRecord message) {}
 
-  /** A text leaves its sender on another way than the held connections: a request or a command. */
+  /** Called when a request or a command leaves its sender as text, outside the held connections. */
   default void sentText(long atMs, String from, String to, String text) {}
 
-  /** A machine wants an entry written to its disk. */
+  /** Called when a machine requests that an entry be written to its disk. */
   default void written(long atMs, String machine, String entry, byte[] state) {}
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/package-info.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The simulator: core members, relays, an index and replicas in simulated time, the product's own
- * code but for links, disks, clocks and back ends. A seed gives the same run each time.
+ * The simulator: core members, relays, an index and replicas in simulated time. All of it is
+ * production code except links, disks, clocks and back ends. The same seed always gives the same
+ * run.
  */
 package gladelug.emulator.sim;
--- a/emulator/src/test/java/gladelug/emulator/check/FoundingScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/FoundingScenario.java
@@ -10,7 +10,7 @@
 final class FoundingScenario implements Supplier<String> {
   private static final int MEMBERS = 3;
   private static final int WALKS = 1500;
-  private static final int STEPS_OF_EACH = 300;
+  private static final int STEPS_PER_WALK = 300;
 
   /** One seed in so many begins with the founding. */
   private static final int FOUNDING_SEEDS = 4;
@@ -21,7 +21,7 @@
     for (int walk = 0; walk < WALKS; walk++) {
       int seed = walk * FOUNDING_SEEDS;
       RandomWalk.Result result =
-          RandomWalk.run(ModelCheck.setup(MEMBERS, seed), seed, STEPS_OF_EACH);
+          RandomWalk.run(ModelCheck.setup(MEMBERS, seed), seed, STEPS_PER_WALK);
       walked += result.steps().size();
       if (result.broken() != null)
         return "seed " + seed + ", after " + walked + " steps: " + result.broken();
--- a/emulator/src/test/java/gladelug/emulator/check/LateConfirmationScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/LateConfirmationScenario.java
@@ -18,23 +18,23 @@
     String former = "a", next = "b", other = "c";
     Setup setup = Setup.of(3, true, 0).withSpares(0).withKeys(List.of(Schedule.KEY));
     Schedule schedule = new Schedule(setup);
-    schedule.serveAt(former);
-    schedule.change(former);
-    schedule.delay(
+    schedule.makeOwner(former);
+    schedule.acknowledgeChange(former);
+    schedule.delayMessages(
         flight ->
             flight.to().equals(former)
                 && flight.envelope().message() instanceof CoreMessage.ConfirmResponse);
-    schedule.until(() -> !schedule.world.network.flights().isEmpty());
-    schedule.stop(former);
-    schedule.lose(flight -> flight.to().equals(former) || flight.from().equals(former));
+    schedule.runUntil(() -> !schedule.world.network.inFlight().isEmpty());
+    schedule.stopMachine(former);
+    schedule.loseMessages(flight -> flight.to().equals(former) || flight.from().equals(former));
     schedule.apply(Step.on(Step.Kind.HEALTH, other, 0));
     schedule.apply(Step.on(Step.Kind.HEALTH, next, 1));
-    schedule.until(() -> schedule.machine(next).node.owns(Schedule.KEY));
-    schedule.change(next);
+    schedule.runUntil(() -> schedule.machine(next).node.owns(Schedule.KEY));
+    schedule.acknowledgeChange(next);
     schedule.apply(Step.key(Step.Kind.READ, former, Schedule.KEY, 0));
-    schedule.delay(flight -> false);
-    schedule.lose(flight -> false);
-    schedule.settle();
-    return schedule.end();
+    schedule.delayMessages(flight -> false);
+    schedule.loseMessages(flight -> false);
+    schedule.deliverAll();
+    return schedule.finish();
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/check/MergeScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/MergeScenario.java
@@ -31,25 +31,25 @@
     String spare = "d";
     Schedule schedule = new Schedule(Setup.of(3, true, 0).withSpares(1));
     schedule.isolate(spare);
-    schedule.serveAt(former);
-    schedule.change(former);
+    schedule.makeOwner(former);
+    schedule.acknowledgeChange(former);
     schedule.isolate(former);
     schedule.propose(former);
-    schedule.serveAt(next);
-    schedule.change(next);
+    schedule.makeOwner(next);
+    schedule.acknowledgeChange(next);
     schedule.isolate(third);
-    schedule.lose(flight -> flight.to().equals(former) && isValue(flight));
+    schedule.loseMessages(flight -> flight.to().equals(former) && isValue(flight));
     schedule.reconnect(former);
     schedule.reconnect(spare);
     schedule.apply(Step.on(Step.Kind.HEALTH, former, 1));
-    schedule.until(
+    schedule.runUntil(
         () -> schedule.machine(former).node.isSealed() && schedule.machine(next).node.isSealed());
-    schedule.stop(next);
-    schedule.until(() -> schedule.machine(former).node.members().generation() > 1);
-    return schedule.end();
+    schedule.stopMachine(next);
+    schedule.runUntil(() -> schedule.machine(former).node.members().generation() > 1);
+    return schedule.finish();
   }
 
-  private static boolean isValue(Flight flight) {
+  private static boolean isValue(InFlightMessage flight) {
     return flight.envelope().message() instanceof CoreMessage.AcceptRequest accept
         && !accept.key().equals(StateKeys.CORE);
   }
--- a/emulator/src/test/java/gladelug/emulator/check/ModelCheckTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/ModelCheckTest.java
@@ -14,15 +14,15 @@
   /** Shorter walks, so that what is found is soon shrunk. */
   private static final int STEPS_OF_MUTATIONS = 1200;
 
-  private static final int MOST_WALKS = 800;
+  private static final int MAX_WALKS = 800;
 
   private static void noRuleBreaks(int members, int walks) {
     for (int seed = 0; seed < walks; seed++) {
       Setup setup = ModelCheck.setup(members, seed);
-      RandomWalk.Result r = RandomWalk.run(setup, seed, STEPS);
-      if (r.broken() == null) continue;
-      List<Step> few = Replay.shrink(setup, r.steps(), r.broken().rule());
-      Assertions.fail("seed " + seed + "\n" + StepTable.draw(setup, few));
+      RandomWalk.Result result = RandomWalk.run(setup, seed, STEPS);
+      if (result.broken() == null) continue;
+      List<Step> shortened = Replay.shrink(setup, result.steps(), result.broken().rule());
+      Assertions.fail("seed " + seed + "\n" + StepTable.draw(setup, shortened));
     }
   }
 
@@ -30,17 +30,18 @@
    * That some walk breaks the rule that is switched off, and that the steps left still bring it
    * about. Walks that break another of the rules first count as steps only.
    */
-  private static void isFound(Mutation mutation, Rules.Rule rule) {
+  private static void findsMutation(Mutation mutation, Rules.Rule rule) {
     long walked = 0;
-    for (int seed = 0; seed < MOST_WALKS; seed++) {
+    for (int seed = 0; seed < MAX_WALKS; seed++) {
       Setup setup = ModelCheck.setup(3, seed).with(mutation);
-      RandomWalk.Result r = RandomWalk.run(setup, seed, STEPS_OF_MUTATIONS);
-      walked += r.steps().size();
-      if (r.broken() == null || r.broken().rule() != rule) continue;
-      List<Step> few = Replay.shrink(setup, r.steps(), rule);
-      Assertions.assertEquals(rule, Replay.play(setup, few).rules.broken().rule());
-      Assertions.assertTrue(StepTable.draw(setup, few).contains("broken: " + rule.words));
-      System.out.println(mutation + ": found after " + walked + " steps, by " + few.size());
+      RandomWalk.Result result = RandomWalk.run(setup, seed, STEPS_OF_MUTATIONS);
+      walked += result.steps().size();
+      if (result.broken() == null || result.broken().rule() != rule) continue;
+      List<Step> shortened = Replay.shrink(setup, result.steps(), rule);
+      Assertions.assertEquals(rule, Replay.replay(setup, shortened).rules.brokenRule().rule());
+      Assertions.assertTrue(
+          StepTable.draw(setup, shortened).contains("broken: " + rule.description));
+      System.out.println(mutation + ": found after " + walked + " steps, by " + shortened.size());
       return;
     }
     Assertions.fail(mutation + " was not found");
@@ -58,15 +59,15 @@
 
   @Test
   void walksReachAcknowledgementsReadsAndChangesOfMembers() {
-    long done = 0, reads = 0, generations = 0;
+    long acknowledged = 0, readCount = 0, generations = 0;
     for (int seed = 1; seed <= 10; seed++) {
-      RandomWalk.Result r = RandomWalk.run(ModelCheck.setup(3, seed), seed, STEPS);
-      done += r.done();
-      reads += r.reads();
-      generations += r.generation();
+      RandomWalk.Result result = RandomWalk.run(ModelCheck.setup(3, seed), seed, STEPS);
+      acknowledged += result.acknowledgedCount();
+      readCount += result.readCount();
+      generations += result.generation();
     }
-    Assertions.assertTrue(done > 50, done + " changes acknowledged");
-    Assertions.assertTrue(reads > 50, reads + " reads answered");
+    Assertions.assertTrue(acknowledged > 50, acknowledged + " changes acknowledged");
+    Assertions.assertTrue(readCount > 50, readCount + " reads answered");
     Assertions.assertTrue(generations > 20, generations + " generations");
   }
 
@@ -79,51 +80,51 @@
 
   @Test
   void findsAnswersBeforeTheSync() {
-    isFound(Mutation.ANSWER_BEFORE_SYNC, Rules.Rule.SERVED_IS_CHOSEN);
+    findsMutation(Mutation.ANSWER_BEFORE_SYNC, Rules.Rule.SERVED_IS_CHOSEN);
   }
 
   @Test
   void findsAMajorityOfOne() {
-    isFound(Mutation.MAJORITY_OF_ONE, Rules.Rule.SERVED_IS_CHOSEN);
+    findsMutation(Mutation.MAJORITY_OF_ONE, Rules.Rule.SERVED_IS_CHOSEN);
   }
 
   @Test
   void findsServingWithoutWritingAgain() {
-    isFound(Mutation.SERVING_WITHOUT_REWRITE, Rules.Rule.SERVED_IS_CHOSEN);
+    findsMutation(Mutation.SERVING_WITHOUT_REWRITE, Rules.Rule.SERVED_IS_CHOSEN);
   }
 
   @Test
   void findsConfirmationsBelowThePromise() {
-    isFound(Mutation.CONFIRM_BELOW_PROMISE, Rules.Rule.READ_IS_NEWEST);
+    findsMutation(Mutation.CONFIRM_BELOW_PROMISE, Rules.Rule.READ_IS_NEWEST);
   }
 
   @Test
   void findsPromisesForgottenAtARestart() {
-    isFound(Mutation.PROMISE_FORGOTTEN, Rules.Rule.EPOCHS_RISE);
+    findsMutation(Mutation.PROMISE_FORGOTTEN, Rules.Rule.EPOCHS_RISE);
   }
 
   @Test
   void findsASealWithoutAMajority() {
-    isFound(Mutation.SEAL_WITHOUT_MAJORITY, Rules.Rule.SEALED_BEFORE_NEXT);
+    findsMutation(Mutation.SEAL_WITHOUT_MAJORITY, Rules.Rule.SEALED_BEFORE_NEXT);
   }
 
   @Test
   void findsMembersDurableBeforeTheirValues() {
-    isFound(Mutation.MEMBERS_BEFORE_CELLS, Rules.Rule.NEXT_HAS_ALL);
+    findsMutation(Mutation.MEMBERS_BEFORE_CELLS, Rules.Rule.NEXT_HAS_ALL);
   }
 
   @Test
   void findsAnEmptyDiskUnderTheOldId() {
-    isFound(Mutation.EMPTY_DISK_KEEPS_ID, Rules.Rule.EPOCHS_RISE);
+    findsMutation(Mutation.EMPTY_DISK_KEEPS_ID, Rules.Rule.EPOCHS_RISE);
   }
 
   @Test
   void findsACoreThatDoesNotRecover() {
-    isFound(Mutation.NEXT_NEVER_TOLD, Rules.Rule.RECOVERS);
+    findsMutation(Mutation.NEXT_NEVER_TOLD, Rules.Rule.RECOVERS);
   }
 
   @Test
   void findsReadsWithoutARound() {
-    isFound(Mutation.READ_WITHOUT_ROUND, Rules.Rule.READ_IS_NEWEST);
+    findsMutation(Mutation.READ_WITHOUT_ROUND, Rules.Rule.READ_IS_NEWEST);
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/check/RandomWalkScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/RandomWalkScenario.java
@@ -10,14 +10,14 @@
 final class RandomWalkScenario implements Supplier<String> {
   private static final int MEMBERS = 3;
   private static final int WALKS = 60;
-  private static final int STEPS_OF_EACH = 1200;
+  private static final int STEPS_PER_WALK = 1200;
 
   @Override
   public String get() {
     long walked = 0;
     for (int seed = 0; seed < WALKS; seed++) {
       Setup setup = ModelCheck.setup(MEMBERS, seed);
-      RandomWalk.Result result = RandomWalk.run(setup, seed, STEPS_OF_EACH);
+      RandomWalk.Result result = RandomWalk.run(setup, seed, STEPS_PER_WALK);
       walked += result.steps().size();
       if (result.broken() != null)
         return "seed " + seed + ", after " + walked + " steps: " + result.broken();
--- a/emulator/src/test/java/gladelug/emulator/check/SameNumberScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/SameNumberScenario.java
@@ -32,16 +32,16 @@
   private static String play(String first, String second, String third) {
     Setup setup = Setup.of(3, true, 0).withSpares(0).withKeys(List.of(Schedule.KEY));
     Schedule schedule = new Schedule(setup);
-    schedule.serveAt(first);
-    schedule.change(first);
+    schedule.makeOwner(first);
+    schedule.acknowledgeChange(first);
     schedule.isolate(first);
     schedule.propose(first);
-    schedule.serveAt(second);
-    schedule.change(second);
+    schedule.makeOwner(second);
+    schedule.acknowledgeChange(second);
     schedule.isolate(second);
     schedule.reconnect(first);
-    schedule.serveAt(third);
-    schedule.change(third);
-    return schedule.end();
+    schedule.makeOwner(third);
+    schedule.acknowledgeChange(third);
+    return schedule.finish();
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/check/Schedule.java
+++ b/emulator/src/test/java/gladelug/emulator/check/Schedule.java
@@ -15,20 +15,20 @@
  */
 final class Schedule {
   private static final long TICK_MS = 100;
-  private static final int MOST_TICKS = 600;
+  private static final int MAX_TICKS = 600;
 
   /** The key that all is about. */
   static final String KEY = StateKeys.CONFIGURATION;
 
-  final World world;
+  final CheckedWorld world;
   private final Set<String> isolated = new HashSet<>();
-  private final Set<String> still = new HashSet<>();
-  private Predicate<Flight> lost = flight -> false;
-  private Predicate<Flight> delayed = flight -> false;
+  private final Set<String> stoppedMachines = new HashSet<>();
+  private Predicate<InFlightMessage> isLostMessage = message -> false;
+  private Predicate<InFlightMessage> isDelayed = message -> false;
   private int steps;
 
   Schedule(Setup setup) {
-    world = World.toPlay(setup, false);
+    world = CheckedWorld.forReplay(setup, false);
   }
 
   CheckedMachine machine(String name) {
@@ -45,95 +45,98 @@
   }
 
   /** Its timers don't fire and its clock stands; messages still arrive. */
-  void stop(String machine) {
-    still.add(machine);
+  void stopMachine(String machine) {
+    stoppedMachines.add(machine);
   }
 
   /** Messages like these are lost from now on. */
-  void lose(Predicate<Flight> messages) {
-    lost = messages;
+  void loseMessages(Predicate<InFlightMessage> messages) {
+    isLostMessage = messages;
   }
 
   /** Messages like these stay in flight from now on. */
-  void delay(Predicate<Flight> messages) {
-    delayed = messages;
+  void delayMessages(Predicate<InFlightMessage> messages) {
+    isDelayed = messages;
   }
 
   boolean apply(Step step) {
-    if (world.rules.broken() != null) return false;
+    if (world.rules.brokenRule() != null) return false;
     boolean done = Replay.apply(world, step);
     if (done) steps++;
     return done;
   }
 
   /** Only this one tries for keys; runs until it serves all of them. */
-  void serveAt(String owner) {
-    for (CheckedMachine m : world.machines())
-      if (!isolated.contains(m.name))
-        apply(Step.on(Step.Kind.HEALTH, m.name, m.name.equals(owner) ? 1 : 0));
-    until(() -> world.setup.keys().stream().allMatch(key -> machine(owner).node.owns(key)));
+  void makeOwner(String owner) {
+    for (CheckedMachine machine : world.machines())
+      if (!isolated.contains(machine.name))
+        apply(Step.on(Step.Kind.HEALTH, machine.name, machine.name.equals(owner) ? 1 : 0));
+    runUntil(() -> world.setup.keys().stream().allMatch(key -> machine(owner).node.owns(key)));
   }
 
   /** A new value is sent to a machine, whatever comes of it. */
   void propose(String machine) {
     apply(Step.key(Step.Kind.PROPOSE, machine, KEY, 0));
-    settle();
+    deliverAll();
   }
 
   /** A new value is acknowledged there. */
-  void change(String machine) {
-    int before = world.operators.done();
+  void acknowledgeChange(String machine) {
+    int acknowledgedBefore = world.operators.acknowledgedCount();
     propose(machine);
-    until(() -> world.operators.done() > before);
+    runUntil(() -> world.operators.acknowledgedCount() > acknowledgedBefore);
   }
 
   /** Time passes until this holds. */
-  void until(BooleanSupplier holds) {
-    for (int i = 0; i < MOST_TICKS && world.rules.broken() == null; i++) {
-      if (holds.getAsBoolean()) return;
+  void runUntil(BooleanSupplier condition) {
+    for (int i = 0; i < MAX_TICKS && world.rules.brokenRule() == null; i++) {
+      if (condition.getAsBoolean()) return;
       tick();
     }
-    if (world.rules.broken() == null)
+    if (world.rules.brokenRule() == null)
       throw new IllegalStateException("the schedule comes to nothing after " + steps + " steps");
   }
 
   /** Each machine's timers fire once. */
   void tick() {
-    for (CheckedMachine m : world.machines())
-      if (!still.contains(m.name)) apply(Step.on(Step.Kind.TICK, m.name, TICK_MS));
-    settle();
+    for (CheckedMachine machine : world.machines())
+      if (!stoppedMachines.contains(machine.name))
+        apply(Step.on(Step.Kind.TICK, machine.name, TICK_MS));
+    deliverAll();
   }
 
   /** Until all that may arrive has arrived and is durable. */
-  void settle() {
+  void deliverAll() {
     boolean idle = false;
-    while (!idle && world.rules.broken() == null) {
+    while (!idle && world.rules.brokenRule() == null) {
       idle = true;
-      for (CheckedMachine m : world.machines())
-        if (apply(Step.on(Step.Kind.SYNC, m.name))) idle = false;
-      List<Flight> flights = world.network.flights();
-      for (int i = 0; i < flights.size(); i++) {
-        Flight flight = flights.get(i);
-        if (delayed.test(flight)) continue;
-        apply(world.network.step(isLost(flight) ? Step.Kind.DROP : Step.Kind.DELIVER, i));
+      for (CheckedMachine machine : world.machines())
+        if (apply(Step.on(Step.Kind.SYNC, machine.name))) idle = false;
+      List<InFlightMessage> messages = world.network.inFlight();
+      for (int i = 0; i < messages.size(); i++) {
+        InFlightMessage message = messages.get(i);
+        if (isDelayed.test(message)) continue;
+        apply(world.network.step(isLost(message) ? Step.Kind.DROP : Step.Kind.DELIVER, i));
         idle = false;
         break;
       }
     }
   }
 
-  private boolean isLost(Flight flight) {
-    return isolated.contains(flight.from()) || isolated.contains(flight.to()) || lost.test(flight);
+  private boolean isLost(InFlightMessage message) {
+    return isolated.contains(message.from())
+        || isolated.contains(message.to())
+        || isLostMessage.test(message);
   }
 
   /** All machines run and reach each other to the end; the rule broken, or nothing. */
-  String end() {
+  String finish() {
     isolated.clear();
-    still.clear();
-    lose(flight -> false);
-    delay(flight -> false);
+    stoppedMachines.clear();
+    loseMessages(message -> false);
+    delayMessages(message -> false);
     Recovery.run(world);
-    Rules.Broken broken = world.rules.broken();
+    Rules.Broken broken = world.rules.brokenRule();
     return broken == null ? "" : "after " + steps + " steps: " + broken;
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/check/TraceDigestTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/TraceDigestTest.java
@@ -13,21 +13,21 @@
  * explored; no name of the code.
  */
 final class TraceDigestTest {
-  private static final long MOST_STATES = 200_000;
+  private static final long MAX_STATES = 200_000;
   private static final int WALK_STEPS = 6000;
 
-  private static void add(TraceDigest trace, World world) {
-    trace.add(world.network.flights().size());
-    for (Flight flight : world.network.flights())
+  private static void add(TraceDigest trace, CheckedWorld world) {
+    trace.add(world.network.inFlight().size());
+    for (InFlightMessage flight : world.network.inFlight())
       trace.add(flight.from()).add(flight.to()).add(WireRecord.encode(flight.envelope()));
     for (CheckedMachine machine : world.machines())
-      trace.add(machine.up()).add(machine.disk.pending()).add(machine.disk.digest());
+      trace.add(machine.isRunning()).add(machine.disk.pendingWrites()).add(machine.disk.digest());
   }
 
   private static String explored(Scenario scenario, int depth) {
     TraceDigest trace = new TraceDigest();
     Exploration.Result result =
-        Exploration.explore(scenario, depth, MOST_STATES, world -> add(trace, world));
+        Exploration.explore(scenario, depth, MAX_STATES, world -> add(trace, world));
     return String.format(
         "%d steps before, depth %d, %d states, %d moves, %s",
         scenario.prefix().size(), result.depth(), result.states(), result.moves(), trace.result());
@@ -38,7 +38,7 @@
     RandomWalk.Result walk = RandomWalk.run(setup, seed, WALK_STEPS);
     List<Step> steps = walk.steps();
     TraceDigest trace = new TraceDigest();
-    World world = World.toPlay(setup, false);
+    CheckedWorld world = CheckedWorld.forReplay(setup, false);
     for (Step step : steps) {
       Replay.apply(world, step);
       trace.add(step.machine()).add(step.amount());
@@ -48,7 +48,11 @@
     add(trace, world);
     return String.format(
         "%d steps, %d done, %d reads, %d generations, %s",
-        steps.size(), walk.done(), walk.reads(), walk.generation(), trace.result());
+        steps.size(),
+        walk.acknowledgedCount(),
+        walk.readCount(),
+        walk.generation(),
+        trace.result());
   }
 
   @Test
@@ -64,7 +68,7 @@
     Assertions.assertEquals(
         "105 steps before, depth 2, 124 states, 201 moves, 27201 "
             + "a7aff74e7a14f85fbec0dc230a0d10e0beba3b54d9706ae2c253cfb8a4363607",
-        explored(Scenario.changeOfMembers(Mutation.NONE), 2));
+        explored(Scenario.membershipChange(Mutation.NONE), 2));
   }
 
   @Test
--- a/emulator/src/test/java/gladelug/emulator/history/LinearizabilityCheckerTest.java
+++ b/emulator/src/test/java/gladelug/emulator/history/LinearizabilityCheckerTest.java
@@ -131,7 +131,7 @@
     fails(
         history()
             .change("op2", "c1", 5, 0, B, UNKNOWN)
-            .refused("op1", "c1", 10, 20, A, Call.ChangeCall.UNTOLD)
+            .refused("op1", "c1", 10, 20, A, Call.ChangeCall.UNKNOWN_VERSION)
             .change("op1", "c2", 10, 0, A, UNKNOWN)
             .read("op2", "c2", 40, 50, 1, "A"),
         Violation.REFUSED_AND_IN_FORCE);
@@ -159,7 +159,7 @@
     fails(
         history()
             .change("op2", "c1", 5, 0, B, UNKNOWN)
-            .refused("op1", "c2", 10, 20, A, Call.ChangeCall.UNTOLD)
+            .refused("op1", "c2", 10, 20, A, Call.ChangeCall.UNKNOWN_VERSION)
             .change("op1", "c1", 30, 40, A, ACKNOWLEDGED),
         Violation.ACKNOWLEDGED_AND_REFUSED);
   }
