--- a/emulator/src/test/java/gladelug/emulator/check/ExplorationTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/ExplorationTest.java
@@ -31,7 +31,10 @@
     noRuleBreaks(Scenario.founding(Mutation.NONE), 5);
   }
 
-  /** Guards against a fleet that never comes to be, or twice, where a founder came back empty. */
+  /**
+   * Guards against a fleet that is never founded, or founded twice, when a founder returns with an
+   * empty disk.
+   */
   @Test
   void noRuleBreaksWhereAFounderComesBackEmpty() {
     noRuleBreaks(Scenario.founderDiskLoss(Mutation.NONE), 5);
--- a/emulator/src/test/java/gladelug/emulator/check/FoundingScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/FoundingScenario.java
@@ -3,16 +3,16 @@
 import java.util.function.Supplier;
 
 /**
- * Short random walks from empty disks, as a scenario for a core with a slip in its bootstrap.
- *
- * <p>The rule broken in the first walk that breaks one, with the steps of all walks up to it.
+ * Short random walks from empty disks, to test a core with an injected fault in its bootstrap.
+ * Returns the rule broken in the first walk that breaks one, with the number of steps of all walks
+ * up to it.
  */
 final class FoundingScenario implements Supplier<String> {
   private static final int MEMBERS = 3;
   private static final int WALKS = 1500;
   private static final int STEPS_PER_WALK = 300;
 
-  /** One seed in so many begins with the founding. */
+  /** Distance between seeds whose walks begin with the founding. */
   private static final int FOUNDING_SEEDS = 4;
 
   @Override
--- a/emulator/src/test/java/gladelug/emulator/check/LateConfirmationScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/LateConfirmationScenario.java
@@ -5,12 +5,9 @@
 import java.util.function.Supplier;
 
 /**
- * A read is asked for after its owner was superseded, and an answer to an earlier round of
- * confirmations arrives then.
- *
- * <p>An owner's round of confirmations is answered and the answers are slow; another member takes
- * over and acknowledges a change; then the former owner is asked for the newest value and the
- * answers come.
+ * An owner's round of confirmations is answered, but the answers are delayed. Another member takes
+ * over and acknowledges a change. Then the former owner is asked for the newest value and the
+ * delayed answers arrive; they must not confirm the read.
  */
 final class LateConfirmationScenario implements Supplier<String> {
   @Override
--- a/emulator/src/test/java/gladelug/emulator/check/MergeScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/MergeScenario.java
@@ -6,11 +6,11 @@
 import java.util.function.Supplier;
 
 /**
- * A change of members is brought to an end by a machine that holds a value nobody else accepted.
+ * A membership change is completed by a machine that holds a value that no other member accepted.
  *
- * <p>A former owner wrote a value to itself alone; another value under the same number was
- * acknowledged by the next owner, and the former one hasn't heard of it when both are sealed. The
- * former one then merges what is kept and tells the next members.
+ * <p>A former owner wrote the value only to itself; the next owner had another value acknowledged
+ * under the same number, and the former owner has not heard of it when both are sealed. The former
+ * owner then merges the stored values and informs the next members.
  */
 final class MergeScenario implements Supplier<String> {
   @Override
--- a/emulator/src/test/java/gladelug/emulator/check/ModelCheckTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/ModelCheckTest.java
@@ -5,13 +5,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of the model checker of the core: no rule breaks in seeded walks, and each rule of the
- * protocol that is switched off is found out.
+ * Tests of the model checker of the core: no rule is broken in seeded walks, and each disabled rule
+ * of the protocol is detected.
  */
 final class ModelCheckTest {
   private static final int STEPS = 6000;
 
-  /** Shorter walks, so that what is found is soon shrunk. */
+  /** Shorter walks, so that counterexamples are shortened quickly. */
   private static final int STEPS_OF_MUTATIONS = 1200;
 
   private static final int MAX_WALKS = 800;
@@ -27,8 +27,8 @@
   }
 
   /**
-   * That some walk breaks the rule that is switched off, and that the steps left still bring it
-   * about. Walks that break another of the rules first count as steps only.
+   * Requires that some walk breaks the rule and that the shortened steps still reproduce it. Walks
+   * that break another rule first are only counted.
    */
   private static void findsMutation(Mutation mutation, Rules.Rule rule) {
     long walked = 0;
--- a/emulator/src/test/java/gladelug/emulator/check/RandomWalkScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/RandomWalkScenario.java
@@ -3,9 +3,8 @@
 import java.util.function.Supplier;
 
 /**
- * Random walks of the model checker as a scenario for a core with a slip in it.
- *
- * <p>The rule broken in the first walk that breaks one, with the steps of all walks up to it.
+ * Random walks of the model checker, to test a core with an injected fault. Returns the rule broken
+ * in the first walk that breaks one, with the number of steps of all walks up to it.
  */
 final class RandomWalkScenario implements Supplier<String> {
   private static final int MEMBERS = 3;
--- a/emulator/src/test/java/gladelug/emulator/check/SameNumberScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/SameNumberScenario.java
@@ -6,9 +6,9 @@
 /**
  * Two owners in turn give the same number to different values, the former without a majority.
  *
- * <p>An owner writes a value to itself alone and is cut off; the next one has another value under
- * the same number acknowledged; a third then takes over with the first one's promise and its own.
- * Each order of three members is played, as the choice between two equals may go by name.
+ * <p>An owner writes a value only to itself and is cut off; the next owner has another value
+ * acknowledged under the same number; a third member then takes over with the promises of the first
+ * and its own. Each order of the three members is played, since a tie may be broken by name.
  */
 final class SameNumberScenario implements Supplier<String> {
   private static final List<List<String>> ORDERS =
--- a/emulator/src/test/java/gladelug/emulator/check/Schedule.java
+++ b/emulator/src/test/java/gladelug/emulator/check/Schedule.java
@@ -8,16 +8,14 @@
 import java.util.function.Predicate;
 
 /**
- * A run of the model checker written by hand: machines are set apart, stand still or are made to
- * serve in a given order, and everything else goes on as on a quiet day.
- *
- * <p>Plays steps in one world; a rule that breaks ends whatever goes on.
+ * A hand-written run of the model checker: machines are isolated, stopped or made owners in a given
+ * order, and everything else proceeds without races. A broken rule ends the run.
  */
 final class Schedule {
   private static final long TICK_MS = 100;
   private static final int MAX_TICKS = 600;
 
-  /** The key that all is about. */
+  /** The key that schedules change. */
   static final String KEY = StateKeys.CONFIGURATION;
 
   final CheckedWorld world;
@@ -35,7 +33,7 @@
     return world.machine(name);
   }
 
-  /** Nothing that it sends arrives, nor anything sent to it. */
+  /** Cuts a machine off in both directions. */
   void isolate(String machine) {
     isolated.add(machine);
   }
@@ -44,17 +42,17 @@
     isolated.remove(machine);
   }
 
-  /** Its timers don't fire and its clock stands; messages still arrive. */
+  /** Stops a machine's timers and clock; messages still arrive. */
   void stopMachine(String machine) {
     stoppedMachines.add(machine);
   }
 
-  /** Messages like these are lost from now on. */
+  /** Drops matching messages from now on. */
   void loseMessages(Predicate<InFlightMessage> messages) {
     isLostMessage = messages;
   }
 
-  /** Messages like these stay in flight from now on. */
+  /** Keeps matching messages in flight from now on. */
   void delayMessages(Predicate<InFlightMessage> messages) {
     isDelayed = messages;
   }
@@ -66,7 +64,7 @@
     return done;
   }
 
-  /** Only this one tries for keys; runs until it serves all of them. */
+  /** Lets only this machine try for keys, and runs until it serves all of them. */
   void makeOwner(String owner) {
     for (CheckedMachine machine : world.machines())
       if (!isolated.contains(machine.name))
@@ -74,30 +72,30 @@
     runUntil(() -> world.setup.keys().stream().allMatch(key -> machine(owner).node.owns(key)));
   }
 
-  /** A new value is sent to a machine, whatever comes of it. */
+  /** Sends a new value to a machine, whatever the answer. */
   void propose(String machine) {
     apply(Step.key(Step.Kind.PROPOSE, machine, KEY, 0));
     deliverAll();
   }
 
-  /** A new value is acknowledged there. */
+  /** Sends a new value to a machine and runs until it is acknowledged. */
   void acknowledgeChange(String machine) {
     int acknowledgedBefore = world.operators.acknowledgedCount();
     propose(machine);
     runUntil(() -> world.operators.acknowledgedCount() > acknowledgedBefore);
   }
 
-  /** Time passes until this holds. */
+  /** Runs until the condition holds. */
   void runUntil(BooleanSupplier condition) {
     for (int i = 0; i < MAX_TICKS && world.rules.brokenRule() == null; i++) {
       if (condition.getAsBoolean()) return;
       tick();
     }
     if (world.rules.brokenRule() == null)
-      throw new IllegalStateException("the schedule comes to nothing after " + steps + " steps");
+      throw new IllegalStateException("the condition did not hold after " + steps + " steps");
   }
 
-  /** Each machine's timers fire once. */
+  /** Fires the timers of each machine once. */
   void tick() {
     for (CheckedMachine machine : world.machines())
       if (!stoppedMachines.contains(machine.name))
@@ -105,7 +103,7 @@
     deliverAll();
   }
 
-  /** Until all that may arrive has arrived and is durable. */
+  /** Runs until everything that may arrive has arrived and is durable. */
   void deliverAll() {
     boolean idle = false;
     while (!idle && world.rules.brokenRule() == null) {
@@ -129,7 +127,7 @@
         || isLostMessage.test(message);
   }
 
-  /** All machines run and reach each other to the end; the rule broken, or nothing. */
+  /** Lets all machines run and reach each other; returns the broken rule, or an empty string. */
   String finish() {
     isolated.clear();
     stoppedMachines.clear();
--- a/emulator/src/test/java/gladelug/emulator/check/TraceDigestTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/TraceDigestTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The digests stand for the behaviour before the renamings; a difference means behaviour changed. A
- * commit that changes behaviour on purpose says so and gives the new digest. They cover the bytes
- * of every message in flight and on every disk after every step, and how many states and moves were
- * explored; no name of the code.
+ * Tests that behaviour is unchanged: a different digest means that behaviour changed. A commit that
+ * changes behaviour on purpose says so and gives the new digest. The digests cover the bytes of
+ * every message in flight and on every disk after every step, and the numbers of states and moves
+ * explored, but no names of the code.
  */
 final class TraceDigestTest {
   private static final long MAX_STATES = 200_000;
--- a/emulator/src/test/java/gladelug/emulator/history/LinearizabilityCheckerTest.java
+++ b/emulator/src/test/java/gladelug/emulator/history/LinearizabilityCheckerTest.java
@@ -17,11 +17,11 @@
     return new History.Builder();
   }
 
-  private static void holds(History.Builder history) {
+  private static void assertLinearizable(History.Builder history) {
     Counterexample.of(history.build()).ifPresent(x -> Assertions.fail(x.timeline()));
   }
 
-  private static Counterexample fails(History.Builder history, Violation violation) {
+  private static Counterexample assertViolates(History.Builder history, Violation violation) {
     Counterexample found = Counterexample.of(history.build()).orElseThrow();
     Assertions.assertEquals(violation, found.violation(), found.timeline());
     return found;
@@ -29,7 +29,7 @@
 
   @Test
   void changesOneAfterTheOtherAreReadBack() {
-    holds(
+    assertLinearizable(
         history()
             .read("op1", "c1", 0, 5, 0, "")
             .change("op1", "c1", 10, 20, A, ACKNOWLEDGED)
@@ -40,7 +40,7 @@
 
   @Test
   void ofTwoChangesAtOnceOneIsRefused() {
-    holds(
+    assertLinearizable(
         history()
             .change("op1", "c1", 10, 20, A, ACKNOWLEDGED)
             .refused("op2", "c2", 10, 30, B, 1)
@@ -49,12 +49,12 @@
 
   @Test
   void aChangeWithoutAnAnswerMayTakeEffectLateOrNever() {
-    holds(
+    assertLinearizable(
         history()
             .change("op1", "c1", 10, 0, A, UNKNOWN)
             .read("op2", "c2", 100, 110, 0, "")
             .read("op2", "c2", 200, 210, 1, "A"));
-    holds(
+    assertLinearizable(
         history()
             .change("op1", "c1", 10, 0, A, UNKNOWN)
             .change("op2", "c2", 100, 110, B, ACKNOWLEDGED)
@@ -63,7 +63,7 @@
 
   @Test
   void anAcknowledgedChangeIsAcknowledgedAgainAlsoOnceReplaced() {
-    holds(
+    assertLinearizable(
         history()
             .change("op1", "c1", 10, 0, A, UNKNOWN)
             .change("op1", "c2", 1010, 1020, A, ACKNOWLEDGED)
@@ -74,12 +74,12 @@
 
   @Test
   void aReadDuringAChangeShowsEither() {
-    holds(
+    assertLinearizable(
         history()
             .change("op1", "c1", 10, 100, A, ACKNOWLEDGED)
             .read("op2", "c2", 20, 30, 0, "")
             .read("op2", "c2", 40, 50, 1, "A"));
-    fails(
+    assertViolates(
         history()
             .change("op1", "c1", 10, 100, A, ACKNOWLEDGED)
             .read("op2", "c2", 20, 30, 1, "A")
@@ -90,7 +90,7 @@
   @Test
   void twoChangesConfirmedOnOneVersionAreFound() {
     Counterexample found =
-        fails(
+        assertViolates(
             history()
                 .change("op1", "c1", 10, 20, A, ACKNOWLEDGED)
                 .change("op2", "c2", 10, 30, B, ACKNOWLEDGED)
@@ -107,7 +107,7 @@
 
   @Test
   void anAcknowledgedChangeThatIsMissingLaterIsFound() {
-    fails(
+    assertViolates(
         history()
             .change("op2", "c2", 5, 0, B, UNKNOWN)
             .change("op1", "c1", 10, 20, A, ACKNOWLEDGED)
@@ -118,7 +118,7 @@
   @Test
   void anAcknowledgedChangeReplacedWithoutBeingTheBaseIsFound() {
     Change other = new Change("D", 0, 2);
-    fails(
+    assertViolates(
         history()
             .change("op2", "c2", 5, 0, other, UNKNOWN)
             .change("op1", "c1", 10, 20, A, ACKNOWLEDGED)
@@ -128,7 +128,7 @@
 
   @Test
   void aRefusedChangeInForceIsFound() {
-    fails(
+    assertViolates(
         history()
             .change("op2", "c1", 5, 0, B, UNKNOWN)
             .refused("op1", "c1", 10, 20, A, Call.ChangeCall.UNKNOWN_VERSION)
@@ -139,14 +139,14 @@
 
   @Test
   void aChangeNotTakenByItsOnlyCallIsNotInForce() {
-    fails(
+    assertViolates(
         history().change("op1", "c1", 10, 20, A, NOT_TAKEN).read("op2", "c2", 40, 50, 1, "A"),
         Violation.OTHER);
   }
 
   @Test
   void anAcknowledgedChangeRefusedWhenSentAgainIsFound() {
-    fails(
+    assertViolates(
         history()
             .change("op1", "c1", 10, 20, A, ACKNOWLEDGED)
             .change("op2", "c1", 30, 40, C, ACKNOWLEDGED)
@@ -156,7 +156,7 @@
 
   @Test
   void aRefusalBeforeTheAcknowledgementOfTheSameChangeIsFound() {
-    fails(
+    assertViolates(
         history()
             .change("op2", "c1", 5, 0, B, UNKNOWN)
             .refused("op1", "c2", 10, 20, A, Call.ChangeCall.UNKNOWN_VERSION)
@@ -166,14 +166,14 @@
 
   @Test
   void aStaleReadIsFound() {
-    fails(
+    assertViolates(
         history().change("op1", "c1", 10, 20, A, ACKNOWLEDGED).read("op2", "c2", 30, 40, 0, ""),
         Violation.STALE_READ);
   }
 
   @Test
   void aRefusalWhileItsBaseIsCurrentIsFound() {
-    fails(
+    assertViolates(
         history().change("op1", "c1", 10, 20, A, ACKNOWLEDGED).refused("op2", "c2", 30, 40, C, 0),
         Violation.REFUSED_WITHOUT_REASON);
   }
@@ -181,7 +181,7 @@
   @Test
   void aRefusalThatNamesAnOutdatedVersionIsFound() {
     Change late = new Change("D", 5, 6);
-    fails(
+    assertViolates(
         history()
             .change("op1", "c1", 10, 20, A, ACKNOWLEDGED)
             .change("op1", "c1", 30, 40, C, ACKNOWLEDGED)
@@ -191,12 +191,15 @@
 
   @Test
   void aChangeMayNotTakeEffectBeforeItWasSent() {
-    fails(
+    assertViolates(
         history().read("op2", "c2", 10, 20, 1, "A").change("op1", "c1", 30, 40, A, ACKNOWLEDGED),
         Violation.OTHER);
   }
 
-  /** Eight at once and hundreds in a row, half of them without an answer, is judged at once. */
+  /**
+   * Guards the search time: eight concurrent changes for each of hundreds of versions, half of the
+   * versions without an answer.
+   */
   @Test
   void hundredsOfChangesEightAtOnceAreJudged() {
     History.Builder history = history();
@@ -210,7 +213,7 @@
         else history.change("op" + operator, "c1", at, 0, change, UNKNOWN);
       }
     }
-    holds(history.read("op1", "c1", 50_000, 50_010, 400, "399/3"));
-    fails(history.read("op2", "c1", 50_020, 50_030, 399, "398/6"), Violation.STALE_READ);
+    assertLinearizable(history.read("op1", "c1", 50_000, 50_010, 400, "399/3"));
+    assertViolates(history.read("op2", "c1", 50_020, 50_030, 399, "398/6"), Violation.STALE_READ);
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/BrokenRulesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/BrokenRulesTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that histories show when a rule of the core is broken: each rule is switched off under the
- * troubles that need it, and seeds are tried until the checker objects.
+ * Tests that the linearizability check detects a disabled rule of the core: each rule is disabled
+ * under faults that make it matter, and seeds are tried until a history is contradictory.
  */
 final class BrokenRulesTest {
   private static final int SEEDS = 60;
@@ -17,13 +17,16 @@
     return new Plan(seed % 2 == 0, 3, 2, 3, 900, 0, 25, List.of(kinds), 1200);
   }
 
-  /** The first seed whose history contradicts itself; the rule kept, the same run does not. */
-  private static void isNoticed(BrokenRule rule, FaultKind... kinds) {
+  /**
+   * Finds a seed whose history is contradictory, and requires that the same run is correct with the
+   * rule enabled.
+   */
+  private static void assertDetected(BrokenRule rule, FaultKind... kinds) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       OperatorsRun run = OperatorsRun.play(seed, plan(seed, kinds), rule);
       if (Counterexample.of(run.history()).isEmpty()) continue;
-      OperatorsRun kept = OperatorsRun.play(seed, plan(seed, kinds), BrokenRule.NONE);
-      Assertions.assertEquals(List.of(), kept.findings(), kept::report);
+      OperatorsRun correctRun = OperatorsRun.play(seed, plan(seed, kinds), BrokenRule.NONE);
+      Assertions.assertEquals(List.of(), correctRun.findings(), correctRun::report);
       return;
     }
     Assertions.fail(rule + " is broken and no history of " + SEEDS + " seeds shows it");
@@ -31,13 +34,13 @@
 
   @Test
   void keysOwnedWithoutAMajorityOfPromisesAreNoticed() {
-    isNoticed(
+    assertDetected(
         BrokenRule.PROMISES_OF_A_MAJORITY, FaultKind.SPLIT, FaultKind.ONE_WAY_CUT, FaultKind.KILL);
   }
 
   @Test
   void acknowledgementsBeforeAMajorityHasWrittenAreNoticed() {
-    isNoticed(
+    assertDetected(
         BrokenRule.WRITES_OF_A_MAJORITY,
         FaultKind.SHORT_CUT,
         FaultKind.ONE_WAY_CUT,
@@ -48,7 +51,7 @@
 
   @Test
   void readsAndRefusalsWithoutAConfirmedRoundAreNoticed() {
-    isNoticed(
+    assertDetected(
         BrokenRule.CONFIRMATIONS_OF_A_MAJORITY,
         FaultKind.FREEZE,
         FaultKind.SHORT_CUT,
@@ -57,7 +60,7 @@
 
   @Test
   void answersBeforeTheDiskHasThemAreNoticed() {
-    isNoticed(
+    assertDetected(
         BrokenRule.DURABLE_BEFORE_ANSWERED,
         FaultKind.DISK_SLOW,
         FaultKind.DISK_STALL,
@@ -67,7 +70,7 @@
 
   @Test
   void takenChangesThatAreForgottenAreNoticed() {
-    isNoticed(
+    assertDetected(
         BrokenRule.TAKEN_CHANGES_REMEMBERED,
         FaultKind.SHORT_CUT,
         FaultKind.ONE_WAY_CUT,
@@ -77,7 +80,7 @@
 
   @Test
   void aLostDiskThatCountsAsTheSameIsNoticed() {
-    isNoticed(
+    assertDetected(
         BrokenRule.EMPTY_DISK_IS_ANOTHER,
         FaultKind.WIPE_AFTER_ACKNOWLEDGEMENT,
         FaultKind.SHORT_CUT,
--- a/emulator/src/test/java/gladelug/emulator/sim/CoreTimes.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/CoreTimes.java
@@ -2,10 +2,10 @@
 
 import gladelug.control.core.QuorumConfig;
 
-/** The core's times as the platform has them. */
+/** The core's timing parameters as the platform sets them. */
 final class CoreTimes {
-  /** How often a relay asks, ms. */
-  static final int ASK = 800;
+  /** Interval at which a relay renews its subscription, in ms. */
+  static final int SUBSCRIPTION_INTERVAL_MS = 800;
 
   static final QuorumConfig PLATFORM =
       QuorumConfig.builder()
@@ -14,7 +14,7 @@
           .heartbeatMs(200)
           .peerTimeoutMs(900)
           .confirmIntervalMs(300)
-          .subscriberContactMs(2 * ASK + 400)
+          .subscriberContactMs(2 * SUBSCRIPTION_INTERVAL_MS + 400)
           .acknowledgementTimeoutMs(1500)
           .changeTimeoutMs(3000)
           .commandLeaseMs(1000)
--- a/emulator/src/test/java/gladelug/emulator/sim/CutOffMemberStoriesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/CutOffMemberScenariosTest.java
@@ -3,19 +3,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stories of members cut off from the others for some twenty seconds while operators still reach
- * them: they neither confirm nor refuse nor show anything, and show the newest once they are back.
- * Where nothing else is said the owner of the configuration is c3.
+ * Scenarios of members cut off from the others for about twenty seconds while operators still reach
+ * them: they neither confirm, refuse nor return anything, and return the newest value once they are
+ * back. Unless stated otherwise the owner of the configuration is c3.
  */
-final class CutOffMemberStoriesTest {
+final class CutOffMemberScenariosTest {
   /**
-   * The cut comes from before the change is sent to long after it was acknowledged. The member is
-   * read again once it has had the time to take its key back.
+   * Starts the cut at any time from before the change is sent to long after it was acknowledged.
+   * The member is read again once it has had time to take its key back.
    */
   private static void cutAroundAChange(String cut) {
-    for (int moment = 4900; moment <= 5400; moment += 25)
-      Story.play(
-          moment / 25,
+    for (int momentMs = 4900; momentMs <= 5400; momentMs += 25)
+      OperatorScenario.play(
+          momentMs / 25,
           3,
           """
           t     | c3   | calls
@@ -34,7 +34,7 @@
           31000 | .    | read at c3
           32100 | .    | saw 3 D, E on 3 at c3
           33200 | .    | E acknowledged"""
-              .formatted(moment, cut));
+              .formatted(momentMs, cut));
   }
 
   @Test
@@ -52,10 +52,10 @@
     cutAroundAChange("cut-in");
   }
 
-  /** A link that comes and goes for twenty seconds; changes and reads go on at all members. */
+  /** Links of the owner flap for twenty seconds while changes and reads continue at all members. */
   @Test
   void anOwnerWhoseLinksFlapShowsNothingOld() {
-    for (int period = 150; period <= 2000; period += 50) {
+    for (int periodMs = 150; periodMs <= 2000; periodMs += 50) {
       StringBuilder text =
           new StringBuilder(
               """
@@ -63,13 +63,15 @@
               4000  | .  | A on 0 at c1
               4800  | .  | A acknowledged, series 40 at c1
               """);
-      for (int at = 5000; at < 25_000; at += period)
+      for (int atMs = 5000; atMs < 25_000; atMs += periodMs)
         text.append(
             "%d | %s | read at c%d%n"
                 .formatted(
-                    at, (at - 5000) / period % 2 == 0 ? "cut" : "heal", 1 + at / period % 3));
+                    atMs,
+                    (atMs - 5000) / periodMs % 2 == 0 ? "cut" : "heal",
+                    1 + atMs / periodMs % 3));
       text.append("25001 | heal | .\n40000 | . | series over, read at c3\n");
-      Story.play(period / 50, 3, text.toString());
+      OperatorScenario.play(periodMs / 50, 3, text.toString());
     }
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/ManyChangesStoriesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/ManyChangesScenariosTest.java
@@ -3,19 +3,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stories of members that come back after hundreds of changes: they show nothing old, count within
- * two seconds, and carry what was acknowledged when others go next. The owner of the configuration
- * is c3.
+ * Scenarios of members that return after hundreds of changes: they return nothing old, count as
+ * caught up within two seconds, and hold everything acknowledged when other members are lost next.
+ * The owner of the configuration is c3.
  */
-final class ManyChangesStoriesTest {
+final class ManyChangesScenariosTest {
   private static final int CHANGES = 400;
 
-  /** It is read from its start on in small steps. */
+  /** The member is read in small steps from its start on. */
   @Test
   void aRestartedMemberCountsWithinTwoSecondsAndShowsNothingOld() {
-    for (int after = 0; after <= 2000; after += 200)
-      Story.play(
-          after / 200,
+    for (int delayMs = 0; delayMs <= 2000; delayMs += 200)
+      OperatorScenario.play(
+          delayMs / 200,
           3,
           """
           t     | c2    | calls
@@ -25,15 +25,15 @@
           70000 | up    | .
           %d    | .     | read at c2
           72000 | .     | newest at c2"""
-              .formatted(CHANGES, 70_000 + after));
+              .formatted(CHANGES, 70_000 + delayMs));
   }
 
-  /** The first to lead comes back, and one that has all is lost from 0 to 4 s later. */
+  /** The first owner returns, and a member that has all changes is lost from 0 to 4 s later. */
   @Test
-  void aRestartedLeaderHasAllThoughAnotherIsLostNext() {
-    for (int after = 0; after <= 4000; after += 400)
-      Story.play(
-          after / 400,
+  void aRestartedOwnerHasAllChangesThoughAnotherMemberIsLostNext() {
+    for (int delayMs = 0; delayMs <= 4000; delayMs += 400)
+      OperatorScenario.play(
+          delayMs / 400,
           3,
           """
           t     | c1    | c3    | calls
@@ -44,15 +44,17 @@
           70500 | .     | .     | read at c3
           78000 | .     | .     | Z on %d at c3
           79100 | .     | .     | Z acknowledged, read at c2, newest at c3"""
-              .formatted(CHANGES, 70_000 + after, CHANGES));
+              .formatted(CHANGES, 70_000 + delayMs, CHANGES));
   }
 
-  /** Its disk is gone; it is let in again with everything before another is lost. */
+  /**
+   * The disk is lost; the member is admitted again with everything before another member is lost.
+   */
   @Test
   void aMemberBackEmptyCarriesAllWhenAnotherIsLost() {
-    for (int after = 4000; after <= 8000; after += 800)
-      Story.play(
-          after / 800,
+    for (int delayMs = 4000; delayMs <= 8000; delayMs += 800)
+      OperatorScenario.play(
+          delayMs / 800,
           3,
           """
           t     | c1    | c2    | calls
@@ -62,15 +64,15 @@
           %d    | power | .     | .
           82000 | .     | .     | Z on %d at c2
           83100 | .     | .     | Z acknowledged, read at c3, newest at c2"""
-              .formatted(CHANGES, 70_000 + after, CHANGES));
+              .formatted(CHANGES, 70_000 + delayMs, CHANGES));
   }
 
-  /** All lose power right after the last of them, or up to 400 ms later. */
+  /** All members lose power right after the last change, or up to 400 ms later. */
   @Test
-  void allOfThemLastThroughALossOfPowerOfAll() {
-    for (int after = 0; after <= 400; after += 40)
-      Story.play(
-          after / 40,
+  void allChangesSurviveAPowerLossOfAllMembers() {
+    for (int delayMs = 0; delayMs <= 400; delayMs += 40)
+      OperatorScenario.play(
+          delayMs / 40,
           3,
           """
           t     | c1    | c2    | c3    | calls
@@ -80,6 +82,6 @@
           72000 | up    | up    | up    | .
           78000 | .     | .     | .     | Z on %d at c3
           79100 | .     | .     | .     | Z acknowledged, read at c1"""
-              .formatted(CHANGES, CHANGES, 70_000 + after, CHANGES));
+              .formatted(CHANGES, CHANGES, 70_000 + delayMs, CHANGES));
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/ManyChangesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/ManyChangesTest.java
@@ -8,16 +8,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Hundreds of changes by eight callers at once, each answer lost one time in four, while owners are
- * killed, lose power or are cut off (then over connections that hang as TCP's do): exactly one
- * change is confirmed under each version, and none is refused that was ever acknowledged.
+ * Hundreds of changes by eight concurrent callers that lose one answer in four, while owners are
+ * killed, lose power or are cut off (in that case over connections that stall as TCP connections
+ * do). Exactly one change is confirmed under each version, and none is refused that was ever
+ * acknowledged.
  */
 final class ManyChangesTest {
   private static final int CALLERS = 8;
   private static final double LOST_ANSWERS = 0.25;
-  private static final long START_MS = 3000, STEP_MS = 250, LONGEST_MS = 600_000;
+  private static final long START_MS = 3000, STEP_MS = 250, MAX_RUN_MS = 600_000;
 
-  private enum Trouble {
+  private enum OwnerOutage {
     NONE,
     KILL,
     POWER,
@@ -31,8 +32,8 @@
     return sim;
   }
 
-  private static void strike(Simulation sim, Trouble trouble, String owner) {
-    switch (trouble) {
+  private static void injectOutage(Simulation sim, OwnerOutage outage, String owner) {
+    switch (outage) {
       case KILL -> sim.controls.get(owner).kill();
       case POWER -> sim.controls.get(owner).cutPower();
       case CUT -> sim.cutOff(owner);
@@ -42,45 +43,46 @@
     }
   }
 
-  private static void mend(Simulation sim) {
+  private static void repairAll(Simulation sim) {
     sim.healAll();
     for (SimControlMachine control : sim.controls.values()) if (!control.up) control.start();
   }
 
-  private static void finish(Simulation sim, OperatorCallers callers, String story) {
-    mend(sim);
+  private static void finish(Simulation sim, OperatorCallers callers, String label) {
+    repairAll(sim);
     callers.end();
-    for (long ms = 0; ms < LONGEST_MS && !callers.idle(); ms += STEP_MS) sim.run(STEP_MS);
-    Assertions.assertTrue(callers.idle(), story + ": an order never got a clear answer");
-    callers.judge();
-    List<String> told = sim.eventLog;
+    for (long ms = 0; ms < MAX_RUN_MS && !callers.isIdle(); ms += STEP_MS) sim.run(STEP_MS);
+    Assertions.assertTrue(callers.isIdle(), label + ": an order never got a clear answer");
+    callers.checkAnswers();
+    List<String> log = sim.eventLog;
     Assertions.assertEquals(
         List.of(),
         sim.violations,
         () ->
-            story
+            label
                 + "\n"
-                + String.join("\n", told.subList(Math.max(0, told.size() - 60), told.size())));
+                + String.join("\n", log.subList(Math.max(0, log.size() - 60), log.size())));
   }
 
-  /** Until as many orders are acknowledged, the owner is struck again and again, and mended. */
-  private static void day(long seed, QuorumConfig tunables, Trouble trouble, int changes) {
-    Simulation sim = started(seed, tunables, trouble == Trouble.CUT);
+  /** Injects and repairs outages of the owner until the given number of changes is acknowledged. */
+  private static void runChanges(
+      long seed, QuorumConfig tunables, OwnerOutage outage, int changes) {
+    Simulation sim = started(seed, tunables, outage == OwnerOutage.CUT);
     Random random = new Random(seed);
     OperatorCallers callers = new OperatorCallers(sim, seed, LOST_ANSWERS);
     callers.start(CALLERS);
-    while (callers.acknowledged() < changes && sim.nowMs() < LONGEST_MS) {
+    while (callers.acknowledgedCount() < changes && sim.nowMs() < MAX_RUN_MS) {
       sim.run(random.nextInt(3000));
       String owner = sim.ownersOf(StateKeys.CONFIGURATION);
-      if (trouble == Trouble.NONE || !sim.controls.containsKey(owner)) continue;
-      strike(sim, trouble, owner);
+      if (outage == OwnerOutage.NONE || !sim.controls.containsKey(owner)) continue;
+      injectOutage(sim, outage, owner);
       sim.run(500 + random.nextInt(3000));
-      mend(sim);
+      repairAll(sim);
     }
     Assertions.assertTrue(
-        callers.acknowledged() >= changes,
-        () -> trouble + " " + seed + ": only " + callers.acknowledged() + " in " + sim.nowMs());
-    finish(sim, callers, trouble + " seed " + seed);
+        callers.acknowledgedCount() >= changes,
+        () -> outage + " " + seed + ": only " + callers.acknowledgedCount() + " in " + sim.nowMs());
+    finish(sim, callers, outage + " seed " + seed);
   }
 
   private static final QuorumConfig CONTACT =
@@ -91,32 +93,33 @@
 
   @Test
   void changesOnACalmDay() {
-    day(1, CONTACT, Trouble.NONE, 100);
+    runChanges(1, CONTACT, OwnerOutage.NONE, 100);
   }
 
   @Test
   void fourHundredChangesWhileOwnersAreKilled() {
-    day(2, CONTACT, Trouble.KILL, 400);
+    runChanges(2, CONTACT, OwnerOutage.KILL, 400);
   }
 
   @Test
   void changesWhileOwnersLosePowerOrAreCutOff() {
-    day(3, CONTACT, Trouble.POWER, 100);
-    day(4, CONTACT, Trouble.CUT, 100);
-    day(5, QuorumConfig.DEFAULT, Trouble.CUT, 60);
+    runChanges(3, CONTACT, OwnerOutage.POWER, 100);
+    runChanges(4, CONTACT, OwnerOutage.CUT, 100);
+    runChanges(5, QuorumConfig.DEFAULT, OwnerOutage.CUT, 60);
   }
 
   @Test
   void theOwnerStruckAtAnyMomentOfAChange() {
-    for (Trouble trouble : new Trouble[] {Trouble.KILL, Trouble.POWER, Trouble.CUT})
+    for (OwnerOutage outage :
+        new OwnerOutage[] {OwnerOutage.KILL, OwnerOutage.POWER, OwnerOutage.CUT})
       for (int ms = 0; ms < 60; ms += 3) {
-        Simulation sim = started(100 + ms, CONTACT, trouble == Trouble.CUT);
+        Simulation sim = started(100 + ms, CONTACT, outage == OwnerOutage.CUT);
         OperatorCallers callers = new OperatorCallers(sim, ms, LOST_ANSWERS);
         callers.start(CALLERS);
         sim.run(ms);
-        strike(sim, trouble, sim.ownersOf(StateKeys.CONFIGURATION));
+        injectOutage(sim, outage, sim.ownersOf(StateKeys.CONFIGURATION));
         sim.run(2500);
-        finish(sim, callers, trouble + " after " + ms + " ms");
+        finish(sim, callers, outage + " after " + ms + " ms");
       }
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/MembersTimelineTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/MembersTimelineTest.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests of cores of other sizes that grow, replace and read without an operator, as timelines. */
+/**
+ * Tests, as timelines, of cores of other sizes that grow and replace members without an operator.
+ */
 final class MembersTimelineTest {
   private static final QuorumConfig HEALING =
       QuorumConfig.builder()
@@ -19,9 +21,9 @@
           .commandHandoverGapMs(2500)
           .build();
 
-  private static void play(int machines, int founding, QuorumConfig t, String text) {
+  private static void play(int machines, int founding, QuorumConfig config, String text) {
     for (long seed = 1; seed <= 8; seed++) {
-      Simulation world = new Simulation(seed, 2, machines, founding, t);
+      Simulation world = new Simulation(seed, 2, machines, founding, config);
       Timeline.play(world, text);
       if (!world.violations.isEmpty())
         throw new AssertionError(
@@ -33,17 +35,17 @@
   void anyNumberFoundsAndServes() {
     QuorumConfig still = HEALING.with().targetMembers(1).build();
     String[] names = {"c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9"};
-    for (int n = 1; n <= 9; n++)
+    for (int count = 1; count <= 9; count++)
       play(
-          n,
-          n,
+          count,
+          count,
           still,
           """
             t     | op
             4000  | members %s, generation 1, send c1
             5000  | last acknowledged, serve, read c%d
             5500  | reads 1, well"""
-              .formatted(String.join(" ", List.of(names).subList(0, n)), n));
+              .formatted(String.join(" ", List.of(names).subList(0, count)), count));
   }
 
   @Test
@@ -120,7 +122,7 @@
   }
 
   @Test
-  void inContactNobodyWaitsForTheLeaseOfARelayThatDied() {
+  void inContactModeNobodyWaitsForTheLeaseOfADeadRelay() {
     play(
         3,
         3,
--- a/emulator/src/test/java/gladelug/emulator/sim/OperatorCallers.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/OperatorCallers.java
@@ -15,37 +15,37 @@
 import java.util.function.Consumer;
 
 /**
- * Operators in the simulator: several callers, each with one order under way, whose answers may be
- * lost and who then send the same order again to any member. The member's side does what the
- * platform's listener does. A ledger holds all that was answered, lost answers too.
+ * Simulated operators: several callers, each with one change in progress, whose answers may be lost
+ * and who then send the same change again to any member. The member's side behaves like the
+ * platform's operator endpoint. All answers are recorded, including lost ones.
  */
 final class OperatorCallers {
   private static final String KEY = StateKeys.CONFIGURATION;
   private static final int ROUNDS = 4, ROUTES = 200;
-  private static final long SILENCE_MS = 1000, PAUSE_MS = 30, ANSWER_MS = 2;
+  private static final long ANSWER_TIMEOUT_MS = 1000, PAUSE_MS = 30, ANSWER_MS = 2;
 
-  /** What a caller is answered. */
+  /** The answer to a caller. */
   enum Answer {
     TAKEN,
     REFUSED,
     NOT_CLEAR
   }
 
-  /** A whole configuration with the operators' own version, on another version. */
-  static final class Order {
+  /** A complete configuration with the operators' own revision, based on another revision. */
+  static final class PendingChange {
     final int caller;
     final long revision;
-    final long builtOn;
+    final long baseRevision;
     final byte[] body;
     final String digest;
     boolean acknowledged;
     boolean refused;
-    int sendings;
+    int sendCount;
 
-    Order(int caller, long revision, long builtOn) {
+    PendingChange(int caller, long revision, long builtOn) {
       this.caller = caller;
       this.revision = revision;
-      this.builtOn = builtOn;
+      this.baseRevision = builtOn;
       StringBuilder text = new StringBuilder(revision + "\nby caller " + caller + "\n");
       for (int i = 0; i < ROUTES; i++)
         text.append("route ")
@@ -59,170 +59,183 @@
 
     @Override
     public String toString() {
-      return revision + " on " + builtOn + " by caller " + caller;
+      return revision + " on " + baseRevision + " by caller " + caller;
     }
   }
 
   private final Simulation sim;
   private final Random random;
-  private final double lostAnswers;
-  final List<Order> orders = new ArrayList<>();
+  private final double answerLossRate;
+  final List<PendingChange> changes = new ArrayList<>();
   private boolean ended;
-  private int busy;
+  private int busyCount;
 
-  OperatorCallers(Simulation sim, long seed, double lostAnswers) {
+  OperatorCallers(Simulation sim, long seed, double answerLossRate) {
     this.sim = sim;
     this.random = new Random(seed);
-    this.lostAnswers = lostAnswers;
+    this.answerLossRate = answerLossRate;
   }
 
   void start(int callers) {
-    for (int caller = 0; caller < callers; caller++) look(caller);
+    for (int caller = 0; caller < callers; caller++) readAndSend(caller);
   }
 
-  /** No new orders; those under way go on until they have a clear answer. */
+  /** Starts no new changes; those in progress continue until they have a clear answer. */
   void end() {
     ended = true;
   }
 
-  boolean idle() {
-    return busy == 0;
+  boolean isIdle() {
+    return busyCount == 0;
   }
 
-  long acknowledged() {
-    return orders.stream().filter(order -> order.acknowledged).count();
+  long acknowledgedCount() {
+    return changes.stream().filter(change -> change.acknowledged).count();
   }
 
   // ---- a caller
 
-  private SimControlMachine anyDoor() {
+  private SimControlMachine anyMember() {
     List<String> names = sim.controlNames();
     return sim.controls.get(names.get(random.nextInt(names.size())));
   }
 
-  private static long revision(ReadResult newest) {
+  private static long revisionOf(ReadResult newest) {
     if (newest.number() == 0) return 0;
     String text = new String(newest.body(), StandardCharsets.UTF_8);
     return Long.parseLong(text.substring(0, text.indexOf('\n')));
   }
 
-  /** Reads the newest version, then makes an order on it. */
-  private void look(int caller) {
+  /** Reads the newest revision, then sends a change based on it. */
+  private void readAndSend(int caller) {
     if (ended) return;
-    boolean[] once = {false};
-    SimControlMachine door = anyDoor();
-    door.run(
+    boolean[] done = {false};
+    SimControlMachine member = anyMember();
+    member.run(
         () ->
-            door.node.readNewest(
+            member.node.readNewest(
                 KEY,
                 newest -> {
-                  if (!newest.hasOwner() || once[0] || ended) return;
-                  once[0] = true;
-                  long current = revision(newest);
-                  Order order = new Order(caller, current + 1 + random.nextInt(3), current);
-                  orders.add(order);
-                  busy++;
-                  send(order);
+                  if (!newest.hasOwner() || done[0] || ended) return;
+                  done[0] = true;
+                  long current = revisionOf(newest);
+                  PendingChange change =
+                      new PendingChange(caller, current + 1 + random.nextInt(3), current);
+                  changes.add(change);
+                  busyCount++;
+                  send(change);
                 }));
     sim.after(
-        SILENCE_MS,
+        ANSWER_TIMEOUT_MS,
         () -> {
-          if (!once[0]) {
-            once[0] = true;
-            look(caller);
+          if (!done[0]) {
+            done[0] = true;
+            readAndSend(caller);
           }
         });
   }
 
-  private void send(Order order) {
-    order.sendings++;
-    boolean[] over = {false};
-    Consumer<Answer> heard =
+  private void send(PendingChange change) {
+    change.sendCount++;
+    boolean[] finished = {false};
+    Consumer<Answer> onAnswer =
         answer -> {
-          if (over[0]) return;
-          over[0] = true;
-          if (answer == Answer.NOT_CLEAR) sim.after(PAUSE_MS, () -> send(order));
+          if (finished[0]) return;
+          finished[0] = true;
+          if (answer == Answer.NOT_CLEAR) sim.after(PAUSE_MS, () -> send(change));
           else {
-            busy--;
-            sim.after(PAUSE_MS, () -> look(order.caller));
+            busyCount--;
+            sim.after(PAUSE_MS, () -> readAndSend(change.caller));
           }
         };
-    SimControlMachine door = anyDoor();
-    door.run(() -> put(door, order, ROUNDS, answer -> answered(door, order, answer, heard)));
-    sim.after(SILENCE_MS, () -> heard.accept(Answer.NOT_CLEAR));
+    SimControlMachine member = anyMember();
+    member.run(
+        () ->
+            propose(
+                member, change, ROUNDS, answer -> recordAnswer(member, change, answer, onAnswer)));
+    sim.after(ANSWER_TIMEOUT_MS, () -> onAnswer.accept(Answer.NOT_CLEAR));
   }
 
-  private void answered(
-      SimControlMachine door, Order order, Answer answer, Consumer<Answer> heard) {
-    if (answer != Answer.NOT_CLEAR) sim.log("op", order + " by " + door.name + ": " + answer);
-    if (answer == Answer.TAKEN) order.acknowledged = true;
+  private void recordAnswer(
+      SimControlMachine member, PendingChange change, Answer answer, Consumer<Answer> onAnswer) {
+    if (answer != Answer.NOT_CLEAR) sim.log("op", change + " by " + member.name + ": " + answer);
+    if (answer == Answer.TAKEN) change.acknowledged = true;
     if (answer == Answer.REFUSED) {
-      if (order.acknowledged) sim.violation("refused after it was acknowledged: " + order);
-      order.refused = true;
+      if (change.acknowledged) sim.violation("refused after it was acknowledged: " + change);
+      change.refused = true;
     }
-    if (order.refused && order.acknowledged) sim.violation("refused and acknowledged: " + order);
-    boolean lost = random.nextDouble() < lostAnswers;
-    if (!lost) sim.after(ANSWER_MS, () -> heard.accept(answer));
+    if (change.refused && change.acknowledged) sim.violation("refused and acknowledged: " + change);
+    boolean lost = random.nextDouble() < answerLossRate;
+    if (!lost) sim.after(ANSWER_MS, () -> onAnswer.accept(answer));
   }
 
   // ---- a member's listener
 
-  private void put(SimControlMachine door, Order order, int rounds, Consumer<Answer> answer) {
-    door.node.readNewest(KEY, newest -> put(door, order, newest, rounds, answer));
+  private void propose(
+      SimControlMachine member, PendingChange change, int rounds, Consumer<Answer> answer) {
+    member.node.readNewest(KEY, newest -> propose(member, change, newest, rounds, answer));
   }
 
-  private void put(
-      SimControlMachine door, Order order, ReadResult newest, int rounds, Consumer<Answer> answer) {
+  private void propose(
+      SimControlMachine member,
+      PendingChange change,
+      ReadResult newest,
+      int rounds,
+      Consumer<Answer> answer) {
     if (!newest.hasOwner()) {
       answer.accept(Answer.NOT_CLEAR);
       return;
     }
-    ChangeStatus fate = newest.statusOf(order.digest, order.builtOn);
-    boolean follows = order.builtOn == revision(newest);
-    if (fate == ChangeStatus.EXPIRED) answer.accept(Answer.NOT_CLEAR);
-    else if (fate == ChangeStatus.NOT_APPLIED && !follows) answer.accept(Answer.REFUSED);
+    ChangeStatus status = newest.statusOf(change.digest, change.baseRevision);
+    boolean isBasedOnNewest = change.baseRevision == revisionOf(newest);
+    if (status == ChangeStatus.EXPIRED) answer.accept(Answer.NOT_CLEAR);
+    else if (status == ChangeStatus.NOT_APPLIED && !isBasedOnNewest) answer.accept(Answer.REFUSED);
     else
-      door.node.change(
-          new ChangeRequest(KEY, newest.number(), order.builtOn, order.body),
-          core -> {
-            if (core instanceof ChangeResult.Acknowledged) answer.accept(Answer.TAKEN);
-            else if (core instanceof ChangeResult.Conflict && rounds > 0)
-              put(door, order, rounds - 1, answer);
+      member.node.change(
+          new ChangeRequest(KEY, newest.number(), change.baseRevision, change.body),
+          result -> {
+            if (result instanceof ChangeResult.Acknowledged) answer.accept(Answer.TAKEN);
+            else if (result instanceof ChangeResult.Conflict && rounds > 0)
+              propose(member, change, rounds - 1, answer);
             else answer.accept(Answer.NOT_CLEAR);
           });
   }
 
-  // ---- the judge
+  // ---- checks
 
-  /** With all well: what was answered agrees with the state, and each version has one successor. */
-  void judge() {
+  /**
+   * Checks after all repairs that the answers agree with the state and that each revision has one
+   * successor.
+   */
+  void checkAnswers() {
     ReadResult[] last = {null};
     for (int i = 0; i < 20 && last[0] == null; i++) {
-      SimControlMachine door = anyDoor();
-      door.run(
+      SimControlMachine member = anyMember();
+      member.run(
           () ->
-              door.node.readNewest(
+              member.node.readNewest(
                   KEY,
                   newest -> {
                     if (newest.hasOwner()) last[0] = newest;
                   }));
-      sim.run(SILENCE_MS);
+      sim.run(ANSWER_TIMEOUT_MS);
     }
     if (last[0] == null) {
       sim.violation("nobody reads the newest version at the end");
       return;
     }
-    Map<Long, Order> successors = new HashMap<>();
-    int taken = 0;
-    for (Order order : orders) {
-      boolean isTaken = last[0].statusOf(order.digest, order.builtOn) == ChangeStatus.APPLIED;
-      if (isTaken) taken++;
-      if (order.acknowledged && !isTaken) sim.violation("acknowledged and lost: " + order);
-      if (order.refused && isTaken) sim.violation("refused and taken: " + order);
-      Order other = isTaken ? successors.put(order.builtOn, order) : null;
-      if (other != null) sim.violation("two on one version: " + order + " and " + other);
+    Map<Long, PendingChange> successors = new HashMap<>();
+    int appliedCount = 0;
+    for (PendingChange change : changes) {
+      boolean isTaken =
+          last[0].statusOf(change.digest, change.baseRevision) == ChangeStatus.APPLIED;
+      if (isTaken) appliedCount++;
+      if (change.acknowledged && !isTaken) sim.violation("acknowledged and lost: " + change);
+      if (change.refused && isTaken) sim.violation("refused and taken: " + change);
+      PendingChange other = isTaken ? successors.put(change.baseRevision, change) : null;
+      if (other != null) sim.violation("two on one version: " + change + " and " + other);
     }
-    if (taken != last[0].number())
-      sim.violation(last[0].number() + " numbers for " + taken + " orders that were taken");
+    if (appliedCount != last[0].number())
+      sim.violation(last[0].number() + " numbers for " + appliedCount + " orders that were taken");
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/OperatorsRun.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/OperatorsRun.java
@@ -11,54 +11,52 @@
 import java.util.Random;
 
 /**
- * One seeded run of several operators against a core under troubles: the troubles, a closing fault,
- * then all is well, every member reads back what was acknowledged, the last acknowledged change is
- * sent once more, and the whole history is judged.
- *
- * <p>A run from a seed; read its findings when it has been played.
+ * One seeded run of several operators against a core under faults. After the faults and a closing
+ * fault everything is repaired, every member must return what was acknowledged, the last
+ * acknowledged change is sent once more, and the whole history is checked.
  */
 final class OperatorsRun {
-  private static final long FOUNDING = 4000;
-  private static final long SETTLES = 15_000;
-  private static final long LAST_CALLS = 30_000;
-  private static final long ANSWERED_WITHIN = 5000;
-  private static final int STORY = 60;
+  private static final long FOUNDING_MS = 4000;
+  private static final long SETTLE_MS = 15_000;
+  private static final long LAST_CALLS_MS = 30_000;
+  private static final long ANSWER_WITHIN_MS = 5000;
+  private static final int REPORTED_LOG_LINES = 60;
 
   /**
-   * How a run goes.
+   * The parameters of a run.
    *
-   * @param connections whether members' records go by connections as TCP's
-   * @param members of the core at first, an odd number
-   * @param operators who change the configuration
-   * @param atOnce the most changes one operator has under way
-   * @param longestRest the most an operator waits between two changes, ms
-   * @param lostAnswers the share of answers that are lost
-   * @param troubles how many are begun
-   * @param kinds of trouble to choose from
-   * @param longestCalm the most time between two troubles, ms
+   * @param usesConnections whether members' records travel on simulated TCP connections
+   * @param memberCount the initial size of the core, an odd number
+   * @param operatorCount the number of operators that change the configuration
+   * @param concurrency the most changes one operator has in progress
+   * @param maxPauseMs the longest pause of an operator between two changes
+   * @param answerLossRate the probability that an answer is lost
+   * @param faultCount the number of injected faults
+   * @param faultKinds the kinds of faults to choose from
+   * @param maxCalmMs the longest time between two faults
    */
   record Plan(
-      boolean connections,
-      int members,
-      int operators,
-      int atOnce,
-      int longestRest,
-      double lostAnswers,
-      int troubles,
-      List<FaultKind> kinds,
-      int longestCalm) {
-    /** A plan drawn from a seed. */
+      boolean usesConnections,
+      int memberCount,
+      int operatorCount,
+      int concurrency,
+      int maxPauseMs,
+      double answerLossRate,
+      int faultCount,
+      List<FaultKind> faultKinds,
+      int maxCalmMs) {
+    /** Returns a plan drawn from a seed. */
     static Plan of(long seed) {
       Random random = new Random(seed * 31_337);
       int operators = 1 + random.nextInt(3);
       int atOnce = random.nextInt(3) == 0 ? 8 : 1 + random.nextInt(3);
-      int restOfEach = random.nextInt(3) == 0 ? 150 : 500;
+      int pauseOfEachMs = random.nextInt(3) == 0 ? 150 : 500;
       return new Plan(
           random.nextBoolean(),
           random.nextInt(3) == 0 ? 5 : 3,
           operators,
           atOnce,
-          restOfEach * operators * atOnce,
+          pauseOfEachMs * operators * atOnce,
           random.nextInt(3) * 0.25,
           4 + random.nextInt(8),
           List.of(FaultKind.values()),
@@ -70,7 +68,7 @@
   private final Plan plan;
   private final Simulation sim;
   private final OperatorCalls calls;
-  private final FaultInjector troubles;
+  private final FaultInjector faultInjector;
   private final Random random;
   private final List<RandomOperator> operators = new ArrayList<>();
   private final List<String> findings = new ArrayList<>();
@@ -83,23 +81,23 @@
         new Simulation(
             seed,
             0,
-            plan.members,
-            plan.members,
-            CoreTimes.PLATFORM.with().targetMembers(plan.members).build());
-    sim.usesConnections = plan.connections;
+            plan.memberCount,
+            plan.memberCount,
+            CoreTimes.PLATFORM.with().targetMembers(plan.memberCount).build());
+    sim.usesConnections = plan.usesConnections;
     sim.brokenRule = broken;
     calls = new OperatorCalls(sim, random);
-    troubles = new FaultInjector(sim, calls, random);
-    for (int i = 1; i <= plan.operators; i++)
-      operators.add(new RandomOperator(sim, calls, "op" + i, random, plan.longestRest));
+    faultInjector = new FaultInjector(sim, calls, random);
+    for (int i = 1; i <= plan.operatorCount; i++)
+      operators.add(new RandomOperator(sim, calls, "op" + i, random, plan.maxPauseMs));
   }
 
-  /** Plays the run that a seed brings. */
+  /** Runs the plan drawn from a seed. */
   static OperatorsRun play(long seed) {
     return play(seed, Plan.of(seed), BrokenRule.NONE);
   }
 
-  /** Plays a run with a rule of the core broken. */
+  /** Runs a plan with a disabled rule of the core. */
   static OperatorsRun play(long seed, Plan plan, BrokenRule broken) {
     OperatorsRun run = new OperatorsRun(seed, plan, broken);
     run.play();
@@ -108,30 +106,30 @@
 
   private void play() {
     sim.log("sim", "seed " + seed + " " + plan);
-    sim.run(FOUNDING);
-    for (RandomOperator operator : operators) operator.start(plan.atOnce);
-    calls.answerLossRate = plan.lostAnswers;
-    for (int i = 0; i < plan.troubles; i++) {
-      troubles.inject(plan.kinds.get(random.nextInt(plan.kinds.size())));
-      sim.run(random.nextInt(plan.longestCalm));
-      if (random.nextInt(3) == 0) troubles.repairAll();
+    sim.run(FOUNDING_MS);
+    for (RandomOperator operator : operators) operator.start(plan.concurrency);
+    calls.answerLossRate = plan.answerLossRate;
+    for (int i = 0; i < plan.faultCount; i++) {
+      faultInjector.inject(plan.faultKinds.get(random.nextInt(plan.faultKinds.size())));
+      sim.run(random.nextInt(plan.maxCalmMs));
+      if (random.nextInt(3) == 0) faultInjector.repairAll();
     }
-    closing();
-    readBack();
-    judge();
-  }
-
-  private void closing() {
-    troubles.repairAll();
-    sim.run(SETTLES);
-    troubles.injectClosingFault((plan.members - 1) / 2);
-    sim.run(SETTLES);
-    troubles.repairAll();
-    sim.run(SETTLES);
+    runClosingFault();
+    checkReadBack();
+    checkHistory();
+  }
+
+  private void runClosingFault() {
+    faultInjector.repairAll();
+    sim.run(SETTLE_MS);
+    faultInjector.injectClosingFault((plan.memberCount - 1) / 2);
+    sim.run(SETTLE_MS);
+    faultInjector.repairAll();
+    sim.run(SETTLE_MS);
     calls.answerLossRate = 0;
     for (RandomOperator operator : operators) operator.stop();
     for (long waited = 0;
-        waited < LAST_CALLS && !operators.stream().allMatch(RandomOperator::isIdle); )
+        waited < LAST_CALLS_MS && !operators.stream().allMatch(RandomOperator::isIdle); )
       waited += step();
   }
 
@@ -140,8 +138,8 @@
     return 100;
   }
 
-  /** Everything is well: each member answers, in time, with what was acknowledged. */
-  private void readBack() {
+  /** Checks after all repairs that each member answers in time with what was acknowledged. */
+  private void checkReadBack() {
     for (String member : calls.members()) {
       int before = calls.readCount;
       calls.read("end", member, seen -> {});
@@ -149,13 +147,13 @@
       if (calls.readCount == before) findings.add(member + " does not answer a read at the end");
     }
     int before = calls.acknowledgedCount;
-    for (long waited = 0; waited < ANSWERED_WITHIN && calls.acknowledgedCount == before; )
-      waited += lastChangeAgain();
+    for (long waited = 0; waited < ANSWER_WITHIN_MS && calls.acknowledgedCount == before; )
+      waited += resendLastChange();
     if (calls.acknowledgedCount == before) findings.add("no change is acknowledged at the end");
   }
 
-  /** The newest acknowledged change is sent once more; where it is not the newest, a new one is. */
-  private long lastChangeAgain() {
+  /** Sends the newest acknowledged change once more, or a first change if there is none. */
+  private long resendLastChange() {
     Change newest = new Change("end", 0, 1);
     for (Call call : calls.history().calls())
       if (call instanceof ChangeCall sent
@@ -167,17 +165,18 @@
     return OperatorCalls.ANSWER_TIMEOUT_MS;
   }
 
-  private void judge() {
+  private void checkHistory() {
     findings.addAll(sim.violations);
-    Counterexample.of(history()).ifPresent(x -> findings.add(x.timeline()));
+    Counterexample.of(history())
+        .ifPresent(counterexample -> findings.add(counterexample.timeline()));
   }
 
-  /** All that operators called and were told. */
+  /** Returns all calls of the operators and their answers. */
   History history() {
     return calls.history();
   }
 
-  /** What was wrong; empty where nothing was. */
+  /** Returns the violations found, empty if there are none. */
   List<String> findings() {
     return findings;
   }
@@ -186,7 +185,7 @@
     return calls.acknowledgedCount;
   }
 
-  /** What the operators' calls came to. */
+  /** Summarizes the operators' calls. */
   @Override
   public String toString() {
     return calls.acknowledgedCount
@@ -199,7 +198,7 @@
         + " reads";
   }
 
-  /** The findings and the end of the story, for people. */
+  /** Returns the findings and the end of the event log. */
   String report() {
     List<String> story = sim.eventLog;
     return "seed "
@@ -211,10 +210,11 @@
         + "\n"
         + String.join("\n", findings)
         + "\n"
-        + String.join("\n", story.subList(Math.max(0, story.size() - STORY), story.size()));
+        + String.join(
+            "\n", story.subList(Math.max(0, story.size() - REPORTED_LOG_LINES), story.size()));
   }
 
-  String story() {
+  String eventLogText() {
     return sim.eventLogText();
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/OperatorsRunTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/OperatorsRunTest.java
@@ -3,10 +3,10 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of operators' histories under seeded troubles. */
+/** Tests that operators' histories are linearizable under seeded faults. */
 final class OperatorsRunTest {
   @Test
-  void whateverTheSeedBringsHistoriesAreThoseOfOneRegister() {
+  void historiesUnderSeededFaultsAreLinearizable() {
     long first = Long.getLong("operators.first", 1);
     long seeds = Long.getLong("operators.seeds", 40);
     int acknowledged = 0;
--- a/emulator/src/test/java/gladelug/emulator/sim/OperatorsStoriesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/OperatorsScenariosTest.java
@@ -3,17 +3,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stories of several operators on top of one version, and of changes sent again after a lost
- * answer: one is confirmed, and what was acknowledged once is never refused. The owner of the
- * configuration is c3.
+ * Scenarios of several operators whose changes are based on one version, and of changes sent again
+ * after a lost answer: exactly one is confirmed, and what was acknowledged is never refused. The
+ * owner of the configuration is c3.
  */
-final class OperatorsStoriesTest {
-  /** The owner freezes from before either change to after both, and thaws three seconds later. */
+final class OperatorsScenariosTest {
+  /**
+   * The owner is paused at any time from before both changes to after them, and resumes three
+   * seconds later.
+   */
   @Test
   void ofTwoAtAnOwnerThatFreezesAndThawsOneIsConfirmed() {
-    for (int moment = 4950; moment <= 5400; moment += 10)
-      Story.play(
-          moment / 10,
+    for (int momentMs = 4950; momentMs <= 5400; momentMs += 10)
+      OperatorScenario.play(
+          momentMs / 10,
           3,
           """
           t     | c3    | calls
@@ -27,15 +30,15 @@
           %d    | wake  | .
           12000 | .     | B on 1 at c1, C on 1 at c3
           13100 | .     | one of B C, read at c3"""
-              .formatted(moment, moment + 3000));
+              .formatted(momentMs, momentMs + 3000));
   }
 
-  /** The owner loses power from the acknowledgement to 400 ms after; another change follows. */
+  /** The owner loses power from 0 to 400 ms after the change was sent; another change follows. */
   @Test
   void anAcknowledgedChangeIsAcknowledgedAgainByLaterOwners() {
-    for (int after = 0; after <= 400; after += 10)
-      Story.play(
-          after / 10,
+    for (int delayMs = 0; delayMs <= 400; delayMs += 10)
+      OperatorScenario.play(
+          delayMs / 10,
           3,
           """
           t     | c1    | c3    | calls
@@ -52,15 +55,15 @@
           20000 | .     | .     | B on 1 at c3, C on 2 at c2
           21100 | .     | .     | B acknowledged, C acknowledged, A on 0 at c3
           22200 | .     | .     | A acknowledged"""
-              .formatted(5000 + after));
+              .formatted(5000 + delayMs));
   }
 
-  /** Eight at once, each sent again to other members while the owner dies. */
+  /** Eight concurrent changes, each sent again to other members while the owner dies. */
   @Test
   void ofEightAtOnceOneIsConfirmedThoughTheOwnerDies() {
-    for (int moment = 4980; moment <= 5200; moment += 5)
-      Story.play(
-          moment / 5,
+    for (int momentMs = 4980; momentMs <= 5200; momentMs += 5)
+      OperatorScenario.play(
+          momentMs / 5,
           3,
           """
           t     | c3   | calls
@@ -78,6 +81,6 @@
           14000 | .    | B on 1 at c3, C on 1 at c3, D on 1 at c3, E on 1 at c3
           14005 | .    | F on 1 at c3, G on 1 at c3, H on 1 at c3, I on 1 at c3
           15100 | .    | one of B C D E F G H I, read at c3"""
-              .formatted(moment));
+              .formatted(momentMs));
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/PartialCutTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/PartialCutTest.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of a core in which two members have no contact with each other and each has with the rest.
+ * Tests of a core in which two members are cut off from each other while each still reaches the
+ * rest.
  */
 final class PartialCutTest {
   private static final int SEEDS = 10;
@@ -18,10 +19,10 @@
     OWNER_DOES_NOT_HEAR
   }
 
-  private static int ousted(Cut cut, String other, boolean connections) {
-    int ousted = 0;
+  private static int lostOwnerships(Cut cut, String other, boolean connections) {
+    int lostOwnerships = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation world = Takeover.fleet(seed, true);
+      Simulation world = TakeoverObserver.startFleet(seed, true);
       world.usesConnections = connections;
       String owner = world.ownersOf(StateKeys.CONFIGURATION);
       world.lostOwnerships = 0;
@@ -32,34 +33,35 @@
       world.run(5000);
       Assertions.assertEquals(List.of(), world.violations);
       Assertions.assertTrue(
-          Takeover.longestGap(world) <= 30, cut + " " + Takeover.longestGap(world));
-      ousted += world.lostOwnerships;
+          TakeoverObserver.longestGapMs(world) <= 30,
+          cut + " " + TakeoverObserver.longestGapMs(world));
+      lostOwnerships += world.lostOwnerships;
     }
-    return ousted;
+    return lostOwnerships;
   }
 
-  private static void noneIsOusted(boolean connections) {
+  private static void assertNoOwnershipLost(boolean connections) {
     for (Cut cut : Cut.values())
       for (String other : new String[] {"c1", "c2"})
-        Assertions.assertEquals(0, ousted(cut, other, connections), cut + " " + other);
+        Assertions.assertEquals(0, lostOwnerships(cut, other, connections), cut + " " + other);
   }
 
   @Test
   void noWorkingOwnerIsOustedByAMemberThatHasNoContactWithIt() {
-    noneIsOusted(true);
+    assertNoOwnershipLost(true);
   }
 
-  /** Where records find their own way, a one-way cut leaves the other way open. */
+  /** Without connections a one-way cut leaves the other direction open. */
   @Test
-  void norWhereTheOtherWayStaysOpen() {
-    noneIsOusted(false);
+  void noWorkingOwnerIsOustedWhereTheOtherDirectionStaysOpen() {
+    assertNoOwnershipLost(false);
   }
 
-  /** Two of five may each promise to the other what neither hears the owner of. */
+  /** Two of five members that cannot hear the owner may each promise their vote to the other. */
   @Test
   void ofFiveMembersTwoThatDoNotHearTheOwnerOustItOnceAtMost() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation world = Takeover.fleet(seed, 5, true);
+      Simulation world = TakeoverObserver.startFleet(seed, 5, true);
       String owner = world.ownersOf(StateKeys.CONFIGURATION);
       List<String> others = new ArrayList<>(world.controlNames());
       others.remove(owner);
@@ -74,8 +76,9 @@
       world.run(5000);
       Assertions.assertEquals(List.of(), world.violations);
       Assertions.assertTrue(
-          world.lostOwnerships <= Takeover.keys().size(), world.lostOwnerships + ", seed " + seed);
-      Assertions.assertTrue(Takeover.longestGap(world) <= 30);
+          world.lostOwnerships <= TakeoverObserver.keys().size(),
+          world.lostOwnerships + ", seed " + seed);
+      Assertions.assertTrue(TakeoverObserver.longestGapMs(world) <= 30);
     }
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/PausedOwnerScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/PausedOwnerScenario.java
@@ -7,27 +7,27 @@
 import java.util.function.Supplier;
 
 /**
- * The process of an owner is paused just after a round of confirmations went out; meanwhile another
- * member takes over and acknowledges a change, and then the former owner wakes to the answers. One
- * relay reaches the former owner alone. The violation of the first seed that brings one.
+ * An owner's process is paused just after it sent a round of confirmation requests. Another member
+ * takes over and acknowledges a change, then the former owner resumes and finds the answers. One
+ * relay reaches only the former owner. Returns the violation of the first seed that shows one.
  */
 public final class PausedOwnerScenario implements Supplier<String> {
   private static final int SEEDS = 5;
 
-  /** From the start to the first change, ms. */
-  private static final long FOUNDING = 4000;
+  /** Time from the start to the first change. */
+  private static final long FOUNDING_MS = 4000;
 
-  /** How long a change or a takeover may take, ms. */
-  private static final long LONGEST = 5000;
+  /** Longest time for a change or a takeover. */
+  private static final long MAX_WAIT_MS = 5000;
 
-  /** From the acknowledgement by the next owner until the former one wakes, ms. */
-  private static final long ASLEEP_AFTERWARDS = 100;
+  /** Time from the acknowledgement by the next owner until the former one resumes. */
+  private static final long PAUSED_AFTERWARDS_MS = 100;
 
-  /** From the waking until all links are well, and from then to the end, ms. */
-  private static final long AWAKE = 4000, SETTLES = 8000;
+  /** Time from the resumption until all links are repaired, and from then to the end. */
+  private static final long RESUMED_MS = 4000, SETTLE_MS = 8000;
 
   private final String relay = "r1";
-  private boolean confirming;
+  private boolean roundStarted;
 
   @Override
   public String get() {
@@ -40,50 +40,50 @@
   }
 
   private void play(Simulation sim) {
-    sim.run(FOUNDING);
-    change(sim, "c1");
+    sim.run(FOUNDING_MS);
+    acknowledgeChange(sim, "c1");
     String former = sim.ownersOf(StateKeys.CONFIGURATION);
     for (String other : sim.controlNames())
       if (!other.equals(former)) {
         sim.cutLink(relay, other);
         sim.cutLink(other, relay);
       }
-    untilRoundBegins(sim, former);
+    runUntilRoundStarts(sim, former);
     sim.controls.get(former).pause();
     String next = former.equals("c1") ? "c2" : "c1";
-    until(sim, () -> sim.controls.get(next).node.owns(StateKeys.CONFIGURATION));
-    change(sim, next);
-    sim.run(ASLEEP_AFTERWARDS);
+    runUntil(sim, () -> sim.controls.get(next).node.owns(StateKeys.CONFIGURATION));
+    acknowledgeChange(sim, next);
+    sim.run(PAUSED_AFTERWARDS_MS);
     sim.controls.get(former).resume();
-    sim.run(AWAKE);
+    sim.run(RESUMED_MS);
     sim.healAll();
-    sim.settle(SETTLES);
+    sim.settle(SETTLE_MS);
   }
 
-  private void untilRoundBegins(Simulation sim, String owner) {
-    confirming = false;
+  private void runUntilRoundStarts(Simulation sim, String owner) {
+    roundStarted = false;
     sim.observer =
         new TrafficObserver() {
           @Override
-          public void sent(long atMs, String from, String to, WireRecord message) {
-            if (from.equals(owner)
+          public void sent(long atMs, String startMs, String to, WireRecord message) {
+            if (startMs.equals(owner)
                 && message instanceof CoreMessage.Envelope envelope
-                && envelope.message() instanceof CoreMessage.ConfirmRequest) confirming = true;
+                && envelope.message() instanceof CoreMessage.ConfirmRequest) roundStarted = true;
           }
         };
-    until(sim, () -> confirming);
+    runUntil(sim, () -> roundStarted);
     sim.observer = TrafficObserver.NONE;
   }
 
-  private static void change(Simulation sim, String member) {
+  private static void acknowledgeChange(Simulation sim, String member) {
     Simulation.SentChange sent = sim.send(member, StateKeys.CONFIGURATION, -1);
-    until(sim, () -> sent.answer()[0] != null);
+    runUntil(sim, () -> sent.answer()[0] != null);
   }
 
-  private static void until(Simulation sim, BooleanSupplier holds) {
-    long from = sim.nowMs();
-    while (!holds.getAsBoolean()) {
-      if (sim.nowMs() - from > LONGEST) throw new IllegalStateException(sim.eventLogText());
+  private static void runUntil(Simulation sim, BooleanSupplier condition) {
+    long startMs = sim.nowMs();
+    while (!condition.getAsBoolean()) {
+      if (sim.nowMs() - startMs > MAX_WAIT_MS) throw new IllegalStateException(sim.eventLogText());
       sim.run(1);
     }
   }
--- a/emulator/src/test/java/gladelug/emulator/sim/RequestSimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/RequestSimTest.java
@@ -11,38 +11,38 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of RequestSimulation. */
+/** Tests of the simulation with requests. */
 final class RequestSimTest {
   private static final int SEEDS = Integer.getInteger("gladelug.seeds", 80);
 
-  /** How often each kind of trouble is brought about in one world. */
+  /** Number of held requests for each injected event in one simulation. */
   private static final int WINDOWS = 16;
 
-  private static String found(RequestSimulation world, long ms) {
+  private static String violationsAfter(RequestSimulation world, long ms) {
     world.run(ms);
     world.checkRules();
     return world.violations.toString();
   }
 
-  private static void catches(String what, Function<Boolean, String> broken) {
-    String with = broken.apply(false), without = broken.apply(true);
-    Assertions.assertFalse(with.contains(what), "with the rule on: " + with);
+  private static void assertDetects(String rule, Function<Boolean, String> scenario) {
+    String withRule = scenario.apply(false), withoutRule = scenario.apply(true);
+    Assertions.assertFalse(withRule.contains(rule), "with the rule on: " + withRule);
     Assertions.assertTrue(
-        without.contains(what), "with the rule off nothing was found: " + without);
+        withoutRule.contains(rule), "with the rule off nothing was found: " + withoutRule);
   }
 
   @Test
-  void aRuleSwitchedOffIsFound() {
+  void aDisabledRuleIsDetected() {
     Logger.getLogger("").setLevel(Level.OFF);
-    // connections that aren't asked who is there, and an address given to another service's replica
-    catches(
+    // connections without an identity check, and an address given to a replica of another service
+    assertDetects(
         "old-policy",
-        off -> {
+        disabled -> {
           RequestSimulation world = new RequestSimulation(1);
-          world.identityUnchecked = off;
+          world.identityUnchecked = disabled;
           world.run(1000);
           for (int i = 0; i < 20; i++) {
-            // for the moment before a replica's own report shows it too
+            // the impostor is removed before the replica's own report shows it
             for (SimReplica m : world.replicas.values())
               world.byAddress.put(
                   m.address.toString(),
@@ -52,25 +52,26 @@
               world.byAddress.put(m.address.toString(), m);
             world.run(300);
           }
-          return found(world, 300);
+          return violationsAfter(world, 300);
         });
-    // a lease that doesn't run out: the relay's clock stands nearly still, or drifts by what is
-    // allowed for
-    catches(
+    // a lease that does not expire: the relay's clock nearly stands still, or drifts within
+    // the tolerance
+    assertDetects(
         "old-policy",
-        off -> {
+        disabled -> {
           RequestSimulation world = new RequestSimulation(2);
           world.run(500);
-          for (RequestRelay r : world.requestRelays.values()) r.setClockRate(off ? 0.05 : 0.995);
+          for (RequestRelay r : world.requestRelays.values())
+            r.setClockRate(disabled ? 0.05 : 0.995);
           world.trigger(InjectedEvent.RELAY_CUT_FROM_CORE, x -> {});
-          return found(world, 6000);
+          return violationsAfter(world, 6000);
         });
-    // a cutoff later than the promise, with replicas that take no requests from their commander
-    catches(
+    // a cutoff later than promised, with replicas that ignore commands
+    assertDetects(
         "old-weights",
-        off -> {
+        disabled -> {
           RequestSimulation world = new RequestSimulation(3);
-          world.weightCutoffMs = off ? 40_000 : 15_000;
+          world.weightCutoffMs = disabled ? 40_000 : 15_000;
           for (SimControlMachine control : world.controls.values()) {
             control.kill();
             control.start();
@@ -78,60 +79,62 @@
           world.run(4000);
           for (SimReplica r : world.replicas.values()) r.ignoresCommands = true;
           world.trigger(InjectedEvent.WEIGHTS_NAMED, x -> {});
-          return found(world, 25_000);
+          return violationsAfter(world, 25_000);
         });
-    // every core machine steers, whoever owns the key
-    catches(
+    // every control machine commands replicas, whoever owns the key
+    assertDetects(
         "had to refuse",
-        off -> {
+        disabled -> {
           RequestSimulation world = new RequestSimulation(4);
-          world.anyMemberCommands = off;
+          world.anyMemberCommands = disabled;
           for (int i = 0; i < 4; i++) {
             world.trigger(InjectedEvent.WEIGHTS_NAMED, x -> {});
             world.run(2000);
           }
-          return found(world, 2000);
+          return violationsAfter(world, 2000);
         });
   }
 
   @Test
-  void whateverHappensBetweenTheStepsOfARequestTheRulesHold() {
+  void theRulesHoldWhateverIsInjectedBetweenTheStepsOfARequest() {
     Logger.getLogger("").setLevel(Level.OFF);
-    RequestScenarios t = RequestScenarios.run(Long.getLong("gladelug.from", 0), SEEDS, 2);
-    System.out.println(t);
-    Assertions.assertEquals(List.of(), t.failures);
+    RequestScenarios scenarios = RequestScenarios.run(Long.getLong("gladelug.from", 0), SEEDS, 2);
+    System.out.println(scenarios);
+    Assertions.assertEquals(List.of(), scenarios.failures);
     Assertions.assertTrue(
-        t.completeCount.get() > t.requestCount.get() / 2, t + " prove too little");
-    for (InjectedEvent h : InjectedEvent.values())
-      for (RequestPoint p : RequestPoint.values())
+        scenarios.completeCount.get() > scenarios.requestCount.get() / 2,
+        scenarios + " prove too little");
+    for (InjectedEvent event : InjectedEvent.values())
+      for (RequestPoint point : RequestPoint.values())
         Assertions.assertTrue(
-            t.heldCounts.containsKey(h + "@" + p), h + "@" + p + " was never met");
+            scenarios.heldCounts.containsKey(event + "@" + point),
+            event + "@" + point + " was never met");
   }
 
   @Test
-  void whateverHappensToConnectionsNoRequestRunsTwiceAndNoAnswerGoesAstray() {
+  void noRequestRunsTwiceAndNoAnswerGoesAstrayWhateverHappensToConnections() {
     Logger.getLogger("").setLevel(Level.OFF);
     Map<ConnectionEvent, Integer> counts = new EnumMap<>(ConnectionEvent.class);
-    for (InjectedEvent h :
+    for (InjectedEvent event :
         List.of(
             InjectedEvent.CONNECTIONS_RESET,
             InjectedEvent.LINKS_SILENT,
             InjectedEvent.ANSWERS_REPEATED,
             InjectedEvent.ANSWERS_REPEATED_LATE,
             InjectedEvent.CALLER_LEAVES)) {
-      RequestSimulation world = new RequestSimulation(h.ordinal());
+      RequestSimulation world = new RequestSimulation(event.ordinal());
       world.run(3000);
       for (int i = 0; i < WINDOWS; i++) {
-        world.arm(h, RequestPoint.values()[i % RequestPoint.values().length]);
+        world.arm(event, RequestPoint.values()[i % RequestPoint.values().length]);
         world.run(1600);
         Assertions.assertTrue(
-            world.heldAtMs >= 0, i + ": " + h + " was not met at " + world.armedPoint);
+            world.heldAtMs >= 0, i + ": " + event + " was not met at " + world.armedPoint);
       }
       world.repairAll();
       world.run(8000);
       world.requestsPerSecond = 0.001;
       world.run(6000);
-      Assertions.assertEquals("[]", found(world, 0), h.toString());
+      Assertions.assertEquals("[]", violationsAfter(world, 0), event.toString());
       world.eventCounts.forEach((met, n) -> counts.merge(met, n, Integer::sum));
     }
     for (ConnectionEvent m : ConnectionEvent.values())
--- a/emulator/src/test/java/gladelug/emulator/sim/ResentChangesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/ResentChangesTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Changes whose answer was lost and that are sent again, unchanged, to any member, at any later
- * time.
+ * Tests of changes that are sent again, unchanged, after a lost answer, to any member and at any
+ * later time.
  */
 final class ResentChangesTest {
   private static final String KEY = StateKeys.CONFIGURATION;
@@ -26,8 +26,8 @@
     return sent.answer()[0];
   }
 
-  /** Sends changes one after the other, each on the number of the one before. */
-  private static SentChange[] taken(Simulation sim, int count) {
+  /** Sends changes one after the other, each based on the number of the previous one. */
+  private static SentChange[] acknowledgedChanges(Simulation sim, int count) {
     SentChange[] changes = new SentChange[count];
     for (int i = 0; i < count; i++) {
       changes[i] = sim.send("c1", KEY, i);
@@ -46,10 +46,10 @@
   }
 
   private static void assertSentAgainByAllIsTaken(Simulation sim, SentChange[] changes) {
-    for (String door : sim.controlNames()) {
-      if (!sim.controls.get(door).up) continue;
+    for (String member : sim.controlNames()) {
+      if (!sim.controls.get(member).up) continue;
       for (int i = 0; i < changes.length; i++)
-        assertTaken(sim, sim.sendAgain(door, changes[i]), i + 1, true);
+        assertTaken(sim, sim.sendAgain(member, changes[i]), i + 1, true);
     }
     Assertions.assertEquals(List.of(), sim.violations);
   }
@@ -57,13 +57,13 @@
   @Test
   void aTakenChangeIsAcknowledgedAgainAfterOthersFollowed() {
     Simulation sim = started(1);
-    assertSentAgainByAllIsTaken(sim, taken(sim, 4));
+    assertSentAgainByAllIsTaken(sim, acknowledgedChanges(sim, 4));
   }
 
   @Test
   void aTakenChangeIsAcknowledgedAgainByTheOwnerThatFollows() {
     Simulation sim = started(2);
-    SentChange[] changes = taken(sim, 4);
+    SentChange[] changes = acknowledgedChanges(sim, 4);
     sim.controls.get(sim.ownersOf(KEY)).kill();
     sim.run(TAKEOVER_MS);
     assertSentAgainByAllIsTaken(sim, changes);
@@ -72,7 +72,7 @@
   @Test
   void aTakenChangeIsAcknowledgedAgainAfterAllLostPower() {
     Simulation sim = started(3);
-    SentChange[] changes = taken(sim, 4);
+    SentChange[] changes = acknowledgedChanges(sim, 4);
     for (SimControlMachine control : sim.controls.values()) control.cutPower();
     for (SimControlMachine control : sim.controls.values()) control.start();
     sim.run(TAKEOVER_MS);
@@ -82,7 +82,7 @@
   @Test
   void aTakenChangeIsAcknowledgedAgainByMembersThatCameLater() {
     Simulation sim = started(4);
-    SentChange[] changes = taken(sim, 4);
+    SentChange[] changes = acknowledgedChanges(sim, 4);
     String[] former = sim.controlNames().toArray(String[]::new);
     for (int i = 0; i < former.length; i++) {
       sim.replaceMember(former[i], "new" + i);
@@ -96,7 +96,7 @@
   @Test
   void ofTwoOnOneNumberTheLoserIsRefusedAtAnyLaterTime() {
     Simulation sim = started(5);
-    SentChange[] first = taken(sim, 1);
+    SentChange[] first = acknowledgedChanges(sim, 1);
     SentChange[] rivals = {sim.send("c2", KEY, 1), sim.send("c3", KEY, 1)};
     int winners = 0;
     for (SentChange rival : rivals)
@@ -106,10 +106,10 @@
       }
     Assertions.assertEquals(1, winners, sim::eventLogText);
     assertTaken(sim, sim.send("c1", KEY, 2), 3, false);
-    for (String door : sim.controlNames())
+    for (String member : sim.controlNames())
       for (SentChange rival : rivals) {
         boolean won = rival.answer()[0] instanceof ChangeResult.Acknowledged;
-        ChangeResult again = answered(sim, sim.sendAgain(door, rival));
+        ChangeResult again = answered(sim, sim.sendAgain(member, rival));
         Assertions.assertTrue(
             won
                 ? again instanceof ChangeResult.Acknowledged done
@@ -125,7 +125,7 @@
   @Test
   void anOlderValueOnTheNewestNumberIsANewChange() {
     Simulation sim = started(6);
-    SentChange[] changes = taken(sim, 3);
+    SentChange[] changes = acknowledgedChanges(sim, 3);
     SentChange back = sim.sendAsNewChange("c2", changes[0], 3);
     assertTaken(sim, back, 4, false);
     assertTaken(sim, sim.sendAgain("c3", back), 4, true);
@@ -135,7 +135,7 @@
   @Test
   void anOwnerThatIsCutOffNeitherRefusesNorAcknowledgesAgain() {
     Simulation sim = started(7);
-    SentChange[] changes = taken(sim, 2);
+    SentChange[] changes = acknowledgedChanges(sim, 2);
     String cutOff = sim.ownersOf(KEY);
     sim.cutOff(cutOff);
     SentChange stale = sim.send(cutOff, KEY, 0);
--- a/emulator/src/test/java/gladelug/emulator/sim/SilentConnectionsTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/SilentConnectionsTest.java
@@ -5,45 +5,45 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of a core whose connections are as TCP's: silent for seconds after a cut that was long. */
+/** Tests of a core on TCP-like connections, which stay silent for seconds after a long cut. */
 final class SilentConnectionsTest {
   private static final String[] MEMBERS = {"c1", "c2", "c3"};
 
-  /** A member is cut off for long; a moment after it is back another is. */
-  private static long gapOfOneCutAfterAnother(
-      long seed, boolean heartbeats, String first, long cut, String second) {
-    Simulation world = Takeover.fleet(seed, heartbeats);
+  /** Cuts one member off for long, then another one shortly after the first is back. */
+  private static long gapAfterTwoCutsMs(
+      long seed, boolean heartbeats, String first, long cutMs, String second) {
+    Simulation world = TakeoverObserver.startFleet(seed, heartbeats);
     world.cutOff(first);
-    world.run(cut);
+    world.run(cutMs);
     world.heal(first);
     world.run(4000);
     world.cutOff(second);
     world.run(8000);
     Assertions.assertEquals(List.of(), world.violations);
-    return Takeover.longestGap(world);
+    return TakeoverObserver.longestGapMs(world);
   }
 
-  private static List<String> lapses(boolean heartbeats) {
+  private static List<String> lapsesOf(boolean heartbeats) {
     List<String> lapses = new ArrayList<>();
     long seed = 0;
-    for (long cut = 17_000; cut <= 35_000; cut += 1500)
+    for (long cutMs = 17_000; cutMs <= 35_000; cutMs += 1500)
       for (String first : MEMBERS)
         for (String second : MEMBERS) {
           if (first.equals(second)) continue;
-          long gap = gapOfOneCutAfterAnother(++seed, heartbeats, first, cut, second);
-          if (gap > 30) lapses.add(first + " " + cut + " ms, " + second + ": " + gap + " ms");
+          long gapMs = gapAfterTwoCutsMs(++seed, heartbeats, first, cutMs, second);
+          if (gapMs > 30) lapses.add(first + " " + cutMs + " ms, " + second + ": " + gapMs + " ms");
         }
     return lapses;
   }
 
   @Test
   void noLeaseRunsOutWhereOneMemberIsCutOffSoonAfterAnotherWas() {
-    Assertions.assertEquals(List.of(), lapses(true));
+    Assertions.assertEquals(List.of(), lapsesOf(true));
   }
 
-  /** Else the test above would show nothing. */
+  /** Control experiment: without heartbeats the fault of the test above must show. */
   @Test
-  void withoutHeartbeatsLeasesRunOutThen() {
-    Assertions.assertNotEquals(List.of(), lapses(false));
+  void withoutHeartbeatsLeasesRunOutAfterTwoCuts() {
+    Assertions.assertNotEquals(List.of(), lapsesOf(false));
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/SimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/SimTest.java
@@ -9,27 +9,27 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Sim. */
+/** Tests of the simulation of control machines and relays. */
 final class SimTest {
-  /** Whatever a seed brings, at most one machine at a time, so a majority is mostly there. */
-  private static Simulation chaos(long seed, int steps, boolean all) {
+  /** Runs random faults, mostly on one machine at a time, so that usually a majority remains. */
+  private static Simulation runRandomFaults(long seed, int steps, boolean all) {
     Simulation world = new Simulation(seed, 3);
     Random random = new Random(seed * 7919);
     world.lossRate = random.nextInt(3) * 0.03;
     world.duplicateRate = random.nextInt(2) * 0.05;
-    for (SimControlMachine c : world.controls.values())
-      c.setClockRate(1 + (random.nextDouble() - 0.5) * 0.01);
+    for (SimControlMachine name : world.controls.values())
+      name.setClockRate(1 + (random.nextDouble() - 0.5) * 0.01);
     for (SimRelay x : world.relays.values()) x.clockRate = 1 + (random.nextDouble() - 0.5) * 0.01;
     world.run(2000);
     for (int i = 0; i < steps; i++) {
-      List<String> cs = world.controlNames();
-      String c = cs.get(random.nextInt(cs.size()));
-      SimControlMachine x = world.controls.get(c);
+      List<String> names = world.controlNames();
+      String name = names.get(random.nextInt(names.size()));
+      SimControlMachine x = world.controls.get(name);
       switch (random.nextInt(22)) {
         case 0 -> x.kill();
         case 1 -> x.cutPower();
-        case 2 -> world.cutOff(c);
-        case 3 -> world.cutLink(c, cs.get(random.nextInt(cs.size())));
+        case 2 -> world.cutOff(name);
+        case 3 -> world.cutLink(name, names.get(random.nextInt(names.size())));
         case 4 -> x.pause();
         case 5 -> x.storage.stalled = true;
         case 6 -> world.cutOff("r" + (1 + random.nextInt(3)));
@@ -41,10 +41,10 @@
         case 8 -> {
           if (all) for (SimControlMachine y : world.controls.values()) y.cutPower();
         }
-        case 10 -> world.split(Set.of(c, "r" + (1 + random.nextInt(3))));
+        case 10 -> world.split(Set.of(name, "r" + (1 + random.nextInt(3))));
         case 11 -> {
-          String d = cs.get(random.nextInt(cs.size()));
-          world.split(new HashSet<>(List.of(c, d, "r" + (1 + random.nextInt(3)))));
+          String d = names.get(random.nextInt(names.size()));
+          world.split(new HashSet<>(List.of(name, d, "r" + (1 + random.nextInt(3)))));
         }
         case 12 -> {
           // a disk is lost only while the others hold everything
@@ -54,27 +54,29 @@
           }
         }
         case 13 -> {
-          if (world.allMembersActive()) world.replaceMember(c, "c" + (world.controls.size() + 1));
+          if (world.allMembersActive())
+            world.replaceMember(name, "c" + (world.controls.size() + 1));
         }
         case 14, 15 -> {
-          // power goes just after an acknowledgement, on one machine, two or all
-          SentChange x1 = world.send(c, StateKeys.CONFIGURATION, -1);
+          // the power fails right after an acknowledgement, on one machine, two or all
+          SentChange x1 = world.send(name, StateKeys.CONFIGURATION, -1);
           for (int j = 0; j < 3000 && x1.answer()[0] == null; j++) world.run(1);
           int most = 1 + random.nextInt(3);
           for (SimControlMachine y : world.controls.values()) if (most-- > 0) y.cutPower();
         }
-        case 9 -> world.cutLink("r" + (1 + random.nextInt(3)), c);
+        case 9 -> world.cutLink("r" + (1 + random.nextInt(3)), name);
         default -> {
-          world.send(c, random.nextInt(3) == 0 ? StateKeys.REPLICAS : StateKeys.CONFIGURATION, -1);
+          world.send(
+              name, random.nextInt(3) == 0 ? StateKeys.REPLICAS : StateKeys.CONFIGURATION, -1);
           if (random.nextBoolean())
-            world.send(cs.get(random.nextInt(cs.size())), StateKeys.CONFIGURATION, -1);
+            world.send(names.get(random.nextInt(names.size())), StateKeys.CONFIGURATION, -1);
         }
       }
       world.run(random.nextInt(1500));
-      if (random.nextInt(2) == 0) mend(world);
+      if (random.nextInt(2) == 0) repairAll(world);
       world.run(random.nextInt(800));
     }
-    mend(world);
+    repairAll(world);
     world.lossRate = 0;
     world.settle(12_000);
     if (!world.allMembersActive())
@@ -82,19 +84,19 @@
     return world;
   }
 
-  private static void check(long seed, Simulation world) {
+  private static void assertNoViolations(long seed, Simulation world) {
     if (world.violations.isEmpty()) return;
-    List<String> l = world.eventLog;
+    List<String> log = world.eventLog;
     Assertions.fail(
         "seed "
             + seed
             + ": "
             + world.violations.subList(0, Math.min(4, world.violations.size()))
             + "\n"
-            + String.join("\n", l.subList(Math.max(0, l.size() - 60), l.size())));
+            + String.join("\n", log.subList(Math.max(0, log.size() - 60), log.size())));
   }
 
-  private static void mend(Simulation world) {
+  private static void repairAll(Simulation world) {
     world.healAll();
     for (SimControlMachine control : world.controls.values()) {
       control.storage.stalled = false;
@@ -107,14 +109,15 @@
   }
 
   @Test
-  void whateverTheSeedBringsTheRulesHold() {
-    int done = 0;
+  void theRulesHoldUnderSeededFaults() {
+    int acknowledged = 0;
     for (long seed = 1; seed <= 150; seed++) {
-      Simulation world = chaos(seed, 40, true);
-      check(seed, world);
-      done += world.acknowledgedCount();
+      Simulation world = runRandomFaults(seed, 40, true);
+      assertNoViolations(seed, world);
+      acknowledged += world.acknowledgedCount();
     }
     Assertions.assertTrue(
-        done > 1000, "only " + done + " changes were acknowledged; the seeds prove too little");
+        acknowledged > 1000,
+        "only " + acknowledged + " changes were acknowledged; the seeds prove too little");
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/StateSimTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/StateSimTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of the state after hundreds of changes: a member that is restarted, emptied or was cut off
- * for long has the newest state soon, which depends on the state's size and not on its history, and
- * until then it serves nothing older.
+ * Tests of the state after hundreds of changes: a member that was restarted, emptied or cut off for
+ * long soon has the newest state, in a time that depends on the size of the state and not on its
+ * history, and serves nothing older until then.
  */
 final class StateSimTest {
-  /** How long a machine still counts as lost after it is back, in ms. */
-  private static final long CATCH_UP = 4000;
+  /** Time after its return during which a machine still counts as lost. */
+  private static final long CATCH_UP_MS = 4000;
 
-  private static final int A_DAY = 300;
+  private static final int CHANGES_OF_A_DAY = 300;
   private static final List<String> MACHINES = List.of("c1", "c2", "c3");
 
   private static final QuorumConfig DEPLOYED =
@@ -44,13 +44,14 @@
     return world;
   }
 
-  /** So many changes, one after the other, by machines that take part; each is acknowledged. */
-  private static void change(Simulation world, int count) {
+  /** Sends changes one after the other to reachable members until each is acknowledged. */
+  private static void acknowledgeChanges(Simulation world, int count) {
     long before = world.nowMs();
     for (int i = 0; i < count; i++) {
-      Simulation.SentChange x = world.send(reaching(world), StateKeys.CONFIGURATION, -1);
-      until(world, 5000, () -> x.answer()[0] != null);
-      if (x.answer()[0] instanceof ChangeResult.Acknowledged) continue;
+      Simulation.SentChange sentChange =
+          world.send(reachableMember(world), StateKeys.CONFIGURATION, -1);
+      runUntil(world, 5000, () -> sentChange.answer()[0] != null);
+      if (sentChange.answer()[0] instanceof ChangeResult.Acknowledged) continue;
       i--;
       world.run(50);
       if (world.nowMs() > before + 60_000L)
@@ -58,31 +59,31 @@
     }
   }
 
-  private static String reaching(Simulation world) {
+  private static String reachableMember(Simulation world) {
     for (SimControlMachine control : world.controls.values())
       if (control.up && control.node.isActive() && !control.node.isUnavailable())
         return control.name;
     return world.anyRunning();
   }
 
-  private static long until(Simulation world, long most, BooleanSupplier so) {
-    long from = world.nowMs();
-    while (!so.getAsBoolean()) {
-      if (world.nowMs() - from > most)
-        throw new AssertionError("not within " + most + "\n" + world.eventLogText());
+  private static long runUntil(Simulation world, long maxMs, BooleanSupplier condition) {
+    long startMs = world.nowMs();
+    while (!condition.getAsBoolean()) {
+      if (world.nowMs() - startMs > maxMs)
+        throw new AssertionError("not within " + maxMs + "\n" + world.eventLogText());
       world.run(5);
     }
-    return world.nowMs() - from;
+    return world.nowMs() - startMs;
   }
 
-  private static long number(Simulation world, String name) {
+  private static long numberOf(Simulation world, String name) {
     return world.controls.get(name).node.storedValue(StateKeys.CONFIGURATION).getKey();
   }
 
-  private static long newest(Simulation world) {
+  private static long newestAcknowledged(Simulation world) {
     return world.sentChanges.stream()
-        .filter(x -> x.answer()[0] instanceof ChangeResult.Acknowledged)
-        .mapToLong(x -> ((ChangeResult.Acknowledged) x.answer()[0]).number())
+        .filter(sentChange -> sentChange.answer()[0] instanceof ChangeResult.Acknowledged)
+        .mapToLong(sentChange -> ((ChangeResult.Acknowledged) sentChange.answer()[0]).number())
         .max()
         .orElse(0);
   }
@@ -92,112 +93,118 @@
     return control.up
         && control.node.isActive()
         && control.node.members().generation() == world.newestMembers().generation()
-        && number(world, name) >= newest(world);
+        && numberOf(world, name) >= newestAcknowledged(world);
   }
 
-  private static void well(Simulation world, String what) {
+  private static void assertHealthy(Simulation world, String label) {
     for (String c : MACHINES) world.read(c, StateKeys.CONFIGURATION);
     world.run(1500);
     world.settle(6000);
-    Assertions.assertEquals(List.of(), world.violations, what + "\n" + world.eventLogText());
+    Assertions.assertEquals(List.of(), world.violations, label + "\n" + world.eventLogText());
   }
 
-  /** How long it took until the machine held the newest state, at the most over all of them. */
-  private static long longestCatchUp(int changes, boolean withDisk) {
-    long longest = 0;
+  /** Returns the longest time that any machine took to hold the newest state. */
+  private static long longestCatchUpMs(int changes, boolean withDisk) {
+    long longestMs = 0;
     for (long seed = 1; seed <= 2; seed++) {
       Simulation world = founded(seed);
-      change(world, changes);
+      acknowledgeChanges(world, changes);
       for (String name : MACHINES) {
         SimControlMachine control = world.controls.get(name);
         if (withDisk) control.cutPower();
         else control.replaceDisk("again-" + name);
         world.run(500);
-        change(world, 3);
+        acknowledgeChanges(world, 3);
         control.start();
-        longest = Math.max(longest, until(world, CATCH_UP, () -> caughtUp(world, name)));
-        world.run(CATCH_UP);
+        longestMs = Math.max(longestMs, runUntil(world, CATCH_UP_MS, () -> caughtUp(world, name)));
+        world.run(CATCH_UP_MS);
       }
-      well(world, "seed " + seed);
+      assertHealthy(world, "seed " + seed);
     }
-    return longest;
+    return longestMs;
   }
 
   @Test
   void aRestartedMemberHasTheNewestStateAsSoonAfterHundredsOfChangesAsAfterAFew() {
-    long few = longestCatchUp(5, true), many = longestCatchUp(A_DAY, true);
-    Assertions.assertTrue(many <= 1500 && many <= few + 500, few + " ms, then " + many + " ms");
+    long fewMs = longestCatchUpMs(5, true), manyMs = longestCatchUpMs(CHANGES_OF_A_DAY, true);
+    Assertions.assertTrue(
+        manyMs <= 1500 && manyMs <= fewMs + 500, fewMs + " ms, then " + manyMs + " ms");
   }
 
   @Test
   void anEmptiedMemberHasTheNewestStateAsSoonAfterHundredsOfChangesAsAfterAFew() {
-    long few = longestCatchUp(5, false), many = longestCatchUp(A_DAY, false);
-    Assertions.assertTrue(many <= 3000 && many <= few + 500, few + " ms, then " + many + " ms");
+    long fewMs = longestCatchUpMs(5, false), manyMs = longestCatchUpMs(CHANGES_OF_A_DAY, false);
+    Assertions.assertTrue(
+        manyMs <= 3000 && manyMs <= fewMs + 500, fewMs + " ms, then " + manyMs + " ms");
   }
 
   @Test
   void aMemberCutOffWhileMuchChangedServesNothingOldAndCatchesUp() {
-    long longest = 0;
+    long longestMs = 0;
     for (long seed = 1; seed <= 3; seed++)
       for (String name : MACHINES) {
         Simulation world = founded(seed);
-        change(world, 100);
+        acknowledgeChanges(world, 100);
         world.cutOff(name);
         world.run(1000);
-        change(world, 100);
+        acknowledgeChanges(world, 100);
         for (int i = 0; i < 20; i++) {
           world.read(name, StateKeys.CONFIGURATION);
           world.run(1000);
         }
         world.heal(name);
-        longest = Math.max(longest, until(world, CATCH_UP, () -> caughtUp(world, name)));
-        well(world, "seed " + seed + " " + name);
+        longestMs = Math.max(longestMs, runUntil(world, CATCH_UP_MS, () -> caughtUp(world, name)));
+        assertHealthy(world, "seed " + seed + " " + name);
       }
-    Assertions.assertTrue(longest <= 1500, longest + " ms");
+    Assertions.assertTrue(longestMs <= 1500, longestMs + " ms");
   }
 
-  /** Each in turn is the one with old state that wakes and believes itself owner. */
+  /**
+   * Each owner in turn is paused, resumes with old state and still believes that it is the owner.
+   */
   @Test
-  void anOwnerThatWakesWithOldStateLeadsNobodyBack() {
+  void anOwnerThatResumesWithOldStateNeverServesIt() {
     for (long seed = 1; seed <= 6; seed++) {
       Simulation world = founded(seed);
-      change(world, 60);
+      acknowledgeChanges(world, 60);
       for (int i = 0; i < 4; i++) {
         String owner = world.ownersOf(StateKeys.CONFIGURATION);
         world.controls.get(owner).pause();
         world.run(2500);
-        change(world, 20);
+        acknowledgeChanges(world, 20);
         world.controls.get(owner).resume();
         for (int j = 0; j < 20; j++) {
           world.read(owner, StateKeys.CONFIGURATION);
           world.run(j);
         }
-        until(world, CATCH_UP, () -> caughtUp(world, owner));
-        world.run(CATCH_UP);
+        runUntil(world, CATCH_UP_MS, () -> caughtUp(world, owner));
+        world.run(CATCH_UP_MS);
       }
-      well(world, "seed " + seed);
+      assertHealthy(world, "seed " + seed);
     }
   }
 
-  /** All lose power within a change, at each step of it, after the rings have come round. */
+  /**
+   * All members lose power at each step of a change, after the record rings have wrapped around.
+   */
   @Test
-  void allLosePowerAtAnyStepOfAChangeAfterTheRingsCameRound() {
-    long longest = 0;
+  void allLosePowerAtAnyStepOfAChangeAfterTheRecordRingsWrapped() {
+    long longestMs = 0;
     for (int ms = 0; ms <= 60; ms += 6) {
       Simulation world = founded(ms);
-      change(world, A_DAY);
-      world.send(reaching(world), StateKeys.CONFIGURATION, -1);
+      acknowledgeChanges(world, CHANGES_OF_A_DAY);
+      world.send(reachableMember(world), StateKeys.CONFIGURATION, -1);
       world.run(ms);
       for (SimControlMachine control : world.controls.values()) control.cutPower();
       world.run(500);
       for (SimControlMachine control : world.controls.values()) control.start();
-      longest =
+      longestMs =
           Math.max(
-              longest,
-              until(world, 8000, () -> !world.ownersOf(StateKeys.CONFIGURATION).isEmpty()));
-      change(world, 1);
-      well(world, "power lost " + ms + " ms after a change was sent");
+              longestMs,
+              runUntil(world, 8000, () -> !world.ownersOf(StateKeys.CONFIGURATION).isEmpty()));
+      acknowledgeChanges(world, 1);
+      assertHealthy(world, "power lost " + ms + " ms after a change was sent");
     }
-    Assertions.assertTrue(longest <= 4000, longest + " ms until somebody leads");
+    Assertions.assertTrue(longestMs <= 4000, longestMs + " ms until somebody leads");
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/sim/TakeoverTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TakeoverTest.java
@@ -11,134 +11,142 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long keys are without a working owner when trouble comes to it, alone and right after the end
- * of other trouble; leases have to outlast that. The tables are printed; the system property
- * takeover.seeds plays more seeds than the few of each build.
+ * Measures how long keys have no working owner when a fault hits it, alone and right after the end
+ * of another fault; leases must outlast that time. The tables are printed. The system property
+ * takeover.seeds sets a higher number of seeds than the default of the build.
  */
 final class TakeoverTest {
   private static final int SEEDS = Integer.getInteger("takeover.seeds", 2);
-  private static final int SEEDS_ALONE = Math.max(SEEDS, 10);
-  private static final long WITHIN = 8000;
+  private static final int SINGLE_FAULT_SEEDS = Math.max(SEEDS, 10);
+  private static final long MAX_TAKEOVER_MS = 8000;
 
-  /** The slowest round trip of the simulated links, and a step of the onlooker. */
-  private static final long BOTH_WAYS = 120, STEP = 25;
+  /** The slowest round trip of the simulated links, and the interval of the observer. */
+  private static final long MAX_ROUND_TRIP_MS = 120, OBSERVER_STEP_MS = 25;
 
-  /** How long a leased key is without a confirmation at the most: see Tunables. */
-  private static final long UNCONFIRMED =
+  /** The longest time for which a leased key may be unconfirmed: see QuorumConfig. */
+  private static final long MAX_UNCONFIRMED_MS =
       CoreTimes.PLATFORM.peerTimeoutMs()
           + CoreTimes.PLATFORM.confirmIntervalMs()
           + CoreTimes.PLATFORM.heartbeatMs()
           + CoreTimes.PLATFORM.electionTimeoutMs()
-          + BOTH_WAYS
-          + STEP;
+          + MAX_ROUND_TRIP_MS
+          + OBSERVER_STEP_MS;
 
-  /** And where another member is only just back, whose connections are still to be made. */
-  private static final long UNCONFIRMED_AFTER_OTHER = UNCONFIRMED + reconnect();
+  /**
+   * The same where another member has only just returned and its connections are still being
+   * opened.
+   */
+  private static final long MAX_UNCONFIRMED_AFTER_OTHER_MS = MAX_UNCONFIRMED_MS + reconnectMs();
 
-  private static long reconnect() {
-    Liveness l =
+  private static long reconnectMs() {
+    Liveness liveness =
         Liveness.forMembers(CoreTimes.PLATFORM.heartbeatMs(), CoreTimes.PLATFORM.peerTimeoutMs());
-    return l.connectTimeoutMs() + l.reconnectDelayMs() + BOTH_WAYS;
+    return liveness.connectTimeoutMs() + liveness.reconnectDelayMs() + MAX_ROUND_TRIP_MS;
   }
 
-  /** The times of many runs, as a line of a table. */
+  /** The times of many runs, as one row of a table. */
   private static final class Times {
-    private final List<Long> takeovers = new ArrayList<>();
-    private int kept;
-    private long unconfirmed;
-    private long gap;
-
-    String line(String what) {
-      Collections.sort(takeovers);
-      int n = takeovers.size();
-      String median = n == 0 ? "-" : "" + takeovers.get(n / 2);
-      String worst = n == 0 ? "-" : "" + takeovers.get(n - 1);
+    private final List<Long> takeoversMs = new ArrayList<>();
+    private int keptCount;
+    private long unconfirmedMs;
+    private long gapMs;
+
+    String tableRow(String label) {
+      Collections.sort(takeoversMs);
+      int count = takeoversMs.size();
+      String median = count == 0 ? "-" : "" + takeoversMs.get(count / 2);
+      String worst = count == 0 ? "-" : "" + takeoversMs.get(count - 1);
       return String.format(
-          "| %s | %s | %s | %d | %d | %d |", what, median, worst, kept, unconfirmed, gap);
+          "| %s | %s | %s | %d | %d | %d |", label, median, worst, keptCount, unconfirmedMs, gapMs);
     }
   }
 
-  private static final String HEAD =
+  private static final String TABLE_HEADER =
       """
       | trouble of a key's owner | takeover, median | worst | kept | unconfirmed, worst | relay's gap, worst |
       |---|---|---|---|---|---|""";
 
-  private static List<String> ownedBy(Takeover t, SimControlMachine control) {
-    return Takeover.keys().stream().filter(k -> t.owner(k, null) == control).toList();
+  private static List<String> ownedBy(TakeoverObserver takeover, SimControlMachine control) {
+    return TakeoverObserver.keys().stream()
+        .filter(k -> takeover.owner(k, null) == control)
+        .toList();
   }
 
-  private static void add(Times times, Takeover t, Simulation world, OwnerTrouble trouble) {
-    SimControlMachine control = t.owner(StateKeys.CONFIGURATION, null);
+  private static void runFault(
+      Times times, TakeoverObserver takeover, Simulation world, OwnerFault fault) {
+    SimControlMachine control = takeover.owner(StateKeys.CONFIGURATION, null);
     if (control == null) control = world.controls.get("c1");
-    List<String> keys = ownedBy(t, control);
-    trouble.begin(world, control);
-    Map<String, Long> after = t.untilOthersServe(keys, control, WITHIN);
-    times.takeovers.addAll(after.values());
-    times.kept += keys.size() - after.size();
-    times.unconfirmed = Math.max(times.unconfirmed, t.longestUnconfirmed);
-    times.gap = Math.max(times.gap, Takeover.longestGap(world));
+    List<String> keys = ownedBy(takeover, control);
+    fault.inject(world, control);
+    Map<String, Long> takeoverMs = takeover.takeoverTimesMs(keys, control, MAX_TAKEOVER_MS);
+    times.takeoversMs.addAll(takeoverMs.values());
+    times.keptCount += keys.size() - takeoverMs.size();
+    times.unconfirmedMs = Math.max(times.unconfirmedMs, takeover.longestUnconfirmedMs);
+    times.gapMs = Math.max(times.gapMs, TakeoverObserver.longestGapMs(world));
     Assertions.assertEquals(List.of(), world.violations);
   }
 
-  private static Times alone(OwnerTrouble trouble) {
+  private static Times runSingleFaults(OwnerFault fault) {
     Times times = new Times();
-    for (long seed = 1; seed <= SEEDS_ALONE; seed++) {
-      Simulation world = Takeover.fleet(seed, true);
-      Takeover t = new Takeover(world);
-      t.run(new Random(seed).nextInt(400));
-      add(times, t, world, trouble);
+    for (long seed = 1; seed <= SINGLE_FAULT_SEEDS; seed++) {
+      Simulation world = TakeoverObserver.startFleet(seed, true);
+      TakeoverObserver takeover = new TakeoverObserver(world);
+      takeover.run(new Random(seed).nextInt(400));
+      runFault(times, takeover, world, fault);
     }
     return times;
   }
 
-  private static Times after(OwnerTrouble first, OwnerTrouble second) {
+  private static Times runFaultPairs(OwnerFault first, OwnerFault second) {
     Times times = new Times();
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation world = Takeover.fleet(seed, true);
-      Takeover t = new Takeover(world);
-      SimControlMachine control = t.owner(StateKeys.CONFIGURATION, null);
-      first.begin(world, control);
-      t.run(3000 + new Random(seed).nextInt(17_000));
-      first.end(world, control);
-      add(times, t, world, second);
+      Simulation world = TakeoverObserver.startFleet(seed, true);
+      TakeoverObserver takeover = new TakeoverObserver(world);
+      SimControlMachine control = takeover.owner(StateKeys.CONFIGURATION, null);
+      first.inject(world, control);
+      takeover.run(3000 + new Random(seed).nextInt(17_000));
+      first.repair(world, control);
+      runFault(times, takeover, world, second);
     }
     return times;
   }
 
-  private static void outlasted(Times times, long most, String what, List<String> failures) {
-    if (times.gap > 30) failures.add(what + ": a relay had no lease for " + times.gap);
-    if (times.unconfirmed > most)
-      failures.add(what + ": unconfirmed for " + times.unconfirmed + " of " + most);
+  private static void checkLimits(
+      Times times, long maxUnconfirmedMs, String label, List<String> failures) {
+    if (times.gapMs > 30) failures.add(label + ": a relay had no lease for " + times.gapMs);
+    if (times.unconfirmedMs > maxUnconfirmedMs)
+      failures.add(label + ": unconfirmed for " + times.unconfirmedMs + " of " + maxUnconfirmedMs);
   }
 
   @Test
   void aLeaseIsLongerThanAnyTakeoverAndTheTimeBetweenTwoAsks() {
-    long needed = UNCONFIRMED_AFTER_OTHER + CoreTimes.ASK + BOTH_WAYS;
+    long needed =
+        MAX_UNCONFIRMED_AFTER_OTHER_MS + CoreTimes.SUBSCRIPTION_INTERVAL_MS + MAX_ROUND_TRIP_MS;
     Assertions.assertTrue(needed < CoreTimes.PLATFORM.leaseMs(), needed + " ms");
   }
 
   @Test
   void leasesOutlastAnyTroubleOfAnOwner() {
-    System.out.println(HEAD);
+    System.out.println(TABLE_HEADER);
     List<String> failures = new ArrayList<>();
-    for (OwnerTrouble t : OwnerTrouble.values()) {
-      Times times = alone(t);
-      System.out.println(times.line(t.words));
-      outlasted(times, UNCONFIRMED, t.words, failures);
+    for (OwnerFault fault : OwnerFault.values()) {
+      Times times = runSingleFaults(fault);
+      System.out.println(times.tableRow(fault.description));
+      checkLimits(times, MAX_UNCONFIRMED_MS, fault.description, failures);
     }
     Assertions.assertEquals(List.of(), failures);
   }
 
   @Test
   void leasesOutlastTroubleThatComesRightAfterOther() {
-    System.out.println(HEAD);
+    System.out.println(TABLE_HEADER);
     List<String> failures = new ArrayList<>();
-    for (OwnerTrouble first : OwnerTrouble.values())
-      for (OwnerTrouble second : OwnerTrouble.values()) {
-        String what = first.words + ", then " + second.words;
-        Times times = after(first, second);
-        System.out.println(times.line(what));
-        outlasted(times, UNCONFIRMED_AFTER_OTHER, what, failures);
+    for (OwnerFault first : OwnerFault.values())
+      for (OwnerFault second : OwnerFault.values()) {
+        String label = first.description + ", then " + second.description;
+        Times times = runFaultPairs(first, second);
+        System.out.println(times.tableRow(label));
+        checkLimits(times, MAX_UNCONFIRMED_AFTER_OTHER_MS, label, failures);
       }
     Assertions.assertEquals(List.of(), failures);
   }
--- a/emulator/src/test/java/gladelug/emulator/sim/TimelineTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TimelineTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Timeline. */
+/** Tests of takeover, replacement and recovery as timelines. */
 final class TimelineTest {
   private static void play(String text) {
     for (long seed = 1; seed <= 12; seed++) {
@@ -18,7 +18,7 @@
 
   @Test
   void losingAnyOneMachineCostsNoRelayItsLease() {
-    for (String c : new String[] {"c1", "c2", "c3"})
+    for (String name : new String[] {"c1", "c2", "c3"})
       play(
           """
                 t     | %s    | op
@@ -29,7 +29,7 @@
                 11000 | .     | last acknowledged, serve, gap 30
                 11000 | up    | .
                 20000 | .     | serve, gap 30, well"""
-              .formatted(c));
+              .formatted(name));
   }
 
   @Test
@@ -171,12 +171,14 @@
             31500 | .    | .    | .    | .   | .   | .   | last acknowledged, well""");
   }
 
-  /** Else it takes from the others what they took a moment before, and they take it back. */
+  /**
+   * Without this a new member takes keys that others took a moment before, and they take them back.
+   */
   @Test
-  void aNewcomerHearsWhoOwnsWhatBeforeItTriesItself() {
-    int ousted = 0;
+  void aNewMemberLearnsTheOwnersBeforeItCompetesForKeys() {
+    int lostOwnerships = 0;
     for (long seed = 1; seed <= 40; seed++)
-      ousted +=
+      lostOwnerships +=
           Timeline.play(
                   new Simulation(seed, 2),
                   """
@@ -186,14 +188,18 @@
             4500  | .    | .    | .    | .   | forget, swap c1 c4
             7000  | .    | .    | .    | .   | generation 2, serve, well""")
               .lostOwnerships;
-    Assertions.assertTrue(ousted <= 20, ousted + " owners lost a key just taken, in 40 swaps");
+    Assertions.assertTrue(
+        lostOwnerships <= 20, lostOwnerships + " owners lost a key just taken, in 40 swaps");
   }
 
-  /** Else each takes the keys from the others again and again before anyone has served them. */
+  /**
+   * Without this each member takes the keys from the others again and again before any has served
+   * them.
+   */
   @Test
-  void onMachinesWithTooMuchToDoTheCoreStillSettles() {
-    long longest = 0;
-    int ousted = 0;
+  void theCoreSettlesOnOverloadedMachines() {
+    long longestMs = 0;
+    int lostOwnerships = 0;
     for (long seed = 1; seed <= 20; seed++) {
       Simulation world = new Simulation(seed, 2);
       world.run(3000);
@@ -210,10 +216,11 @@
       while (world.nowMs() - from < 40_000
           && world.relays.values().stream()
               .anyMatch(relay -> world.nowMs() - relay.lastStartMs > 30)) world.run(50);
-      longest = Math.max(longest, world.nowMs() - from);
-      ousted += world.lostOwnerships;
+      longestMs = Math.max(longestMs, world.nowMs() - from);
+      lostOwnerships += world.lostOwnerships;
     }
-    Assertions.assertTrue(longest < 12_000, longest + " ms, " + ousted + " owners ousted");
+    Assertions.assertTrue(
+        longestMs < 12_000, longestMs + " ms, " + lostOwnerships + " owners ousted");
   }
 
   @Test
--- a/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
@@ -23,10 +23,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The digests stand for the behaviour before the renamings; a difference means behaviour changed. A
- * commit that changes behaviour on purpose says so and gives the new digest. They cover the bytes
- * of every record sent, when, by whom and to whom, what is written to disks, requests and commands
- * to replicas, and what became of changes and requests; no name of the code.
+ * Tests that behaviour is unchanged: a different digest means that behaviour changed. A commit that
+ * changes behaviour on purpose says so and gives the new digest. The digests cover the bytes of
+ * every record sent with its time, sender and receiver, disk writes, requests and commands to
+ * replicas, and the outcome of changes and requests, but no names of the code.
  */
 final class TraceDigestTest {
   private static final int STEPS = 40;
@@ -73,8 +73,8 @@
         .build();
   }
 
-  /** The digest of a world after what its seed brings: faults, changes, reads, new machines. */
-  private static String faults(Simulation sim, long seed) {
+  /** Returns the digest of a simulation under seeded faults, changes, reads and new machines. */
+  private static String runFaults(Simulation sim, long seed) {
     TraceDigest trace = new TraceDigest();
     sim.observer = new Recorder(trace);
     Random random = new Random(seed * 15_485_863);
@@ -86,18 +86,18 @@
       relay.clockRate = 1 + (random.nextDouble() - 0.5) * 0.01;
     sim.run(4000);
     for (int i = 0; i < STEPS; i++) {
-      fault(sim, random, "disk-" + seed + "-" + i);
+      injectFault(sim, random, "disk-" + seed + "-" + i);
       List<String> names = names(sim);
       sim.send(names.get(random.nextInt(names.size())), StateKeys.CONFIGURATION, -1);
       sim.read(names.get(random.nextInt(names.size())), StateKeys.CONFIGURATION);
       sim.run(random.nextInt(1500));
-      if (random.nextBoolean()) mend(sim);
+      if (random.nextBoolean()) repairAll(sim);
       sim.run(random.nextInt(4) == 0 ? 4000 : random.nextInt(800));
     }
-    mend(sim);
+    repairAll(sim);
     sim.lossRate = 0;
     sim.settle(12_000);
-    outcome(sim, trace);
+    addOutcome(sim, trace);
     return String.format(
         "%d changes done, generation %d, %d violations, %s",
         sim.acknowledgedCount(), sim.newestGeneration(), sim.violations.size(), trace.result());
@@ -107,7 +107,7 @@
     return sim.controlNames().stream().filter(name -> !sim.departed.contains(name)).toList();
   }
 
-  private static void fault(Simulation sim, Random random, String newDisk) {
+  private static void injectFault(Simulation sim, Random random, String newDisk) {
     List<String> names = names(sim);
     String name = names.get(random.nextInt(names.size()));
     String other = names.get(random.nextInt(names.size()));
@@ -148,7 +148,7 @@
     }
   }
 
-  private static void mend(Simulation sim) {
+  private static void repairAll(Simulation sim) {
     sim.healAll();
     for (SimControlMachine control : sim.controls.values()) {
       if (sim.departed.contains(control.name)) continue;
@@ -161,7 +161,7 @@
     }
   }
 
-  private static void outcome(Simulation sim, TraceDigest trace) {
+  private static void addOutcome(Simulation sim, TraceDigest trace) {
     for (Simulation.SentChange sent : sim.sentChanges)
       trace
           .add(sent.valueNumber())
@@ -177,7 +177,7 @@
     Assertions.assertEquals(
         "20 changes done, generation 5, 0 violations, 107895 "
             + "57d847b4c04c8588df36bd14dd892d7b50d675f688618a7f6e0973f7c9a8a312",
-        faults(new Simulation(1, 3), 1));
+        runFaults(new Simulation(1, 3), 1));
   }
 
   @Test
@@ -187,7 +187,7 @@
     Assertions.assertEquals(
         "22 changes done, generation 2, 0 violations, 79231 "
             + "757e04553d928908ec53f6eef2d7c4bd27e42bdf5d96d01cbef8ac8e5c94e6e3",
-        faults(sim, 2));
+        runFaults(sim, 2));
   }
 
   @Test
@@ -195,7 +195,7 @@
     Assertions.assertEquals(
         "31 changes done, generation 10, 0 violations, 413387 "
             + "2e3b860fa56614669f281b1f23f70dabc28bbc462e18872bae08a233a320d907",
-        faults(new Simulation(3, 3, 7, 3, fiveVoters()), 3));
+        runFaults(new Simulation(3, 3, 7, 3, fiveVoters()), 3));
   }
 
   @Test
@@ -203,13 +203,13 @@
     Assertions.assertEquals(
         "30 changes done, generation 15, 0 violations, 279345 "
             + "3881502eca9498d1d75ea0d874dab63654c5a4f7a0504bd86ec7fb7656a55ce1",
-        faults(new Simulation(4, 2, 6, 1, fiveVoters()), 4));
+        runFaults(new Simulation(4, 2, 6, 1, fiveVoters()), 4));
   }
 
   // ---- requests
 
-  /** The digest of a world with requests: a window held open, then what its seed brings. */
-  private static String requests(long seed, InjectedEvent happening, RequestPoint point) {
+  /** Returns the digest of a simulation with a held request and seeded faults. */
+  private static String runRequests(long seed, InjectedEvent happening, RequestPoint point) {
     Logger.getLogger("").setLevel(Level.OFF);
     TraceDigest trace = new TraceDigest();
     RequestSimulation sim = new RequestSimulation(seed);
@@ -257,7 +257,7 @@
     Assertions.assertEquals(
         "936 of 993 requests complete, 0 violations, 70933 "
             + "fcb0304ddf8c2f7905608ab6363dc13de0b9e3672ef20d1323131dee11a6d513",
-        requests(11, InjectedEvent.CONFIGURATION_MOVES, RequestPoint.LOOKUP));
+        runRequests(11, InjectedEvent.CONFIGURATION_MOVES, RequestPoint.LOOKUP));
   }
 
   @Test
@@ -265,7 +265,7 @@
     Assertions.assertEquals(
         "726 of 823 requests complete, 0 violations, 57029 "
             + "5b8dbfeba2be668f3a1d89153211e9513aba83513a3a188482b3abd2d98c623e",
-        requests(12, InjectedEvent.WEIGHTS_NAMED, RequestPoint.HANDED));
+        runRequests(12, InjectedEvent.WEIGHTS_NAMED, RequestPoint.HANDED));
   }
 
   @Test
@@ -273,6 +273,6 @@
     Assertions.assertEquals(
         "920 of 938 requests complete, 0 violations, 65593 "
             + "dc38ca3a17eb8f6c7f9343dea8bf7f5f5ed312cda91fba3f331fb5653a0cbb34",
-        requests(13, InjectedEvent.OWNER_DIES, RequestPoint.STREAM));
+        runRequests(13, InjectedEvent.OWNER_DIES, RequestPoint.STREAM));
   }
 }
