--- a/emulator/src/main/java/gladelug/emulator/history/Call.java
+++ b/emulator/src/main/java/gladelug/emulator/history/Call.java
@@ -26,7 +26,11 @@
   /** Returns the same call with an unknown outcome, or null if nothing remains of it. */
   Call withoutOutcome();
 
-  /** A call that sent a change. */
+  /**
+   * A call that sent a change.
+   *
+   * @param currentVersion the version that a refusal named as current, or UNKNOWN_VERSION
+   */
   record ChangeCall(
       String operator,
       String member,
@@ -61,7 +65,12 @@
     }
   }
 
-  /** A call that read the newest value; reads without an answer are not recorded. */
+  /**
+   * A call that read the newest value; reads without an answer are not recorded.
+   *
+   * @param version the version read, 0 for a register that was never written
+   * @param id the value read, empty for a register that was never written
+   */
   record ReadCall(String operator, String member, long startMs, long endMs, long version, String id)
       implements Call {
     @Override
