--- a/emulator/src/main/java/gladelug/emulator/CommandLine.java
+++ b/emulator/src/main/java/gladelug/emulator/CommandLine.java
@@ -2,7 +2,7 @@
 
 import gladelug.data.relay.Mechanism;
 import gladelug.emulator.check.ModelCheck;
-import gladelug.emulator.control.ControlTroubles;
+import gladelug.emulator.control.FaultScenarios;
 import gladelug.emulator.soak.SoakCommand;
 import java.util.ArrayList;
 import java.util.List;
@@ -128,7 +128,7 @@
     command
         .addArgument("--point")
         .type(Integer.class)
-        .choices(Arguments.range(1, ControlTroubles.COUNT))
+        .choices(Arguments.range(1, FaultScenarios.COUNT))
         .help(
             "a day of the control side instead: 1 a long cut, 2 racing operators, 3 replacements in turn, "
                 + "4 hundreds of changes, 5 resets");
--- a/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
+++ b/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
@@ -4,8 +4,8 @@
 import gladelug.common.Program;
 import gladelug.data.relay.Mechanism;
 import gladelug.emulator.check.ModelCheck;
-import gladelug.emulator.control.ControlDay;
-import gladelug.emulator.control.ControlTroubles;
+import gladelug.emulator.control.ControlFaultRun;
+import gladelug.emulator.control.FaultScenarios;
 import gladelug.emulator.day.Day;
 import gladelug.emulator.experiment.Ablation;
 import gladelug.emulator.experiment.AblationPlan;
@@ -140,8 +140,8 @@
     Path out = folder(options, "control-" + point);
     long seed = options.getLong("seed");
     boolean clean;
-    try (Fleet fleet = new Fleet(ControlDay.deployment(), out, seed, "summary")) {
-      clean = new ControlDay(fleet, seed, System.out::println).play(ControlTroubles.of(point));
+    try (Fleet fleet = new Fleet(ControlFaultRun.deployment(), out, seed, "summary")) {
+      clean = new ControlFaultRun(fleet, seed, System.out::println).play(FaultScenarios.of(point));
     }
     System.out.println("logs: " + out);
     return clean;
--- a/emulator/src/main/java/gladelug/emulator/control/ChangeLedger.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ChangeLedger.java
@@ -32,8 +32,8 @@
    * @param member the core member that it was sent to
    * @param content the marker that is in this content and in no other
    * @param basedOn the number that it was based on
-   * @param sentAt when it began to be sent, in milliseconds
-   * @param answeredAt when its answer was read or given up, in milliseconds
+   * @param sentAtMs when it began to be sent, in milliseconds
+   * @param answeredAtMs when its answer was read or given up, in milliseconds
    * @param number the number of a confirmed change, the current one of a stale change, else -1
    */
   public record Attempt(
@@ -41,8 +41,8 @@
       String member,
       int content,
       long basedOn,
-      long sentAt,
-      long answeredAt,
+      long sentAtMs,
+      long answeredAtMs,
       Outcome outcome,
       int status,
       long number) {}
@@ -53,10 +53,10 @@
    * @param content the marker found in what was read, or -1 where there was no configuration
    */
   public record Reading(
-      String member, long askedAt, long answeredAt, int status, long number, int content) {
+      String member, long sentAtMs, long answeredAtMs, int status, long number, int content) {
     /** How long the answer took, in milliseconds. */
-    public long tookMs() {
-      return answeredAt - askedAt;
+    public long durationMs() {
+      return answeredAtMs - sentAtMs;
     }
   }
 
@@ -78,12 +78,12 @@
   }
 
   /** Notes one attempt and its outcome. */
-  public void note(Attempt attempt) {
+  public void record(Attempt attempt) {
     attempts.add(attempt);
   }
 
   /** Notes one reading and its answer. */
-  public void note(Reading reading) {
+  public void record(Reading reading) {
     readings.add(reading);
   }
 
--- a/emulator/src/main/java/gladelug/emulator/control/ConnectionResets.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ConnectionResets.java
@@ -13,31 +13,32 @@
  *
  * <p>Resets at replicas and callers.
  */
-public final class ConnectionResets implements ControlDay.Trouble {
+public final class ConnectionResets implements ControlFaultRun.FaultScenario {
   private static final long STEP_MS = 150;
   private static final long SILENCE_MS = 2500;
-  private static final int STEPS_A_SILENCE = 40;
-  private static final double CLOSED_BEFORE_FIRST = 0.05;
-  private final long lastsMs;
+  private static final int STEPS_PER_SILENCE = 40;
+  private static final double CLOSED_BEFORE_FIRST_PROBABILITY = 0.05;
+  private final long durationMs;
 
   /** Lasts so many milliseconds. */
-  public ConnectionResets(long lastsMs) {
-    this.lastsMs = lastsMs;
+  public ConnectionResets(long durationMs) {
+    this.durationMs = durationMs;
   }
 
   @Override
-  public void play(ControlDay day) {
+  public void play(ControlFaultRun day) {
     day.keepChanging(1);
     List<StandInReplica> models = new ArrayList<>();
     for (StandInReplica replica : day.fleet.replicas.values()) {
       if (replica.kind == StandInReplica.Kind.MODEL) models.add(replica);
     }
-    for (StandInReplica replica : models) replica.faults.cutBeforeFirst = CLOSED_BEFORE_FIRST;
-    long steps = lastsMs / STEP_MS;
+    for (StandInReplica replica : models)
+      replica.faults.cutBeforeFirst = CLOSED_BEFORE_FIRST_PROBABILITY;
+    long steps = durationMs / STEP_MS;
     for (long step = 1; step <= steps; step++) {
       StandInReplica replica = models.get(day.random.nextInt(models.size()));
       String edge = Fleet.edge(1 + day.random.nextInt(day.fleet.deployment.relays()));
-      if (step % STEPS_A_SILENCE == 0) {
+      if (step % STEPS_PER_SILENCE == 0) {
         silence(day, edge, replica.instance);
       } else if (step % 2 == 0) {
         day.fleet.wires.breakConnections(edge, replica.instance);
@@ -50,14 +51,14 @@
     for (StandInReplica replica : models) replica.faults.none();
   }
 
-  private static void silence(ControlDay day, String edge, String replica) {
+  private static void silence(ControlFaultRun day, String edge, String replica) {
     day.fleet.wires.cut(edge, replica);
     Fleet.pause(SILENCE_MS);
     day.fleet.wires.mend();
   }
 
   @Override
-  public long longestGapMs() {
+  public long maxGapMs() {
     return 12_000;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/control/ControlDay.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ControlFaultRun.java
@@ -27,52 +27,52 @@
  *
  * <p>What the troubles of a day have at hand, and the play around them.
  */
-public final class ControlDay {
+public final class ControlFaultRun {
   /** One kind of trouble, begun when the fleet serves and over when play returns. */
-  public interface Trouble {
+  public interface FaultScenario {
     /** Brings the trouble about and mends it. */
-    void play(ControlDay day) throws Exception;
+    void play(ControlFaultRun day) throws Exception;
 
     /** The longest time without a confirmed change that is borne, in milliseconds. */
-    long longestGapMs();
+    long maxGapMs();
   }
 
   /** What a machine that was started or mended may take until it is needed, in milliseconds. */
-  static final long RETURN_MS = 40_000;
+  static final long RECOVERY_TIMEOUT_MS = 40_000;
 
-  private static final int NETWORK = 18;
-  private static final int RELAYS = 2;
-  private static final long CHANGE_MS = 30_000;
-  private static final long BETWEEN_CHANGES_MS = 150;
-  private static final long BETWEEN_READINGS_MS = 100;
-  private static final long QUIET_MS = 2000;
-  private static final int MOST_OFFENDERS_SHOWN = 5;
+  private static final int NETWORK_NUMBER = 18;
+  private static final int RELAY_COUNT = 2;
+  private static final long CHANGE_TIMEOUT_MS = 30_000;
+  private static final long CHANGE_PAUSE_MS = 150;
+  private static final long READING_PAUSE_MS = 100;
+  private static final long SETTLING_MS = 2000;
+  private static final int MAX_OFFENDERS_SHOWN = 5;
 
   final Fleet fleet;
   final ChangeLedger changes = new ChangeLedger();
   final Random random;
-  private final Consumer<String> out;
+  private final Consumer<String> printLine;
   private final List<StandInOperator> operators = new CopyOnWriteArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
-  private volatile boolean busy = true;
+  private volatile boolean operatorsRunning = true;
   private volatile List<Member> members = List.of();
 
   /** Plays on a fleet that was not started yet; lines for people go to out. */
-  public ControlDay(Fleet fleet, long seed, Consumer<String> out) {
+  public ControlFaultRun(Fleet fleet, long seed, Consumer<String> printLine) {
     this.fleet = fleet;
     this.random = new Random(seed);
-    this.out = out;
+    this.printLine = printLine;
   }
 
   /** Two replicas, two relays and an index beside the three members of the core. */
   public static Deployment deployment() {
-    Deployment small = Deployment.small(NETWORK);
+    Deployment small = Deployment.small(NETWORK_NUMBER);
     return new Deployment(
         small.name(),
         small.net(),
         small.service(),
         small.replicas(),
-        RELAYS,
+        RELAY_COUNT,
         small.indexes(),
         small.kinds(),
         small.tenants(),
@@ -80,9 +80,9 @@
   }
 
   /** Plays the day; true if no rule was broken. */
-  public boolean play(Trouble trouble) throws Exception {
+  public boolean play(FaultScenario scenario) throws Exception {
     fleet.start();
-    namesOfMembers();
+    refreshMembers();
     StandInCallers callers =
         new StandInCallers(
             fleet.vertx,
@@ -92,24 +92,24 @@
             fleet.deployment.kinds(),
             random.nextLong());
     callers.start();
-    operator("setup").change(CHANGE_MS);
-    trouble.play(this);
-    Fleet.pause(QUIET_MS);
+    newOperator("setup").change(CHANGE_TIMEOUT_MS);
+    scenario.play(this);
+    Fleet.pause(SETTLING_MS);
     stopOperators();
-    operator("closing").change(CHANGE_MS);
-    for (Member member : members) operator("closing").read(member);
+    newOperator("closing").change(CHANGE_TIMEOUT_MS);
+    for (Member member : members) newOperator("closing").read(member);
     callers.stop();
-    Fleet.until("the last requests ended", RETURN_MS, () -> callers.open() == 0);
-    return report(trouble);
+    Fleet.until("the last requests ended", RECOVERY_TIMEOUT_MS, () -> callers.open() == 0);
+    return report(scenario);
   }
 
   /** Says something to people. */
-  void say(String what) {
-    out.accept("  " + what);
+  void print(String what) {
+    printLine.accept("  " + what);
   }
 
   /** An operator who knows the present members and is told of later ones. */
-  StandInOperator operator(String name) {
+  StandInOperator newOperator(String name) {
     StandInOperator operator =
         new StandInOperator(name, fleet.deployment, changes, members, random.nextLong());
     operators.add(operator);
@@ -117,13 +117,13 @@
   }
 
   /** Operators who change the configuration all the time, each on what it read just before. */
-  void keepChanging(int howMany) {
-    for (int i = 1; i <= howMany; i++) {
-      StandInOperator operator = operator("operator-" + i);
-      keepDoing(
+  void keepChanging(int operatorCount) {
+    for (int i = 1; i <= operatorCount; i++) {
+      StandInOperator operator = newOperator("operator-" + i);
+      repeatInThread(
           () -> {
-            operator.change(CHANGE_MS);
-            Fleet.pause(BETWEEN_CHANGES_MS);
+            operator.change(CHANGE_TIMEOUT_MS);
+            Fleet.pause(CHANGE_PAUSE_MS);
           });
     }
   }
@@ -131,36 +131,36 @@
   /** An operator for each member who reads there all the time. */
   void keepReading() {
     for (Member member : members) {
-      StandInOperator operator = operator("reader-of-" + member.name());
-      keepDoing(
+      StandInOperator operator = newOperator("reader-of-" + member.name());
+      repeatInThread(
           () -> {
             operator.read(member);
-            Fleet.pause(BETWEEN_READINGS_MS);
+            Fleet.pause(READING_PAUSE_MS);
           });
     }
   }
 
-  private void keepDoing(Runnable what) {
+  private void repeatInThread(Runnable task) {
     Thread thread =
         new Thread(
             () -> {
-              while (busy) what.run();
+              while (operatorsRunning) task.run();
             });
     threads.add(thread);
     thread.start();
   }
 
   private void stopOperators() throws InterruptedException {
-    busy = false;
-    for (Thread thread : threads) thread.join(RETURN_MS);
+    operatorsRunning = false;
+    for (Thread thread : threads) thread.join(RECOVERY_TIMEOUT_MS);
   }
 
   /** The core's members by name, as the core tells them now; operators call these from now on. */
-  List<String> namesOfMembers() {
+  List<String> refreshMembers() {
     List<String> names = fleet.members();
     if (!names.isEmpty()) {
       members = names.stream().map(n -> new Member(n, fleet.operator.get(n))).toList();
-      operators.forEach(operator -> operator.members(members));
+      operators.forEach(operator -> operator.useMembers(members));
     }
     return names;
   }
@@ -172,32 +172,33 @@
 
   /** A machine loses power. */
   void kill(String name) {
-    say("kill " + name);
+    print("kill " + name);
     fleet.children.get(name).kill();
   }
 
   /** A machine that was killed is started again with its disk. */
   void restart(String name) throws IOException {
     fleet.children.get(name).start();
-    long began = System.nanoTime();
-    Fleet.until(name + " ready again", RETURN_MS, () -> fleet.ready(name));
-    say(name + " ready " + (System.nanoTime() - began) / 1_000_000 + " ms after its start");
+    long startedAtNs = System.nanoTime();
+    Fleet.until(name + " ready again", RECOVERY_TIMEOUT_MS, () -> fleet.ready(name));
+    print(name + " ready " + (System.nanoTime() - startedAtNs) / 1_000_000 + " ms after its start");
   }
 
   /** Waits until an operator has a change confirmed, and says how long that took. */
-  void changeConfirmed(String when) {
-    long began = System.nanoTime();
-    StandInOperator operator = operator("after");
+  void awaitConfirmedChange(String when) {
+    long startedAtNs = System.nanoTime();
+    StandInOperator operator = newOperator("after");
     Fleet.until(
         "a change is confirmed " + when,
-        RETURN_MS,
-        () -> operator.change(CHANGE_MS).outcome() == Outcome.CONFIRMED);
-    say("a change was confirmed " + (System.nanoTime() - began) / 1_000_000 + " ms " + when);
+        RECOVERY_TIMEOUT_MS,
+        () -> operator.change(CHANGE_TIMEOUT_MS).outcome() == Outcome.CONFIRMED);
+    print(
+        "a change was confirmed " + (System.nanoTime() - startedAtNs) / 1_000_000 + " ms " + when);
   }
 
   /** The names of all machines and replicas but the one. */
-  Set<String> everybodyBut(String name) {
-    Set<String> others = new LinkedHashSet<>(namesOfMembers());
+  Set<String> allNodesExcept(String name) {
+    Set<String> others = new LinkedHashSet<>(refreshMembers());
     for (int i = 1; i <= fleet.deployment.relays(); i++) others.add(Fleet.edge(i));
     others.addAll(fleet.replicas.keySet());
     others.add("platform");
@@ -205,18 +206,18 @@
     return others;
   }
 
-  private boolean report(Trouble trouble) {
+  private boolean report(FaultScenario scenario) {
     Map<Outcome, Integer> outcomes = new LinkedHashMap<>();
     for (Attempt attempt : changes.attempts()) outcomes.merge(attempt.outcome(), 1, Integer::sum);
-    say("attempts " + outcomes);
-    say("calls by outcome " + callsByOutcome());
-    sayTimes();
-    List<Finding> findings = new ArrayList<>(ControlJudge.judge(changes, trouble.longestGapMs()));
+    print("attempts " + outcomes);
+    print("calls by outcome " + callsByOutcome());
+    printTimes();
+    List<Finding> findings = new ArrayList<>(ControlJudge.judge(changes, scenario.maxGapMs()));
     findings.addAll(Judge.all(fleet.ledger));
     boolean clean = true;
     for (Finding finding : findings) {
       clean &= finding.clean();
-      out.accept("must never: " + finding.rule() + ": " + words(finding.offenders()));
+      printLine.accept("must never: " + finding.rule() + ": " + describe(finding.offenders()));
     }
     return clean;
   }
@@ -227,26 +228,26 @@
     return outcomes;
   }
 
-  private void sayTimes() {
+  private void printTimes() {
     List<Long> confirmed =
         changes.attempts().stream()
             .filter(a -> a.outcome() == Outcome.CONFIRMED)
-            .map(a -> a.answeredAt() - a.sentAt())
+            .map(a -> a.answeredAtMs() - a.sentAtMs())
             .sorted()
             .toList();
     List<Long> unanswered =
         changes.readings().stream()
             .filter(r -> r.status() != 200)
-            .map(Reading::tookMs)
+            .map(Reading::durationMs)
             .sorted()
             .toList();
-    say("ms until a change was confirmed: " + quantiles(confirmed));
-    say("ms until a reading was refused or given up: " + quantiles(unanswered));
+    print("ms until a change was confirmed: " + quantiles(confirmed));
+    print("ms until a reading was refused or given up: " + quantiles(unanswered));
     Map<String, Integer> readings = new LinkedHashMap<>();
     for (Reading reading : changes.readings()) {
       readings.merge(reading.member() + " " + reading.status(), 1, Integer::sum);
     }
-    say("readings by member and status " + readings);
+    print("readings by member and status " + readings);
   }
 
   private static String quantiles(List<Long> sorted) {
@@ -260,9 +261,9 @@
         sorted.get(sorted.size() - 1));
   }
 
-  private static String words(List<String> offenders) {
+  private static String describe(List<String> offenders) {
     if (offenders.isEmpty()) return "clean";
-    int shown = Math.min(MOST_OFFENDERS_SHOWN, offenders.size());
+    int shown = Math.min(MAX_OFFENDERS_SHOWN, offenders.size());
     return offenders.size() + " offenders " + offenders.subList(0, shown);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/control/ControlJudge.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ControlJudge.java
@@ -57,9 +57,9 @@
   /**
    * Judges a day.
    *
-   * @param longestGapMs the longest time between two confirmed changes that is borne
+   * @param maxGapMs the longest time between two confirmed changes that is borne
    */
-  public static List<Finding> judge(ChangeLedger ledger, long longestGapMs) {
+  public static List<Finding> judge(ChangeLedger ledger, long maxGapMs) {
     ControlJudge judge = new ControlJudge(ledger);
     return List.of(
         new Finding(OLD_STATE_SHOWN, judge.oldStateShown()),
@@ -69,7 +69,7 @@
         new Finding(TAKEN_AND_REFUSED, judge.takenAndRefused()),
         new Finding(REFUSED_AND_TAKEN, judge.refusedAndTaken()),
         new Finding(CONFIRMED_LOST, judge.confirmedLost()),
-        new Finding(NO_MAJORITY_FOR_LONG, judge.longGaps(longestGapMs)));
+        new Finding(NO_MAJORITY_FOR_LONG, judge.longGaps(maxGapMs)));
   }
 
   private List<Attempt> confirmed() {
@@ -77,9 +77,9 @@
   }
 
   /** The highest number that was confirmed to anybody before a moment; 0 for none. */
-  private long confirmedBefore(long moment) {
+  private long confirmedBefore(long timeMs) {
     return confirmed().stream()
-        .filter(a -> a.answeredAt() < moment)
+        .filter(a -> a.answeredAtMs() < timeMs)
         .mapToLong(Attempt::number)
         .max()
         .orElse(0);
@@ -88,7 +88,7 @@
   private List<String> oldStateShown() {
     List<String> offenders = new ArrayList<>();
     for (Reading reading : readings) {
-      long newest = confirmedBefore(reading.askedAt());
+      long newest = confirmedBefore(reading.sentAtMs());
       if (reading.number() < newest) {
         offenders.add(
             reading.member()
@@ -106,7 +106,7 @@
     List<String> offenders = new ArrayList<>();
     for (Attempt attempt : attempts) {
       if (attempt.outcome() != Outcome.REFUSED_AS_STALE) continue;
-      long newest = confirmedBefore(attempt.sentAt());
+      long newest = confirmedBefore(attempt.sentAtMs());
       if (attempt.number() < newest) {
         offenders.add(describe(attempt) + " though " + newest + " was confirmed");
       } else if (attempt.number() == attempt.basedOn()) {
@@ -148,24 +148,24 @@
     return contents;
   }
 
-  private static boolean refused(Attempt attempt) {
+  private static boolean isRefused(Attempt attempt) {
     return attempt.outcome() == Outcome.REFUSED_AS_STALE || attempt.outcome() == Outcome.REFUSED;
   }
 
   /** Whether an earlier sending of the same content may be the one that was taken. */
-  private boolean sentBefore(Attempt attempt) {
+  private boolean mayHaveBeenTakenEarlier(Attempt attempt) {
     return attempts.stream()
         .anyMatch(
             a ->
                 a.content() == attempt.content()
-                    && a.sentAt() < attempt.sentAt()
+                    && a.sentAtMs() < attempt.sentAtMs()
                     && (a.outcome() == Outcome.CONFIRMED || a.outcome() == Outcome.UNKNOWN));
   }
 
   private List<String> takenAndRefused() {
     Set<Integer> taken = taken();
     return attempts.stream()
-        .filter(a -> refused(a) && taken.contains(a.content()) && sentBefore(a))
+        .filter(a -> isRefused(a) && taken.contains(a.content()) && mayHaveBeenTakenEarlier(a))
         .map(ControlJudge::describe)
         .toList();
   }
@@ -173,7 +173,7 @@
   private List<String> refusedAndTaken() {
     Set<Integer> taken = taken();
     return attempts.stream()
-        .filter(a -> refused(a) && taken.contains(a.content()) && !sentBefore(a))
+        .filter(a -> isRefused(a) && taken.contains(a.content()) && !mayHaveBeenTakenEarlier(a))
         .map(ControlJudge::describe)
         .toList();
   }
@@ -198,16 +198,16 @@
     return offenders;
   }
 
-  private List<String> longGaps(long longestGapMs) {
+  private List<String> longGaps(long maxGapMs) {
     List<Attempt> inOrder =
-        confirmed().stream().sorted(Comparator.comparingLong(Attempt::answeredAt)).toList();
+        confirmed().stream().sorted(Comparator.comparingLong(Attempt::answeredAtMs)).toList();
     if (inOrder.isEmpty()) return List.of("no change was confirmed at all");
     List<String> offenders = new ArrayList<>();
-    long previous = inOrder.get(0).answeredAt();
+    long previousAtMs = inOrder.get(0).answeredAtMs();
     for (Attempt attempt : inOrder) {
-      long gap = attempt.answeredAt() - previous;
-      if (gap > longestGapMs) offenders.add(gap + " ms before " + describe(attempt));
-      previous = attempt.answeredAt();
+      long gapMs = attempt.answeredAtMs() - previousAtMs;
+      if (gapMs > maxGapMs) offenders.add(gapMs + " ms before " + describe(attempt));
+      previousAtMs = attempt.answeredAtMs();
     }
     return offenders;
   }
@@ -221,7 +221,7 @@
         + " to "
         + attempt.member()
         + " at "
-        + attempt.sentAt()
+        + attempt.sentAtMs()
         + ": "
         + attempt.outcome()
         + " "
--- a/emulator/src/main/java/gladelug/emulator/control/ControlTroubles.java
+++ b/emulator/src/main/java/gladelug/emulator/control/FaultScenarios.java
@@ -8,22 +8,22 @@
  *
  * <p>The troubles of a day by their numbers from 1.
  */
-public final class ControlTroubles {
-  private static final List<ControlDay.Trouble> USUAL =
+public final class FaultScenarios {
+  private static final List<ControlFaultRun.FaultScenario> SCENARIOS =
       List.of(
-          new LongCut(20_000),
+          new LongPartition(20_000),
           new RacingOperators(60),
-          new ReplacementsInTurn(),
-          new ManyChanges(400),
+          new RollingReplacement(),
+          new RestartsDuringChanges(400),
           new ConnectionResets(30_000));
 
   /** How many there are. */
-  public static final int COUNT = USUAL.size();
+  public static final int COUNT = SCENARIOS.size();
 
-  private ControlTroubles() {}
+  private FaultScenarios() {}
 
   /** The usual size of the trouble with a number. */
-  public static ControlDay.Trouble of(int number) {
-    return USUAL.get(number - 1);
+  public static ControlFaultRun.FaultScenario of(int number) {
+    return SCENARIOS.get(number - 1);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/control/ReplacementsInTurn.java
+++ b/emulator/src/main/java/gladelug/emulator/control/RollingReplacement.java
@@ -10,43 +10,43 @@
  *
  * <p>Replacements in turn with a kill between.
  */
-public final class ReplacementsInTurn implements ControlDay.Trouble {
+public final class RollingReplacement implements ControlFaultRun.FaultScenario {
   private static final int REPLACEMENTS = 3;
   private static final int FIRST_HOST = 200;
   private static final long DOWN_MS = 3000;
 
   @Override
-  public void play(ControlDay day) throws Exception {
+  public void play(ControlFaultRun day) throws Exception {
     day.keepChanging(2);
     for (int i = 0; i < REPLACEMENTS; i++) {
-      List<String> before = day.namesOfMembers();
+      List<String> before = day.refreshMembers();
       String leaving = before.get(day.random.nextInt(before.size()));
       String next = "control-" + (FIRST_HOST + i);
       replace(day, leaving, next, FIRST_HOST + i);
-      List<String> after = day.namesOfMembers();
+      List<String> after = day.refreshMembers();
       String victim = after.get(day.random.nextInt(after.size()));
       day.kill(victim);
       Fleet.pause(DOWN_MS);
-      day.changeConfirmed("after the wait that followed the kill of " + victim);
+      day.awaitConfirmedChange("after the wait that followed the kill of " + victim);
       day.restart(victim);
     }
   }
 
   /** One swap: the leaving member loses power as soon as the core no longer counts it. */
-  private static void replace(ControlDay day, String leaving, String next, int host)
+  private static void replace(ControlFaultRun day, String leaving, String next, int host)
       throws Exception {
-    day.say("replace " + leaving + " by " + next);
+    day.print("replace " + leaving + " by " + next);
     day.fleet.control(next, host).start();
     String swap = "{\"out\":\"" + leaving + "\",\"in\":\"" + next + "\"}";
     Fleet.until(
         "the swap of " + leaving + " is begun",
-        ControlDay.RETURN_MS,
+        ControlFaultRun.RECOVERY_TIMEOUT_MS,
         () -> day.fleet.call("POST", "/v1/core/swap", swap, Map.of()).status() == 202);
     Fleet.until(
         next + " is a member",
-        ControlDay.RETURN_MS,
+        ControlFaultRun.RECOVERY_TIMEOUT_MS,
         () -> {
-          List<String> names = day.namesOfMembers();
+          List<String> names = day.refreshMembers();
           return names.contains(next) && !names.contains(leaving);
         });
     day.kill(leaving);
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public long longestGapMs() {
+  public long maxGapMs() {
     return 12_000;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/control/StandInOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/control/StandInOperator.java
@@ -35,10 +35,10 @@
   private static final String PATH = "/v1/configuration";
 
   /** How long an operator waits for an answer before it sends the same again elsewhere. */
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
+  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
 
   /** How long an operator waits before it tries the next member. */
-  private static final long PAUSE_MS = 50;
+  private static final long RETRY_PAUSE_MS = 50;
 
   /** The route whose deadline carries the marker of a content, and what is added to the marker. */
   private static final String MARKED_ROUTE = "lookup-stop";
@@ -66,12 +66,12 @@
     this.random = new Random(seed);
   }
 
-  private static long now() {
+  private static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
   /** The members to be called from now on. */
-  public void members(List<Member> now) {
+  public void useMembers(List<Member> now) {
     members = List.copyOf(now);
   }
 
@@ -82,22 +82,22 @@
 
   /** Reads the configuration at a member; -1 for its number where the member gave none. */
   public long read(Member member) {
-    long askedAt = now();
+    long sentAtMs = nowMs();
     Fleet.Answer answer = call(request(member, "").GET().build());
     boolean shown = answer.status() == 200;
     long number = shown ? answer.body().getLong("number", -1) : -1;
     int content = shown && answer.body().get("value") != null ? contentOf(answer.body()) : -1;
-    ledger.note(new Reading(member.name(), askedAt, now(), answer.status(), number, content));
+    ledger.record(new Reading(member.name(), sentAtMs, nowMs(), answer.status(), number, content));
     return number;
   }
 
   /** Reads at one member after the other until one shows the configuration; -1 if none does. */
-  public long readAnywhere(long withinMs) {
-    long end = now() + withinMs;
-    while (now() < end) {
+  public long readAnywhere(long timeoutMs) {
+    long deadlineMs = nowMs() + timeoutMs;
+    while (nowMs() < deadlineMs) {
       long number = read(anyMember());
       if (number >= 0) return number;
-      Fleet.pause(PAUSE_MS);
+      Fleet.pause(RETRY_PAUSE_MS);
     }
     return -1;
   }
@@ -107,8 +107,8 @@
    *
    * @return the last attempt
    */
-  public Attempt change(long withinMs) {
-    return changeOn(readAnywhere(withinMs), withinMs, false);
+  public Attempt change(long timeoutMs) {
+    return changeOn(readAnywhere(timeoutMs), timeoutMs, false);
   }
 
   /**
@@ -116,11 +116,13 @@
    *
    * @param loseFirstAnswer whether the operator goes away before the first answer
    */
-  public Attempt changeOn(long basedOn, long withinMs, boolean loseFirstAnswer) {
+  public Attempt changeOn(long basedOn, long timeoutMs, boolean loseFirstAnswer) {
     int content = ledger.nextContent();
     Attempt first =
-        loseFirstAnswer ? sendAndLeave(content, basedOn) : send(anyMember(), content, basedOn);
-    return clear(first) ? first : sendAgain(first, withinMs);
+        loseFirstAnswer
+            ? sendWithoutReading(content, basedOn)
+            : send(anyMember(), content, basedOn);
+    return isConclusive(first) ? first : sendAgain(first, timeoutMs);
   }
 
   /**
@@ -129,21 +131,21 @@
    * @return the attempt, whose content can be sent again
    */
   public Attempt sendUnanswered(long basedOn) {
-    return sendAndLeave(ledger.nextContent(), basedOn);
+    return sendWithoutReading(ledger.nextContent(), basedOn);
   }
 
   /** Sends what was sent before, until the answer is clear. */
-  public Attempt sendAgain(Attempt earlier, long withinMs) {
-    long end = now() + withinMs;
+  public Attempt sendAgain(Attempt earlier, long timeoutMs) {
+    long deadlineMs = nowMs() + timeoutMs;
     Attempt attempt = send(anyMember(), earlier.content(), earlier.basedOn());
-    while (!clear(attempt) && now() < end) {
-      Fleet.pause(PAUSE_MS);
+    while (!isConclusive(attempt) && nowMs() < deadlineMs) {
+      Fleet.pause(RETRY_PAUSE_MS);
       attempt = send(anyMember(), earlier.content(), earlier.basedOn());
     }
     return attempt;
   }
 
-  private static boolean clear(Attempt attempt) {
+  private static boolean isConclusive(Attempt attempt) {
     return attempt.outcome() != Outcome.UNKNOWN && attempt.outcome() != Outcome.NOT_TAKEN;
   }
 
@@ -153,7 +155,7 @@
 
   /** Sends a content once to a member and notes the answer. */
   public Attempt send(Member member, int content, long basedOn) {
-    long sentAt = now();
+    long sentAtMs = nowMs();
     HttpRequest request =
         request(member, Long.toString(basedOn))
             .POST(HttpRequest.BodyPublishers.ofString(body(content)))
@@ -166,23 +168,23 @@
           case REFUSED_AS_STALE -> answer.body().getLong("current", -1);
           default -> -1;
         };
-    return noted(
+    return recordAttempt(
         new Attempt(
             name,
             member.name(),
             content,
             basedOn,
-            sentAt,
-            now(),
+            sentAtMs,
+            nowMs(),
             outcome,
             answer.status(),
             number));
   }
 
   /** Sends a content once and closes the connection a few milliseconds later, unanswered. */
-  private Attempt sendAndLeave(int content, long basedOn) {
+  private Attempt sendWithoutReading(int content, long basedOn) {
     Member member = anyMember();
-    long sentAt = now();
+    long sentAtMs = nowMs();
     String[] hostAndPort = member.address().split(":");
     byte[] body = body(content).getBytes(StandardCharsets.UTF_8);
     String head =
@@ -204,18 +206,20 @@
     } catch (IOException e) {
       // what became of it is not known either way
     }
-    return noted(
-        new Attempt(name, member.name(), content, basedOn, sentAt, now(), Outcome.UNKNOWN, 0, -1));
+    return recordAttempt(
+        new Attempt(
+            name, member.name(), content, basedOn, sentAtMs, nowMs(), Outcome.UNKNOWN, 0, -1));
   }
 
-  private Attempt noted(Attempt attempt) {
-    ledger.note(attempt);
+  private Attempt recordAttempt(Attempt attempt) {
+    ledger.record(attempt);
     return attempt;
   }
 
   private static HttpRequest.Builder request(Member member, String basedOn) {
     HttpRequest.Builder builder =
-        HttpRequest.newBuilder(URI.create("http://" + member.address() + PATH)).timeout(PATIENCE);
+        HttpRequest.newBuilder(URI.create("http://" + member.address() + PATH))
+            .timeout(ANSWER_TIMEOUT);
     return basedOn.isEmpty() ? builder : builder.header("If-Match", basedOn);
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/ActiveFaults.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ActiveFaults.java
@@ -5,19 +5,19 @@
 
 /** What is wrong with a stand-in at the moment: until when, by kind of event. */
 final class ActiveFaults {
-  private final Map<EventKind, Long> untilNs = new EnumMap<>(EventKind.class);
+  private final Map<EventKind, Long> endNsByKind = new EnumMap<>(EventKind.class);
 
-  synchronized void begin(EventKind kind, int forMs) {
-    untilNs.put(kind, System.nanoTime() + forMs * 1_000_000L);
+  synchronized void activate(EventKind kind, int durationMs) {
+    endNsByKind.put(kind, System.nanoTime() + durationMs * 1_000_000L);
   }
 
-  synchronized boolean has(EventKind kind) {
-    Long until = untilNs.get(kind);
+  synchronized boolean isActive(EventKind kind) {
+    Long until = endNsByKind.get(kind);
     return until != null && System.nanoTime() < until;
   }
 
   /** The fault that spoils this answer, or null; it spoils every second one. */
-  EventKind spoils(String requestId) {
+  EventKind faultFor(String requestId) {
     if ((requestId.hashCode() & 1) == 0) return null;
     for (EventKind kind :
         new EventKind[] {
@@ -26,11 +26,11 @@
           EventKind.ANSWER_SURPLUS,
           EventKind.ANSWER_HUGE,
           EventKind.REPLICA_RESET
-        }) if (has(kind)) return kind;
+        }) if (isActive(kind)) return kind;
     return null;
   }
 
-  synchronized void none() {
-    untilNs.clear();
+  synchronized void clear() {
+    endNsByKind.clear();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/FrontDoor.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ClientLoadBalancer.java
@@ -14,24 +14,24 @@
  * Where the platform passes new connections of clients: it asks every machine each second whether
  * it is ready, and one that misses twice gets none until it is again. Where none is in, all are.
  */
-final class FrontDoor {
-  private static final int EVERY_MS = 1000;
-  private static final int MISSES = 2;
+final class ClientLoadBalancer {
+  private static final int PROBE_INTERVAL_MS = 1000;
+  private static final int UNREADY_AFTER_MISSES = 2;
 
   private final SoakLedger ledger;
   private final SoakMachines machines;
   private final Map<Integer, Integer> misses = new ConcurrentHashMap<>();
   private volatile boolean stopped;
 
-  FrontDoor(SoakLedger ledger, SoakMachines machines) {
+  ClientLoadBalancer(SoakLedger ledger, SoakMachines machines) {
     this.ledger = ledger;
     this.machines = machines;
   }
 
   void start() {
     for (SoakProcess relay : machines.relays) {
-      misses.put(relay.machine, MISSES);
-      Threads.start("readiness " + relay.machine, () -> watch(relay.machine));
+      misses.put(relay.machine, UNREADY_AFTER_MISSES);
+      DaemonThreads.start("readiness " + relay.machine, () -> probeUntilStopped(relay.machine));
     }
   }
 
@@ -39,22 +39,23 @@
     stopped = true;
   }
 
-  private void watch(int machine) {
+  private void probeUntilStopped(int machine) {
     while (!stopped) {
-      boolean ready = ready(machine);
-      ledger.told(new SoakLedger.Readiness(machine, ready, ledger.nowMs()));
+      boolean ready = isReady(machine);
+      ledger.recordReadiness(new SoakLedger.Readiness(machine, ready, ledger.nowMs()));
       if (ready) misses.put(machine, 0);
       else misses.merge(machine, 1, Integer::sum);
-      Threads.pause(EVERY_MS);
+      DaemonThreads.pause(PROBE_INTERVAL_MS);
     }
   }
 
   /** Whether a machine says that it is ready now. */
-  boolean ready(int machine) {
+  boolean isReady(int machine) {
     try (Socket socket = new Socket()) {
       socket.connect(
-          new InetSocketAddress(machines.ip(machine), machines.readinessPort()), EVERY_MS);
-      socket.setSoTimeout(EVERY_MS);
+          new InetSocketAddress(machines.address(machine), machines.readinessPort()),
+          PROBE_INTERVAL_MS);
+      socket.setSoTimeout(PROBE_INTERVAL_MS);
       HttpMessage.write(
           socket.getOutputStream(), "GET /-/readiness HTTP/1.1\r\nHost: r\r\n", new byte[0]);
       HttpMessage answer = HttpMessage.read(new BufferedInputStream(socket.getInputStream()));
@@ -65,13 +66,13 @@
   }
 
   /** A machine for a new connection. */
-  int machine(Random random) {
-    List<Integer> in = new ArrayList<>();
+  int pickMachine(Random random) {
+    List<Integer> candidates = new ArrayList<>();
     misses.forEach(
         (machine, missed) -> {
-          if (missed < MISSES) in.add(machine);
+          if (missed < UNREADY_AFTER_MISSES) candidates.add(machine);
         });
-    if (in.isEmpty()) in.addAll(misses.keySet());
-    return in.get(random.nextInt(in.size()));
+    if (candidates.isEmpty()) candidates.addAll(misses.keySet());
+    return candidates.get(random.nextInt(candidates.size()));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/ConfigurationModel.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ConfigurationModel.java
@@ -34,7 +34,7 @@
   }
 
   /** The first one: all tenants, of which the last is isolated. */
-  static ConfigurationModel first(String storeAddress) {
+  static ConfigurationModel initial(String storeAddress) {
     Map<String, Tenant> tenants = new TreeMap<>();
     for (int i = 1; i <= SoakPlan.TENANTS; i++)
       tenants.put(tenantName(i), new Tenant("key-" + i + "-0", i == SoakPlan.TENANTS));
@@ -58,15 +58,15 @@
 
   /** The key that replaces one: they are numbered. */
   static String keyAfter(String key) {
-    return numbered(key, 1);
+    return shiftKeyNumber(key, 1);
   }
 
   /** The key that one replaced, or the key itself if it is the first. */
   static String keyBefore(String key) {
-    return numbered(key, -1);
+    return shiftKeyNumber(key, -1);
   }
 
-  private static String numbered(String key, int step) {
+  private static String shiftKeyNumber(String key, int step) {
     int dash = key.lastIndexOf('-');
     String number = key.substring(dash + 1);
     if (!number.matches("\\d+") || Integer.parseInt(number) + step < 0) return key;
@@ -86,14 +86,14 @@
     return null;
   }
 
-  boolean isolates(String name) {
+  boolean isIsolated(String name) {
     Tenant tenant = tenants.get(name);
     return tenant != null && tenant.isolated;
   }
 
-  String text(long revision) {
+  String toJson(long revision) {
     JsonArray services = new JsonArray();
-    services.add(models());
+    services.add(modelService());
     services.add(
         Json.object()
             .add("Name", STORE)
@@ -104,7 +104,7 @@
             .add("MaxConcurrency", 12));
     return Json.object()
         .add("Revision", revision)
-        .add("RouteRules", routes())
+        .add("RouteRules", routesJson())
         .add("BackendServices", services)
         .add(
             "Limits",
@@ -113,16 +113,16 @@
                 .add("MaxBodyBytes", maxBodyBytes)
                 .add("HeaderTimeoutMs", 3000)
                 .add("IdleTimeoutMs", 15_000))
-        .add("Tenants", tenantItems())
+        .add("Tenants", tenantsJson())
         .toString();
   }
 
   /** A change of this one's tenants alone, as PATCH takes it, from another one. */
-  String patch(long revision, ConfigurationModel before) {
+  String patchFrom(long revision, ConfigurationModel before) {
     JsonArray upserts = new JsonArray(), removals = new JsonArray();
     for (Map.Entry<String, Tenant> entry : tenants.entrySet())
       if (!entry.getValue().equals(before.tenants.get(entry.getKey())))
-        upserts.add(item(entry.getKey(), entry.getValue()));
+        upserts.add(tenantJson(entry.getKey(), entry.getValue()));
     for (String name : before.tenants.keySet()) if (!tenants.containsKey(name)) removals.add(name);
     JsonObject patch = Json.object().add("Revision", revision);
     if (!upserts.isEmpty()) patch.add("Upserts", Json.object().add("Tenants", upserts));
@@ -131,11 +131,11 @@
   }
 
   /** Whether only tenants differ. */
-  boolean differsInTenantsAlone(ConfigurationModel other) {
+  boolean differsOnlyInTenants(ConfigurationModel other) {
     return extraRoutes == other.extraRoutes && maxBodyBytes == other.maxBodyBytes;
   }
 
-  private static JsonObject models() {
+  private static JsonObject modelService() {
     return Json.object()
         .add("Name", SERVICE)
         .add("HealthCheckPath", "/health")
@@ -154,16 +154,16 @@
                 .add("ModelList", new JsonArray().add(Json.object().add("Name", MODEL))));
   }
 
-  private JsonArray routes() {
+  private JsonArray routesJson() {
     JsonArray routes = new JsonArray();
     for (RequestKind kind : RequestKind.values())
-      routes.add(route("route-" + kind.name(), kind.path, kind));
+      routes.add(routeJson("route-" + kind.name(), kind.path, kind));
     for (int i = 0; i < extraRoutes; i++)
-      routes.add(route("extra-route-number-" + i, "/extra-" + i + "/", RequestKind.READ));
+      routes.add(routeJson("extra-route-number-" + i, "/extra-" + i + "/", RequestKind.READ));
     return routes;
   }
 
-  private static JsonObject route(String name, String path, RequestKind kind) {
+  private static JsonObject routeJson(String name, String path, RequestKind kind) {
     return Json.object()
         .add("Name", name)
         .add("Hostname", HOST)
@@ -180,15 +180,15 @@
         .add("TargetGapMs", 400);
   }
 
-  private JsonArray tenantItems() {
+  private JsonArray tenantsJson() {
     JsonArray items = new JsonArray();
     List<String> names = new ArrayList<>(tenants.keySet());
     names.sort(null);
-    for (String name : names) items.add(item(name, tenants.get(name)));
+    for (String name : names) items.add(tenantJson(name, tenants.get(name)));
     return items;
   }
 
-  private static JsonObject item(String name, Tenant tenant) {
+  private static JsonObject tenantJson(String name, Tenant tenant) {
     return Json.object()
         .add("Name", name)
         .add("ApiKeys", new JsonArray().add(tenant.key))
--- a/emulator/src/main/java/gladelug/emulator/soak/Threads.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/DaemonThreads.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Threads of the stand-ins; none of them keeps the program from ending. */
-final class Threads {
+final class DaemonThreads {
   /** What a thread does; a failure of its socket ends it and nothing else. */
   interface Task {
     void run() throws IOException;
   }
 
-  private Threads() {}
+  private DaemonThreads() {}
 
   static void start(String name, Task task) {
     Thread thread =
@@ -44,9 +44,9 @@
     return thread;
   }
 
-  static void pause(long pauseMs) {
+  static void pause(long durationMs) {
     try {
-      TimeUnit.MILLISECONDS.sleep(pauseMs);
+      TimeUnit.MILLISECONDS.sleep(durationMs);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/emulator/src/main/java/gladelug/emulator/soak/DeployCommands.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/DeployCommands.java
@@ -21,12 +21,12 @@
   }
 
   /** As the platform runs them: the jars that the build made below a checkout's root. */
-  static DeployCommands ofJars(Path root) {
+  static DeployCommands fromJars(Path root) {
     return new DeployCommands(root, "");
   }
 
   /** With every flag of the deploy file, but the classes that this process was started with. */
-  static DeployCommands ofThisClassPath(Path root) {
+  static DeployCommands fromOwnClassPath(Path root) {
     return new DeployCommands(root, System.getProperty("java.class.path"));
   }
 
@@ -42,11 +42,12 @@
   List<String> command(String argument) throws IOException {
     for (String line : Files.readAllLines(root.resolve(DEPLOY_FILE)))
       if (line.startsWith("run = ") && line.endsWith(" " + argument + "\""))
-        return here(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')).split(" +"));
+        return resolveExecutable(
+            line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')).split(" +"));
     throw new IOException("no role of " + root.resolve(DEPLOY_FILE) + " runs " + argument);
   }
 
-  private List<String> here(String[] words) {
+  private List<String> resolveExecutable(String[] words) {
     List<String> command = new ArrayList<>(List.of(words));
     command.set(0, Path.of(System.getProperty("java.home"), "bin", words[0]).toString());
     int jar = command.indexOf(JAR);
--- a/emulator/src/main/java/gladelug/emulator/soak/EventKind.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/EventKind.java
@@ -80,7 +80,7 @@
   }
 
   /** Whether the event disturbs members of the core. */
-  boolean hitsCore() {
+  boolean disturbsCore() {
     return target == Target.MEMBER || this == CORE_KILL;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/HttpMessage.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/HttpMessage.java
@@ -17,18 +17,18 @@
  * A message of HTTP/1.1 on a plain socket, as the stand-ins read and write it: bare enough to send
  * what no library would.
  *
- * @param line the request or status line
+ * @param startLine the request or status line
  * @param headers by name in lower case
  * @param body the first of its bytes, as many as its reader keeps
  * @param digest of all its bytes
- * @param whole whether the body ended as its head said
+ * @param complete whether the body ended as its head said
  */
 record HttpMessage(
-    String line, Map<String, String> headers, byte[] body, String digest, boolean whole) {
+    String startLine, Map<String, String> headers, byte[] body, String digest, boolean complete) {
   /** Kept of a body where its reader doesn't say otherwise, in bytes. */
-  static final int KEPT = 8 << 20;
+  static final int MAX_KEPT_BODY_BYTES = 8 << 20;
 
-  private static final int MAX_LINE = 1 << 20;
+  private static final int MAX_LINE_BYTES = 1 << 20;
   private static final int DIGEST_BYTES = 8;
 
   /** Is told of a body's bytes as they come; an IOException ends the reading. */
@@ -44,7 +44,7 @@
 
   /** Of an answer; 0 where its line has none. */
   int status() {
-    String[] words = line.split(" ");
+    String[] words = startLine.split(" ");
     try {
       return words.length < 2 ? 0 : Integer.parseInt(words[1]);
     } catch (NumberFormatException e) {
@@ -58,25 +58,25 @@
 
   /** The next message; null where the connection ended before its first byte. */
   static HttpMessage read(InputStream in) throws IOException {
-    return read(in, BodyReader.NONE, KEPT);
+    return read(in, BodyReader.NONE, MAX_KEPT_BODY_BYTES);
   }
 
   /** As above; the reader gets the body's bytes as they come, and so many are kept. */
-  static HttpMessage read(InputStream in, BodyReader reader, int kept) throws IOException {
-    String line = line(in);
+  static HttpMessage read(InputStream in, BodyReader reader, int maxKeptBytes) throws IOException {
+    String line = startLine(in);
     if (line == null) return null;
     Map<String, String> headers = headers(in);
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     MessageDigest digest = Digest.sha256();
-    BodyReader all =
+    BodyReader keepAndForward =
         (bytes, length) -> {
-          body.write(bytes, 0, Math.min(length, Math.max(0, kept - body.size())));
+          body.write(bytes, 0, Math.min(length, Math.max(0, maxKeptBytes - body.size())));
           digest.update(bytes, 0, length);
           reader.read(bytes, length);
         };
     boolean whole = true;
     try {
-      body(in, line, headers, all);
+      body(in, line, headers, keepAndForward);
     } catch (IOException | NumberFormatException e) {
       whole = false;
     }
@@ -97,7 +97,7 @@
 
   private static Map<String, String> headers(InputStream in) throws IOException {
     Map<String, String> headers = new LinkedHashMap<>();
-    for (String line = line(in); ; line = line(in)) {
+    for (String line = startLine(in); ; line = startLine(in)) {
       if (line == null) throw new EOFException("in a head");
       if (line.isEmpty()) return headers;
       int colon = line.indexOf(':');
@@ -119,36 +119,36 @@
 
   private static void chunks(InputStream in, BodyReader reader) throws IOException {
     while (true) {
-      String size = line(in);
+      String size = startLine(in);
       if (size == null) throw new EOFException("in chunks");
       int length = Integer.parseInt(size.trim(), 16);
       copy(in, length, reader);
-      if (line(in) == null) throw new EOFException("in chunks");
+      if (startLine(in) == null) throw new EOFException("in chunks");
       if (length == 0) return;
     }
   }
 
   private static void copy(InputStream in, long length, BodyReader reader) throws IOException {
-    byte[] part = new byte[1 << 14];
-    for (long left = length; left > 0; ) {
-      int read = in.read(part, 0, (int) Math.min(left, part.length));
+    byte[] buffer = new byte[1 << 14];
+    for (long remaining = length; remaining > 0; ) {
+      int read = in.read(buffer, 0, (int) Math.min(remaining, buffer.length));
       if (read < 0) {
         if (length == Long.MAX_VALUE) return;
         throw new EOFException("in a body");
       }
-      reader.read(part, read);
-      left -= read;
+      reader.read(buffer, read);
+      remaining -= read;
     }
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String startLine(InputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int next = in.read(); next != '\n'; next = in.read()) {
       if (next < 0) {
         if (line.size() == 0) return null;
         throw new EOFException("in a line");
       }
-      if (line.size() > MAX_LINE) throw new IOException("a line without an end");
+      if (line.size() > MAX_LINE_BYTES) throw new IOException("a line without an end");
       if (next != '\r') line.write(next);
     }
     return line.toString(StandardCharsets.ISO_8859_1);
@@ -157,7 +157,7 @@
   /** Writes a head, whose lines end it already, and a body at once. */
   static void write(OutputStream out, String head, byte[] body) throws IOException {
     byte[] first = (head + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-    if (body.length > MAX_LINE) {
+    if (body.length > MAX_LINE_BYTES) {
       out.write(first);
       out.write(body);
     } else {
--- a/emulator/src/main/java/gladelug/emulator/soak/PrefixCache.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/PrefixCache.java
@@ -19,12 +19,12 @@
 
   /** A part as it is looked up. */
   record Part(String salt, String id, int tokens) {
-    JsonArray listed() {
+    JsonArray toJson() {
       return new JsonArray().add(salt).add(id).add(tokens).add(ConfigurationModel.MODEL);
     }
   }
 
-  private static final int MAX_PARTS = 4000;
+  private static final int MAX_ENTRIES = 4000;
 
   private final Map<Part, Maker> parts = new LinkedHashMap<>();
   private final List<JsonArray> events = new ArrayList<>();
@@ -39,7 +39,7 @@
   }
 
   /** Drops the parts, as new weights do, and tells of it. */
-  synchronized void drop() {
+  synchronized void dropAll() {
     for (Part part : List.copyOf(parts.keySet())) remove(part);
   }
 
@@ -49,16 +49,16 @@
 
   synchronized void keep(Part part, Maker maker) {
     if (parts.putIfAbsent(part, maker) != null) return;
-    tell("+", part, part.tokens());
-    if (parts.size() > MAX_PARTS) remove(parts.keySet().iterator().next());
+    logEvent("+", part, part.tokens());
+    if (parts.size() > MAX_ENTRIES) remove(parts.keySet().iterator().next());
   }
 
   private void remove(Part part) {
     parts.remove(part);
-    tell("-", part, 0);
+    logEvent("-", part, 0);
   }
 
-  private void tell(String sign, Part part, int tokensNow) {
+  private void logEvent(String sign, Part part, int tokensNow) {
     events.add(
         new JsonArray()
             .add(events.size() + 1)
@@ -71,7 +71,7 @@
   }
 
   /** The parts of a prompt, in order. */
-  static List<Part> parts(String salt, String prefix) {
+  static List<Part> parseParts(String salt, String prefix) {
     List<Part> parts = new ArrayList<>();
     for (String one : prefix.split(",")) {
       String[] fields = one.trim().split(":");
@@ -81,14 +81,16 @@
   }
 
   /** Answers `/-/kv-events` and `/-/kv-list`; whether it was one of them. */
-  boolean answer(String target, HttpMessage request, OutputStream out) throws IOException {
-    if (target.startsWith("/-/kv-events")) SocketServer.say(out, 200, "", page(target, request));
-    else if (target.startsWith("/-/kv-list")) SocketServer.say(out, 200, "", list());
+  boolean answerIfCacheCall(String target, HttpMessage request, OutputStream out)
+      throws IOException {
+    if (target.startsWith("/-/kv-events"))
+      SocketServer.writeAnswer(out, 200, "", eventsPage(target, request));
+    else if (target.startsWith("/-/kv-list")) SocketServer.writeAnswer(out, 200, "", entriesList());
     else return false;
     return true;
   }
 
-  private synchronized String page(String target, HttpMessage request) {
+  private synchronized String eventsPage(String target, HttpMessage request) {
     int since = Integer.parseInt(target.replaceAll(".*SinceTime=(\\d+).*", "$1"));
     String wait = request.header("Wait-Ms");
     long untilNs = System.nanoTime() + (wait.isEmpty() ? 0 : Long.parseLong(wait) * 1_000_000);
@@ -109,9 +111,9 @@
         .toString();
   }
 
-  private synchronized String list() {
+  private synchronized String entriesList() {
     JsonArray held = new JsonArray();
-    for (Part part : parts.keySet()) held.add(part.listed());
+    for (Part part : parts.keySet()) held.add(part.toJson());
     return Json.object()
         .add("RestartEpoch", epoch)
         .add("NextPageToken", events.size())
--- a/emulator/src/main/java/gladelug/emulator/soak/PlatformList.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ReplicaListServer.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /** The platform's list of replicas, which may be down, slow or busy. */
-final class PlatformList implements AutoCloseable {
+final class ReplicaListServer implements AutoCloseable {
   private static final int SLOW_MS = 1500;
 
   final ActiveFaults faults = new ActiveFaults();
   private final List<SoakReplica> replicas;
   private final SocketServer server;
 
-  PlatformList(String host, List<SoakReplica> replicas) throws IOException {
+  ReplicaListServer(String host, List<SoakReplica> replicas) throws IOException {
     this.replicas = replicas;
     server = new SocketServer(host, "platform", this::answer);
     server.open();
@@ -26,18 +26,18 @@
   }
 
   private void answer(HttpMessage request, OutputStream out) throws IOException {
-    if (faults.has(EventKind.PLATFORM_DOWN)) throw new IOException("the platform is down");
-    if (faults.has(EventKind.PLATFORM_BUSY)) {
-      SocketServer.say(out, 429, "", "{}");
+    if (faults.isActive(EventKind.PLATFORM_DOWN)) throw new IOException("the platform is down");
+    if (faults.isActive(EventKind.PLATFORM_BUSY)) {
+      SocketServer.writeAnswer(out, 429, "", "{}");
       return;
     }
-    if (faults.has(EventKind.PLATFORM_SLOW)) Threads.pause(SLOW_MS);
+    if (faults.isActive(EventKind.PLATFORM_SLOW)) DaemonThreads.pause(SLOW_MS);
     JsonArray instances = new JsonArray();
     for (SoakReplica replica : replicas) {
-      JsonObject listed = replica.listedAs();
+      JsonObject listed = replica.listEntry();
       if (listed != null) instances.add(listed);
     }
-    SocketServer.say(
+    SocketServer.writeAnswer(
         out,
         200,
         "",
--- a/emulator/src/main/java/gladelug/emulator/soak/RequestKind.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/RequestKind.java
@@ -16,10 +16,10 @@
   final int deadlineMs;
 
   /** How many events its answer streams; 0 for one body. */
-  final int events;
+  final int eventCount;
 
   /** How long a replica works on a body, or between two events. */
-  final int workMs;
+  final int workPerStepMs;
 
   final boolean resumable;
 
@@ -28,13 +28,13 @@
     this.routeType = routeType;
     this.path = path;
     this.deadlineMs = deadlineMs;
-    this.events = events;
-    this.workMs = workMs;
+    this.eventCount = events;
+    this.workPerStepMs = workMs;
     this.resumable = resumable;
   }
 
   /** Whether one try of a client may run more than once. */
-  boolean repeatable() {
+  boolean isRepeatable() {
     return routeType.equals("safe") || resumable;
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakClients.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakClients.java
@@ -23,40 +23,40 @@
  */
 final class SoakClients {
   /** How long after its deadline a request that got no answer counts as never answered. */
-  static final int SILENT_AFTER_MS = 4000;
+  static final int SILENT_AFTER_DEADLINE_MS = 4000;
 
-  private static final int CONNECT_MS = 1000;
-  private static final int GIVES_UP_IN = 25;
-  private static final int READS_SLOWLY_IN = 30;
-  private static final int OLD_KEY_IN = 15;
-  private static final int SLOW_READ_MS = 20;
-  private static final int PAUSE_MS = 120;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
+  private static final int GIVES_UP_ONE_IN = 25;
+  private static final int READS_SLOWLY_ONE_IN = 30;
+  private static final int OLD_KEY_ONE_IN = 15;
+  private static final int SLOW_READ_PAUSE_MS = 20;
+  private static final int MAX_PAUSE_MS = 120;
   private static final int SHARED_PROMPTS = 6;
 
   private final SoakLedger ledger;
   private final SoakMachines machines;
-  private final FrontDoor frontDoor;
+  private final ClientLoadBalancer loadBalancer;
   private final Supplier<ConfigurationModel> configuration;
-  private final ExecutorService bursts = Threads.pool("burst");
-  private final AtomicLong numbers = new AtomicLong();
-  private volatile byte[] largeRest = {};
+  private final ExecutorService burstExecutor = DaemonThreads.pool("burst");
+  private final AtomicLong lastRequestNumber = new AtomicLong();
+  private volatile byte[] largeBodyRest = {};
   private volatile boolean stopped;
 
   SoakClients(
       SoakLedger ledger,
       SoakMachines machines,
-      FrontDoor frontDoor,
+      ClientLoadBalancer loadBalancer,
       Supplier<ConfigurationModel> configuration) {
     this.ledger = ledger;
     this.machines = machines;
-    this.frontDoor = frontDoor;
+    this.loadBalancer = loadBalancer;
     this.configuration = configuration;
   }
 
   void start(int clients, long seed) {
     for (int i = 0; i < clients; i++) {
       Random random = new Random(seed * 1000 + i);
-      Threads.start("client " + i, () -> client(random));
+      DaemonThreads.start("client " + i, () -> runClient(random));
     }
   }
 
@@ -65,13 +65,13 @@
   }
 
   /** Many requests at once, on connections of their own. */
-  void burst(int requests, RequestKind kind, long seed) {
+  void sendBurst(int requests, RequestKind kind, long seed) {
     for (int i = 0; i < requests; i++) {
       Random random = new Random(seed * 7919 + i);
-      bursts.execute(
+      burstExecutor.execute(
           () -> {
-            try (Connection connection = new Connection(frontDoor.machine(random))) {
-              connection.ask(kind, random, false);
+            try (Connection connection = new Connection(loadBalancer.pickMachine(random))) {
+              connection.sendRequest(kind, random, false);
             } catch (IOException e) {
               // the machine can't be reached, which is no request
             }
@@ -80,24 +80,24 @@
   }
 
   /** What a body of the greatest size has behind its first bytes; shared by all requests. */
-  private byte[] largeRest(int firstLength) {
+  private byte[] largeBodyRest(int firstLength) {
     int length = configuration.get().maxBodyBytes() - firstLength;
-    if (largeRest.length != length) largeRest = new byte[length];
-    return largeRest;
+    if (largeBodyRest.length != length) largeBodyRest = new byte[length];
+    return largeBodyRest;
   }
 
-  private void client(Random random) {
+  private void runClient(Random random) {
     while (!stopped) {
-      try (Connection connection = new Connection(frontDoor.machine(random))) {
-        while (!stopped && connection.ask(kind(random), random, true))
-          Threads.pause(random.nextInt(PAUSE_MS));
+      try (Connection connection = new Connection(loadBalancer.pickMachine(random))) {
+        while (!stopped && connection.sendRequest(drawKind(random), random, true))
+          DaemonThreads.pause(random.nextInt(MAX_PAUSE_MS));
       } catch (IOException e) {
-        Threads.pause(200);
+        DaemonThreads.pause(200);
       }
     }
   }
 
-  private static RequestKind kind(Random random) {
+  private static RequestKind drawKind(Random random) {
     int draw = random.nextInt(100);
     if (draw < 35) return RequestKind.ASK;
     if (draw < 60) return RequestKind.READ;
@@ -115,30 +115,31 @@
       this.machine = machine;
       socket.setTcpNoDelay(true);
       socket.connect(
-          new InetSocketAddress(machines.ip(machine), machines.frontendPort()), CONNECT_MS);
+          new InetSocketAddress(machines.address(machine), machines.frontendPort()),
+          CONNECT_TIMEOUT_MS);
       in = new BufferedInputStream(socket.getInputStream(), 1 << 13);
     }
 
     /** Sends a request and waits for its end; whether the connection can be used again. */
-    boolean ask(RequestKind kind, Random random, boolean mayGiveUp) {
+    boolean sendRequest(RequestKind kind, Random random, boolean mayGiveUp) {
       Call call = newCall(kind, random);
-      byte[] first = call.id.getBytes(StandardCharsets.US_ASCII);
-      byte[] rest = kind == RequestKind.UPLOAD ? largeRest(first.length) : new byte[300];
-      call.bodyDigest = HttpMessage.digest(first, rest);
-      ledger.began(call);
+      byte[] idBytes = call.id.getBytes(StandardCharsets.US_ASCII);
+      byte[] bodyRest = kind == RequestKind.UPLOAD ? largeBodyRest(idBytes.length) : new byte[300];
+      call.bodyDigest = HttpMessage.digest(idBytes, bodyRest);
+      ledger.recordCall(call);
       long giveUpAfterMs =
-          mayGiveUp && random.nextInt(GIVES_UP_IN) == 0 ? 20 + random.nextInt(1500) : -1;
-      boolean slow = random.nextInt(READS_SLOWLY_IN) == 0;
+          mayGiveUp && random.nextInt(GIVES_UP_ONE_IN) == 0 ? 20 + random.nextInt(1500) : -1;
+      boolean readsSlowly = random.nextInt(READS_SLOWLY_ONE_IN) == 0;
       try {
-        write(call, first, rest, random);
-        call.wroteAtMs = ledger.nowMs();
-        return answer(call, giveUpAfterMs, slow);
-      } catch (GivenUp e) {
+        write(call, idBytes, bodyRest, random);
+        call.writtenAtMs = ledger.nowMs();
+        return readAnswer(call, giveUpAfterMs, readsSlowly);
+      } catch (ClientGaveUpException e) {
         end(call, End.GIVEN_UP);
       } catch (SocketTimeoutException e) {
         end(call, giveUpAfterMs >= 0 ? End.GIVEN_UP : End.SILENT);
       } catch (IOException | NumberFormatException e) {
-        end(call, call.wroteAtMs < 0 ? End.NOT_SENT : End.CUT);
+        end(call, call.writtenAtMs < 0 ? End.NOT_SENT : End.CUT);
       }
       return false;
     }
@@ -147,9 +148,9 @@
       String tenant = ConfigurationModel.tenantName(1 + random.nextInt(SoakPlan.TENANTS));
       ConfigurationModel.Tenant known = configuration.get().tenants().get(tenant);
       String key = known == null ? "key-of-nobody" : known.key();
-      if (random.nextInt(OLD_KEY_IN) == 0) key = ConfigurationModel.keyBefore(key);
+      if (random.nextInt(OLD_KEY_ONE_IN) == 0) key = ConfigurationModel.keyBefore(key);
       return new Call(
-          "r" + numbers.incrementAndGet(),
+          "r" + lastRequestNumber.incrementAndGet(),
           tenant,
           key,
           kind,
@@ -158,7 +159,8 @@
           kind.deadlineMs);
     }
 
-    private void write(Call call, byte[] first, byte[] rest, Random random) throws IOException {
+    private void write(Call call, byte[] idBytes, byte[] bodyRest, Random random)
+        throws IOException {
       OutputStream out = socket.getOutputStream();
       String head =
           "POST "
@@ -170,68 +172,71 @@
               + "\r\nX-Gladelug-Model: "
               + ConfigurationModel.MODEL
               + "\r\nX-Gladelug-Token-Usage: 900,80\r\nX-Gladelug-Prompt-Prefix: "
-              + prefix(call, random)
+              + promptPrefix(call, random)
               + "\r\nX-Gladelug-Deadline-Ms: "
               + call.deadlineMs
               + "\r\nX-Gladelug-Credential: "
               + call.key
               + "\r\nX-Gladelug-Cache-Salt: of-the-client\r\nContent-Length: "
-              + (first.length + rest.length)
+              + (idBytes.length + bodyRest.length)
               + "\r\n";
-      HttpMessage.write(out, head, first);
-      out.write(rest);
+      HttpMessage.write(out, head, idBytes);
+      out.write(bodyRest);
       out.flush();
     }
 
     /** Two parts that all tenants ask for, and one of the request's own. */
-    private String prefix(Call call, Random random) {
+    private String promptPrefix(Call call, Random random) {
       int shared = random.nextInt(SHARED_PROMPTS);
       return String.format(
           "5c1e%04x:400,91bd%04x:300,%08x:200", shared, shared * 3, call.id.hashCode());
     }
 
-    private boolean answer(Call call, long giveUpAfterMs, boolean slow) throws IOException {
-      long lastMs = call.sentAtMs + call.deadlineMs + SILENT_AFTER_MS;
-      long untilMs = giveUpAfterMs < 0 ? lastMs : call.sentAtMs + giveUpAfterMs;
-      patience(untilMs);
+    private boolean readAnswer(Call call, long giveUpAfterMs, boolean readsSlowly)
+        throws IOException {
+      long silentAtMs = call.sentAtMs + call.deadlineMs + SILENT_AFTER_DEADLINE_MS;
+      long readUntilMs = giveUpAfterMs < 0 ? silentAtMs : call.sentAtMs + giveUpAfterMs;
+      setReadTimeout(readUntilMs);
       HttpMessage answer =
           HttpMessage.read(
               in,
               (bytes, length) -> {
-                if (giveUpAfterMs >= 0 && ledger.nowMs() >= untilMs) throw new GivenUp();
-                if (slow) Threads.pause(SLOW_READ_MS);
-                patience(untilMs);
+                if (giveUpAfterMs >= 0 && ledger.nowMs() >= readUntilMs)
+                  throw new ClientGaveUpException();
+                if (readsSlowly) DaemonThreads.pause(SLOW_READ_PAUSE_MS);
+                setReadTimeout(readUntilMs);
               },
-              HttpMessage.KEPT);
+              HttpMessage.MAX_KEPT_BODY_BYTES);
       if (answer == null) throw new IOException("closed before an answer");
       call.status = answer.status();
       call.seal = answer.header("X-Gladelug-Server-Seal");
       call.echoedId = answer.header("X-Gladelug-Request-Id");
-      if (!answer.whole()) {
-        end(call, given(untilMs, giveUpAfterMs));
+      if (!answer.complete()) {
+        end(call, incompleteEnd(readUntilMs, giveUpAfterMs));
         return false;
       }
-      if (call.status >= 200 && call.status < 300) call.wrongBody = wrong(call, answer);
+      if (call.status >= 200 && call.status < 300)
+        call.bodyProblem = describeWrongBody(call, answer);
       end(call, End.ANSWERED);
       return !answer.header("Connection").equalsIgnoreCase("close");
     }
 
-    private End given(long untilMs, long giveUpAfterMs) {
-      if (ledger.nowMs() < untilMs) return End.CUT;
+    private End incompleteEnd(long readUntilMs, long giveUpAfterMs) {
+      if (ledger.nowMs() < readUntilMs) return End.CUT;
       return giveUpAfterMs >= 0 ? End.GIVEN_UP : End.SILENT;
     }
 
-    private void patience(long untilMs) throws IOException {
-      socket.setSoTimeout((int) Math.max(1, untilMs - ledger.nowMs()));
+    private void setReadTimeout(long readUntilMs) throws IOException {
+      socket.setSoTimeout((int) Math.max(1, readUntilMs - ledger.nowMs()));
     }
 
-    private static String wrong(Call call, HttpMessage answer) {
-      if (call.kind.events == 0)
+    private static String describeWrongBody(Call call, HttpMessage answer) {
+      if (call.kind.eventCount == 0)
         return Arrays.equals(answer.body(), SoakReplica.expectedBody(call.id))
             ? ""
             : answer.body().length + " bytes that are not the replica's";
       StringBuilder expected = new StringBuilder();
-      for (int number = 1; number <= call.kind.events; number++)
+      for (int number = 1; number <= call.kind.eventCount; number++)
         expected.append(SoakReplica.expectedEvent(call.id, number));
       return answer.text().contentEquals(expected)
           ? ""
@@ -250,7 +255,7 @@
   }
 
   /** The client doesn't wait any longer. */
-  private static final class GivenUp extends IOException {
+  private static final class ClientGaveUpException extends IOException {
     private static final long serialVersionUID = 1;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakCommand.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakCommand.java
@@ -34,16 +34,16 @@
 
   private static final String FAILED_PLAN = "plan.json";
   private static final String SMALLEST_PLAN = "smallest.json";
-  private static final int SHRINK_TRIES = 30;
+  private static final int MAX_SHRINK_TRIES = 30;
 
   private final Options options;
-  private final Consumer<String> say;
+  private final Consumer<String> printLine;
   private final DeployCommands commands;
 
-  private SoakCommand(Options options, Consumer<String> say) {
+  private SoakCommand(Options options, Consumer<String> printLine) {
     this.options = options;
-    this.commands = DeployCommands.ofJars(options.checkout.toAbsolutePath());
-    this.say = say;
+    this.commands = DeployCommands.fromJars(options.checkout.toAbsolutePath());
+    this.printLine = printLine;
   }
 
   /** The ids of the kinds of events. */
@@ -54,13 +54,13 @@
   /**
    * Plays; whether no rule was broken. Findings on flags and plans are said, and count as broken.
    */
-  public static boolean play(Options options, Consumer<String> say) throws IOException {
-    return new SoakCommand(options, say).play();
+  public static boolean play(Options options, Consumer<String> printLine) throws IOException {
+    return new SoakCommand(options, printLine).play();
   }
 
   /** Shrinks the plan of a failed run's folder; whether it still fails at all. */
-  public static boolean shrink(Options options, Consumer<String> say) throws IOException {
-    return new SoakCommand(options, say).shrink();
+  public static boolean shrink(Options options, Consumer<String> printLine) throws IOException {
+    return new SoakCommand(options, printLine).shrink();
   }
 
   private boolean play() throws IOException {
@@ -71,14 +71,15 @@
     Findings findings = new Findings();
     Set<EventKind> only = chosenKinds(findings);
     if (!findings.isEmpty()) {
-      say.accept(findings.toString().trim());
+      printLine.accept(findings.toString().trim());
       return false;
     }
     int failed = 0;
     for (long seed = options.seed; seed < options.seed + options.seeds; seed++)
-      if (!play(PlanDraw.draw(seed, options.minutes * 60, options.size, only), "seed-" + seed))
+      if (!play(
+          PlanGenerator.generate(seed, options.minutes * 60, options.size, only), "seed-" + seed))
         failed++;
-    say.accept(failed + " of " + options.seeds + " seeds broke a rule");
+    printLine.accept(failed + " of " + options.seeds + " seeds broke a rule");
     return failed == 0;
   }
 
@@ -96,19 +97,20 @@
   private SoakPlan read(Path file) throws IOException {
     Result<SoakPlan> read = SoakPlan.read(Files.readString(file));
     if (read instanceof Result.Good<SoakPlan> good) return good.value();
-    say.accept(file + ":\n" + read);
+    printLine.accept(file + ":\n" + read);
     return null;
   }
 
   private boolean play(SoakPlan plan, String name) throws IOException {
-    say.accept(name + ": " + plan.machines() + " machines, " + plan.events().size() + " events");
-    Soak.Result result = Soak.play(plan, commands, folder(name), say);
-    say.accept(SoakReport.write(result).trim());
-    if (!result.clean()) say.accept("kept in " + result.folder());
+    printLine.accept(
+        name + ": " + plan.machines() + " machines, " + plan.events().size() + " events");
+    Soak.Result result = Soak.play(plan, commands, unusedFolder(name), printLine);
+    printLine.accept(SoakReport.write(result).trim());
+    if (!result.clean()) printLine.accept("kept in " + result.folder());
     return result.clean();
   }
 
-  private Path folder(String name) {
+  private Path unusedFolder(String name) {
     Path folder = options.out.toAbsolutePath().resolve("soak");
     for (int number = 0; ; number++) {
       Path candidate = folder.resolve(number == 0 ? name : name + "-" + number);
@@ -119,17 +121,18 @@
   private boolean shrink() throws IOException {
     SoakPlan plan = read(options.planFile.resolve(FAILED_PLAN));
     if (plan == null) return false;
-    SoakPlan smallest = PlanShrink.shrink(plan, SHRINK_TRIES, this::fails);
+    SoakPlan smallest = PlanShrinker.shrink(plan, MAX_SHRINK_TRIES, this::breaksRule);
     Path file = options.planFile.resolve(SMALLEST_PLAN);
-    Files.writeString(file, smallest.json());
-    say.accept(plan.events().size() + " events, " + smallest.events().size() + " left in " + file);
+    Files.writeString(file, smallest.toJson());
+    printLine.accept(
+        plan.events().size() + " events, " + smallest.events().size() + " left in " + file);
     return smallest.events().size() < plan.events().size();
   }
 
-  private boolean fails(SoakPlan plan) {
+  private boolean breaksRule(SoakPlan plan) {
     try {
-      Soak.Result result = Soak.play(plan, commands, folder("shrink"), line -> {});
-      say.accept(plan.events().size() + " events: " + (result.clean() ? "clean" : "broken"));
+      Soak.Result result = Soak.play(plan, commands, unusedFolder("shrink"), line -> {});
+      printLine.accept(plan.events().size() + " events: " + (result.clean() ? "clean" : "broken"));
       return !result.clean();
     } catch (IOException e) {
       throw new IllegalStateException(e);
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakEvent.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakEvent.java
@@ -6,11 +6,11 @@
  * @param atMs when it begins, from the first start of the processes
  * @param target the number of the relay, member, tenant or replica, from 1; 0 where the kind has
  *     none
- * @param forMs how long it lasts, for kinds that last
+ * @param durationMs how long it lasts, for kinds that last
  */
-record SoakEvent(long atMs, EventKind kind, int target, int forMs) {
+record SoakEvent(long atMs, EventKind kind, int target, int durationMs) {
   long endMs() {
-    return atMs + forMs;
+    return atMs + durationMs;
   }
 
   @Override
@@ -20,6 +20,6 @@
         atMs / 1000.0,
         kind.id(),
         target == 0 ? "" : " " + target,
-        forMs == 0 ? "" : " for " + forMs + " ms");
+        durationMs == 0 ? "" : " for " + durationMs + " ms");
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakLedger.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakLedger.java
@@ -37,7 +37,7 @@
     final long sentAtMs;
     final long deadlineMs;
     volatile String bodyDigest = "";
-    volatile long wroteAtMs = -1;
+    volatile long writtenAtMs = -1;
     volatile long endedAtMs = -1;
     volatile End end = End.OPEN;
     volatile int status;
@@ -45,7 +45,7 @@
     volatile String echoedId = "";
 
     /** What is wrong with the body of a success, or empty. */
-    volatile String wrongBody = "";
+    volatile String bodyProblem = "";
 
     Call(
         String id,
@@ -64,12 +64,12 @@
       this.deadlineMs = deadlineMs;
     }
 
-    boolean served() {
+    boolean isServed() {
       return end == End.ANSWERED && status >= 200 && status < 300;
     }
 
     /** Whether its answer promises that it has not run and never will. */
-    boolean promisedNotRun() {
+    boolean isRefusedUnexecuted() {
       return end == End.ANSWERED
           && (status == 429 || status == 503 || status == 408 || status == 421);
     }
@@ -86,12 +86,12 @@
     final String leakedKey;
 
     /** The fault of the replica that spoilt the answer, or null. */
-    volatile EventKind spoiltBy;
+    volatile EventKind spoiledBy;
 
     /** When it ended at the replica, or -1; whole where the answer was written to its end. */
     volatile long endedAtMs = -1;
 
-    volatile boolean whole;
+    volatile boolean answerComplete;
 
     Run(
         String id,
@@ -112,13 +112,13 @@
   }
 
   /** A request used a part of a prompt that another request made. */
-  record PartUse(String id, String tenant, String makerId, String maker, long atMs) {}
+  record PartUse(String id, String tenant, String makerId, String makerTenant, long atMs) {}
 
   /** An order to a replica that it accepted. */
   record Order(String instance, String holder, long fence, long atMs) {}
 
   /** What operators were told of a configuration. */
-  enum Fate {
+  enum ChangeOutcome {
     UNKNOWN,
     ACKNOWLEDGED,
     REFUSED
@@ -127,43 +127,43 @@
   /** A configuration that was sent. */
   static final class Change {
     final long revision;
-    final long base;
+    final long baseRevision;
 
     /** PUT or PATCH. */
     final String method;
 
     final String text;
     final boolean valid;
-    final ConfigurationModel meaning;
+    final ConfigurationModel configuration;
     final long sentAtMs;
-    volatile long ackedAtMs = -1;
-    volatile Fate fate = Fate.UNKNOWN;
+    volatile long acknowledgedAtMs = -1;
+    volatile ChangeOutcome outcome = ChangeOutcome.UNKNOWN;
 
     /** A clear refusal of the same change after it had been acknowledged. */
     volatile boolean refusedAgain;
 
     /** What was answered, the last first. */
-    volatile String answer = "";
+    volatile String answers = "";
 
     Change(
         long revision,
-        long base,
+        long baseRevision,
         String method,
         String text,
         boolean valid,
-        ConfigurationModel meaning,
+        ConfigurationModel configuration,
         long sentAtMs) {
       this.revision = revision;
-      this.base = base;
+      this.baseRevision = baseRevision;
       this.method = method;
       this.text = text;
       this.valid = valid;
-      this.meaning = meaning;
+      this.configuration = configuration;
       this.sentAtMs = sentAtMs;
     }
 
-    boolean acknowledged() {
-      return fate == Fate.ACKNOWLEDGED;
+    boolean isAcknowledged() {
+      return outcome == ChangeOutcome.ACKNOWLEDGED;
     }
   }
 
@@ -171,82 +171,82 @@
   record Disturbance(long fromMs, long toMs, EventKind kind, String process) {}
 
   /** A process ended though nobody told it to. */
-  record OwnExit(String process, int code, long atMs) {}
+  record UnexpectedExit(String process, int code, long atMs) {}
 
   /** What a process took of memory. */
-  record Memory(String process, long rssKb, long atMs) {}
+  record MemoryReading(String process, long rssKb, long atMs) {}
 
   /** Whether a relay said that it is ready. */
   record Readiness(int machine, boolean ready, long atMs) {}
 
-  private final long originNs = System.nanoTime();
+  private final long startedAtNs = System.nanoTime();
   final Map<String, Call> calls = new ConcurrentHashMap<>();
   private final List<Run> runs = new ArrayList<>();
   private final List<PartUse> partUses = new ArrayList<>();
   private final List<Order> orders = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
   private final List<Disturbance> disturbances = new ArrayList<>();
-  private final List<OwnExit> ownExits = new ArrayList<>();
-  private final List<Memory> memory = new ArrayList<>();
+  private final List<UnexpectedExit> unexpectedExits = new ArrayList<>();
+  private final List<MemoryReading> memory = new ArrayList<>();
   private final List<Readiness> readiness = new ArrayList<>();
   private volatile String finalConfiguration;
   private volatile long endOfEventsMs = -1;
   private volatile long interruptedAtMs = Long.MAX_VALUE;
 
   long nowMs() {
-    return (System.nanoTime() - originNs) / 1_000_000;
+    return (System.nanoTime() - startedAtNs) / 1_000_000;
   }
 
-  void began(Call call) {
+  void recordCall(Call call) {
     calls.put(call.id, call);
   }
 
-  synchronized Run ran(Run run) {
+  synchronized Run recordRun(Run run) {
     runs.add(run);
     return run;
   }
 
-  synchronized void used(PartUse use) {
+  synchronized void recordPartUse(PartUse use) {
     partUses.add(use);
   }
 
-  synchronized void ordered(Order order) {
+  synchronized void recordOrder(Order order) {
     orders.add(order);
   }
 
-  synchronized Change sent(Change change) {
+  synchronized Change recordChange(Change change) {
     changes.add(change);
     return change;
   }
 
-  synchronized void disturbed(Disturbance disturbance) {
+  synchronized void recordDisturbance(Disturbance disturbance) {
     disturbances.add(disturbance);
   }
 
-  synchronized void exited(OwnExit exit) {
-    ownExits.add(exit);
+  synchronized void recordExit(UnexpectedExit exit) {
+    unexpectedExits.add(exit);
   }
 
-  synchronized void took(Memory reading) {
+  synchronized void recordMemory(MemoryReading reading) {
     memory.add(reading);
   }
 
-  synchronized void told(Readiness answer) {
+  synchronized void recordReadiness(Readiness answer) {
     readiness.add(answer);
   }
 
   /** The configuration that was read back at the end, or null where none came. */
-  void readBack(String text) {
+  void recordFinalConfiguration(String text) {
     finalConfiguration = text;
   }
 
   /** From now on nothing is disturbed any more. */
-  void eventsEnded(long atMs) {
+  void recordEndOfEvents(long atMs) {
     endOfEventsMs = atMs;
   }
 
   /** The soak itself ends all processes from now on. */
-  void interrupted(long atMs) {
+  void recordInterruption(long atMs) {
     interruptedAtMs = atMs;
   }
 
@@ -274,11 +274,11 @@
     return List.copyOf(disturbances);
   }
 
-  synchronized List<OwnExit> ownExits() {
-    return List.copyOf(ownExits);
+  synchronized List<UnexpectedExit> unexpectedExits() {
+    return List.copyOf(unexpectedExits);
   }
 
-  synchronized List<Memory> memory() {
+  synchronized List<MemoryReading> memory() {
     return List.copyOf(memory);
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakMachines.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakMachines.java
@@ -13,62 +13,63 @@
  * core on the first three and an index on the next three.
  */
 final class SoakMachines implements AutoCloseable {
-  static final int GRACE_MS = 8000;
-  static final int MEMORY_MB = 430;
-  private static final int ZONES = 3;
-  private static final int INDEXES = 3;
-  private static final int INNER_PORTS = 16;
+  static final int TERMINATION_GRACE_MS = 8000;
+  static final int MEMORY_LIMIT_MB = 430;
+  private static final int ZONE_COUNT = 3;
+  private static final int INDEX_COUNT = 3;
+  private static final int INTERNAL_PORT_COUNT = 16;
 
   /** Until a process that ended is started again. */
   private static final int RESTART_AFTER_MS = 300;
 
-  private static final int WATCH_MS = 100;
-  private static final int MEMORY_EVERY = 10;
+  private static final int WATCH_INTERVAL_MS = 100;
+  private static final int MEMORY_READING_ROUNDS = 10;
 
   final List<SoakProcess> relays = new ArrayList<>();
   final List<SoakProcess> members = new ArrayList<>();
   private final List<SoakProcess> indexes = new ArrayList<>();
   private final SoakLedger ledger;
-  private final String net;
+  private final String addressPrefix;
   private final int frontendPort;
   private final int readinessPort;
   private final int controlPort;
-  private final int innerPort;
+  private final int firstInternalPort;
   private volatile boolean closed;
   private volatile boolean initialBoot = true;
 
   /**
-   * @param net the first three numbers of the machines' addresses, with a dot at the end
+   * @param addressPrefix the first three numbers of the machines' addresses, with a dot at the end
    */
   SoakMachines(
       DeployCommands commands,
       Path folder,
       int machines,
-      String net,
-      String platform,
+      String addressPrefix,
+      String platformAddress,
       SoakLedger ledger)
       throws IOException {
     this.ledger = ledger;
-    this.net = net;
-    frontendPort = freePort();
-    readinessPort = freePort();
-    controlPort = freePort();
-    innerPort = freeRange(machines);
+    this.addressPrefix = addressPrefix;
+    frontendPort = findFreePort();
+    readinessPort = findFreePort();
+    controlPort = findFreePort();
+    firstInternalPort = findFreePortRange(machines);
     for (int machine = 1; machine <= machines; machine++) {
       boolean member = machine <= SoakPlan.MEMBERS;
-      relays.add(process("relay", machine, commands, folder, platform, member));
-      if (machine <= SoakPlan.MEMBERS + INDEXES)
+      relays.add(newProcess("relay", machine, commands, folder, platformAddress, member));
+      if (machine <= SoakPlan.MEMBERS + INDEX_COUNT)
         (member ? members : indexes)
-            .add(process("control-or-index", machine, commands, folder, platform, member));
+            .add(
+                newProcess("control-or-index", machine, commands, folder, platformAddress, member));
     }
   }
 
   static String zone(int number) {
-    return "zone-" + (1 + (number - 1) % ZONES);
+    return "zone-" + (1 + (number - 1) % ZONE_COUNT);
   }
 
-  String ip(int machine) {
-    return net + machine;
+  String address(int machine) {
+    return addressPrefix + machine;
   }
 
   int frontendPort() {
@@ -92,28 +93,29 @@
   }
 
   /** The machines that serve operators. */
-  int controls() {
+  int operatorEndpointCount() {
     return members.size() + indexes.size();
   }
 
-  private int freePort() throws IOException {
-    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(ip(1)))) {
+  private int findFreePort() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(address(1)))) {
       return socket.getLocalPort();
     }
   }
 
   /** Ports in a row that are free on all machines. */
-  private int freeRange(int machines) throws IOException {
+  private int findFreePortRange(int machines) throws IOException {
     for (int from = 20_000 + (int) (ProcessHandle.current().pid() * 37 % 9000);
         from < 60_000;
-        from += INNER_PORTS) if (isFree(from, machines)) return from;
-    throw new IOException("no " + INNER_PORTS + " ports in a row are free");
+        from += INTERNAL_PORT_COUNT) if (isRangeFree(from, machines)) return from;
+    throw new IOException("no " + INTERNAL_PORT_COUNT + " ports in a row are free");
   }
 
-  private boolean isFree(int from, int machines) throws IOException {
+  private boolean isRangeFree(int from, int machines) throws IOException {
     for (int machine = 1; machine <= machines; machine++)
-      for (int port = from; port < from + INNER_PORTS; port++)
-        try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName(ip(machine)))) {
+      for (int port = from; port < from + INTERNAL_PORT_COUNT; port++)
+        try (ServerSocket socket =
+            new ServerSocket(port, 1, InetAddress.getByName(address(machine)))) {
           if (!socket.isBound()) return false;
         } catch (BindException e) {
           return false;
@@ -121,22 +123,22 @@
     return true;
   }
 
-  private SoakProcess process(
+  private SoakProcess newProcess(
       String argument,
       int machine,
       DeployCommands commands,
       Path folder,
-      String platform,
+      String platformAddress,
       boolean member)
       throws IOException {
     boolean relay = argument.equals("relay");
     List<String> seeds = new ArrayList<>();
-    for (int i = 1; i <= SoakPlan.MEMBERS; i++) seeds.add(ip(i) + ":" + controlPort);
+    for (int i = 1; i <= SoakPlan.MEMBERS; i++) seeds.add(address(i) + ":" + controlPort);
     String bind =
         relay
             ? "BindAddresses.Frontend=%1$s:%2$d\nBindAddresses.Readiness=%1$s:%3$d\n"
-                .formatted(ip(machine), frontendPort, readinessPort)
-            : "BindAddresses.ControlPlane=%s:%d\n".formatted(ip(machine), controlPort);
+                .formatted(address(machine), frontendPort, readinessPort)
+            : "BindAddresses.ControlPlane=%s:%d\n".formatted(address(machine), controlPort);
     String settings =
         """
         NodeName=edge-%1$d
@@ -164,25 +166,25 @@
                 machine,
                 relay ? "relay" : "second",
                 relay ? "edge" : "control_plane",
-                ip(machine),
+                address(machine),
                 zone(machine),
                 bind,
-                innerPort,
-                innerPort + INNER_PORTS - 1,
+                firstInternalPort,
+                firstInternalPort + INTERNAL_PORT_COUNT - 1,
                 String.join(",", seeds),
                 member,
-                MEMORY_MB,
-                platform);
+                MEMORY_LIMIT_MB,
+                platformAddress);
     return new SoakProcess(
         argument + "-" + machine,
         machine,
         commands.command(argument),
         commands,
         folder,
-        settings + BOUNDS);
+        settings + COMMON_SETTINGS);
   }
 
-  private static final String BOUNDS =
+  private static final String COMMON_SETTINGS =
       """
       DiscoverySource=cloud_api
       EntryType=virtual_ip
@@ -220,20 +222,20 @@
 
   void startAll() throws IOException {
     for (SoakProcess process : all()) process.start(true);
-    Threads.start("watch", this::watch);
+    DaemonThreads.start("watch", this::watch);
   }
 
   /** From now on a process that starts is told that the fleet started before. */
-  void firstStartIsOver() {
+  void markFirstStartOver() {
     initialBoot = false;
   }
 
   /** Starts it again, unless all is being ended. */
-  void startAgain(SoakProcess process, boolean emptied) {
+  void restart(SoakProcess process, boolean dataDeleted) {
     synchronized (this) {
       if (closed) return;
       try {
-        process.start(initialBoot && !emptied);
+        process.start(initialBoot && !dataDeleted);
       } catch (IOException e) {
         throw new IllegalStateException(process.name + " can't be started", e);
       }
@@ -244,16 +246,17 @@
   private void watch() {
     for (int round = 0; !closed; round++) {
       for (SoakProcess process : all()) {
-        Integer code = process.endedByItself();
+        Integer code = process.takeUnexpectedExitCode();
         if (code != null) {
-          ledger.exited(new SoakLedger.OwnExit(process.name, code, ledger.nowMs()));
-          Threads.pause(RESTART_AFTER_MS);
-          startAgain(process, false);
+          ledger.recordExit(new SoakLedger.UnexpectedExit(process.name, code, ledger.nowMs()));
+          DaemonThreads.pause(RESTART_AFTER_MS);
+          restart(process, false);
         }
-        if (round % MEMORY_EVERY == 0)
-          ledger.took(new SoakLedger.Memory(process.name, process.rssKb(), ledger.nowMs()));
+        if (round % MEMORY_READING_ROUNDS == 0)
+          ledger.recordMemory(
+              new SoakLedger.MemoryReading(process.name, process.rssKb(), ledger.nowMs()));
       }
-      Threads.pause(WATCH_MS);
+      DaemonThreads.pause(WATCH_INTERVAL_MS);
     }
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakOperator.java
@@ -3,7 +3,7 @@
 import com.eclipsesource.json.Json;
 import gladelug.emulator.soak.ConfigurationModel.Tenant;
 import gladelug.emulator.soak.SoakLedger.Change;
-import gladelug.emulator.soak.SoakLedger.Fate;
+import gladelug.emulator.soak.SoakLedger.ChangeOutcome;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -25,155 +25,163 @@
 final class SoakOperator {
   private static final String PUT = "PUT";
   private static final String PATCH = "PATCH";
-  private static final int CONNECT_MS = 500;
-  private static final int ANSWER_MS = 4500;
-  private static final int PAUSE_MS = 200;
+  private static final int CONNECT_TIMEOUT_MS = 500;
+  private static final int ANSWER_TIMEOUT_MS = 4500;
+  private static final int RETRY_PAUSE_MS = 200;
 
   /** How long a change is sent again without a clear answer. */
-  private static final int CHANGE_MS = 25_000;
+  private static final int CHANGE_TIMEOUT_MS = 25_000;
 
   /** Routes of a large configuration: two to five megabytes, of which the largest are too large. */
-  private static final int LARGE_ROUTES_LEAST = 6000, LARGE_ROUTES_MORE = 9500;
+  private static final int MIN_LARGE_ROUTES = 6000, LARGE_ROUTES_SPREAD = 9500;
 
-  private static final int ROUTES_A_CHANGE = 350;
+  private static final int MAX_ROUTES_PER_CHANGE = 350;
 
   private final SoakLedger ledger;
   private final SoakMachines machines;
   private final Random random;
-  private final ExecutorService racing = Threads.pool("racing operator");
-  private long newestSent;
+  private final ExecutorService racingExecutor = DaemonThreads.pool("racing operator");
+  private long newestSentRevision;
   private Change current;
-  private int weights = 1;
+  private int weightsRevision = 1;
 
   /** What clients are told to use: the newest that was acknowledged. */
-  private volatile ConfigurationModel meaning;
+  private volatile ConfigurationModel configuration;
 
   SoakOperator(SoakLedger ledger, SoakMachines machines, ConfigurationModel first, long seed) {
     this.ledger = ledger;
     this.machines = machines;
-    this.meaning = first;
+    this.configuration = first;
     this.random = new Random(seed);
   }
 
-  ConfigurationModel meaning() {
-    return meaning;
+  ConfigurationModel configuration() {
+    return configuration;
   }
 
-  int weights() {
-    return weights;
+  int weightsRevision() {
+    return weightsRevision;
   }
 
   /** Sends the first configuration until it is taken; whether it was in so many ms. */
-  boolean begin(long withinMs) {
-    current = change(0, meaning, PUT, meaning.text(1), 1);
-    newestSent = 1;
-    return send(current, withinMs) == Fate.ACKNOWLEDGED;
+  boolean sendFirst(long timeoutMs) {
+    current = recordChange(0, configuration, PUT, configuration.toJson(1), 1);
+    newestSentRevision = 1;
+    return send(current, timeoutMs) == ChangeOutcome.ACKNOWLEDGED;
   }
 
-  private Change change(
+  private Change recordChange(
       long base, ConfigurationModel next, String method, String text, long revision) {
-    newestSent = Math.max(newestSent, revision);
-    return ledger.sent(new Change(revision, base, method, text, true, next, ledger.nowMs()));
+    newestSentRevision = Math.max(newestSentRevision, revision);
+    return ledger.recordChange(
+        new Change(revision, base, method, text, true, next, ledger.nowMs()));
   }
 
   /** Does what an event of a kind asks of operators. */
   void perform(SoakEvent event) {
     String name = ConfigurationModel.tenantName(Math.max(1, event.target()));
     switch (event.kind()) {
-      case ROUTES -> become(meaning.withExtraRoutes(otherRoutes()));
+      case ROUTES -> changeTo(configuration.withExtraRoutes(drawRouteCount()));
       case LIMITS ->
-          become(
-              meaning.withMaxBodyBytes(
+          changeTo(
+              configuration.withMaxBodyBytes(
                   ConfigurationModel.MAX_BODY_BYTES - random.nextInt(1 << 10)));
       case ISOLATE -> toggleIsolation(name);
-      case SWAP -> swap();
+      case SWAP -> swapIsolation();
       case TENANT -> removeOrRestore(name);
       case REVOKE -> replaceKey(name);
-      case LARGE -> become(meaning.withExtraRoutes(manyRoutes()));
-      case INVALID -> invalid();
-      case RACE -> race();
+      case LARGE -> changeTo(configuration.withExtraRoutes(drawLargeRouteCount()));
+      case INVALID -> sendInvalid();
+      case RACE -> sendRacing();
       case RESEND -> resend();
-      case WEIGHTS -> nameWeights();
+      case WEIGHTS -> announceWeights();
       default -> throw new IllegalArgumentException(event + " is none of the operators'");
     }
   }
 
   private void toggleIsolation(String name) {
-    Tenant tenant = meaning.tenants().get(name);
+    Tenant tenant = configuration.tenants().get(name);
     if (tenant == null) return;
-    become(meaning.withTenant(name, new Tenant(tenant.key(), !tenant.isolated())));
+    changeTo(configuration.withTenant(name, new Tenant(tenant.key(), !tenant.isolated())));
   }
 
   /** One that is isolated and one that shares change places. */
-  private void swap() {
+  private void swapIsolation() {
     List<String> isolated = new ArrayList<>(), sharing = new ArrayList<>();
-    meaning.tenants().forEach((name, tenant) -> (tenant.isolated() ? isolated : sharing).add(name));
+    configuration
+        .tenants()
+        .forEach((name, tenant) -> (tenant.isolated() ? isolated : sharing).add(name));
     if (isolated.isEmpty() || sharing.isEmpty()) return;
     String one = isolated.get(random.nextInt(isolated.size()));
     String other = sharing.get(random.nextInt(sharing.size()));
-    become(
-        meaning
-            .withTenant(one, new Tenant(meaning.tenants().get(one).key(), false))
-            .withTenant(other, new Tenant(meaning.tenants().get(other).key(), true)));
+    changeTo(
+        configuration
+            .withTenant(one, new Tenant(configuration.tenants().get(one).key(), false))
+            .withTenant(other, new Tenant(configuration.tenants().get(other).key(), true)));
   }
 
   /** A tenant that was removed comes back isolated as often as not. */
   private void removeOrRestore(String name) {
-    Tenant tenant = meaning.tenants().get(name);
+    Tenant tenant = configuration.tenants().get(name);
     String key = "key-" + name.substring(name.lastIndexOf('-') + 1) + "-0";
-    if (tenant != null && meaning.tenants().size() > 2) become(meaning.withTenant(name, null));
+    if (tenant != null && configuration.tenants().size() > 2)
+      changeTo(configuration.withTenant(name, null));
     else if (tenant == null)
-      become(meaning.withTenant(name, new Tenant(key, random.nextBoolean())));
+      changeTo(configuration.withTenant(name, new Tenant(key, random.nextBoolean())));
   }
 
   private void replaceKey(String name) {
-    Tenant tenant = meaning.tenants().get(name);
+    Tenant tenant = configuration.tenants().get(name);
     if (tenant == null) return;
     String key = ConfigurationModel.keyAfter(tenant.key());
-    become(meaning.withTenant(name, new Tenant(key, tenant.isolated())));
+    changeTo(configuration.withTenant(name, new Tenant(key, tenant.isolated())));
   }
 
   /** Some more or fewer than there are. */
-  private int otherRoutes() {
-    int routes = meaning.extraRoutes() + random.nextInt(2 * ROUTES_A_CHANGE) - ROUTES_A_CHANGE;
+  private int drawRouteCount() {
+    int routes =
+        configuration.extraRoutes()
+            + random.nextInt(2 * MAX_ROUTES_PER_CHANGE)
+            - MAX_ROUTES_PER_CHANGE;
     return Math.max(0, routes);
   }
 
   /** Many in place of few; of many, few again as often as not. */
-  private int manyRoutes() {
-    boolean many = meaning.extraRoutes() >= LARGE_ROUTES_LEAST;
+  private int drawLargeRouteCount() {
+    boolean many = configuration.extraRoutes() >= MIN_LARGE_ROUTES;
     return many && random.nextBoolean()
-        ? random.nextInt(ROUTES_A_CHANGE)
-        : LARGE_ROUTES_LEAST + random.nextInt(LARGE_ROUTES_MORE);
+        ? random.nextInt(MAX_ROUTES_PER_CHANGE)
+        : MIN_LARGE_ROUTES + random.nextInt(LARGE_ROUTES_SPREAD);
   }
 
   /** A change on the newest version; where that turns out not to be the newest, once more. */
-  private void become(ConfigurationModel next) {
+  private void changeTo(ConfigurationModel next) {
     for (int attempt = 0; attempt < 2; attempt++) {
-      long revision = newestSent + 1;
-      boolean patches = next.differsInTenantsAlone(current.meaning) && random.nextBoolean();
-      String text = patches ? next.patch(revision, current.meaning) : next.text(revision);
-      Change change = change(current.revision, next, patches ? PATCH : PUT, text, revision);
-      Fate fate = send(change, CHANGE_MS);
-      if (fate == Fate.ACKNOWLEDGED) {
+      long revision = newestSentRevision + 1;
+      boolean patches = next.differsOnlyInTenants(current.configuration) && random.nextBoolean();
+      String text =
+          patches ? next.patchFrom(revision, current.configuration) : next.toJson(revision);
+      Change change = recordChange(current.revision, next, patches ? PATCH : PUT, text, revision);
+      ChangeOutcome fate = send(change, CHANGE_TIMEOUT_MS);
+      if (fate == ChangeOutcome.ACKNOWLEDGED) {
         current = change;
-        meaning = next;
+        configuration = next;
         return;
       }
       refresh();
-      if (fate == Fate.UNKNOWN) return;
+      if (fate == ChangeOutcome.UNKNOWN) return;
     }
   }
 
   /** Learns which change is the newest. */
   private void refresh() {
-    String text = readBack(CHANGE_MS);
+    String text = readBack(CHANGE_TIMEOUT_MS);
     if (text == null) return;
     long revision = revisionOf(text);
     for (Change change : ledger.changes())
-      if (change.revision == revision && change.fate != Fate.REFUSED) {
+      if (change.revision == revision && change.outcome != ChangeOutcome.REFUSED) {
         current = change;
-        meaning = change.meaning;
+        configuration = change.configuration;
       }
   }
 
@@ -181,30 +189,32 @@
     return Json.parse(text).asObject().getLong("Revision", -1);
   }
 
-  private void invalid() {
-    long revision = newestSent + 1;
+  private void sendInvalid() {
+    long revision = newestSentRevision + 1;
     String text =
-        meaning
-            .text(revision)
+        configuration
+            .toJson(revision)
             .replaceFirst(
                 "\"BackendService\":\"" + ConfigurationModel.SERVICE,
                 "\"BackendService\":\"no-such-service");
-    newestSent = revision;
+    newestSentRevision = revision;
     send(
-        ledger.sent(
-            new Change(revision, current.revision, PUT, text, false, meaning, ledger.nowMs())),
-        CHANGE_MS);
+        ledger.recordChange(
+            new Change(
+                revision, current.revision, PUT, text, false, configuration, ledger.nowMs())),
+        CHANGE_TIMEOUT_MS);
   }
 
   /** Two changes on one version, sent at once to different nodes. */
-  private void race() {
-    long revision = newestSent + 1;
-    ConfigurationModel one = meaning.withExtraRoutes(random.nextInt(40));
-    ConfigurationModel other = meaning.withExtraRoutes(40 + random.nextInt(40));
-    Change first = change(current.revision, one, PUT, one.text(revision), revision);
-    Change second = change(current.revision, other, PUT, other.text(revision + 1), revision + 1);
-    Future<Fate> racer = racing.submit(() -> send(second, CHANGE_MS));
-    send(first, CHANGE_MS);
+  private void sendRacing() {
+    long revision = newestSentRevision + 1;
+    ConfigurationModel one = configuration.withExtraRoutes(random.nextInt(40));
+    ConfigurationModel other = configuration.withExtraRoutes(40 + random.nextInt(40));
+    Change first = recordChange(current.revision, one, PUT, one.toJson(revision), revision);
+    Change second =
+        recordChange(current.revision, other, PUT, other.toJson(revision + 1), revision + 1);
+    Future<ChangeOutcome> racer = racingExecutor.submit(() -> send(second, CHANGE_TIMEOUT_MS));
+    send(first, CHANGE_TIMEOUT_MS);
     try {
       racer.get();
     } catch (InterruptedException e) {
@@ -217,55 +227,59 @@
 
   /** The newest acknowledged change as it was, as where the answer had been lost. */
   private void resend() {
-    if (current == null || !current.acknowledged()) return;
-    send(current, CHANGE_MS);
+    if (current == null || !current.isAcknowledged()) return;
+    send(current, CHANGE_TIMEOUT_MS);
   }
 
-  private void nameWeights() {
-    weights++;
+  private void announceWeights() {
+    weightsRevision++;
     String text =
         Json.object()
             .add("ModelName", ConfigurationModel.MODEL)
-            .add("Revision", weights)
+            .add("Revision", weightsRevision)
             .toString();
-    long untilMs = ledger.nowMs() + CHANGE_MS;
+    long untilMs = ledger.nowMs() + CHANGE_TIMEOUT_MS;
     while (ledger.nowMs() < untilMs) {
       HttpMessage answer = call("POST /-/version-put", "", text);
       if (answer != null && answer.status() / 100 == 2) return;
-      Threads.pause(PAUSE_MS);
+      DaemonThreads.pause(RETRY_PAUSE_MS);
     }
   }
 
   /** Sends a change until there is a clear answer; its fate, which is noted too. */
-  private Fate send(Change change, long withinMs) {
-    long untilMs = ledger.nowMs() + withinMs;
+  private ChangeOutcome send(Change change, long timeoutMs) {
+    long untilMs = ledger.nowMs() + timeoutMs;
     while (ledger.nowMs() < untilMs) {
       HttpMessage answer =
-          call(change.method + " /-/config", "If-Match: " + change.base + "\r\n", change.text);
+          call(
+              change.method + " /-/config",
+              "If-Match: " + change.baseRevision + "\r\n",
+              change.text);
       int status = answer == null ? 0 : answer.status();
-      if (answer != null) change.answer = status + " " + answer.text() + "; " + change.answer;
+      if (answer != null) change.answers = status + " " + answer.text() + "; " + change.answers;
       if (status == 200) {
-        change.ackedAtMs = change.ackedAtMs < 0 ? ledger.nowMs() : change.ackedAtMs;
-        change.fate = Fate.ACKNOWLEDGED;
-        return Fate.ACKNOWLEDGED;
+        change.acknowledgedAtMs =
+            change.acknowledgedAtMs < 0 ? ledger.nowMs() : change.acknowledgedAtMs;
+        change.outcome = ChangeOutcome.ACKNOWLEDGED;
+        return ChangeOutcome.ACKNOWLEDGED;
       }
       if (status >= 400 && status < 500 && status != 408 && status != 429) {
-        if (change.acknowledged()) change.refusedAgain = true;
-        else change.fate = Fate.REFUSED;
-        return Fate.REFUSED;
+        if (change.isAcknowledged()) change.refusedAgain = true;
+        else change.outcome = ChangeOutcome.REFUSED;
+        return ChangeOutcome.REFUSED;
       }
-      Threads.pause(PAUSE_MS);
+      DaemonThreads.pause(RETRY_PAUSE_MS);
     }
-    return change.fate;
+    return change.outcome;
   }
 
   /** The newest configuration as any node tells it, or null. */
-  String readBack(long withinMs) {
-    long untilMs = ledger.nowMs() + withinMs;
+  String readBack(long timeoutMs) {
+    long untilMs = ledger.nowMs() + timeoutMs;
     while (ledger.nowMs() < untilMs) {
       HttpMessage answer = call("GET /-/config", "", "");
       if (answer != null && answer.status() == 200) return answer.text();
-      Threads.pause(PAUSE_MS);
+      DaemonThreads.pause(RETRY_PAUSE_MS);
     }
     return null;
   }
@@ -274,13 +288,14 @@
   private HttpMessage call(String what, String headers, String text) {
     int machine;
     synchronized (random) {
-      machine = 1 + random.nextInt(machines.controls());
+      machine = 1 + random.nextInt(machines.operatorEndpointCount());
     }
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
     try (Socket socket = new Socket()) {
       socket.connect(
-          new InetSocketAddress(machines.ip(machine), machines.controlPort()), CONNECT_MS);
-      socket.setSoTimeout(ANSWER_MS);
+          new InetSocketAddress(machines.address(machine), machines.controlPort()),
+          CONNECT_TIMEOUT_MS);
+      socket.setSoTimeout(ANSWER_TIMEOUT_MS);
       OutputStream out = socket.getOutputStream();
       HttpMessage.write(
           out,
@@ -292,7 +307,7 @@
               + "\r\n",
           body);
       HttpMessage answer = HttpMessage.read(new BufferedInputStream(socket.getInputStream()));
-      return answer != null && answer.whole() ? answer : null;
+      return answer != null && answer.complete() ? answer : null;
     } catch (IOException | NumberFormatException e) {
       return null;
     }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakPlan.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakPlan.java
@@ -26,7 +26,7 @@
   static final int MAX_SECONDS = 7200;
   static final int MAX_MACHINES = 60;
   static final int MAX_REPLICAS = 16;
-  private static final int MAX_EVENT_MS = 60_000;
+  private static final int MAX_EVENT_DURATION_MS = 60_000;
 
   SoakPlan {
     List<SoakEvent> sorted = new ArrayList<>(events);
@@ -34,12 +34,12 @@
     events = List.copyOf(sorted);
   }
 
-  SoakPlan with(List<SoakEvent> others) {
+  SoakPlan withEvents(List<SoakEvent> others) {
     return new SoakPlan(seed, seconds, machines, replicas, others);
   }
 
   /** How many targets of a kind the plan has. */
-  int targets(EventKind.Target target) {
+  int targetCount(EventKind.Target target) {
     return switch (target) {
       case NONE -> 0;
       case RELAY -> machines;
@@ -49,12 +49,12 @@
     };
   }
 
-  String json() {
+  String toJson() {
     JsonArray all = new JsonArray();
     for (SoakEvent event : events) {
       JsonObject one = Json.object().add("atMs", event.atMs()).add("kind", event.kind().id());
       if (event.target() > 0) one.add("target", event.target());
-      if (event.forMs() > 0) one.add("forMs", event.forMs());
+      if (event.durationMs() > 0) one.add("forMs", event.durationMs());
       all.add(one);
     }
     return Json.object()
@@ -82,25 +82,25 @@
     fields.reportUnknownFields();
     SoakPlan bare = new SoakPlan(seed, seconds, machines, replicas, List.of());
     List<SoakEvent> events = new ArrayList<>();
-    for (LocatedJson item : items) event(item, bare, findings, events);
-    return Result.of(findings, () -> bare.with(events));
+    for (LocatedJson item : items) readEvent(item, bare, findings, events);
+    return Result.of(findings, () -> bare.withEvents(events));
   }
 
-  private static void event(
+  private static void readEvent(
       LocatedJson item, SoakPlan plan, Findings findings, List<SoakEvent> into) {
     LocatedJson.Fields fields = item.fields(findings);
     long atMs = fields.integer("atMs", 0, plan.seconds * 1000L);
     String id = fields.text("kind");
     EventKind kind = EventKind.of(id).orElse(null);
-    int forMs = (int) fields.integer("forMs", 0, 0, MAX_EVENT_MS);
+    int durationMs = (int) fields.integer("forMs", 0, 0, MAX_EVENT_DURATION_MS);
     if (kind == null) {
       if (!id.isEmpty())
         findings.add(fields.place("kind"), "must be one of " + String.join(", ", EventKind.ids()));
       return;
     }
-    int most = plan.targets(kind.target);
-    int target = most == 0 ? 0 : (int) fields.integer("target", 1, most);
+    int targetCount = plan.targetCount(kind.target);
+    int target = targetCount == 0 ? 0 : (int) fields.integer("target", 1, targetCount);
     fields.reportUnknownFields();
-    into.add(new SoakEvent(atMs, kind, target, forMs));
+    into.add(new SoakEvent(atMs, kind, target, durationMs));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakProcess.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakProcess.java
@@ -21,7 +21,7 @@
   private final ProcessBuilder builder;
   private final String settingsText;
   private Process process;
-  private boolean wanted;
+  private boolean expectedRunning;
   private boolean frozen;
 
   SoakProcess(
@@ -49,31 +49,31 @@
    * @param initialBoot only while the whole fleet starts for the first time
    */
   synchronized void start(boolean initialBoot) throws IOException {
-    if (running()) return;
+    if (isRunning()) return;
     Files.writeString(settings, settingsText + "InitialBoot=" + initialBoot + "\n");
     frozen = false;
     process = builder.start();
-    wanted = true;
+    expectedRunning = true;
   }
 
   /** The exit code where it ended though nobody told it to, else null. */
-  synchronized Integer endedByItself() {
-    if (!wanted || process.isAlive()) return null;
-    wanted = false;
+  synchronized Integer takeUnexpectedExitCode() {
+    if (!expectedRunning || process.isAlive()) return null;
+    expectedRunning = false;
     return process.exitValue();
   }
 
-  synchronized boolean running() {
+  synchronized boolean isRunning() {
     return process != null && process.isAlive();
   }
 
-  synchronized boolean frozen() {
+  synchronized boolean isFrozen() {
     return frozen;
   }
 
   synchronized void kill() {
     if (process == null) return;
-    wanted = false;
+    expectedRunning = false;
     process.destroyForcibly();
     awaitEnd(20_000);
   }
@@ -81,27 +81,27 @@
   /**
    * SIGTERM, and SIGKILL where it still runs after the grace period.
    *
-   * @param againAfterMs when SIGTERM is sent a second time, or 0 for never
+   * @param secondTermAfterMs when SIGTERM is sent a second time, or 0 for never
    */
-  void terminate(int graceMs, int againAfterMs) {
+  void terminate(int graceMs, int secondTermAfterMs) {
     synchronized (this) {
       if (process == null) return;
-      wanted = false;
+      expectedRunning = false;
       process.destroy();
     }
     long fromNs = System.nanoTime();
-    boolean again = againAfterMs > 0;
-    for (long pastMs = 0; running() && pastMs < graceMs; pastMs = since(fromNs)) {
-      if (again && pastMs >= againAfterMs) {
-        again = false;
+    boolean secondTermPending = secondTermAfterMs > 0;
+    for (long elapsedMs = 0; isRunning() && elapsedMs < graceMs; elapsedMs = elapsedMs(fromNs)) {
+      if (secondTermPending && elapsedMs >= secondTermAfterMs) {
+        secondTermPending = false;
         process.destroy();
       }
-      Threads.pause(20);
+      DaemonThreads.pause(20);
     }
     kill();
   }
 
-  private static long since(long fromNs) {
+  private static long elapsedMs(long fromNs) {
     return (System.nanoTime() - fromNs) / 1_000_000;
   }
 
@@ -112,16 +112,16 @@
     if (signal.equals("CONT")) frozen = false;
   }
 
-  private void awaitEnd(long mostMs) {
+  private void awaitEnd(long timeoutMs) {
     try {
-      process.waitFor(mostMs, TimeUnit.MILLISECONDS);
+      process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** What its data folder held is gone; it must not run. */
-  synchronized void loseDisk() throws IOException {
+  synchronized void deleteData() throws IOException {
     if (!Files.exists(data)) return;
     try (Stream<Path> all = Files.walk(data)) {
       for (Path path : all.sorted(Comparator.reverseOrder()).toList()) Files.delete(path);
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakReplica.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakReplica.java
@@ -20,10 +20,10 @@
   static final int SLOTS = 96;
 
   /** How long an answer without an end goes on where its caller doesn't let go of it. */
-  private static final int ENDLESS_MS = 5000;
+  private static final int MAX_ENDLESS_ANSWER_MS = 5000;
 
-  private static final int HUGE_BYTES = 24 << 20;
-  private static final int SLOWER = 10;
+  private static final int HUGE_ANSWER_BYTES = 24 << 20;
+  private static final int SLOWDOWN_FACTOR = 10;
   private static final String ENDLESS_LINE = "data: xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\n";
 
   final int number;
@@ -33,26 +33,27 @@
   private final SocketServer server;
 
   /** By address, the parts that another replica or the store keeps; null where there is none. */
-  private final Function<String, PrefixCache> holders;
+  private final Function<String, PrefixCache> cacheByAddress;
 
   private final AtomicInteger active = new AtomicInteger();
-  private int life = 1;
+  private int incarnation = 1;
   private int sequence;
   private long highestFence = -1;
   private volatile int revision = 1;
   private volatile boolean listed = true;
 
-  SoakReplica(int number, String host, SoakLedger ledger, Function<String, PrefixCache> holders)
+  SoakReplica(
+      int number, String host, SoakLedger ledger, Function<String, PrefixCache> cacheByAddress)
       throws IOException {
     this.number = number;
     this.ledger = ledger;
-    this.holders = holders;
+    this.cacheByAddress = cacheByAddress;
     server = new SocketServer(host, "replica " + number, this::answer);
     server.open();
   }
 
   String instance() {
-    return "i-" + number + "-" + life;
+    return "i-" + number + "-" + incarnation;
   }
 
   String address() {
@@ -60,7 +61,7 @@
   }
 
   /** As the platform lists it, or null while it is gone. */
-  JsonObject listedAs() {
+  JsonObject listEntry() {
     return !listed
         ? null
         : Json.object()
@@ -92,9 +93,9 @@
   }
 
   /** It starts again, as another instance at the same address. */
-  void comeBack(int newestRevision) throws IOException {
+  void restart(int newestRevision) throws IOException {
     synchronized (this) {
-      life++;
+      incarnation++;
       sequence = 0;
       highestFence = -1;
       revision = newestRevision;
@@ -109,18 +110,18 @@
   }
 
   private void answer(HttpMessage request, OutputStream out) throws IOException {
-    String target = request.line().split(" ")[1];
+    String target = request.startLine().split(" ")[1];
     String expected = request.header("X-Gladelug-Expect-Instance");
     boolean page = target.startsWith("/-/");
-    if (page && faults.has(EventKind.PAGES_MALFORMED) && !target.startsWith("/-/order"))
-      malformed(out);
+    if (page && faults.isActive(EventKind.PAGES_MALFORMED) && !target.startsWith("/-/order"))
+      writeMalformed(out);
     else if (!expected.isEmpty() && !expected.equals(instance()))
-      SocketServer.say(out, 421, notExecuted(request), "{}");
-    else if (target.startsWith("/-/report")) SocketServer.say(out, 200, "", report());
-    else if (target.startsWith("/-/order")) order(request, out);
+      SocketServer.writeAnswer(out, 421, notExecuted(request), "{}");
+    else if (target.startsWith("/-/report")) SocketServer.writeAnswer(out, 200, "", report());
+    else if (target.startsWith("/-/order")) handleOrder(request, out);
     else if (target.equals("/health"))
-      SocketServer.say(out, 200, "X-Gladelug-Instance-Id: " + instance() + "\r\n", "{}");
-    else if (!cache.answer(target, request, out)) run(request, target, out);
+      SocketServer.writeAnswer(out, 200, "X-Gladelug-Instance-Id: " + instance() + "\r\n", "{}");
+    else if (!cache.answerIfCacheCall(target, request, out)) handleRequest(request, target, out);
   }
 
   private static String echo(HttpMessage request) {
@@ -146,15 +147,15 @@
   }
 
   /** A page that is none: not JSON, far too nested, or without an end. */
-  private void malformed(OutputStream out) throws IOException {
+  private void writeMalformed(OutputStream out) throws IOException {
     switch ((int) (System.nanoTime() / 1000 % 3)) {
-      case 0 -> SocketServer.say(out, 200, "", "{\"EventLog\":[[1,");
-      case 1 -> SocketServer.say(out, 200, "", "[".repeat(200_000));
-      default -> endless(out, "application/json");
+      case 0 -> SocketServer.writeAnswer(out, 200, "", "{\"EventLog\":[[1,");
+      case 1 -> SocketServer.writeAnswer(out, 200, "", "[".repeat(200_000));
+      default -> writeEndless(out, "application/json");
     }
   }
 
-  private void order(HttpMessage request, OutputStream out) throws IOException {
+  private void handleOrder(HttpMessage request, OutputStream out) throws IOException {
     JsonObject order = Json.parse(request.text()).asObject();
     long fence = order.getLong("FenceToken", -1);
     boolean refused;
@@ -167,31 +168,32 @@
       }
     }
     if (!refused) {
-      cache.drop();
-      ledger.ordered(
+      cache.dropAll();
+      ledger.recordOrder(
           new SoakLedger.Order(instance(), order.getString("HolderId", ""), fence, ledger.nowMs()));
     }
-    SocketServer.say(out, refused ? 412 : 202, "", "{}");
+    SocketServer.writeAnswer(out, refused ? 412 : 202, "", "{}");
   }
 
-  private void run(HttpMessage request, String target, OutputStream out) throws IOException {
+  private void handleRequest(HttpMessage request, String target, OutputStream out)
+      throws IOException {
     String version = request.header("X-Gladelug-Expect-Version");
     if (!version.isEmpty() && !version.equals(String.valueOf(revision))) {
-      SocketServer.say(out, 421, notExecuted(request), "{}");
+      SocketServer.writeAnswer(out, 421, notExecuted(request), "{}");
       return;
     }
     RequestKind kind = RequestKind.ofPath(target);
     if (kind == null) {
-      SocketServer.say(out, 404, echo(request), "{}");
+      SocketServer.writeAnswer(out, 404, echo(request), "{}");
       return;
     }
     if (active.incrementAndGet() > SLOTS) {
       active.decrementAndGet();
-      SocketServer.say(out, 503, notExecuted(request), "{}");
+      SocketServer.writeAnswer(out, 503, notExecuted(request), "{}");
       return;
     }
     Run run =
-        ledger.ran(
+        ledger.recordRun(
             new Run(
                 request.header("X-Gladelug-Request-Id"),
                 instance(),
@@ -202,10 +204,10 @@
                 request.header("X-Gladelug-Credential")));
     try {
       useParts(request, run);
-      EventKind spoils = faults.spoils(run.id);
-      run.spoiltBy = spoils;
-      work(kind, request, run, spoils, out);
-      run.whole = spoils == null || spoils == EventKind.ANSWER_SURPLUS;
+      EventKind fault = faults.faultFor(run.id);
+      run.spoiledBy = fault;
+      writeAnswer(kind, request, run, fault, out);
+      run.answerComplete = fault == null || fault == EventKind.ANSWER_SURPLUS;
     } finally {
       run.endedAtMs = ledger.nowMs();
       active.decrementAndGet();
@@ -214,10 +216,10 @@
 
   /** Looks parts up in order, here and where it is told to fetch from; keeps what it reads. */
   private void useParts(HttpMessage request, Run run) {
-    PrefixCache other = holders.apply(request.header("X-Gladelug-Kv-Fetch-From"));
-    PrefixCache store = holders.apply(request.header("X-Gladelug-Kv-Save-To"));
+    PrefixCache other = cacheByAddress.apply(request.header("X-Gladelug-Kv-Fetch-From"));
+    PrefixCache store = cacheByAddress.apply(request.header("X-Gladelug-Kv-Save-To"));
     List<PrefixCache.Part> parts =
-        PrefixCache.parts(
+        PrefixCache.parseParts(
             request.header("X-Gladelug-Cache-Salt"), request.header("X-Gladelug-Prompt-Prefix"));
     PrefixCache.Maker self = new PrefixCache.Maker(run.tenant, run.id);
     boolean found = true;
@@ -226,38 +228,40 @@
       if (maker == null && other != null) maker = other.find(part);
       found &= maker != null;
       if (found)
-        ledger.used(
+        ledger.recordPartUse(
             new SoakLedger.PartUse(run.id, run.tenant, maker.id(), maker.tenant(), run.atMs));
       cache.keep(part, found ? maker : self);
       if (store != null) store.keep(part, found ? maker : self);
     }
   }
 
-  private void work(
-      RequestKind kind, HttpMessage request, Run run, EventKind spoils, OutputStream out)
+  private void writeAnswer(
+      RequestKind kind, HttpMessage request, Run run, EventKind fault, OutputStream out)
       throws IOException {
-    int workMs = kind.workMs * (faults.has(EventKind.REPLICA_SLOW) ? SLOWER : 1);
-    if (spoils == EventKind.ANSWER_ENDLESS) {
-      endless(out, head(request));
-    } else if (spoils == EventKind.ANSWER_HUGE && kind.events == 0) {
-      Threads.pause(workMs);
-      byte[] body = new byte[HUGE_BYTES];
+    int workMs =
+        kind.workPerStepMs * (faults.isActive(EventKind.REPLICA_SLOW) ? SLOWDOWN_FACTOR : 1);
+    if (fault == EventKind.ANSWER_ENDLESS) {
+      writeEndless(out, head(request));
+    } else if (fault == EventKind.ANSWER_HUGE && kind.eventCount == 0) {
+      DaemonThreads.pause(workMs);
+      byte[] body = new byte[HUGE_ANSWER_BYTES];
       Arrays.fill(body, (byte) 'h');
-      whole(out, head(request), body, body.length);
-    } else if (kind.events == 0) {
-      Threads.pause(workMs);
+      writeBody(out, head(request), body, body.length);
+    } else if (kind.eventCount == 0) {
+      DaemonThreads.pause(workMs);
       byte[] body = expectedBody(run.id);
-      whole(out, head(request), body, spoils == null ? body.length : sent(spoils, body.length));
-    } else stream(kind, request, run, workMs, spoils, out);
-    if (spoils == EventKind.ANSWER_SURPLUS)
+      writeBody(
+          out, head(request), body, fault == null ? body.length : bytesToSend(fault, body.length));
+    } else writeEvents(kind, request, run, workMs, fault, out);
+    if (fault == EventKind.ANSWER_SURPLUS)
       out.write(
           "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra".getBytes(StandardCharsets.US_ASCII));
-    if (spoils == EventKind.ANSWER_CUT || spoils == EventKind.REPLICA_RESET)
+    if (fault == EventKind.ANSWER_CUT || fault == EventKind.REPLICA_RESET)
       throw new IOException("this answer ends here");
   }
 
-  private static int sent(EventKind spoils, int length) {
-    return spoils == EventKind.ANSWER_SURPLUS ? length : length / 2;
+  private static int bytesToSend(EventKind fault, int length) {
+    return fault == EventKind.ANSWER_SURPLUS ? length : length / 2;
   }
 
   /** What a request that isn't streamed is answered with. */
@@ -287,39 +291,34 @@
     return "seal-" + instance() + "-" + id;
   }
 
-  private static void whole(OutputStream out, String head, byte[] body, int sent)
+  private static void writeBody(OutputStream out, String head, byte[] body, int sent)
       throws IOException {
     HttpMessage.write(out, head + "Content-Length: " + body.length + "\r\n", new byte[0]);
     out.write(body, 0, sent);
     out.flush();
   }
 
-  private void stream(
-      RequestKind kind,
-      HttpMessage request,
-      Run run,
-      int workMs,
-      EventKind spoils,
-      OutputStream out)
+  private void writeEvents(
+      RequestKind kind, HttpMessage request, Run run, int workMs, EventKind fault, OutputStream out)
       throws IOException {
     String last = request.header("Last-Event-Id");
     int from = last.isEmpty() ? 1 : Integer.parseInt(last) + 1;
     int to =
-        spoils == EventKind.ANSWER_CUT || spoils == EventKind.REPLICA_RESET
-            ? (from + kind.events) / 2
-            : kind.events;
+        fault == EventKind.ANSWER_CUT || fault == EventKind.REPLICA_RESET
+            ? (from + kind.eventCount) / 2
+            : kind.eventCount;
     HttpMessage.write(
         out,
         head(request) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
         new byte[0]);
     for (int number = from; number <= to; number++) {
-      Threads.pause(workMs);
-      chunk(out, expectedEvent(run.id, number));
+      DaemonThreads.pause(workMs);
+      writeChunk(out, expectedEvent(run.id, number));
     }
-    if (to == kind.events) chunk(out, "");
+    if (to == kind.eventCount) writeChunk(out, "");
   }
 
-  private static void chunk(OutputStream out, String text) throws IOException {
+  private static void writeChunk(OutputStream out, String text) throws IOException {
     out.write(
         (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
             .getBytes(StandardCharsets.US_ASCII));
@@ -327,7 +326,7 @@
   }
 
   /** An answer whose first event or value never ends, as fast as it is read. */
-  private static void endless(OutputStream out, String headOrType) throws IOException {
+  private static void writeEndless(OutputStream out, String headOrType) throws IOException {
     String head =
         headOrType.startsWith("HTTP/")
             ? headOrType + "Content-Type: text/event-stream\r\n"
@@ -335,7 +334,7 @@
     HttpMessage.write(out, head + "Transfer-Encoding: chunked\r\n", new byte[0]);
     String chunk = Integer.toHexString(ENDLESS_LINE.length()) + "\r\n" + ENDLESS_LINE + "\r\n";
     byte[] many = chunk.repeat(200).getBytes(StandardCharsets.US_ASCII);
-    long untilNs = System.nanoTime() + ENDLESS_MS * 1_000_000L;
+    long untilNs = System.nanoTime() + MAX_ENDLESS_ANSWER_MS * 1_000_000L;
     while (System.nanoTime() < untilNs) out.write(many);
     throw new IOException("nobody let go of it");
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakReport.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakReport.java
@@ -6,7 +6,7 @@
 import com.eclipsesource.json.WriterConfig;
 import gladelug.emulator.soak.SoakLedger.Call;
 import gladelug.emulator.soak.SoakLedger.End;
-import gladelug.emulator.soak.SoakLedger.Memory;
+import gladelug.emulator.soak.SoakLedger.MemoryReading;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -25,10 +25,10 @@
 
 /** What a soak found, as text, JSON and a chart, in the folder of its logs and its plan. */
 final class SoakReport {
-  private static final int WIDTH = 1100, HEIGHT = 480;
+  private static final int CHART_WIDTH_PX = 1100, CHART_HEIGHT_PX = 480;
 
   /** What was under way around a broken rule. */
-  private static final int BEFORE_MS = 6000, AFTER_MS = 500;
+  private static final int CONTEXT_BEFORE_MS = 6000, CONTEXT_AFTER_MS = 500;
 
   private SoakReport() {}
 
@@ -38,19 +38,19 @@
         "%4d s: %d requests, %d served, %d refused, %d cut, %d configurations, largest process %d MB",
         ledger.nowMs() / 1000,
         ledger.calls.size(),
-        count(ledger, Call::served),
-        count(ledger, Call::promisedNotRun),
+        count(ledger, Call::isServed),
+        count(ledger, Call::isRefusedUnexecuted),
         count(ledger, call -> call.end == End.CUT),
         ledger.changes().size(),
-        largestKb(ledger) / 1024);
+        largestProcessKb(ledger) / 1024);
   }
 
   private static long count(SoakLedger ledger, Predicate<Call> which) {
     return ledger.calls.values().stream().filter(which).count();
   }
 
-  private static long largestKb(SoakLedger ledger) {
-    return ledger.memory().stream().mapToLong(Memory::rssKb).max().orElse(0);
+  private static long largestProcessKb(SoakLedger ledger) {
+    return ledger.memory().stream().mapToLong(MemoryReading::rssKb).max().orElse(0);
   }
 
   /** Writes report.txt, report.json and chart.svg; returns the text. */
@@ -76,18 +76,21 @@
                 plan.seconds(),
                 progress(result.ledger()).trim()));
     for (Violation violation : result.violations()) {
-      text.append("BROKEN ").append(violation.rule().words).append('\n');
+      text.append("BROKEN ").append(violation.rule().description).append('\n');
       text.append("  ").append(violation).append('\n');
-      for (SoakEvent event : underWay(plan, violation.atMs()))
+      for (SoakEvent event : eventsAround(plan, violation.atMs()))
         text.append("  under way: ").append(event).append('\n');
     }
     text.append(result.clean() ? "no rule broken\n" : result.violations().size() + " broken\n");
     return text.toString();
   }
 
-  private static List<SoakEvent> underWay(SoakPlan plan, long atMs) {
+  private static List<SoakEvent> eventsAround(SoakPlan plan, long atMs) {
     return plan.events().stream()
-        .filter(event -> event.atMs() <= atMs + AFTER_MS && event.endMs() + BEFORE_MS >= atMs)
+        .filter(
+            event ->
+                event.atMs() <= atMs + CONTEXT_AFTER_MS
+                    && event.endMs() + CONTEXT_BEFORE_MS >= atMs)
         .toList();
   }
 
@@ -97,12 +100,12 @@
     for (Violation violation : result.violations()) {
       JsonArray ids = new JsonArray(), events = new JsonArray();
       violation.requests().forEach(ids::add);
-      underWay(result.plan(), violation.atMs()).forEach(event -> events.add(event.toString()));
+      eventsAround(result.plan(), violation.atMs()).forEach(event -> events.add(event.toString()));
       broken.add(
           Json.object()
               .add("rule", violation.rule().name())
               .add("atMs", violation.atMs())
-              .add("what", violation.what())
+              .add("what", violation.description())
               .add("requests", ids)
               .add("underWay", events));
     }
@@ -112,32 +115,33 @@
           kind.name(),
           Json.object()
               .add("requests", count(ledger, call -> call.kind == kind))
-              .add("served", count(ledger, call -> call.kind == kind && call.served())));
+              .add("served", count(ledger, call -> call.kind == kind && call.isServed())));
     return Json.object()
         .add("seed", result.plan().seed())
         .add("machines", result.plan().machines())
         .add("events", result.plan().events().size())
         .add("requests", ledger.calls.size())
         .add("kinds", kinds)
-        .add("largestProcessKb", largestKb(ledger))
+        .add("largestProcessKb", largestProcessKb(ledger))
         .add("broken", broken);
   }
 
   private static void chart(Soak.Result result, Path file) throws IOException {
     SoakLedger ledger = result.ledger();
     String title = "soak, seed " + result.plan().seed();
-    XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).build();
+    XYChart chart =
+        new XYChartBuilder().width(CHART_WIDTH_PX).height(CHART_HEIGHT_PX).title(title).build();
     chart.setXAxisTitle("s");
     chart.setYAxisTitle("a second; MB / 10; events by kind");
     Collection<Call> calls = ledger.calls.values();
-    line(chart, "served", bySecond(calls, Call::served));
-    line(chart, "refused", bySecond(calls, Call::promisedNotRun));
-    line(chart, "cut", bySecond(calls, call -> call.end == End.CUT));
-    line(chart, "silent", bySecond(calls, call -> call.end == End.SILENT));
+    addLine(chart, "served", bySecond(calls, Call::isServed));
+    addLine(chart, "refused", bySecond(calls, Call::isRefusedUnexecuted));
+    addLine(chart, "cut", bySecond(calls, call -> call.end == End.CUT));
+    addLine(chart, "silent", bySecond(calls, call -> call.end == End.SILENT));
     Map<Long, Double> memory = new TreeMap<>();
-    for (Memory reading : ledger.memory())
+    for (MemoryReading reading : ledger.memory())
       memory.merge(reading.atMs() / 1000, reading.rssKb() / 10_240.0, Math::max);
-    line(chart, "largest process, 10 MB", memory);
+    addLine(chart, "largest process, 10 MB", memory);
     List<SoakEvent> events = result.plan().events();
     if (!events.isEmpty())
       chart
@@ -160,7 +164,7 @@
     return seconds;
   }
 
-  private static void line(XYChart chart, String name, Map<Long, Double> points) {
+  private static void addLine(XYChart chart, String name, Map<Long, Double> points) {
     if (points.isEmpty()) return;
     double[] x = points.keySet().stream().mapToDouble(Long::doubleValue).toArray();
     double[] y = points.values().stream().mapToDouble(Double::doubleValue).toArray();
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakRule.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakRule.java
@@ -24,9 +24,9 @@
   READY("every relay is ready once nothing disturbs it any more"),
   RECOVERS("a quarter of the requests is served RecoveryS after the last disturbance");
 
-  final String words;
+  final String description;
 
-  SoakRule(String words) {
-    this.words = words;
+  SoakRule(String description) {
+    this.description = description;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakStore.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakStore.java
@@ -13,8 +13,9 @@
             host,
             "store",
             (request, out) -> {
-              String target = request.line().split(" ")[1];
-              if (!cache.answer(target, request, out)) SocketServer.say(out, 404, "", "{}");
+              String target = request.startLine().split(" ")[1];
+              if (!cache.answerIfCacheCall(target, request, out))
+                SocketServer.writeAnswer(out, 404, "", "{}");
             });
     server.open();
   }
@@ -23,12 +24,12 @@
     return server.address();
   }
 
-  void down() {
+  void stop() {
     server.close();
     cache.restart();
   }
 
-  void up() throws IOException {
+  void start() throws IOException {
     server.open();
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SocketServer.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SocketServer.java
@@ -16,7 +16,7 @@
   private static final int BACKLOG = 512;
 
   /** Orders are short; of long bodies only the digest counts. */
-  private static final int KEPT_OF_REQUESTS = 1 << 14;
+  private static final int MAX_KEPT_REQUEST_BYTES = 1 << 14;
 
   /** Answers one request. */
   interface Handler {
@@ -44,7 +44,7 @@
     opened.bind(new InetSocketAddress(InetAddress.getByName(host), port), BACKLOG);
     port = opened.getLocalPort();
     server = opened;
-    Threads.start(name, () -> accept(opened));
+    DaemonThreads.start(name, () -> accept(opened));
   }
 
   String address() {
@@ -55,7 +55,7 @@
     while (true) {
       Socket socket = opened.accept();
       connections.add(socket);
-      Threads.start(name + " connection", () -> serve(socket));
+      DaemonThreads.start(name + " connection", () -> serve(socket));
     }
   }
 
@@ -63,15 +63,16 @@
     try (socket) {
       socket.setTcpNoDelay(true);
       BufferedInputStream in = new BufferedInputStream(socket.getInputStream(), 1 << 14);
-      for (HttpMessage request = read(in); request != null && request.whole(); request = read(in))
-        handler.answer(request, socket.getOutputStream());
+      for (HttpMessage request = read(in);
+          request != null && request.complete();
+          request = read(in)) handler.answer(request, socket.getOutputStream());
     } finally {
       connections.remove(socket);
     }
   }
 
   private static HttpMessage read(BufferedInputStream in) throws IOException {
-    return HttpMessage.read(in, HttpMessage.BodyReader.NONE, KEPT_OF_REQUESTS);
+    return HttpMessage.read(in, HttpMessage.BodyReader.NONE, MAX_KEPT_REQUEST_BYTES);
   }
 
   /** Ends all connections with a reset. */
@@ -97,7 +98,8 @@
   }
 
   /** Writes an answer with a body; the lines of further headers end with a line's end each. */
-  static void say(OutputStream out, int status, String headers, String body) throws IOException {
+  static void writeAnswer(OutputStream out, int status, String headers, String body)
+      throws IOException {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     HttpMessage.write(
         out,
--- a/emulator/src/main/java/gladelug/emulator/soak/Violation.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/Violation.java
@@ -7,16 +7,16 @@
  *
  * @param requests ids of the requests concerned, the first few
  */
-record Violation(SoakRule rule, long atMs, List<String> requests, String what) {
-  private static final int SHOWN = 8;
+record Violation(SoakRule rule, long atMs, List<String> requests, String description) {
+  private static final int MAX_REQUESTS_SHOWN = 8;
 
   Violation {
-    requests = List.copyOf(requests.subList(0, Math.min(SHOWN, requests.size())));
+    requests = List.copyOf(requests.subList(0, Math.min(MAX_REQUESTS_SHOWN, requests.size())));
   }
 
   @Override
   public String toString() {
-    return String.format("%s at %.1f s: %s", rule, atMs / 1000.0, what)
+    return String.format("%s at %.1f s: %s", rule, atMs / 1000.0, description)
         + (requests.isEmpty() ? "" : " (" + String.join(", ", requests) + ")");
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/package-info.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/package-info.java
@@ -3,6 +3,7 @@
  * signals and changes come in series and overlap, and judged from the stand-ins' ledger alone.
  *
  * <p>Begin with {@link gladelug.emulator.soak.Soak}, which wires a run; {@link
- * gladelug.emulator.soak.PlanDraw} draws plans, {@link gladelug.emulator.soak.SoakJudge} judges.
+ * gladelug.emulator.soak.PlanGenerator} draws plans, {@link gladelug.emulator.soak.SoakJudge}
+ * judges.
  */
 package gladelug.emulator.soak;
--- a/emulator/src/test/java/gladelug/emulator/control/ControlDayTest.java
+++ b/emulator/src/test/java/gladelug/emulator/control/ControlFaultRunTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 
 /** A short day of the control side with real processes: operators who race and lose answers. */
-final class ControlDayTest {
+final class ControlFaultRunTest {
   private static final long SEED = 5;
   private static final int ROUNDS = 8;
 
   @Test
   void whatWasTakenIsNeverRefusedWhenItIsSentAgain() throws Exception {
     Path out = Files.createTempDirectory("gladelug-control-day");
-    try (Fleet fleet = new Fleet(ControlDay.deployment(), out, SEED, "summary")) {
+    try (Fleet fleet = new Fleet(ControlFaultRun.deployment(), out, SEED, "summary")) {
       assertTrue(
-          new ControlDay(fleet, SEED, System.out::println).play(new RacingOperators(ROUNDS)),
+          new ControlFaultRun(fleet, SEED, System.out::println).play(new RacingOperators(ROUNDS)),
           "see the judgements above; logs in " + out);
     }
   }
--- a/emulator/src/test/java/gladelug/emulator/control/ControlJudgeTest.java
+++ b/emulator/src/test/java/gladelug/emulator/control/ControlJudgeTest.java
@@ -26,7 +26,7 @@
   }
 
   private void attempt(
-      int content, long basedOn, long sentAt, long answeredAt, Outcome outcome, long number) {
+      int content, long basedOn, long sentAtMs, long answeredAtMs, Outcome outcome, long number) {
     int status =
         switch (outcome) {
           case CONFIRMED -> 200;
@@ -35,15 +35,15 @@
           case NOT_TAKEN -> 503;
           case UNKNOWN -> 504;
         };
-    ledger.note(
-        new Attempt("x", "a", content, basedOn, sentAt, answeredAt, outcome, status, number));
+    ledger.record(
+        new Attempt("x", "a", content, basedOn, sentAtMs, answeredAtMs, outcome, status, number));
   }
 
-  private void reading(long askedAt, long number, int content) {
-    ledger.note(new Reading("a", askedAt, askedAt + 10, 200, number, content));
+  private void reading(long sentAtMs, long number, int content) {
+    ledger.record(new Reading("a", sentAtMs, sentAtMs + 10, 200, number, content));
   }
 
-  private void broken(String... rules) {
+  private void assertBrokenRules(String... rules) {
     assertEquals(
         List.of(rules),
         ControlJudge.judge(ledger, LONGEST_GAP_MS).stream()
@@ -57,55 +57,55 @@
     reading(50, 0, -1);
     reading(200, 1, 1);
     reading(1200, 2, 2);
-    broken();
+    assertBrokenRules();
   }
 
   @Test
   void anOldStateShownAfterAConfirmationIsFound() {
     reading(1101, 1, 1);
-    broken(ControlJudge.OLD_STATE_SHOWN);
+    assertBrokenRules(ControlJudge.OLD_STATE_SHOWN);
   }
 
   @Test
   void anOldStateShownWhileTheChangeIsUnderWayIsBorne() {
     reading(1100, 1, 1);
-    broken();
+    assertBrokenRules();
   }
 
   @Test
   void aRefusalOnOldStateIsFound() {
     attempt(3, 2, 1200, 1300, Outcome.REFUSED_AS_STALE, 1);
-    broken(ControlJudge.REFUSED_ON_OLD_STATE);
+    assertBrokenRules(ControlJudge.REFUSED_ON_OLD_STATE);
   }
 
   @Test
   void aRefusalOfJustTheCurrentNumberIsFound() {
     attempt(3, 2, 1200, 1300, Outcome.REFUSED_AS_STALE, 2);
-    broken(ControlJudge.REFUSED_ON_OLD_STATE);
+    assertBrokenRules(ControlJudge.REFUSED_ON_OLD_STATE);
   }
 
   @Test
   void aRefusalOfWhatIsNoLongerCurrentIsBorne() {
     attempt(3, 1, 1200, 1300, Outcome.REFUSED_AS_STALE, 2);
-    broken();
+    assertBrokenRules();
   }
 
   @Test
   void twoContentsConfirmedUnderOneNumberAreFound() {
     attempt(3, 1, 1000, 1150, Outcome.CONFIRMED, 2);
-    broken(ControlJudge.TWO_UNDER_ONE_NUMBER);
+    assertBrokenRules(ControlJudge.TWO_UNDER_ONE_NUMBER);
   }
 
   @Test
   void oneContentConfirmedUnderTwoNumbersIsFound() {
     attempt(2, 1, 1200, 1300, Outcome.CONFIRMED, 3);
-    broken(ControlJudge.CONFIRMED_TWICE);
+    assertBrokenRules(ControlJudge.CONFIRMED_TWICE);
   }
 
   @Test
   void theSameContentConfirmedAgainUnderItsNumberIsBorne() {
     attempt(2, 1, 1200, 1300, Outcome.CONFIRMED, 2);
-    broken();
+    assertBrokenRules();
   }
 
   @Test
@@ -113,41 +113,41 @@
     attempt(3, 2, 1200, 1250, Outcome.UNKNOWN, -1);
     reading(1300, 3, 3);
     attempt(3, 2, 1400, 1450, Outcome.REFUSED_AS_STALE, 3);
-    broken(ControlJudge.TAKEN_AND_REFUSED);
+    assertBrokenRules(ControlJudge.TAKEN_AND_REFUSED);
   }
 
   @Test
   void aConfirmedChangeThatIsRefusedWhenSentAgainIsFound() {
     attempt(2, 1, 1200, 1300, Outcome.REFUSED, -1);
-    broken(ControlJudge.TAKEN_AND_REFUSED);
+    assertBrokenRules(ControlJudge.TAKEN_AND_REFUSED);
   }
 
   @Test
   void aLostChangeThatIsRefusedWhenSentAgainIsBorne() {
     attempt(3, 1, 1050, 1060, Outcome.UNKNOWN, -1);
     attempt(3, 1, 1200, 1250, Outcome.REFUSED_AS_STALE, 2);
-    broken();
+    assertBrokenRules();
   }
 
   @Test
   void aRefusedChangeThatWasTakenIsFound() {
     attempt(3, 2, 1200, 1250, Outcome.REFUSED, -1);
     reading(1300, 3, 3);
-    broken(ControlJudge.REFUSED_AND_TAKEN);
+    assertBrokenRules(ControlJudge.REFUSED_AND_TAKEN);
   }
 
   @Test
   void anotherContentUnderAConfirmedNumberIsFound() {
     reading(1200, 2, 9);
-    broken(ControlJudge.CONFIRMED_LOST);
+    assertBrokenRules(ControlJudge.CONFIRMED_LOST);
   }
 
   @Test
   void aLongTimeWithoutAConfirmedChangeIsFound() {
     attempt(3, 2, 12_000, 1100 + LONGEST_GAP_MS, Outcome.CONFIRMED, 3);
-    broken();
+    assertBrokenRules();
     attempt(4, 3, 20_000, 1101 + 2 * LONGEST_GAP_MS, Outcome.CONFIRMED, 4);
-    broken(ControlJudge.NO_MAJORITY_FOR_LONG);
+    assertBrokenRules(ControlJudge.NO_MAJORITY_FOR_LONG);
   }
 
   @Test
--- a/emulator/src/test/java/gladelug/emulator/soak/SoakJudgeTest.java
+++ b/emulator/src/test/java/gladelug/emulator/soak/SoakJudgeTest.java
@@ -3,15 +3,15 @@
 import gladelug.emulator.soak.ConfigurationModel.Tenant;
 import gladelug.emulator.soak.SoakLedger.Call;
 import gladelug.emulator.soak.SoakLedger.Change;
+import gladelug.emulator.soak.SoakLedger.ChangeOutcome;
 import gladelug.emulator.soak.SoakLedger.Disturbance;
 import gladelug.emulator.soak.SoakLedger.End;
-import gladelug.emulator.soak.SoakLedger.Fate;
-import gladelug.emulator.soak.SoakLedger.Memory;
+import gladelug.emulator.soak.SoakLedger.MemoryReading;
 import gladelug.emulator.soak.SoakLedger.Order;
-import gladelug.emulator.soak.SoakLedger.OwnExit;
 import gladelug.emulator.soak.SoakLedger.PartUse;
 import gladelug.emulator.soak.SoakLedger.Readiness;
 import gladelug.emulator.soak.SoakLedger.Run;
+import gladelug.emulator.soak.SoakLedger.UnexpectedExit;
 import java.util.EnumMap;
 import java.util.EnumSet;
 import java.util.List;
@@ -29,43 +29,44 @@
   /** When everything that is planted happens; long after the first configuration. */
   private static final long AT_MS = 100_000;
 
-  private static final ConfigurationModel FIRST = ConfigurationModel.first("127.0.0.1:1");
+  private static final ConfigurationModel FIRST = ConfigurationModel.initial("127.0.0.1:1");
   private static final Map<SoakRule, Consumer<SoakLedger>> BREACHES = breaches();
 
   /**
    * A ledger of a well run: requests served before and after the events, configuration in force.
    */
-  private static SoakLedger well() {
+  private static SoakLedger cleanLedger() {
     SoakLedger ledger = new SoakLedger();
     change(ledger, 1, 0, FIRST, 1000);
     for (int i = 0; i < 40; i++) served(ledger, "well-" + i, RequestKind.READ, AT_MS + i);
-    ledger.readBack(FIRST.text(1));
-    ledger.eventsEnded(AT_MS - 20_000);
-    ledger.told(new Readiness(1, true, AT_MS));
+    ledger.recordFinalConfiguration(FIRST.toJson(1));
+    ledger.recordEndOfEvents(AT_MS - 20_000);
+    ledger.recordReadiness(new Readiness(1, true, AT_MS));
     return ledger;
   }
 
   private static Change change(
       SoakLedger ledger, long revision, long base, ConfigurationModel meaning, long atMs) {
     Change change =
-        ledger.sent(new Change(revision, base, "PUT", meaning.text(revision), true, meaning, atMs));
-    change.fate = Fate.ACKNOWLEDGED;
-    change.ackedAtMs = atMs;
+        ledger.recordChange(
+            new Change(revision, base, "PUT", meaning.toJson(revision), true, meaning, atMs));
+    change.outcome = ChangeOutcome.ACKNOWLEDGED;
+    change.acknowledgedAtMs = atMs;
     return change;
   }
 
   private static Call call(SoakLedger ledger, String id, RequestKind kind, long atMs, End end) {
     Call call = new Call(id, "tenant-1", "key-1-0", kind, 1, atMs, kind.deadlineMs);
     call.bodyDigest = "digest";
-    call.wroteAtMs = atMs;
+    call.writtenAtMs = atMs;
     call.endedAtMs = atMs + 100;
     call.end = end;
-    ledger.began(call);
+    ledger.recordCall(call);
     return call;
   }
 
   private static Run run(SoakLedger ledger, Call call) {
-    return ledger.ran(
+    return ledger.recordRun(
         new Run(
             call.id,
             "i-1-1",
@@ -101,7 +102,7 @@
     all.put(
         SoakRule.UNASKED,
         l ->
-            l.ran(
+            l.recordRun(
                 new Run("nobody's", "i-1-1", ConfigurationModel.SERVICE, "", AT_MS, "digest", "")));
     all.put(SoakRule.TWICE, l -> run(l, served(l, "x", RequestKind.ASK, AT_MS)));
     all.put(
@@ -115,7 +116,7 @@
         SoakRule.KEY,
         l -> {
           ConfigurationModel other = withFirstTenant(false, "key-1-1");
-          l.readBack(other.text(2));
+          l.recordFinalConfiguration(other.toJson(2));
           change(l, 2, 1, other, AT_MS + 1000);
           served(l, "x", RequestKind.READ, AT_MS + 8000);
         });
@@ -123,10 +124,10 @@
         SoakRule.WALL,
         l -> {
           ConfigurationModel other = withFirstTenant(true, "key-1-0");
-          l.readBack(other.text(2));
+          l.recordFinalConfiguration(other.toJson(2));
           change(l, 2, 1, other, AT_MS + 1000);
           served(l, "x", RequestKind.READ, AT_MS + 5000);
-          l.used(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 5010));
+          l.recordPartUse(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 5010));
         });
     all.put(
         SoakRule.DENIED,
@@ -149,14 +150,15 @@
     all.put(
         SoakRule.LOST_AT_STOP,
         l -> {
-          l.disturbed(new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
+          l.recordDisturbance(
+              new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
           cut(l, 1, AT_MS + 1000, AT_MS + 4000);
         });
     all.put(
         SoakRule.LOST_AT_CHANGE,
         l -> {
           change(l, 2, 1, FIRST, AT_MS + 1000);
-          l.readBack(FIRST.text(2));
+          l.recordFinalConfiguration(FIRST.toJson(2));
           for (int i = 0; i < 3; i++) cut(l, i, AT_MS + 1000, AT_MS + 1500);
         });
     all.put(
@@ -177,26 +179,26 @@
         l -> {
           change(l, 2, 1, FIRST, AT_MS);
           change(l, 3, 1, FIRST, AT_MS);
-          l.readBack(FIRST.text(3));
+          l.recordFinalConfiguration(FIRST.toJson(3));
         });
     all.put(
         SoakRule.INVALID,
         l -> {
-          Change change = l.sent(new Change(2, 1, "PUT", "{}", false, FIRST, AT_MS));
-          change.fate = Fate.ACKNOWLEDGED;
-          l.readBack(FIRST.text(2));
+          Change change = l.recordChange(new Change(2, 1, "PUT", "{}", false, FIRST, AT_MS));
+          change.outcome = ChangeOutcome.ACKNOWLEDGED;
+          l.recordFinalConfiguration(FIRST.toJson(2));
         });
     all.put(SoakRule.SENT_AGAIN, l -> l.changes().get(0).refusedAgain = true);
-    all.put(SoakRule.READ_BACK, l -> l.readBack(null));
+    all.put(SoakRule.READ_BACK, l -> l.recordFinalConfiguration(null));
     all.put(
         SoakRule.FENCE,
         l -> {
-          l.ordered(new Order("i-1-1", "node-1", 7, AT_MS));
-          l.ordered(new Order("i-1-1", "node-2", 7, AT_MS));
+          l.recordOrder(new Order("i-1-1", "node-1", 7, AT_MS));
+          l.recordOrder(new Order("i-1-1", "node-2", 7, AT_MS));
         });
-    all.put(SoakRule.EXIT, l -> l.exited(new OwnExit("relay-1", 4, AT_MS)));
-    all.put(SoakRule.MEMORY, l -> l.took(new Memory("relay-1", 431L << 10, AT_MS)));
-    all.put(SoakRule.READY, l -> l.told(new Readiness(2, false, AT_MS)));
+    all.put(SoakRule.EXIT, l -> l.recordExit(new UnexpectedExit("relay-1", 4, AT_MS)));
+    all.put(SoakRule.MEMORY, l -> l.recordMemory(new MemoryReading("relay-1", 431L << 10, AT_MS)));
+    all.put(SoakRule.READY, l -> l.recordReadiness(new Readiness(2, false, AT_MS)));
     all.put(
         SoakRule.RECOVERS,
         l -> {
@@ -205,7 +207,7 @@
         });
   }
 
-  private static Set<SoakRule> found(SoakLedger ledger, Set<SoakRule> without) {
+  private static Set<SoakRule> brokenRules(SoakLedger ledger, Set<SoakRule> without) {
     return SoakJudge.judge(ledger, without).stream()
         .map(Violation::rule)
         .collect(Collectors.toCollection(() -> EnumSet.noneOf(SoakRule.class)));
@@ -213,54 +215,54 @@
 
   @Test
   void aRunInWhichAllWentWellBreaksNothing() {
-    Assertions.assertEquals(List.of(), SoakJudge.judge(well(), Set.of()));
+    Assertions.assertEquals(List.of(), SoakJudge.judge(cleanLedger(), Set.of()));
   }
 
   @ParameterizedTest
   @EnumSource
   void aPlantedBreachIsFoundByItsRuleAlone(SoakRule rule) {
-    SoakLedger ledger = well();
+    SoakLedger ledger = cleanLedger();
     BREACHES.get(rule).accept(ledger);
-    Set<SoakRule> found = found(ledger, Set.of());
+    Set<SoakRule> found = brokenRules(ledger, Set.of());
     Assertions.assertEquals(Set.of(rule), found);
-    Assertions.assertFalse(found(ledger, Set.of(rule)).contains(rule), "switched off");
+    Assertions.assertFalse(brokenRules(ledger, Set.of(rule)).contains(rule), "switched off");
   }
 
   @Test
   void whatMayStillBeInForceIsJudgedByNothing() {
-    SoakLedger ledger = well();
+    SoakLedger ledger = cleanLedger();
     ConfigurationModel isolated = withFirstTenant(true, "key-1-1");
     change(ledger, 2, 1, isolated, AT_MS + 1000);
-    Change unknown = ledger.sent(new Change(3, 2, "PUT", "", true, FIRST, AT_MS + 2000));
-    Assertions.assertEquals(Fate.UNKNOWN, unknown.fate);
-    ledger.readBack(isolated.text(2));
+    Change unknown = ledger.recordChange(new Change(3, 2, "PUT", "", true, FIRST, AT_MS + 2000));
+    Assertions.assertEquals(ChangeOutcome.UNKNOWN, unknown.outcome);
+    ledger.recordFinalConfiguration(isolated.toJson(2));
     served(ledger, "x", RequestKind.READ, AT_MS + 9000);
-    ledger.used(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 9010));
+    ledger.recordPartUse(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 9010));
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
 
   @Test
   void aStreamThatIsCutAtTheEndOfTheGraceBreaksNothing() {
-    SoakLedger ledger = well();
-    ledger.disturbed(new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
+    SoakLedger ledger = cleanLedger();
+    ledger.recordDisturbance(new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
     cut(ledger, 1, AT_MS - 1000, AT_MS + 7500);
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
 
   @Test
   void whatIsCutAsTheSoakIsInterruptedBreaksNothing() {
-    SoakLedger ledger = well();
+    SoakLedger ledger = cleanLedger();
     for (int i = 0; i < 5; i++) cut(ledger, i, AT_MS, AT_MS + 500);
-    ledger.interrupted(AT_MS + 500);
+    ledger.recordInterruption(AT_MS + 500);
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
 
   @Test
   void whatAReplicasFaultSpoiltIsNoMachinesBreach() {
-    SoakLedger ledger = well();
+    SoakLedger ledger = cleanLedger();
     for (int i = 0; i < 6; i++) {
       Call call = call(ledger, "x" + i, RequestKind.STREAM, AT_MS, End.CUT);
-      run(ledger, call).spoiltBy = EventKind.ANSWER_CUT;
+      run(ledger, call).spoiledBy = EventKind.ANSWER_CUT;
     }
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
--- a/emulator/src/test/java/gladelug/emulator/soak/SoakPlanTest.java
+++ b/emulator/src/test/java/gladelug/emulator/soak/SoakPlanTest.java
@@ -8,15 +8,15 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of SoakPlan, PlanDraw and PlanShrink. */
+/** Tests of SoakPlan, PlanGenerator and PlanShrinker. */
 final class SoakPlanTest {
-  private static SoakPlan good(String text) {
+  private static SoakPlan readValid(String text) {
     Result<SoakPlan> read = SoakPlan.read(text);
     Assertions.assertInstanceOf(Result.Good.class, read, read.toString());
     return ((Result.Good<SoakPlan>) read).value();
   }
 
-  private static void finding(String text, String what) {
+  private static void assertFinding(String text, String what) {
     Result<SoakPlan> read = SoakPlan.read(text);
     Assertions.assertInstanceOf(Result.Bad.class, read);
     Assertions.assertTrue(read.toString().contains(what), read.toString());
@@ -25,33 +25,33 @@
   @Test
   void aPlanIsReadAsItWasWritten() {
     for (long seed = 0; seed < 30; seed++) {
-      SoakPlan plan = PlanDraw.draw(seed, 120, 0, Set.of());
-      Assertions.assertEquals(plan, good(plan.json()));
+      SoakPlan plan = PlanGenerator.generate(seed, 120, 0, Set.of());
+      Assertions.assertEquals(plan, readValid(plan.toJson()));
     }
   }
 
   @Test
   void aSeedDrawsOnePlanAndAnotherSeedAnother() {
-    SoakPlan plan = PlanDraw.draw(5, 120, 0, Set.of());
-    Assertions.assertEquals(plan, PlanDraw.draw(5, 120, 0, Set.of()));
-    Assertions.assertNotEquals(plan.events(), PlanDraw.draw(6, 120, 0, Set.of()).events());
+    SoakPlan plan = PlanGenerator.generate(5, 120, 0, Set.of());
+    Assertions.assertEquals(plan, PlanGenerator.generate(5, 120, 0, Set.of()));
+    Assertions.assertNotEquals(plan.events(), PlanGenerator.generate(6, 120, 0, Set.of()).events());
   }
 
   @Test
   void whatIsNoPlanIsAFindingWithItsPlace() {
     String head = "{\"seed\":1,\"seconds\":9,\"machines\":3,\"replicas\":2,\"events\":[";
-    finding("{", "line 1");
-    finding(head + "{\"atMs\":1,\"kind\":\"relay-sleep\"}]}", "must be one of relay-term");
-    finding(head + "{\"atMs\":1,\"kind\":\"relay-kill\",\"target\":4}]}", "from 1 to 3");
-    finding(head + "{\"atMs\":9001,\"kind\":\"routes\"}]}", "from 0 to 9000");
-    finding(head + "{\"atMs\":1,\"kind\":\"routes\",\"target\":1}]}", "not a known field");
-    finding(head.replace("\"machines\":3", "\"machines\":2") + "]}", "from 3 to 60");
+    assertFinding("{", "line 1");
+    assertFinding(head + "{\"atMs\":1,\"kind\":\"relay-sleep\"}]}", "must be one of relay-term");
+    assertFinding(head + "{\"atMs\":1,\"kind\":\"relay-kill\",\"target\":4}]}", "from 1 to 3");
+    assertFinding(head + "{\"atMs\":9001,\"kind\":\"routes\"}]}", "from 0 to 9000");
+    assertFinding(head + "{\"atMs\":1,\"kind\":\"routes\",\"target\":1}]}", "not a known field");
+    assertFinding(head.replace("\"machines\":3", "\"machines\":2") + "]}", "from 3 to 60");
   }
 
   @Test
   void onlyTheKindsThatAreAskedForAreDrawn() {
     Set<EventKind> only = EnumSet.of(EventKind.SWAP, EventKind.RELAY_FREEZE);
-    for (SoakEvent event : PlanDraw.draw(3, 300, 4, only).events())
+    for (SoakEvent event : PlanGenerator.generate(3, 300, 4, only).events())
       Assertions.assertTrue(only.contains(event.kind()), event.toString());
   }
 
@@ -61,9 +61,9 @@
     Set<EventKind> met = EnumSet.noneOf(EventKind.class);
     for (long seed = 0; seed < 200; seed++) {
       long freeFromMs = 0;
-      for (SoakEvent event : PlanDraw.draw(seed, 300, 0, Set.of()).events()) {
+      for (SoakEvent event : PlanGenerator.generate(seed, 300, 0, Set.of()).events()) {
         met.add(event.kind());
-        if (!event.kind().hitsCore()) continue;
+        if (!event.kind().disturbsCore()) continue;
         Assertions.assertTrue(event.atMs() >= freeFromMs, "seed " + seed + ": " + event);
         freeFromMs = event.endMs() + 4000;
       }
@@ -73,11 +73,11 @@
 
   @Test
   void aPlanIsShrunkToTheEventsThatItsFailureNeeds() {
-    SoakPlan plan = PlanDraw.draw(9, 300, 4, Set.of());
+    SoakPlan plan = PlanGenerator.generate(9, 300, 4, Set.of());
     List<SoakEvent> needed = List.of(plan.events().get(7), plan.events().get(20));
     List<Integer> sizes = new ArrayList<>();
     SoakPlan smallest =
-        PlanShrink.shrink(
+        PlanShrinker.shrink(
             plan,
             200,
             smaller -> {
@@ -86,7 +86,7 @@
             });
     Assertions.assertEquals(needed, smallest.events());
     Assertions.assertEquals(
-        plan, PlanShrink.shrink(plan, 0, smaller -> true), "with no try left nothing is dropped");
+        plan, PlanShrinker.shrink(plan, 0, smaller -> true), "with no try left nothing is dropped");
     Assertions.assertTrue(sizes.size() <= 200, sizes.toString());
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/soak/SoakTest.java
+++ b/emulator/src/test/java/gladelug/emulator/soak/SoakTest.java
@@ -49,10 +49,10 @@
   void aShortSoakBreaksNoRule() throws IOException {
     Path folder = Files.createTempDirectory("gladelug-soak");
     Soak.Result result =
-        Soak.play(plan(), DeployCommands.ofThisClassPath(ROOT), folder, System.out::println);
+        Soak.play(plan(), DeployCommands.fromOwnClassPath(ROOT), folder, System.out::println);
     String report = SoakReport.write(result);
     Assertions.assertTrue(result.clean(), report);
-    long served = result.ledger().calls.values().stream().filter(SoakLedger.Call::served).count();
+    long served = result.ledger().calls.values().stream().filter(SoakLedger.Call::isServed).count();
     Assertions.assertTrue(served > 50, report);
     for (String file : List.of("plan.json", "report.txt", "report.json", "chart.svg"))
       Assertions.assertTrue(Files.exists(folder.resolve(file)), file);
