--- a/emulator/src/main/java/gladelug/emulator/control/ChangeLedger.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ChangeLedger.java
@@ -5,36 +5,41 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What the stand-ins for operators saw: every change they sent and every state they read, with the
- * times by this machine's steady clock. The judge of the control side reads this and nothing else.
- *
- * <p>The operators' own record of a day.
+ * Records every change that the stand-in operators sent and every configuration that they read,
+ * with times of this machine's monotonic clock in milliseconds. It is the only input of {@link
+ * ControlJudge}. Thread-safe.
  */
 public final class ChangeLedger {
-  /** What an operator can tell of one attempt to change the configuration. */
+  /** The outcome of an attempt to change the configuration, as far as the operator can tell. */
   public enum Outcome {
-    /** 200: it was confirmed under a number. */
+    /** Status 200: the change was confirmed under a version number. */
     CONFIRMED,
-    /** 412: another number is current. */
+    /** Status 412: the change was based on another number than the current one. */
     REFUSED_AS_STALE,
-    /** Any other answer that says for certain that nothing was changed because of what was sent. */
+    /** Any other answer that says for certain that the change was not made. */
     REFUSED,
-    /** No majority at the moment; nothing was said of what was sent. */
+    /**
+     * Status 503: there is no majority at the moment; the answer says nothing about the content
+     * sent.
+     */
     NOT_TAKEN,
-    /** It may have been taken: a clear answer that says so, or no answer at all. */
+    /** There was no answer, or one that leaves open whether the change was taken. */
     UNKNOWN
   }
 
   /**
-   * One sending of one content.
+   * One attempt to make a change.
    *
-   * @param operator who sent it
+   * @param operator the name of the operator that sent it
    * @param member the core member that it was sent to
-   * @param content the marker that is in this content and in no other
-   * @param basedOn the number that it was based on
-   * @param sentAtMs when it began to be sent, in milliseconds
-   * @param answeredAtMs when its answer was read or given up, in milliseconds
-   * @param number the number of a confirmed change, the current one of a stale change, else -1
+   * @param content the marker that identifies the content of this change; the same when it is sent
+   *     again
+   * @param basedOn the version number of the configuration that the change was based on
+   * @param sentAtMs when sending began
+   * @param answeredAtMs when the answer was read, or the operator stopped waiting for it
+   * @param status the HTTP status, or 0 without an answer
+   * @param number the version number of a confirmed change, the current number of a stale change,
+   *     else -1
    */
   public record Attempt(
       String operator,
@@ -48,51 +53,53 @@
       long number) {}
 
   /**
-   * One reading of the configuration.
+   * One read of the configuration.
    *
-   * @param content the marker found in what was read, or -1 where there was no configuration
+   * @param sentAtMs when the request was sent
+   * @param number the version number that was read, or -1 without one
+   * @param content the marker in the configuration that was read, or -1 if there was none
    */
   public record Reading(
       String member, long sentAtMs, long answeredAtMs, int status, long number, int content) {
-    /** How long the answer took, in milliseconds. */
+    /** Returns how long the answer took. */
     public long durationMs() {
       return answeredAtMs - sentAtMs;
     }
   }
 
-  /** Markers below are those of the fleet's own first configurations. */
+  /** Lower markers are used by the fleet's own initial configurations. */
   private static final int FIRST_CONTENT = 100;
 
-  /** Markers above look like others in a configuration. */
+  /** Higher markers could be confused with other numbers in a configuration. */
   private static final int LAST_CONTENT = 999;
 
   private final ConcurrentLinkedQueue<Attempt> attempts = new ConcurrentLinkedQueue<>();
   private final ConcurrentLinkedQueue<Reading> readings = new ConcurrentLinkedQueue<>();
   private final AtomicInteger lastContent = new AtomicInteger(FIRST_CONTENT - 1);
 
-  /** A marker that no content had before. */
+  /** Returns a marker that was not used before. */
   public int nextContent() {
     int content = lastContent.incrementAndGet();
-    if (content > LAST_CONTENT) throw new IllegalStateException("no content is left for a change");
+    if (content > LAST_CONTENT) throw new IllegalStateException("no unused content marker is left");
     return content;
   }
 
-  /** Notes one attempt and its outcome. */
+  /** Records an attempt and its outcome. */
   public void record(Attempt attempt) {
     attempts.add(attempt);
   }
 
-  /** Notes one reading and its answer. */
+  /** Records a read and its answer. */
   public void record(Reading reading) {
     readings.add(reading);
   }
 
-  /** All attempts so far, in the order of their answers. */
+  /** Returns all attempts so far, in the order of their answers. */
   public List<Attempt> attempts() {
     return List.copyOf(attempts);
   }
 
-  /** All readings so far, in the order of their answers. */
+  /** Returns all reads so far, in the order of their answers. */
   public List<Reading> readings() {
     return List.copyOf(readings);
   }
--- a/emulator/src/main/java/gladelug/emulator/control/ConnectionResets.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ConnectionResets.java
@@ -7,11 +7,9 @@
 import java.util.List;
 
 /**
- * Connections between relays and replicas, and between callers and relays, break again and again,
- * and links to replicas fall silent for a while; replicas break streams and close connections
- * before the first piece.
- *
- * <p>Resets at replicas and callers.
+ * Repeatedly breaks connections between relays and replicas and between callers and relays, and
+ * drops all packets between a relay and a replica for a while. Replicas also break streams and
+ * close connections before the first piece of an answer.
  */
 public final class ConnectionResets implements ControlFaultRun.FaultScenario {
   private static final long STEP_MS = 150;
@@ -20,41 +18,41 @@
   private static final double CLOSED_BEFORE_FIRST_PROBABILITY = 0.05;
   private final long durationMs;
 
-  /** Lasts so many milliseconds. */
+  /** Creates a scenario that lasts the given time. */
   public ConnectionResets(long durationMs) {
     this.durationMs = durationMs;
   }
 
   @Override
-  public void play(ControlFaultRun day) {
-    day.keepChanging(1);
-    List<StandInReplica> models = new ArrayList<>();
-    for (StandInReplica replica : day.fleet.replicas.values()) {
-      if (replica.kind == StandInReplica.Kind.MODEL) models.add(replica);
+  public void play(ControlFaultRun run) {
+    run.keepChanging(1);
+    List<StandInReplica> modelReplicas = new ArrayList<>();
+    for (StandInReplica replica : run.fleet.replicas.values()) {
+      if (replica.kind == StandInReplica.Kind.MODEL) modelReplicas.add(replica);
     }
-    for (StandInReplica replica : models)
+    for (StandInReplica replica : modelReplicas)
       replica.faults.cutBeforeFirst = CLOSED_BEFORE_FIRST_PROBABILITY;
     long steps = durationMs / STEP_MS;
     for (long step = 1; step <= steps; step++) {
-      StandInReplica replica = models.get(day.random.nextInt(models.size()));
-      String edge = Fleet.edge(1 + day.random.nextInt(day.fleet.deployment.relays()));
+      StandInReplica replica = modelReplicas.get(run.random.nextInt(modelReplicas.size()));
+      String relay = Fleet.edge(1 + run.random.nextInt(run.fleet.deployment.relays()));
       if (step % STEPS_PER_SILENCE == 0) {
-        silence(day, edge, replica.instance);
+        silence(run, relay, replica.instance);
       } else if (step % 2 == 0) {
-        day.fleet.wires.breakConnections(edge, replica.instance);
+        run.fleet.wires.breakConnections(relay, replica.instance);
       } else {
-        day.fleet.wires.breakConnections(Wires.OUTSIDE, edge);
+        run.fleet.wires.breakConnections(Wires.OUTSIDE, relay);
       }
       replica.faults.cutStreams = step % 5 == 0;
       Fleet.pause(STEP_MS);
     }
-    for (StandInReplica replica : models) replica.faults.none();
+    for (StandInReplica replica : modelReplicas) replica.faults.none();
   }
 
-  private static void silence(ControlFaultRun day, String edge, String replica) {
-    day.fleet.wires.cut(edge, replica);
+  private static void silence(ControlFaultRun run, String relay, String replica) {
+    run.fleet.wires.cut(relay, replica);
     Fleet.pause(SILENCE_MS);
-    day.fleet.wires.mend();
+    run.fleet.wires.mend();
   }
 
   @Override
--- a/emulator/src/main/java/gladelug/emulator/control/ControlFaultRun.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ControlFaultRun.java
@@ -22,22 +22,22 @@
 import java.util.function.Consumer;
 
 /**
- * A day of the control side: a fleet of real processes under load, operators who change and read
- * the configuration meanwhile, and one kind of trouble. Judged from the stand-ins' ledgers alone.
- *
- * <p>What the troubles of a day have at hand, and the play around them.
+ * A test of the control plane: plays one fault scenario on a fleet of real processes under load,
+ * while operators change and read the configuration. The result is judged by what the stand-ins
+ * recorded, and by nothing else. Scenarios use this class to run operators and to kill and restart
+ * machines.
  */
 public final class ControlFaultRun {
-  /** One kind of trouble, begun when the fleet serves and over when play returns. */
+  /** A fault scenario; it starts when the fleet serves requests and is over when play returns. */
   public interface FaultScenario {
-    /** Brings the trouble about and mends it. */
-    void play(ControlFaultRun day) throws Exception;
+    /** Causes the faults and repairs them. */
+    void play(ControlFaultRun run) throws Exception;
 
-    /** The longest time without a confirmed change that is borne, in milliseconds. */
+    /** Returns the longest time without a confirmed change that is allowed, in milliseconds. */
     long maxGapMs();
   }
 
-  /** What a machine that was started or mended may take until it is needed, in milliseconds. */
+  /** How long the fleet may take to recover after a start or a repair. */
   static final long RECOVERY_TIMEOUT_MS = 40_000;
 
   private static final int NETWORK_NUMBER = 18;
@@ -57,14 +57,16 @@
   private volatile boolean operatorsRunning = true;
   private volatile List<Member> members = List.of();
 
-  /** Plays on a fleet that was not started yet; lines for people go to out. */
+  /** Creates a run on a fleet that is not started yet; printLine receives progress lines. */
   public ControlFaultRun(Fleet fleet, long seed, Consumer<String> printLine) {
     this.fleet = fleet;
     this.random = new Random(seed);
     this.printLine = printLine;
   }
 
-  /** Two replicas, two relays and an index beside the three members of the core. */
+  /**
+   * Returns a deployment of two replicas, two relays, an index and the three members of the core.
+   */
   public static Deployment deployment() {
     Deployment small = Deployment.small(NETWORK_NUMBER);
     return new Deployment(
@@ -79,7 +81,7 @@
         small.isolated());
   }
 
-  /** Plays the day; true if no rule was broken. */
+  /** Plays a scenario; returns whether no rule was broken. */
   public boolean play(FaultScenario scenario) throws Exception {
     fleet.start();
     refreshMembers();
@@ -99,16 +101,16 @@
     newOperator("closing").change(CHANGE_TIMEOUT_MS);
     for (Member member : members) newOperator("closing").read(member);
     callers.stop();
-    Fleet.until("the last requests ended", RECOVERY_TIMEOUT_MS, () -> callers.open() == 0);
+    Fleet.until("all open requests have ended", RECOVERY_TIMEOUT_MS, () -> callers.open() == 0);
     return report(scenario);
   }
 
-  /** Says something to people. */
-  void print(String what) {
-    printLine.accept("  " + what);
+  /** Prints a progress line. */
+  void print(String text) {
+    printLine.accept("  " + text);
   }
 
-  /** An operator who knows the present members and is told of later ones. */
+  /** Creates an operator who knows the current members and is updated when they change. */
   StandInOperator newOperator(String name) {
     StandInOperator operator =
         new StandInOperator(name, fleet.deployment, changes, members, random.nextLong());
@@ -116,7 +118,10 @@
     return operator;
   }
 
-  /** Operators who change the configuration all the time, each on what it read just before. */
+  /**
+   * Starts operators who change the configuration until the scenario ends, each based on what it
+   * has just read.
+   */
   void keepChanging(int operatorCount) {
     for (int i = 1; i <= operatorCount; i++) {
       StandInOperator operator = newOperator("operator-" + i);
@@ -128,7 +133,9 @@
     }
   }
 
-  /** An operator for each member who reads there all the time. */
+  /**
+   * Starts an operator for each member who reads the configuration there until the scenario ends.
+   */
   void keepReading() {
     for (Member member : members) {
       StandInOperator operator = newOperator("reader-of-" + member.name());
@@ -155,28 +162,33 @@
     for (Thread thread : threads) thread.join(RECOVERY_TIMEOUT_MS);
   }
 
-  /** The core's members by name, as the core tells them now; operators call these from now on. */
+  /**
+   * Returns the names of the members that the core reports now, and makes operators use these
+   * members.
+   */
   List<String> refreshMembers() {
     List<String> names = fleet.members();
     if (!names.isEmpty()) {
-      members = names.stream().map(n -> new Member(n, fleet.operator.get(n))).toList();
+      members = names.stream().map(name -> new Member(name, fleet.operator.get(name))).toList();
       operators.forEach(operator -> operator.useMembers(members));
     }
     return names;
   }
 
-  /** Who owns the configuration, as the core tells it; any member where nobody does. */
+  /**
+   * Returns the owner of the configuration that the core reports, or any member if there is none.
+   */
   String ownerOfConfiguration() {
     return fleet.ownerOf("policy");
   }
 
-  /** A machine loses power. */
+  /** Kills the process of a machine, as a loss of power does. */
   void kill(String name) {
     print("kill " + name);
     fleet.children.get(name).kill();
   }
 
-  /** A machine that was killed is started again with its disk. */
+  /** Starts a killed machine again with its disk and waits until it is ready. */
   void restart(String name) throws IOException {
     fleet.children.get(name).start();
     long startedAtNs = System.nanoTime();
@@ -184,7 +196,7 @@
     print(name + " ready " + (System.nanoTime() - startedAtNs) / 1_000_000 + " ms after its start");
   }
 
-  /** Waits until an operator has a change confirmed, and says how long that took. */
+  /** Waits until a change is confirmed to an operator, and prints how long that took. */
   void awaitConfirmedChange(String when) {
     long startedAtNs = System.nanoTime();
     StandInOperator operator = newOperator("after");
@@ -196,7 +208,10 @@
         "a change was confirmed " + (System.nanoTime() - startedAtNs) / 1_000_000 + " ms " + when);
   }
 
-  /** The names of all machines and replicas but the one. */
+  /**
+   * Returns the names of all members, relays and replicas and of the platform, except for the given
+   * name.
+   */
   Set<String> allNodesExcept(String name) {
     Set<String> others = new LinkedHashSet<>(refreshMembers());
     for (int i = 1; i <= fleet.deployment.relays(); i++) others.add(Fleet.edge(i));
@@ -209,8 +224,8 @@
   private boolean report(FaultScenario scenario) {
     Map<Outcome, Integer> outcomes = new LinkedHashMap<>();
     for (Attempt attempt : changes.attempts()) outcomes.merge(attempt.outcome(), 1, Integer::sum);
-    print("attempts " + outcomes);
-    print("calls by outcome " + callsByOutcome());
+    print("attempts to change by outcome: " + outcomes);
+    print("calls by outcome: " + callsByOutcome());
     printTimes();
     List<Finding> findings = new ArrayList<>(ControlJudge.judge(changes, scenario.maxGapMs()));
     findings.addAll(Judge.all(fleet.ledger));
@@ -231,30 +246,30 @@
   private void printTimes() {
     List<Long> confirmed =
         changes.attempts().stream()
-            .filter(a -> a.outcome() == Outcome.CONFIRMED)
-            .map(a -> a.answeredAtMs() - a.sentAtMs())
+            .filter(attempt -> attempt.outcome() == Outcome.CONFIRMED)
+            .map(attempt -> attempt.answeredAtMs() - attempt.sentAtMs())
             .sorted()
             .toList();
     List<Long> unanswered =
         changes.readings().stream()
-            .filter(r -> r.status() != 200)
+            .filter(reading -> reading.status() != 200)
             .map(Reading::durationMs)
             .sorted()
             .toList();
-    print("ms until a change was confirmed: " + quantiles(confirmed));
-    print("ms until a reading was refused or given up: " + quantiles(unanswered));
+    print("time until a change was confirmed, in ms: " + quantiles(confirmed));
+    print("time until a read failed or timed out, in ms: " + quantiles(unanswered));
     Map<String, Integer> readings = new LinkedHashMap<>();
     for (Reading reading : changes.readings()) {
       readings.merge(reading.member() + " " + reading.status(), 1, Integer::sum);
     }
-    print("readings by member and status " + readings);
+    print("reads by member and status: " + readings);
   }
 
   private static String quantiles(List<Long> sorted) {
     if (sorted.isEmpty()) return "none";
     return String.format(
         Locale.ROOT,
-        "%d times, median %d, p99 %d, longest %d",
+        "count %d, median %d, p99 %d, maximum %d",
         sorted.size(),
         sorted.get(sorted.size() / 2),
         sorted.get((int) (sorted.size() * 0.99)),
--- a/emulator/src/main/java/gladelug/emulator/control/ControlJudge.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ControlJudge.java
@@ -13,17 +13,19 @@
 import java.util.Set;
 
 /**
- * Judges the control side from what operators saw: nothing confirmed is lost or confirmed twice
- * over, nothing old is shown or refused upon, and what was taken is not refused when it is sent
- * again.
- *
- * <p>One verdict a rule, with the attempts and readings that offend.
+ * Checks the rules of the control plane against what operators recorded: no confirmed change is
+ * lost or confirmed under two numbers, no outdated state is shown or used to refuse a change, and a
+ * change that was taken is not refused when it is sent again. Reports one finding per rule, with
+ * the attempts and reads that broke it.
  */
 public final class ControlJudge {
-  /** An old state was shown after a newer one had been confirmed. */
+  /** A read showed an old state after a newer one had been confirmed. */
   public static final String OLD_STATE_SHOWN = "old-configuration-shown";
 
-  /** A change was refused for a number below one that had been confirmed before it was sent. */
+  /**
+   * A change was refused as stale though it was based on the number named as current, or the
+   * current number named was below one confirmed before the change was sent.
+   */
   public static final String REFUSED_ON_OLD_STATE = "refused-on-old-state";
 
   /** Two contents were confirmed under one number. */
@@ -32,67 +34,68 @@
   /** A content was confirmed under two numbers. */
   public static final String CONFIRMED_TWICE = "one-change-under-two-numbers";
 
-  /** What had been taken was refused when it was sent again. */
-  public static final String TAKEN_AND_REFUSED = "taken-change-refused-when-sent-again";
-
-  /** What had been refused for certain, and never sent otherwise, was shown as the state. */
-  public static final String REFUSED_AND_TAKEN = "refused-change-was-taken";
+  /** A change that had been taken was refused when it was sent again. */
+  public static final String TAKEN_CHANGE_REFUSED = "taken-change-refused-when-sent-again";
 
   /**
-   * A number showed another content than the one confirmed under it, or confirmed changes are gone.
+   * A change that had been refused, and could not have been taken by an earlier attempt, was
+   * confirmed or shown.
    */
+  public static final String REFUSED_CHANGE_TAKEN = "refused-change-was-taken";
+
+  /** A read showed another content under a number than the one confirmed under it. */
   public static final String CONFIRMED_LOST = "confirmed-change-lost";
 
-  /** No change was confirmed for longer than the bound. */
-  public static final String NO_MAJORITY_FOR_LONG = "no-change-confirmed-for-long";
+  /** No change was confirmed for longer than allowed. */
+  public static final String NO_CHANGE_FOR_TOO_LONG = "no-change-confirmed-for-long";
 
   private final List<Attempt> attempts;
   private final List<Reading> readings;
 
   private ControlJudge(ChangeLedger ledger) {
     attempts = ledger.attempts();
-    readings = ledger.readings().stream().filter(r -> r.status() == 200).toList();
+    readings = ledger.readings().stream().filter(reading -> reading.status() == 200).toList();
   }
 
   /**
-   * Judges a day.
+   * Checks all rules.
    *
-   * @param maxGapMs the longest time between two confirmed changes that is borne
+   * @param maxGapMs the longest time between two confirmed changes that is allowed
    */
   public static List<Finding> judge(ChangeLedger ledger, long maxGapMs) {
     ControlJudge judge = new ControlJudge(ledger);
     return List.of(
-        new Finding(OLD_STATE_SHOWN, judge.oldStateShown()),
-        new Finding(REFUSED_ON_OLD_STATE, judge.refusedOnOldState()),
-        new Finding(TWO_UNDER_ONE_NUMBER, judge.twoUnderOneNumber()),
-        new Finding(CONFIRMED_TWICE, judge.confirmedTwice()),
-        new Finding(TAKEN_AND_REFUSED, judge.takenAndRefused()),
-        new Finding(REFUSED_AND_TAKEN, judge.refusedAndTaken()),
-        new Finding(CONFIRMED_LOST, judge.confirmedLost()),
-        new Finding(NO_MAJORITY_FOR_LONG, judge.longGaps(maxGapMs)));
+        new Finding(OLD_STATE_SHOWN, judge.findOldStatesShown()),
+        new Finding(REFUSED_ON_OLD_STATE, judge.findRefusalsOnOldState()),
+        new Finding(TWO_UNDER_ONE_NUMBER, judge.findTwoUnderOneNumber()),
+        new Finding(CONFIRMED_TWICE, judge.findConfirmedTwice()),
+        new Finding(TAKEN_CHANGE_REFUSED, judge.findTakenChangesRefused()),
+        new Finding(REFUSED_CHANGE_TAKEN, judge.findRefusedChangesTaken()),
+        new Finding(CONFIRMED_LOST, judge.findConfirmedLost()),
+        new Finding(NO_CHANGE_FOR_TOO_LONG, judge.findLongGaps(maxGapMs)));
   }
 
-  private List<Attempt> confirmed() {
-    return attempts.stream().filter(a -> a.outcome() == Outcome.CONFIRMED).toList();
+  private List<Attempt> confirmedAttempts() {
+    return attempts.stream().filter(attempt -> attempt.outcome() == Outcome.CONFIRMED).toList();
   }
 
-  /** The highest number that was confirmed to anybody before a moment; 0 for none. */
-  private long confirmedBefore(long timeMs) {
-    return confirmed().stream()
-        .filter(a -> a.answeredAtMs() < timeMs)
+  /** Returns the highest number that was confirmed to any operator before a time, or 0 for none. */
+  private long newestConfirmedBefore(long timeMs) {
+    return confirmedAttempts().stream()
+        .filter(attempt -> attempt.answeredAtMs() < timeMs)
         .mapToLong(Attempt::number)
         .max()
         .orElse(0);
   }
 
-  private List<String> oldStateShown() {
+  private List<String> findOldStatesShown() {
     List<String> offenders = new ArrayList<>();
     for (Reading reading : readings) {
-      long newest = confirmedBefore(reading.sentAtMs());
+      long newest = newestConfirmedBefore(reading.sentAtMs());
       if (reading.number() < newest) {
         offenders.add(
             reading.member()
-                + " showed "
+                + " showed number "
                 + reading.number()
                 + " after "
                 + newest
@@ -102,24 +105,24 @@
     return offenders;
   }
 
-  private List<String> refusedOnOldState() {
+  private List<String> findRefusalsOnOldState() {
     List<String> offenders = new ArrayList<>();
     for (Attempt attempt : attempts) {
       if (attempt.outcome() != Outcome.REFUSED_AS_STALE) continue;
-      long newest = confirmedBefore(attempt.sentAtMs());
+      long newest = newestConfirmedBefore(attempt.sentAtMs());
       if (attempt.number() < newest) {
         offenders.add(describe(attempt) + " though " + newest + " was confirmed");
       } else if (attempt.number() == attempt.basedOn()) {
-        offenders.add(describe(attempt) + " though it was based on just that");
+        offenders.add(describe(attempt) + " though it was based on that number");
       }
     }
     return offenders;
   }
 
-  private List<String> twoUnderOneNumber() {
+  private List<String> findTwoUnderOneNumber() {
     Map<Long, Attempt> first = new HashMap<>();
     List<String> offenders = new ArrayList<>();
-    for (Attempt attempt : confirmed()) {
+    for (Attempt attempt : confirmedAttempts()) {
       Attempt other = first.putIfAbsent(attempt.number(), attempt);
       if (other != null && other.content() != attempt.content()) {
         offenders.add(describe(attempt) + ", and " + describe(other));
@@ -128,10 +131,10 @@
     return offenders;
   }
 
-  private List<String> confirmedTwice() {
+  private List<String> findConfirmedTwice() {
     Map<Integer, Attempt> first = new HashMap<>();
     List<String> offenders = new ArrayList<>();
-    for (Attempt attempt : confirmed()) {
+    for (Attempt attempt : confirmedAttempts()) {
       Attempt other = first.putIfAbsent(attempt.content(), attempt);
       if (other != null && other.number() != attempt.number()) {
         offenders.add(describe(attempt) + ", and " + describe(other));
@@ -140,11 +143,11 @@
     return offenders;
   }
 
-  /** The contents that were certainly taken: confirmed, or shown as the state. */
-  private Set<Integer> taken() {
+  /** Returns the contents that were certainly taken: those confirmed or shown by a read. */
+  private Set<Integer> takenContents() {
     Set<Integer> contents = new HashSet<>();
-    confirmed().forEach(a -> contents.add(a.content()));
-    readings.forEach(r -> contents.add(r.content()));
+    confirmedAttempts().forEach(attempt -> contents.add(attempt.content()));
+    readings.forEach(reading -> contents.add(reading.content()));
     return contents;
   }
 
@@ -152,35 +155,44 @@
     return attempt.outcome() == Outcome.REFUSED_AS_STALE || attempt.outcome() == Outcome.REFUSED;
   }
 
-  /** Whether an earlier sending of the same content may be the one that was taken. */
+  /** Returns whether an earlier attempt with the same content was or may have been taken. */
   private boolean mayHaveBeenTakenEarlier(Attempt attempt) {
     return attempts.stream()
         .anyMatch(
-            a ->
-                a.content() == attempt.content()
-                    && a.sentAtMs() < attempt.sentAtMs()
-                    && (a.outcome() == Outcome.CONFIRMED || a.outcome() == Outcome.UNKNOWN));
+            other ->
+                other.content() == attempt.content()
+                    && other.sentAtMs() < attempt.sentAtMs()
+                    && (other.outcome() == Outcome.CONFIRMED
+                        || other.outcome() == Outcome.UNKNOWN));
   }
 
-  private List<String> takenAndRefused() {
-    Set<Integer> taken = taken();
+  private List<String> findTakenChangesRefused() {
+    Set<Integer> taken = takenContents();
     return attempts.stream()
-        .filter(a -> isRefused(a) && taken.contains(a.content()) && mayHaveBeenTakenEarlier(a))
+        .filter(
+            attempt ->
+                isRefused(attempt)
+                    && taken.contains(attempt.content())
+                    && mayHaveBeenTakenEarlier(attempt))
         .map(ControlJudge::describe)
         .toList();
   }
 
-  private List<String> refusedAndTaken() {
-    Set<Integer> taken = taken();
+  private List<String> findRefusedChangesTaken() {
+    Set<Integer> taken = takenContents();
     return attempts.stream()
-        .filter(a -> isRefused(a) && taken.contains(a.content()) && !mayHaveBeenTakenEarlier(a))
+        .filter(
+            attempt ->
+                isRefused(attempt)
+                    && taken.contains(attempt.content())
+                    && !mayHaveBeenTakenEarlier(attempt))
         .map(ControlJudge::describe)
         .toList();
   }
 
-  private List<String> confirmedLost() {
+  private List<String> findConfirmedLost() {
     Map<Long, Integer> contents = new HashMap<>();
-    confirmed().forEach(a -> contents.put(a.number(), a.content()));
+    confirmedAttempts().forEach(attempt -> contents.put(attempt.number(), attempt.content()));
     List<String> offenders = new ArrayList<>();
     for (Reading reading : readings) {
       Integer content = contents.get(reading.number());
@@ -189,7 +201,7 @@
             reading.member()
                 + " showed content "
                 + reading.content()
-                + " under "
+                + " under number "
                 + reading.number()
                 + ", which was confirmed for content "
                 + content);
@@ -198,15 +210,18 @@
     return offenders;
   }
 
-  private List<String> longGaps(long maxGapMs) {
+  private List<String> findLongGaps(long maxGapMs) {
     List<Attempt> inOrder =
-        confirmed().stream().sorted(Comparator.comparingLong(Attempt::answeredAtMs)).toList();
+        confirmedAttempts().stream()
+            .sorted(Comparator.comparingLong(Attempt::answeredAtMs))
+            .toList();
     if (inOrder.isEmpty()) return List.of("no change was confirmed at all");
     List<String> offenders = new ArrayList<>();
     long previousAtMs = inOrder.get(0).answeredAtMs();
     for (Attempt attempt : inOrder) {
       long gapMs = attempt.answeredAtMs() - previousAtMs;
-      if (gapMs > maxGapMs) offenders.add(gapMs + " ms before " + describe(attempt));
+      if (gapMs > maxGapMs)
+        offenders.add(gapMs + " ms without a confirmed change before " + describe(attempt));
       previousAtMs = attempt.answeredAtMs();
     }
     return offenders;
--- a/emulator/src/main/java/gladelug/emulator/control/FaultScenarios.java
+++ b/emulator/src/main/java/gladelug/emulator/control/FaultScenarios.java
@@ -2,12 +2,7 @@
 
 import java.util.List;
 
-/**
- * The five troubles that control sides of this kind are known to meet, by number, as fleet-emulator
- * plays them.
- *
- * <p>The troubles of a day by their numbers from 1.
- */
+/** The fault scenarios that fleet-emulator plays on the control plane, by their numbers from 1. */
 public final class FaultScenarios {
   private static final List<ControlFaultRun.FaultScenario> SCENARIOS =
       List.of(
@@ -17,12 +12,12 @@
           new RestartsDuringChanges(400),
           new ConnectionResets(30_000));
 
-  /** How many there are. */
+  /** The number of scenarios. */
   public static final int COUNT = SCENARIOS.size();
 
   private FaultScenarios() {}
 
-  /** The usual size of the trouble with a number. */
+  /** Returns the scenario with a number, in its default size. */
   public static ControlFaultRun.FaultScenario of(int number) {
     return SCENARIOS.get(number - 1);
   }
--- a/emulator/src/main/java/gladelug/emulator/control/LongPartition.java
+++ b/emulator/src/main/java/gladelug/emulator/control/LongPartition.java
@@ -4,33 +4,31 @@
 import java.util.Set;
 
 /**
- * The owner of the configuration is cut off from everybody but operators for long, in silence,
- * while operators change and read at all members.
- *
- * <p>A long silent cut of one core member.
+ * Drops all packets between the owner of the configuration and every other machine for a long time,
+ * while operators, whom it can still reach, change and read the configuration at all members.
  */
 public final class LongPartition implements ControlFaultRun.FaultScenario {
   private static final long BEFORE_PARTITION_MS = 3000;
   private static final long AFTER_PARTITION_MS = 6000;
   private final long partitionMs;
 
-  /** Cuts for so many milliseconds. */
+  /** Creates a scenario with a partition of the given length. */
   public LongPartition(long partitionMs) {
     this.partitionMs = partitionMs;
   }
 
   @Override
-  public void play(ControlFaultRun day) {
-    day.keepChanging(2);
-    day.keepReading();
+  public void play(ControlFaultRun run) {
+    run.keepChanging(2);
+    run.keepReading();
     Fleet.pause(BEFORE_PARTITION_MS);
-    String owner = day.ownerOfConfiguration();
-    Set<String> others = day.allNodesExcept(owner);
-    day.print("cut off " + owner + " for " + partitionMs + " ms");
-    day.fleet.wires.split(Set.of(owner), others);
+    String owner = run.ownerOfConfiguration();
+    Set<String> others = run.allNodesExcept(owner);
+    run.print("partition " + owner + " for " + partitionMs + " ms");
+    run.fleet.wires.split(Set.of(owner), others);
     Fleet.pause(partitionMs);
-    day.fleet.wires.mend();
-    day.print("mended");
+    run.fleet.wires.mend();
+    run.print("mended");
     Fleet.pause(AFTER_PARTITION_MS);
   }
 
--- a/emulator/src/main/java/gladelug/emulator/control/RollingReplacement.java
+++ b/emulator/src/main/java/gladelug/emulator/control/RollingReplacement.java
@@ -5,10 +5,8 @@
 import java.util.Map;
 
 /**
- * Every machine of the core is replaced by one with an empty disk, one after the other; right after
- * each replacement another member loses power and comes back three seconds later.
- *
- * <p>Replacements in turn with a kill between.
+ * Replaces machines of the core one after the other by machines with an empty disk. Right after
+ * each replacement a random member is killed and restarted after at least three seconds.
  */
 public final class RollingReplacement implements ControlFaultRun.FaultScenario {
   private static final int REPLACEMENTS = 3;
@@ -16,41 +14,41 @@
   private static final long DOWN_MS = 3000;
 
   @Override
-  public void play(ControlFaultRun day) throws Exception {
-    day.keepChanging(2);
+  public void play(ControlFaultRun run) throws Exception {
+    run.keepChanging(2);
     for (int i = 0; i < REPLACEMENTS; i++) {
-      List<String> before = day.refreshMembers();
-      String leaving = before.get(day.random.nextInt(before.size()));
+      List<String> before = run.refreshMembers();
+      String leaving = before.get(run.random.nextInt(before.size()));
       String next = "control-" + (FIRST_HOST + i);
-      replace(day, leaving, next, FIRST_HOST + i);
-      List<String> after = day.refreshMembers();
-      String victim = after.get(day.random.nextInt(after.size()));
-      day.kill(victim);
+      replace(run, leaving, next, FIRST_HOST + i);
+      List<String> after = run.refreshMembers();
+      String victim = after.get(run.random.nextInt(after.size()));
+      run.kill(victim);
       Fleet.pause(DOWN_MS);
-      day.awaitConfirmedChange("after the wait that followed the kill of " + victim);
-      day.restart(victim);
+      run.awaitConfirmedChange("after the pause that followed the kill of " + victim);
+      run.restart(victim);
     }
   }
 
-  /** One swap: the leaving member loses power as soon as the core no longer counts it. */
-  private static void replace(ControlFaultRun day, String leaving, String next, int host)
+  /** Replaces one member, which is killed as soon as the core no longer lists it. */
+  private static void replace(ControlFaultRun run, String leaving, String next, int host)
       throws Exception {
-    day.print("replace " + leaving + " by " + next);
-    day.fleet.control(next, host).start();
+    run.print("replace " + leaving + " by " + next);
+    run.fleet.control(next, host).start();
     String swap = "{\"out\":\"" + leaving + "\",\"in\":\"" + next + "\"}";
     Fleet.until(
-        "the swap of " + leaving + " is begun",
+        "the replacement of " + leaving + " is accepted",
         ControlFaultRun.RECOVERY_TIMEOUT_MS,
-        () -> day.fleet.call("POST", "/v1/core/swap", swap, Map.of()).status() == 202);
+        () -> run.fleet.call("POST", "/v1/core/swap", swap, Map.of()).status() == 202);
     Fleet.until(
         next + " is a member",
         ControlFaultRun.RECOVERY_TIMEOUT_MS,
         () -> {
-          List<String> names = day.refreshMembers();
+          List<String> names = run.refreshMembers();
           return names.contains(next) && !names.contains(leaving);
         });
-    day.kill(leaving);
-    day.fleet.children.remove(leaving);
+    run.kill(leaving);
+    run.fleet.children.remove(leaving);
   }
 
   @Override
--- a/emulator/src/main/java/gladelug/emulator/control/StandInOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/control/StandInOperator.java
@@ -22,25 +22,25 @@
 import java.util.Random;
 
 /**
- * A stand-in for an operator: changes the configuration and reads it at core members that it is
- * told of, sends again what it got no clear answer to, and can lose an answer on purpose by going
- * away after the change was sent. All it does goes into the ledger of changes.
- *
- * <p>One operator with a way of its own through the members.
+ * A stand-in for an operator. Changes and reads the configuration at random core members, sends a
+ * change again if the answer was not conclusive, and can lose an answer on purpose by closing the
+ * connection after the change was sent. Records everything in the {@link ChangeLedger}.
  */
 public final class StandInOperator {
-  /** A core member as operators call it. */
+  /** A core member and the host and port where it answers operators. */
   public record Member(String name, String address) {}
 
   private static final String PATH = "/v1/configuration";
 
-  /** How long an operator waits for an answer before it sends the same again elsewhere. */
+  /**
+   * How long an operator waits for an answer before it sends the same request to another member.
+   */
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
 
-  /** How long an operator waits before it tries the next member. */
+  /** Pause before the next try. */
   private static final long RETRY_PAUSE_MS = 50;
 
-  /** The route whose deadline carries the marker of a content, and what is added to the marker. */
+  /** The route whose deadline in ms is the marker of the content plus MARKER_BASE_MS. */
   private static final String MARKED_ROUTE = "lookup-stop";
 
   private static final int MARKER_BASE_MS = 5000;
@@ -56,7 +56,7 @@
           .build();
   private volatile List<Member> members;
 
-  /** Calls the given members in an order that the seed draws. */
+  /** Creates an operator that calls the given members in an order drawn from the seed. */
   public StandInOperator(
       String name, Deployment deployment, ChangeLedger ledger, List<Member> members, long seed) {
     this.name = name;
@@ -70,7 +70,7 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  /** The members to be called from now on. */
+  /** Sets the members to be called from now on. */
   public void useMembers(List<Member> now) {
     members = List.copyOf(now);
   }
@@ -80,18 +80,21 @@
     return all.get(random.nextInt(all.size()));
   }
 
-  /** Reads the configuration at a member; -1 for its number where the member gave none. */
+  /** Reads the configuration at a member; returns its number, or -1 if the member gave none. */
   public long read(Member member) {
     long sentAtMs = nowMs();
     Fleet.Answer answer = call(request(member, "").GET().build());
     boolean shown = answer.status() == 200;
     long number = shown ? answer.body().getLong("number", -1) : -1;
-    int content = shown && answer.body().get("value") != null ? contentOf(answer.body()) : -1;
+    int content = shown && answer.body().get("value") != null ? markerIn(answer.body()) : -1;
     ledger.record(new Reading(member.name(), sentAtMs, nowMs(), answer.status(), number, content));
     return number;
   }
 
-  /** Reads at one member after the other until one shows the configuration; -1 if none does. */
+  /**
+   * Reads at random members until one shows the configuration; returns its number, or -1 if none
+   * does in time.
+   */
   public long readAnywhere(long timeoutMs) {
     long deadlineMs = nowMs() + timeoutMs;
     while (nowMs() < deadlineMs) {
@@ -103,7 +106,8 @@
   }
 
   /**
-   * Sends a new content on what is current, and again at other members until the answer is clear.
+   * Makes a new change based on the current configuration, and sends it again to other members
+   * until the answer is conclusive.
    *
    * @return the last attempt
    */
@@ -112,9 +116,9 @@
   }
 
   /**
-   * Sends a new content on a number until the answer is clear.
+   * Makes a new change based on a number, and sends it until the answer is conclusive.
    *
-   * @param loseFirstAnswer whether the operator goes away before the first answer
+   * @param loseFirstAnswer whether the operator closes the connection before the first answer
    */
   public Attempt changeOn(long basedOn, long timeoutMs, boolean loseFirstAnswer) {
     int content = ledger.nextContent();
@@ -126,7 +130,7 @@
   }
 
   /**
-   * Sends a new content on a number and goes away before the answer.
+   * Sends a new change based on a number and closes the connection before the answer.
    *
    * @return the attempt, whose content can be sent again
    */
@@ -134,7 +138,7 @@
     return sendWithoutReading(ledger.nextContent(), basedOn);
   }
 
-  /** Sends what was sent before, until the answer is clear. */
+  /** Sends an earlier change again until the answer is conclusive; returns the last attempt. */
   public Attempt sendAgain(Attempt earlier, long timeoutMs) {
     long deadlineMs = nowMs() + timeoutMs;
     Attempt attempt = send(anyMember(), earlier.content(), earlier.basedOn());
@@ -149,16 +153,16 @@
     return attempt.outcome() != Outcome.UNKNOWN && attempt.outcome() != Outcome.NOT_TAKEN;
   }
 
-  private String body(int content) {
+  private String configurationBody(int content) {
     return deployment.configuration(content, List.of()).toString();
   }
 
-  /** Sends a content once to a member and notes the answer. */
+  /** Sends a change once to a member and records the answer. */
   public Attempt send(Member member, int content, long basedOn) {
     long sentAtMs = nowMs();
     HttpRequest request =
         request(member, Long.toString(basedOn))
-            .POST(HttpRequest.BodyPublishers.ofString(body(content)))
+            .POST(HttpRequest.BodyPublishers.ofString(configurationBody(content)))
             .build();
     Fleet.Answer answer = call(request);
     Outcome outcome = outcomeOf(answer);
@@ -181,12 +185,12 @@
             number));
   }
 
-  /** Sends a content once and closes the connection a few milliseconds later, unanswered. */
+  /** Sends a change once and closes the connection up to 40 ms later without reading the answer. */
   private Attempt sendWithoutReading(int content, long basedOn) {
     Member member = anyMember();
     long sentAtMs = nowMs();
     String[] hostAndPort = member.address().split(":");
-    byte[] body = body(content).getBytes(StandardCharsets.UTF_8);
+    byte[] body = configurationBody(content).getBytes(StandardCharsets.UTF_8);
     String head =
         "POST "
             + PATH
@@ -204,7 +208,7 @@
       socket.getOutputStream().flush();
       Fleet.pause(random.nextInt(40));
     } catch (IOException e) {
-      // what became of it is not known either way
+      // with or without this error, whether the change was taken is not known
     }
     return recordAttempt(
         new Attempt(
@@ -226,7 +230,7 @@
   private Fleet.Answer call(HttpRequest request) {
     try {
       HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
-      return new Fleet.Answer(response.statusCode(), parsed(response.body()), null);
+      return new Fleet.Answer(response.statusCode(), parseObject(response.body()), null);
     } catch (IOException e) {
       return new Fleet.Answer(0, Json.object(), null);
     } catch (InterruptedException e) {
@@ -235,7 +239,7 @@
     }
   }
 
-  private static JsonObject parsed(String text) {
+  private static JsonObject parseObject(String text) {
     try {
       JsonValue value = Json.parse(text);
       return value.isObject() ? value.asObject() : Json.object();
@@ -254,8 +258,8 @@
     };
   }
 
-  /** The marker of the content that was read; -1 where there is none. */
-  private static int contentOf(JsonObject answer) {
+  /** Returns the marker in the configuration that was read, or -1 if there is none. */
+  private static int markerIn(JsonObject answer) {
     for (JsonValue route : answer.get("value").asObject().get("mappings").asArray()) {
       if (route.asObject().getString("name", "").equals(MARKED_ROUTE)) {
         return route.asObject().getInt("expiryMs", 0) - MARKER_BASE_MS;
--- a/emulator/src/main/java/gladelug/emulator/control/package-info.java
+++ b/emulator/src/main/java/gladelug/emulator/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Days of the control side with real processes: one kind of fault each, operators who change and
- * read meanwhile, judged from what they were answered.
+ * Tests of the control plane with real processes: one fault scenario each, while operators change
+ * and read the configuration; judged by the answers that they got.
  */
 package gladelug.emulator.control;
--- a/emulator/src/main/java/gladelug/emulator/soak/ActiveFaults.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ActiveFaults.java
@@ -3,7 +3,10 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What is wrong with a stand-in at the moment: until when, by kind of event. */
+/**
+ * The faults that are active in a stand-in at the moment, with the time at which each ends.
+ * Thread-safe.
+ */
 final class ActiveFaults {
   private final Map<EventKind, Long> endNsByKind = new EnumMap<>(EventKind.class);
 
@@ -16,7 +19,10 @@
     return until != null && System.nanoTime() < until;
   }
 
-  /** The fault that spoils this answer, or null; it spoils every second one. */
+  /**
+   * Returns the active fault for the answer to this request, or null; about half of the requests
+   * are hit.
+   */
   EventKind faultFor(String requestId) {
     if ((requestId.hashCode() & 1) == 0) return null;
     for (EventKind kind :
--- a/emulator/src/main/java/gladelug/emulator/soak/ClientLoadBalancer.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ClientLoadBalancer.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Where the platform passes new connections of clients: it asks every machine each second whether
- * it is ready, and one that misses twice gets none until it is again. Where none is in, all are.
+ * Assigns new client connections to machines, as the platform's load balancer does. It probes the
+ * readiness of every machine once a second. A machine that fails two probes in a row gets no new
+ * connections until a probe succeeds; if no machine is ready, all of them get connections.
  */
 final class ClientLoadBalancer {
   private static final int PROBE_INTERVAL_MS = 1000;
@@ -31,7 +32,8 @@
   void start() {
     for (SoakProcess relay : machines.relays) {
       misses.put(relay.machine, UNREADY_AFTER_MISSES);
-      DaemonThreads.start("readiness " + relay.machine, () -> probeUntilStopped(relay.machine));
+      DaemonThreads.start(
+          "readiness probe " + relay.machine, () -> probeUntilStopped(relay.machine));
     }
   }
 
@@ -49,7 +51,7 @@
     }
   }
 
-  /** Whether a machine says that it is ready now. */
+  /** Probes a machine once; returns whether it reports that it is ready. */
   boolean isReady(int machine) {
     try (Socket socket = new Socket()) {
       socket.connect(
@@ -65,7 +67,7 @@
     }
   }
 
-  /** A machine for a new connection. */
+  /** Returns a random machine for a new connection. */
   int pickMachine(Random random) {
     List<Integer> candidates = new ArrayList<>();
     misses.forEach(
--- a/emulator/src/main/java/gladelug/emulator/soak/ConfigurationModel.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ConfigurationModel.java
@@ -9,10 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * What a configuration means, and its text as operators send it. Immutable.
+ * The content of a configuration that matters to the soak test, and its JSON as operators send it.
+ * Immutable.
  *
  * @param tenants by name
- * @param extraRoutes routes that nobody asks for, beside one for each kind of request
+ * @param extraRoutes number of routes that get no requests, in addition to one route for each kind
+ *     of request
  */
 record ConfigurationModel(
     Map<String, Tenant> tenants, int extraRoutes, int maxBodyBytes, String storeAddress) {
@@ -22,7 +24,7 @@
   static final String MODEL = "model-1";
   static final int MAX_BODY_BYTES = 1 << 22;
 
-  /** A tenant with one key. */
+  /** A tenant with a single API key. */
   record Tenant(String key, boolean isolated) {}
 
   ConfigurationModel {
@@ -33,7 +35,7 @@
     return "tenant-" + number;
   }
 
-  /** The first one: all tenants, of which the last is isolated. */
+  /** Returns the initial configuration: all tenants, of which only the last is isolated. */
   static ConfigurationModel initial(String storeAddress) {
     Map<String, Tenant> tenants = new TreeMap<>();
     for (int i = 1; i <= SoakPlan.TENANTS; i++)
@@ -56,30 +58,33 @@
     return new ConfigurationModel(tenants, extraRoutes, bytes, storeAddress);
   }
 
-  /** The key that replaces one: they are numbered. */
+  /** Returns the key that replaces a key: the one with the next number. */
   static String keyAfter(String key) {
     return shiftKeyNumber(key, 1);
   }
 
-  /** The key that one replaced, or the key itself if it is the first. */
+  /** Returns the key that was replaced by a key, or the key itself if it is the first. */
   static String keyBefore(String key) {
     return shiftKeyNumber(key, -1);
   }
 
-  private static String shiftKeyNumber(String key, int step) {
+  private static String shiftKeyNumber(String key, int offset) {
     int dash = key.lastIndexOf('-');
     String number = key.substring(dash + 1);
-    if (!number.matches("\\d+") || Integer.parseInt(number) + step < 0) return key;
-    return key.substring(0, dash + 1) + (Integer.parseInt(number) + step);
+    if (!number.matches("\\d+") || Integer.parseInt(number) + offset < 0) return key;
+    return key.substring(0, dash + 1) + (Integer.parseInt(number) + offset);
   }
 
-  /** The name of the tenant that has, had or will have a key. */
+  /**
+   * Returns the name of the tenant that a key was made for, in force or not; empty for a malformed
+   * key.
+   */
   static String ownerOfKey(String key) {
-    String[] words = key.split("-");
-    return words.length == 3 ? "tenant-" + words[1] : "";
+    String[] keyParts = key.split("-");
+    return keyParts.length == 3 ? "tenant-" + keyParts[1] : "";
   }
 
-  /** The tenant that holds a key, or null. */
+  /** Returns the name of the tenant that holds a key, or null. */
   String tenantOfKey(String key) {
     for (Map.Entry<String, Tenant> entry : tenants.entrySet())
       if (entry.getValue().key.equals(key)) return entry.getKey();
@@ -117,7 +122,9 @@
         .toString();
   }
 
-  /** A change of this one's tenants alone, as PATCH takes it, from another one. */
+  /**
+   * Returns the body of a PATCH request that turns another configuration's tenants into this one's.
+   */
   String patchFrom(long revision, ConfigurationModel before) {
     JsonArray upserts = new JsonArray(), removals = new JsonArray();
     for (Map.Entry<String, Tenant> entry : tenants.entrySet())
@@ -130,7 +137,7 @@
     return patch.toString();
   }
 
-  /** Whether only tenants differ. */
+  /** Returns whether this configuration differs from another in its tenants at most. */
   boolean differsOnlyInTenants(ConfigurationModel other) {
     return extraRoutes == other.extraRoutes && maxBodyBytes == other.maxBodyBytes;
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/DaemonThreads.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/DaemonThreads.java
@@ -6,9 +6,12 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Threads of the stand-ins; none of them keeps the program from ending. */
+/**
+ * Creates the threads of the stand-ins, all of them daemon threads, so that they don't keep the JVM
+ * alive.
+ */
 final class DaemonThreads {
-  /** What a thread does; a failure of its socket ends it and nothing else. */
+  /** The work of a thread; an IOException ends this thread and nothing else. */
   interface Task {
     void run() throws IOException;
   }
@@ -22,7 +25,7 @@
               try {
                 task.run();
               } catch (IOException e) {
-                // the connection ended, which whoever waits for its answer notices
+                // the connection was closed, which the peer that waits for an answer notices
               }
             },
             name);
--- a/emulator/src/main/java/gladelug/emulator/soak/DeployCommands.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/DeployCommands.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The commands of the deploy file, and where they run. */
+/** The start commands of the roles in the deploy file, and the folder in which they run. */
 final class DeployCommands {
   static final String DEPLOY_FILE = "deploy/system.toml";
   private static final String JAR = "-jar";
@@ -20,12 +20,18 @@
     this.classPath = classPath;
   }
 
-  /** As the platform runs them: the jars that the build made below a checkout's root. */
+  /**
+   * Returns the commands as the platform runs them, with the jars that the build made below a
+   * checkout's root.
+   */
   static DeployCommands fromJars(Path root) {
     return new DeployCommands(root, "");
   }
 
-  /** With every flag of the deploy file, but the classes that this process was started with. */
+  /**
+   * Returns the commands with all flags of the deploy file, but with the class path of this
+   * process.
+   */
   static DeployCommands fromOwnClassPath(Path root) {
     return new DeployCommands(root, System.getProperty("java.class.path"));
   }
@@ -35,7 +41,7 @@
   }
 
   /**
-   * The command of the role whose program is called with this argument.
+   * Returns the command of the role whose last argument is the given one.
    *
    * @throws IOException if the deploy file can't be read or has no such role
    */
@@ -44,7 +50,8 @@
       if (line.startsWith("run = ") && line.endsWith(" " + argument + "\""))
         return resolveExecutable(
             line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')).split(" +"));
-    throw new IOException("no role of " + root.resolve(DEPLOY_FILE) + " runs " + argument);
+    throw new IOException(
+        "no run command in " + root.resolve(DEPLOY_FILE) + " ends with the argument " + argument);
   }
 
   private List<String> resolveExecutable(String[] words) {
--- a/emulator/src/main/java/gladelug/emulator/soak/DisturbanceWindows.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/DisturbanceWindows.java
@@ -3,9 +3,12 @@
 import gladelug.emulator.soak.SoakLedger.Disturbance;
 import java.util.List;
 
-/** When machines were in touch: nothing was done to them or to the core shortly before. */
+/** Tells which periods are free of disturbances of a machine's relay and of the core. */
 final class DisturbanceWindows {
-  /** ContactMs, and as much for a loaded machine. */
+  /**
+   * How long a disturbance has effects after its end: ContactMs (3 s), doubled for a loaded
+   * machine.
+   */
   static final int SETTLING_MS = 6000;
 
   private final List<Disturbance> disturbances;
@@ -14,7 +17,10 @@
     this.disturbances = disturbances;
   }
 
-  /** Whether nothing was done to the machine's relay or to the core, from ContactMs before on. */
+  /**
+   * Returns whether neither the machine's relay nor the core is affected by a disturbance in the
+   * period.
+   */
   boolean isUndisturbed(int machine, long fromMs, long toMs) {
     for (Disturbance disturbance : disturbances)
       if (overlaps(disturbance, fromMs, toMs)
@@ -23,7 +29,11 @@
     return true;
   }
 
-  /** Whether nothing but this was done to the machine's relay. */
+  /**
+   * Returns whether no disturbance but the expected one (null for none) affects the machine's relay
+   * or the core in the period. SIGTERM of other machines doesn't count as a disturbance of the
+   * core.
+   */
   boolean isOnlyDisturbance(Disturbance expected, int machine, long fromMs, long toMs) {
     for (Disturbance disturbance : disturbances)
       if (!disturbance.equals(expected)
@@ -37,6 +47,7 @@
     return disturbance.fromMs() <= toMs && disturbance.toMs() + SETTLING_MS >= fromMs;
   }
 
+  /** Returns whether a disturbance was one of the machine's relay. */
   static boolean affectsRelay(Disturbance disturbance, int machine) {
     return disturbance.process().equals("relay-" + machine);
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/EventKind.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/EventKind.java
@@ -5,46 +5,50 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What an event of a plan does, and to what kind of target. */
+/** The kinds of events in a plan: what each does, and to what kind of target. */
 enum EventKind {
-  RELAY_TERM(Target.RELAY, "SIGTERM, SIGKILL after the grace period, started again"),
-  RELAY_TERMS(Target.RELAY, "SIGTERM, once more a second later, SIGKILL, started again"),
-  RELAY_KILL(Target.RELAY, "SIGKILL, started again"),
+  RELAY_TERM(Target.RELAY, "SIGTERM, SIGKILL after the grace period, restart"),
+  RELAY_TERMS(
+      Target.RELAY, "SIGTERM, a second one 1 s later, SIGKILL after the grace period, restart"),
+  RELAY_KILL(Target.RELAY, "SIGKILL, restart"),
   RELAY_HUP(Target.RELAY, "SIGHUP"),
-  RELAY_FREEZE(Target.RELAY, "SIGSTOP and SIGCONT"),
-  MEMBER_TERM(Target.MEMBER, "SIGTERM, SIGKILL after the grace period, started again"),
-  MEMBER_KILL(Target.MEMBER, "SIGKILL, started again"),
-  MEMBER_WIPE(Target.MEMBER, "SIGKILL, the disk is lost, started again with an empty one"),
-  MEMBER_FREEZE(Target.MEMBER, "SIGSTOP and SIGCONT"),
-  MACHINE_TERM(Target.MEMBER, "SIGTERM of both processes of a machine, started again"),
-  CORE_KILL(Target.NONE, "SIGKILL of all members at once, their disks kept"),
-  ROUTES(Target.NONE, "a configuration with a route more or less"),
-  ISOLATE(Target.TENANT, "a configuration in which a tenant becomes isolated, or shares again"),
-  SWAP(Target.NONE, "a configuration in which two tenants change places, isolated and sharing"),
-  TENANT(Target.TENANT, "a configuration that removes a tenant, or brings it back"),
+  RELAY_FREEZE(Target.RELAY, "SIGSTOP, later SIGCONT"),
+  MEMBER_TERM(Target.MEMBER, "SIGTERM, SIGKILL after the grace period, restart"),
+  MEMBER_KILL(Target.MEMBER, "SIGKILL, restart"),
+  MEMBER_WIPE(Target.MEMBER, "SIGKILL, loss of the disk, restart with an empty one"),
+  MEMBER_FREEZE(Target.MEMBER, "SIGSTOP, later SIGCONT"),
+  MACHINE_TERM(Target.MEMBER, "SIGTERM of the relay and the core member of a machine, restart"),
+  CORE_KILL(Target.NONE, "SIGKILL of all core members at once, restart with their disks"),
+  ROUTES(Target.NONE, "a configuration with more or fewer routes"),
+  ISOLATE(Target.TENANT, "a configuration that isolates a tenant or ends its isolation"),
+  SWAP(Target.NONE, "a configuration that isolates one tenant and ends the isolation of another"),
+  TENANT(Target.TENANT, "a configuration that removes a tenant or adds it again"),
   REVOKE(Target.TENANT, "a configuration that replaces a tenant's key"),
-  LIMITS(Target.NONE, "a configuration with other limits and time-outs"),
-  LARGE(Target.NONE, "a configuration of some megabytes, up to more than is taken, or back"),
+  LIMITS(Target.NONE, "a configuration with another body size limit"),
+  LARGE(
+      Target.NONE,
+      "a configuration of several megabytes, possibly above the size limit, or a small one again"),
   INVALID(Target.NONE, "an invalid configuration"),
-  RACE(Target.NONE, "two operators on one version"),
-  RESEND(Target.NONE, "the newest configuration sent once more, as after a lost answer"),
-  WEIGHTS(Target.NONE, "new weights are named"),
-  REPLICA_CRASH(Target.REPLICA, "its connections are reset; it comes back empty as another"),
-  REPLICA_SLOW(Target.REPLICA, "its work takes ten times as long"),
+  RACE(Target.NONE, "two concurrent changes based on the same revision"),
+  RESEND(
+      Target.NONE, "the newest acknowledged configuration is sent again, as after a lost answer"),
+  WEIGHTS(Target.NONE, "new model weights are announced"),
+  REPLICA_CRASH(Target.REPLICA, "its connections are reset; it restarts empty as a new instance"),
+  REPLICA_SLOW(Target.REPLICA, "it takes ten times as long for its work"),
   REPLICA_RESET(Target.REPLICA, "it resets connections in the middle of answers"),
   ANSWER_ENDLESS(Target.REPLICA, "answers whose first event never ends"),
   ANSWER_CUT(Target.REPLICA, "answers that end in the middle"),
-  ANSWER_SURPLUS(Target.REPLICA, "answers with more bytes after their end"),
+  ANSWER_SURPLUS(Target.REPLICA, "answers that are followed by surplus bytes"),
   ANSWER_HUGE(Target.REPLICA, "answers of many megabytes"),
-  PAGES_MALFORMED(Target.REPLICA, "reports, events and lists that are malformed or endless"),
-  STORE_DOWN(Target.NONE, "the store goes and comes back empty"),
-  PLATFORM_DOWN(Target.NONE, "the list of replicas isn't answered"),
-  PLATFORM_SLOW(Target.NONE, "the list of replicas is answered late"),
-  PLATFORM_BUSY(Target.NONE, "the list of replicas is answered 429"),
+  PAGES_MALFORMED(Target.REPLICA, "its reports, cache events and lists are malformed or endless"),
+  STORE_DOWN(Target.NONE, "the prefix store stops and restarts empty"),
+  PLATFORM_DOWN(Target.NONE, "requests for the list of replicas get no answer"),
+  PLATFORM_SLOW(Target.NONE, "requests for the list of replicas are answered late"),
+  PLATFORM_BUSY(Target.NONE, "requests for the list of replicas are answered with status 429"),
   BURST(Target.NONE, "many requests at once"),
-  LARGE_BODIES(Target.NONE, "many bodies of the greatest size at once");
+  LARGE_BODIES(Target.NONE, "many requests with bodies of the maximum size at once");
 
-  /** What an event is aimed at. */
+  /** The kinds of targets of events. */
   enum Target {
     NONE,
     RELAY,
@@ -61,7 +65,7 @@
     this.help = help;
   }
 
-  /** As plans and the command line name it. */
+  /** Returns the name of the kind in plans and on the command line. */
   String id() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
@@ -74,12 +78,12 @@
     return Arrays.stream(values()).map(EventKind::id).toList();
   }
 
-  /** Whether the event is planned work: SIGTERM of a relay. */
+  /** Returns whether the event stops a relay in an orderly way, by SIGTERM. */
   boolean stopsRelay() {
     return this == RELAY_TERM || this == RELAY_TERMS || this == MACHINE_TERM;
   }
 
-  /** Whether the event disturbs members of the core. */
+  /** Returns whether the event disturbs members of the core. */
   boolean disturbsCore() {
     return target == Target.MEMBER || this == CORE_KILL;
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/PlanGenerator.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/PlanGenerator.java
@@ -6,28 +6,38 @@
 import java.util.Set;
 
 /**
- * Draws a plan from a seed: series of events that overlap, within what the deployment has to bear.
- * At any time one member of the core at the most is down, frozen or without its disk, and has its
- * time to catch up before the next; all members may be killed at once, as their disks stay. Relays,
- * replicas, the store, the platform, clients and configurations are disturbed without such a bound.
+ * Generates a plan from a seed: overlapping series of events that the deployment must tolerate. At
+ * any time at most one member of the core is down, frozen or without its disk, and it gets time to
+ * catch up before the next event at the core. All members may be killed at once, since they keep
+ * their disks. The number of concurrent events at relays, replicas, the store, the platform,
+ * clients and configurations is not limited.
  */
 final class PlanGenerator {
-  /** No event begins before all have had the time to start and to take a configuration. */
+  /**
+   * Leaves all processes time to start and to apply a first configuration; only a disk loss during
+   * the first start comes earlier.
+   */
   static final long FIRST_EVENT_MS = 9000;
 
   private static final int TERMINATION_GRACE_MS = 8000;
 
-  /** After an event at a member until the next one, beside what the event lasts. */
+  /** Minimum time from the end of an event at a core member to the next one. */
   private static final int CORE_CATCH_UP_MS = 7000;
 
-  /** How often one of so many plans loses a founder with its disk while the fleet first starts. */
+  /**
+   * One in this many plans wipes the disk of a core member while the fleet starts for the first
+   * time.
+   */
   private static final int FIRST_START_LOSS_ONE_IN = 4;
 
   private static final int FIRST_START_LOSS_MAX_MS = 900;
   private static final int[] MACHINE_COUNTS = {3, 3, 4, 6, 12};
   private static final int MAX_SERIES_EVENTS = 4;
 
-  /** Between two series, on average: dense plans overlap more, sparse ones show more of each. */
+  /**
+   * Mean pauses between two series: events overlap more in dense plans, and are easier to tell
+   * apart in sparse ones.
+   */
   private static final int[] MEAN_PAUSES_MS = {700, 1500, 4000};
 
   private final Random random;
@@ -43,10 +53,10 @@
   }
 
   /**
-   * The plan of a seed.
+   * Generates the plan of a seed.
    *
-   * @param machines how many, or 0 for as many as the seed says
-   * @param allowedKinds the kinds that may come; empty for all
+   * @param machines number of machines, or 0 to draw it from the seed
+   * @param allowedKinds the kinds of events to draw from; empty for all
    */
   static SoakPlan generate(long seed, int seconds, int machines, Set<EventKind> allowedKinds) {
     Random random = new Random(seed * 0x9E3779B97F4A7C15L + 1);
@@ -77,7 +87,7 @@
     return 100 + (long) (-Math.log(1 - random.nextDouble()) * meanMs);
   }
 
-  /** The same kind once or several times in a row. */
+  /** Adds one or several events of a kind in a row. */
   private void addSeries(long fromMs, EventKind kind, long endMs) {
     int eventCount = random.nextInt(3) > 0 ? 1 : 1 + random.nextInt(MAX_SERIES_EVENTS);
     long atMs = fromMs;
--- a/emulator/src/main/java/gladelug/emulator/soak/PlanShrinker.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/PlanShrinker.java
@@ -5,13 +5,18 @@
 import java.util.function.Predicate;
 
 /**
- * Drops events from a plan while it goes on breaking a rule: first halves, then smaller parts, at
- * last one by one. What is tried takes its real time, so the tries are bounded.
+ * Removes events from a failing plan as long as it still breaks a rule: first halves, then ever
+ * smaller chunks, finally single events. Each try plays a plan in real time, so the number of tries
+ * is limited.
  */
 final class PlanShrinker {
   private PlanShrinker() {}
 
-  /** The smallest plan found. fails: whether a plan still breaks the rule, by playing it. */
+  /**
+   * Returns the smallest failing plan that was found.
+   *
+   * @param stillFails plays a plan and returns whether it still breaks a rule
+   */
   static SoakPlan shrink(SoakPlan plan, int maxTries, Predicate<SoakPlan> stillFails) {
     SoakPlan smallest = plan;
     int tries = 0;
--- a/emulator/src/main/java/gladelug/emulator/soak/PrefixCache.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/PrefixCache.java
@@ -10,14 +10,15 @@
 import java.util.Map;
 
 /**
- * The parts of prompts that a replica or a store keeps, who made each, and the two calls that tell
- * of them. A part is found under the text it was kept under, and under no other.
+ * The prompt prefix cache of a stand-in replica or store. Remembers which request created each part
+ * and answers the two cache calls, for events and for the whole list. A part is found only under
+ * the salt, id and token count it was stored with.
  */
 final class PrefixCache {
-  /** Who made a part. */
-  record Maker(String tenant, String id) {}
+  /** The request that created a part, and its tenant. */
+  record Creator(String tenant, String id) {}
 
-  /** A part as it is looked up. */
+  /** The lookup key of a cached part of a prompt. */
   record Part(String salt, String id, int tokens) {
     JsonArray toJson() {
       return new JsonArray().add(salt).add(id).add(tokens).add(ConfigurationModel.MODEL);
@@ -26,11 +27,11 @@
 
   private static final int MAX_ENTRIES = 4000;
 
-  private final Map<Part, Maker> parts = new LinkedHashMap<>();
+  private final Map<Part, Creator> parts = new LinkedHashMap<>();
   private final List<JsonArray> events = new ArrayList<>();
   private int epoch = 1;
 
-  /** Drops everything, as a restart does. */
+  /** Drops all parts and events and begins a new epoch, as a restart does. */
   synchronized void restart() {
     parts.clear();
     events.clear();
@@ -38,17 +39,17 @@
     notifyAll();
   }
 
-  /** Drops the parts, as new weights do, and tells of it. */
+  /** Evicts all parts, as new weights require, and logs an event for each. */
   synchronized void dropAll() {
     for (Part part : List.copyOf(parts.keySet())) remove(part);
   }
 
-  synchronized Maker find(Part part) {
+  synchronized Creator find(Part part) {
     return parts.get(part);
   }
 
-  synchronized void keep(Part part, Maker maker) {
-    if (parts.putIfAbsent(part, maker) != null) return;
+  synchronized void keep(Part part, Creator creator) {
+    if (parts.putIfAbsent(part, creator) != null) return;
     logEvent("+", part, part.tokens());
     if (parts.size() > MAX_ENTRIES) remove(parts.keySet().iterator().next());
   }
@@ -70,7 +71,7 @@
     notifyAll();
   }
 
-  /** The parts of a prompt, in order. */
+  /** Parses the value of a prompt prefix header into parts, in order. */
   static List<Part> parseParts(String salt, String prefix) {
     List<Part> parts = new ArrayList<>();
     for (String one : prefix.split(",")) {
@@ -80,7 +81,10 @@
     return parts;
   }
 
-  /** Answers `/-/kv-events` and `/-/kv-list`; whether it was one of them. */
+  /**
+   * Answers `/-/kv-events` and `/-/kv-list`; returns false, without an answer, for any other
+   * target.
+   */
   boolean answerIfCacheCall(String target, HttpMessage request, OutputStream out)
       throws IOException {
     if (target.startsWith("/-/kv-events"))
--- a/emulator/src/main/java/gladelug/emulator/soak/ReplicaListServer.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ReplicaListServer.java
@@ -7,7 +7,7 @@
 import java.io.OutputStream;
 import java.util.List;
 
-/** The platform's list of replicas, which may be down, slow or busy. */
+/** A stand-in for the platform's API that lists the replicas; it can be down, slow or busy. */
 final class ReplicaListServer implements AutoCloseable {
   private static final int SLOW_MS = 1500;
 
@@ -17,7 +17,7 @@
 
   ReplicaListServer(String host, List<SoakReplica> replicas) throws IOException {
     this.replicas = replicas;
-    server = new SocketServer(host, "platform", this::answer);
+    server = new SocketServer(host, "platform", this::handle);
     server.open();
   }
 
@@ -25,8 +25,9 @@
     return server.address();
   }
 
-  private void answer(HttpMessage request, OutputStream out) throws IOException {
-    if (faults.isActive(EventKind.PLATFORM_DOWN)) throw new IOException("the platform is down");
+  private void handle(HttpMessage request, OutputStream out) throws IOException {
+    if (faults.isActive(EventKind.PLATFORM_DOWN))
+      throw new IOException("the list of replicas is down by a planned fault");
     if (faults.isActive(EventKind.PLATFORM_BUSY)) {
       SocketServer.writeAnswer(out, 429, "", "{}");
       return;
--- a/emulator/src/main/java/gladelug/emulator/soak/RequestKind.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/RequestKind.java
@@ -1,24 +1,24 @@
 package gladelug.emulator.soak;
 
-/** A kind of request, each on a route of its own. */
+/** The kinds of client requests; each has its own route. */
 enum RequestKind {
   ASK("unsafe", "/ask/", 6000, 0, 40, false),
   READ("safe", "/read/", 6000, 0, 30, false),
   STREAM("streaming", "/stream/", 12_000, 12, 60, true),
   LONG_STREAM("streaming", "/long/", 20_000, 70, 100, false),
-  /** With a body of the greatest size that the configuration allows. */
+  /** A request with a body of the maximum size that the configuration allows. */
   UPLOAD("unsafe", "/upload/", 8000, 0, 30, false);
 
-  /** As configurations name it. */
+  /** The route type in configurations. */
   final String routeType;
 
   final String path;
   final int deadlineMs;
 
-  /** How many events its answer streams; 0 for one body. */
+  /** Number of events in a streamed answer; 0 for an answer with a plain body. */
   final int eventCount;
 
-  /** How long a replica works on a body, or between two events. */
+  /** How long a replica works on a plain body, or on each event of a stream. */
   final int workPerStepMs;
 
   final boolean resumable;
@@ -33,7 +33,7 @@
     this.resumable = resumable;
   }
 
-  /** Whether one try of a client may run more than once. */
+  /** Returns whether a request may run more than once. */
   boolean isRepeatable() {
     return routeType.equals("safe") || resumable;
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/Soak.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/Soak.java
@@ -14,18 +14,21 @@
 import java.util.function.Consumer;
 
 /**
- * Plays one plan with real processes and judges what was played, even if it is interrupted. All
- * processes are ended, by their ids, whatever happens.
+ * Plays one plan with real processes and judges the run, even if it is interrupted. All started
+ * processes are killed at the end, also after a failure.
  */
 public final class Soak implements AutoCloseable {
-  /** What a run found. */
+  /** The result of a run. */
   record Result(SoakPlan plan, SoakLedger ledger, List<Violation> violations, Path folder) {
     boolean clean() {
       return violations.isEmpty();
     }
   }
 
-  /** RecoveryS after the last event, and the time in which recovery is judged. */
+  /**
+   * RecoveryS, the time to recover after the last event, and the following period in which recovery
+   * is measured.
+   */
   private static final int RECOVERY_MS = 12_000, RECOVERY_MEASUREMENT_MS = 6000;
 
   private static final int FIRST_CONFIGURATION_TIMEOUT_MS = 60_000;
@@ -36,10 +39,12 @@
   private static final int CLIENTS_PER_MACHINE = 4;
   private static final int BURST_REQUESTS = 120, LARGE_BODY_REQUESTS = 120;
 
-  /** The platform's list shows a replica that crashed for a while. */
+  /** How long the platform goes on listing a crashed replica, at most. */
   private static final int LISTED_AFTER_CRASH_MAX_MS = 1500;
 
-  private static final int PLATFORM_HOST = 100, STORE_HOST = 101, REPLICA_HOST = 110;
+  private static final int PLATFORM_HOST_NUMBER = 100,
+      STORE_HOST_NUMBER = 101,
+      FIRST_REPLICA_HOST_NUMBER = 110;
   private static final int NETWORKS_PER_OCTET = 200;
 
   private final SoakPlan plan;
@@ -62,10 +67,12 @@
           });
   private final ExecutorService faultExecutor = DaemonThreads.pool("fault");
 
-  /** One party for this run, and one for each fault under way. */
+  /** Has one party for this run and one for each background task. */
   private final Phaser pendingTasks = new Phaser(1);
 
-  /** What went wrong with the soak itself, not with what it judges. */
+  /**
+   * The first failure of the soak test itself, as opposed to a broken rule; null if there is none.
+   */
   private final AtomicReference<RuntimeException> failure = new AtomicReference<>();
 
   private Soak(SoakPlan plan, DeployCommands commands, Path folder, Consumer<String> printLine)
@@ -73,13 +80,16 @@
     this.plan = plan;
     this.folder = folder;
     this.printLine = printLine;
-    String net = ownNetwork();
+    String addressPrefix = ownNetwork();
     for (int number = 1; number <= plan.replicas(); number++)
-      replicas.add(new SoakReplica(number, net + (REPLICA_HOST + number), ledger, this::cacheAt));
-    store = new SoakStore(net + STORE_HOST);
-    replicaList = new ReplicaListServer(net + PLATFORM_HOST, replicas);
+      replicas.add(
+          new SoakReplica(
+              number, addressPrefix + (FIRST_REPLICA_HOST_NUMBER + number), ledger, this::cacheAt));
+    store = new SoakStore(addressPrefix + STORE_HOST_NUMBER);
+    replicaList = new ReplicaListServer(addressPrefix + PLATFORM_HOST_NUMBER, replicas);
     machines =
-        new SoakMachines(commands, folder, plan.machines(), net, replicaList.address(), ledger);
+        new SoakMachines(
+            commands, folder, plan.machines(), addressPrefix, replicaList.address(), ledger);
     operator =
         new SoakOperator(
             ledger, machines, ConfigurationModel.initial(store.address()), plan.seed());
@@ -87,7 +97,10 @@
     clients = new SoakClients(ledger, machines, loadBalancer, operator::configuration);
   }
 
-  /** Loopback addresses of this process's own, so that several soaks can run beside each other. */
+  /**
+   * Returns a loopback network derived from the process id, so that several soak tests can run in
+   * parallel.
+   */
   private static String ownNetwork() {
     long pid = ProcessHandle.current().pid();
     return "127."
@@ -100,8 +113,8 @@
   /**
    * Plays a plan and judges it.
    *
-   * @param folder for logs, settings and data of the processes
-   * @param printLine gets a progress line now and then
+   * @param folder receives logs, settings and data of the processes
+   * @param printLine receives progress lines
    * @throws IOException if the stand-ins can't listen or a process can't be started
    */
   static Result play(
@@ -118,15 +131,17 @@
     }
   }
 
-  /** Ends all processes and judges what was played; what comes after the events is not judged. */
+  /**
+   * Kills all processes and judges what was played so far; recovery after the events is not judged.
+   */
   private void handleInterrupt() {
     ledger.recordInterruption(ledger.nowMs());
     close();
     try {
       printLine.accept(
-          "interrupted; judged is what was played\n" + SoakReport.write(result()).trim());
+          "interrupted; report on the run so far:\n" + SoakReport.write(result()).trim());
     } catch (IOException e) {
-      printLine.accept("interrupted; the report can't be written: " + e.getMessage());
+      printLine.accept("interrupted; the report cannot be written: " + e.getMessage());
     }
   }
 
@@ -148,21 +163,21 @@
     clients.start(CLIENTS_PER_MACHINE * plan.machines(), plan.seed());
     long endMs = plan.seconds() * 1000L;
     for (SoakEvent event : plan.events()) {
-      progressUntil(event.atMs());
-      perform(event);
+      waitUntil(event.atMs());
+      startEvent(event);
       endMs = Math.max(endMs, event.endMs());
     }
-    progressUntil(endMs);
+    waitUntil(endMs);
     pendingTasks.arriveAndAwaitAdvance();
     ledger.recordEndOfEvents(ledger.nowMs());
-    progressUntil(ledger.nowMs() + RECOVERY_MS + RECOVERY_MEASUREMENT_MS);
+    waitUntil(ledger.nowMs() + RECOVERY_MS + RECOVERY_MEASUREMENT_MS);
     ledger.recordFinalConfiguration(operator.readBack(READ_BACK_TIMEOUT_MS));
     clients.stop();
     loadBalancer.stop();
     if (failure.get() != null) throw failure.get();
   }
 
-  /** Does it beside the run, which waits for its end. */
+  /** Runs a task in the background; the run waits for its end before it measures recovery. */
   private void runInBackground(ExecutorService executor, Runnable task) {
     pendingTasks.register();
     executor.execute(
@@ -179,21 +194,21 @@
 
   private void sendFirstConfiguration() {
     if (!operator.sendFirst(FIRST_CONFIGURATION_TIMEOUT_MS))
-      printLine.accept("the first configuration was not taken");
+      printLine.accept("the first configuration was not acknowledged");
     machines.markFirstStartOver();
   }
 
-  private void progressUntil(long atMs) {
+  private void waitUntil(long atMs) {
     while (ledger.nowMs() < atMs) {
-      long partMs =
+      long pauseMs =
           Math.min(
               atMs - ledger.nowMs(), PROGRESS_INTERVAL_MS - ledger.nowMs() % PROGRESS_INTERVAL_MS);
-      DaemonThreads.pause(Math.max(1, partMs));
+      DaemonThreads.pause(Math.max(1, pauseMs));
       if (ledger.nowMs() % PROGRESS_INTERVAL_MS < 50) printLine.accept(SoakReport.progress(ledger));
     }
   }
 
-  private void perform(SoakEvent event) {
+  private void startEvent(SoakEvent event) {
     EventKind kind = event.kind();
     switch (kind) {
       case ROUTES, ISOLATE, SWAP, TENANT, REVOKE, LIMITS, LARGE, INVALID, RACE, RESEND, WEIGHTS ->
@@ -208,7 +223,10 @@
     }
   }
 
-  /** Changes wait for each other; what would come long after the last event is left out. */
+  /**
+   * Performs a change unless it is overdue: changes queue up, and those due long after the planned
+   * end are skipped.
+   */
   private void performUnlessTooLate(SoakEvent event) {
     if (ledger.nowMs() < plan.seconds() * 1000L + MAX_CHANGE_DELAY_AFTER_END_MS)
       operator.perform(event);
@@ -220,7 +238,7 @@
     try {
       store.start();
     } catch (IOException e) {
-      throw new IllegalStateException("the store's address is taken", e);
+      throw new IllegalStateException("cannot listen at the address of the store", e);
     }
   }
 
@@ -255,7 +273,7 @@
     try {
       replica.restart(operator.weightsRevision());
     } catch (IOException e) {
-      throw new IllegalStateException("the replica's address is taken", e);
+      throw new IllegalStateException("cannot listen at the address of the replica", e);
     }
   }
 
@@ -268,27 +286,27 @@
     try {
       switch (event.kind()) {
         case RELAY_HUP -> process.signal("HUP");
-        case RELAY_FREEZE, MEMBER_FREEZE -> freeze(event, process);
+        case RELAY_FREEZE, MEMBER_FREEZE -> freezeForEvent(event, process);
         case RELAY_TERM, RELAY_TERMS, MEMBER_TERM, MACHINE_TERM -> {
           boolean twice = event.kind() == EventKind.RELAY_TERMS;
           process.terminate(SoakMachines.TERMINATION_GRACE_MS, twice ? SECOND_TERM_AFTER_MS : 0);
           machines.restart(process, false);
         }
-        default -> kill(event, process);
+        default -> killForEvent(event, process);
       }
     } catch (IOException e) {
-      throw new IllegalStateException(event + " failed", e);
+      throw new IllegalStateException(event + " could not be performed", e);
     }
     recordDisturbance(event, process.name, fromMs, ledger.nowMs());
   }
 
-  private static void freeze(SoakEvent event, SoakProcess process) throws IOException {
+  private static void freezeForEvent(SoakEvent event, SoakProcess process) throws IOException {
     process.signal("STOP");
     DaemonThreads.pause(event.durationMs());
     process.signal("CONT");
   }
 
-  private void kill(SoakEvent event, SoakProcess process) throws IOException {
+  private void killForEvent(SoakEvent event, SoakProcess process) throws IOException {
     process.kill();
     boolean wipe = event.kind() == EventKind.MEMBER_WIPE;
     if (wipe) process.deleteData();
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakClients.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakClients.java
@@ -17,12 +17,12 @@
 import java.util.function.Supplier;
 
 /**
- * The clients: each keeps its connection and goes on using it until it ends, whatever happens to
- * the machine at the other end; some give up, some read slowly, some send large bodies. New
- * connections go to machines that are ready, as the platform sees it.
+ * The clients of a soak test. Each reuses its connection until it is closed, whatever happens to
+ * the machine at the other end. Some clients give up, some read slowly and some send large bodies.
+ * New connections go to the machines that the load balancer considers ready.
  */
 final class SoakClients {
-  /** How long after its deadline a request that got no answer counts as never answered. */
+  /** How long after its deadline a request without a complete answer counts as unanswered. */
   static final int SILENT_AFTER_DEADLINE_MS = 4000;
 
   private static final int CONNECT_TIMEOUT_MS = 1000;
@@ -64,7 +64,7 @@
     stopped = true;
   }
 
-  /** Many requests at once, on connections of their own. */
+  /** Sends many requests at once, each on a new connection. */
   void sendBurst(int requests, RequestKind kind, long seed) {
     for (int i = 0; i < requests; i++) {
       Random random = new Random(seed * 7919 + i);
@@ -73,13 +73,15 @@
             try (Connection connection = new Connection(loadBalancer.pickMachine(random))) {
               connection.sendRequest(kind, random, false);
             } catch (IOException e) {
-              // the machine can't be reached, which is no request
+              // no request was sent, as the machine can't be reached
             }
           });
     }
   }
 
-  /** What a body of the greatest size has behind its first bytes; shared by all requests. */
+  /**
+   * Returns the zero bytes that fill a body up to the maximum size; all requests share the array.
+   */
   private byte[] largeBodyRest(int firstLength) {
     int length = configuration.get().maxBodyBytes() - firstLength;
     if (largeBodyRest.length != length) largeBodyRest = new byte[length];
@@ -120,7 +122,7 @@
       in = new BufferedInputStream(socket.getInputStream(), 1 << 13);
     }
 
-    /** Sends a request and waits for its end; whether the connection can be used again. */
+    /** Sends a request and waits for its end; returns whether the connection can be reused. */
     boolean sendRequest(RequestKind kind, Random random, boolean mayGiveUp) {
       Call call = newCall(kind, random);
       byte[] idBytes = call.id.getBytes(StandardCharsets.US_ASCII);
@@ -185,7 +187,10 @@
       out.flush();
     }
 
-    /** Two parts that all tenants ask for, and one of the request's own. */
+    /**
+     * Returns a prompt prefix of two parts that all tenants use and one that is unique to the
+     * request.
+     */
     private String promptPrefix(Call call, Random random) {
       int shared = random.nextInt(SHARED_PROMPTS);
       return String.format(
@@ -207,7 +212,7 @@
                 setReadTimeout(readUntilMs);
               },
               HttpMessage.MAX_KEPT_BODY_BYTES);
-      if (answer == null) throw new IOException("closed before an answer");
+      if (answer == null) throw new IOException("connection closed before an answer");
       call.status = answer.status();
       call.seal = answer.header("X-Gladelug-Server-Seal");
       call.echoedId = answer.header("X-Gladelug-Request-Id");
@@ -234,13 +239,13 @@
       if (call.kind.eventCount == 0)
         return Arrays.equals(answer.body(), SoakReplica.expectedBody(call.id))
             ? ""
-            : answer.body().length + " bytes that are not the replica's";
+            : answer.body().length + " bytes that differ from the replica's answer";
       StringBuilder expected = new StringBuilder();
       for (int number = 1; number <= call.kind.eventCount; number++)
         expected.append(SoakReplica.expectedEvent(call.id, number));
       return answer.text().contentEquals(expected)
           ? ""
-          : "events that are not the replica's, or not all, or not in order";
+          : "events that are incomplete, out of order or differ from the replica's";
     }
 
     private void end(Call call, End end) {
@@ -254,7 +259,7 @@
     }
   }
 
-  /** The client doesn't wait any longer. */
+  /** Thrown when a client gives up before the end of the answer. */
   private static final class ClientGaveUpException extends IOException {
     private static final long serialVersionUID = 1;
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakCommand.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakCommand.java
@@ -10,17 +10,21 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The command fleet-emulator soak: plans from seeds or a file, played one after the other. */
+/**
+ * The command {@code fleet-emulator soak}: plays plans from seeds or a file one after the other, or
+ * shrinks a failed plan.
+ */
 public final class SoakCommand {
   /**
-   * What the command line says.
+   * The options of the command.
    *
-   * @param planFile a plan to play in place of drawn ones, or a folder to shrink; null for neither
+   * @param planFile a plan file to play in place of generated plans, or the folder of a failed run
+   *     whose plan is to be shrunk; null for neither
    * @param seed the first seed
-   * @param seeds how many seeds
-   * @param size machines, 0 for as many as the seed says
-   * @param only kinds of events by their ids; empty for all
-   * @param checkout the built checkout whose processes are played
+   * @param seeds number of seeds
+   * @param size number of machines, or 0 to draw it from the seed
+   * @param only ids of the kinds of events to draw from; empty for all
+   * @param checkout the built checkout whose processes are started
    */
   public record Options(
       Path planFile,
@@ -46,19 +50,23 @@
     this.printLine = printLine;
   }
 
-  /** The ids of the kinds of events. */
+  /** Returns the ids of all kinds of events. */
   public static List<String> kinds() {
     return EventKind.ids();
   }
 
   /**
-   * Plays; whether no rule was broken. Findings on flags and plans are said, and count as broken.
+   * Plays the chosen plans; returns whether no rule was broken. Findings on options and plans are
+   * printed and count as failures.
    */
   public static boolean play(Options options, Consumer<String> printLine) throws IOException {
     return new SoakCommand(options, printLine).play();
   }
 
-  /** Shrinks the plan of a failed run's folder; whether it still fails at all. */
+  /**
+   * Shrinks the plan in a failed run's folder; returns whether a smaller plan was found that still
+   * fails.
+   */
   public static boolean shrink(Options options, Consumer<String> printLine) throws IOException {
     return new SoakCommand(options, printLine).shrink();
   }
@@ -90,14 +98,15 @@
           .ifPresentOrElse(
               kinds::add,
               () ->
-                  findings.add("--only", id + " is none of " + String.join(", ", EventKind.ids())));
+                  findings.add(
+                      "--only", id + " is not one of " + String.join(", ", EventKind.ids())));
     return kinds;
   }
 
   private SoakPlan read(Path file) throws IOException {
-    Result<SoakPlan> read = SoakPlan.read(Files.readString(file));
-    if (read instanceof Result.Good<SoakPlan> good) return good.value();
-    printLine.accept(file + ":\n" + read);
+    Result<SoakPlan> result = SoakPlan.read(Files.readString(file));
+    if (result instanceof Result.Good<SoakPlan> good) return good.value();
+    printLine.accept(file + ":\n" + result);
     return null;
   }
 
@@ -106,7 +115,7 @@
         name + ": " + plan.machines() + " machines, " + plan.events().size() + " events");
     Soak.Result result = Soak.play(plan, commands, unusedFolder(name), printLine);
     printLine.accept(SoakReport.write(result).trim());
-    if (!result.clean()) printLine.accept("kept in " + result.folder());
+    if (!result.clean()) printLine.accept("logs and reports kept in " + result.folder());
     return result.clean();
   }
 
@@ -125,7 +134,11 @@
     Path file = options.planFile.resolve(SMALLEST_PLAN);
     Files.writeString(file, smallest.toJson());
     printLine.accept(
-        plan.events().size() + " events, " + smallest.events().size() + " left in " + file);
+        plan.events().size()
+            + " events in the plan, "
+            + smallest.events().size()
+            + " in the smallest failing one: "
+            + file);
     return smallest.events().size() < plan.events().size();
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakEvent.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakEvent.java
@@ -3,10 +3,10 @@
 /**
  * One event of a plan.
  *
- * @param atMs when it begins, from the first start of the processes
- * @param target the number of the relay, member, tenant or replica, from 1; 0 where the kind has
- *     none
- * @param durationMs how long it lasts, for kinds that last
+ * @param atMs when it begins, in ms after the start of the soak test
+ * @param target the number of the relay, member, tenant or replica, from 1; 0 if the kind has no
+ *     target
+ * @param durationMs how long it lasts; 0 for kinds without a duration
  */
 record SoakEvent(long atMs, EventKind kind, int target, int durationMs) {
   long endMs() {
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakJudge.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakJudge.java
@@ -20,19 +20,20 @@
 import java.util.function.Predicate;
 
 /**
- * Judges a soak from its ledger alone. The bounds are those of the platform's pages, with some time
- * more for a machine that also plays clients and replicas; a check that needs to know which
- * configuration was in force judges only what is certain of every one that may have been.
+ * Checks the rules of a soak test against its ledger alone. The bounds are those of the platform's
+ * specification plus some slack, since this machine also runs the clients and replicas. Checks that
+ * depend on the configuration in force report only what breaks the rule under every configuration
+ * that may have been in force.
  */
 final class SoakJudge {
   private static final int REVOCATION_MS = 5000;
   private static final int APPLY_MS = 2000;
   private static final int RECOVERY_MS = 12_000;
 
-  /** For what this machine adds to the bounds of the pages. */
+  /** Slack for the delays that this machine adds to the bounds of the specification. */
   private static final int TIMING_SLACK_MS = 1500;
 
-  /** Half a second on the pages; how much later than its route's time an answer may come here. */
+  /** How long after its route's deadline an answer may come; the specification has 500 ms. */
   private static final int MAX_ANSWER_DELAY_MS = 2000;
 
   private static final int MIN_OFFENDERS = 3;
@@ -40,7 +41,10 @@
   private static final int MAX_DENIED_CALLS = 5;
   private static final int MAX_DENIED_ONE_IN = 500;
 
-  /** A request that has used more of its time counts as one that would have ended late anyway. */
+  /**
+   * A request that has used a larger fraction of its time counts as one that would have ended late
+   * anyway.
+   */
   private static final double MAX_DEADLINE_FRACTION_USED = 0.7;
 
   private static final int SAMPLE_INTERVAL_MS = 100;
@@ -48,7 +52,10 @@
   private static final double RETRY_RATIO = 0.2;
   private static final int RETRY_SLACK = 62;
 
-  /** Requests sent later than this after SIGTERM may be cut late without breaking a rule. */
+  /**
+   * A relay may cut a request in the last sixth of the grace period only if it was sent before
+   * SIGTERM or at most this long after it.
+   */
   private static final int ACCEPTED_AFTER_TERM_MS = 3000;
 
   private final SoakLedger ledger;
@@ -70,9 +77,10 @@
   }
 
   /**
-   * Every rule that was broken, the first of each kind first.
+   * Checks all rules and returns the violations.
    *
-   * @param disabledRules rules that are switched off, to see that a breach is found by them alone
+   * @param disabledRules rules that are not checked; tests use them to show that a violation is
+   *     found by one rule only
    */
   static List<Violation> judge(SoakLedger ledger, Set<SoakRule> disabledRules) {
     SoakJudge judge = new SoakJudge(ledger, disabledRules);
@@ -88,12 +96,12 @@
     return judge.violations;
   }
 
-  private void addViolation(SoakRule rule, long atMs, List<String> ids, String what) {
-    if (!disabledRules.contains(rule)) violations.add(new Violation(rule, atMs, ids, what));
+  private void addViolation(SoakRule rule, long atMs, List<String> ids, String description) {
+    if (!disabledRules.contains(rule)) violations.add(new Violation(rule, atMs, ids, description));
   }
 
-  private void addViolation(SoakRule rule, Call call, String what) {
-    addViolation(rule, call.endedAtMs, List.of(call.id), what);
+  private void addViolation(SoakRule rule, Call call, String description) {
+    addViolation(rule, call.endedAtMs, List.of(call.id), description);
   }
 
   private List<Run> runsOf(Call call) {
@@ -106,11 +114,11 @@
       List<Run> runs = runsOf(call);
       if (call.isServed()) checkAnswer(call, runs);
       if (!call.kind.isRepeatable() && runs.size() > 1)
-        addViolation(SoakRule.TWICE, call, runs.size() + " runs of a request of " + call.kind);
+        addViolation(SoakRule.TWICE, call, runs.size() + " runs of a request of kind " + call.kind);
       if (!call.kind.isRepeatable() && call.isRefusedUnexecuted() && !runs.isEmpty())
-        addViolation(SoakRule.REFUSED, call, "answered " + call.status + " and ran");
+        addViolation(SoakRule.REFUSED, call, "answered with " + call.status + ", but ran");
       if (!runs.isEmpty() && isKeyCertainlyRevoked(call.key, call.sentAtMs))
-        addViolation(SoakRule.KEY, call, "ran on the key " + call.key);
+        addViolation(SoakRule.KEY, call, "ran with the revoked key " + call.key);
       if (isWronglyDenied(call)) denied.add(call);
     }
     if (denied.size() > MAX_DENIED_CALLS + ledger.calls.size() / MAX_DENIED_ONE_IN)
@@ -118,7 +126,7 @@
           SoakRule.DENIED,
           denied.get(0).endedAtMs,
           ids(denied),
-          denied.size() + " proper requests were denied");
+          denied.size() + " valid requests were denied");
   }
 
   private static List<String> ids(List<Call> calls) {
@@ -129,9 +137,9 @@
     boolean bodyReplacedByFault =
         runs.stream().anyMatch(run -> run.spoiledBy == EventKind.ANSWER_HUGE);
     if (!call.seal.endsWith("-" + call.id))
-      addViolation(SoakRule.MIXED, call, "a success with the seal '" + call.seal + "'");
+      addViolation(SoakRule.MIXED, call, "successful answer with the seal '" + call.seal + "'");
     else if (!call.echoedId.equals(call.id))
-      addViolation(SoakRule.MIXED, call, "the answer to " + call.echoedId);
+      addViolation(SoakRule.MIXED, call, "got the answer to " + call.echoedId);
     else if (!call.bodyProblem.isEmpty() && !bodyReplacedByFault)
       addViolation(SoakRule.MIXED, call, call.bodyProblem);
   }
@@ -150,8 +158,9 @@
   }
 
   /**
-   * Whether something holds of every configuration that may be in force at a time: of the newest
-   * that was acknowledged so long before, and of all that were sent since.
+   * Returns whether a condition holds for every configuration that may be in force at a time: the
+   * newest one that was acknowledged at least the grace time before, and all later ones that were
+   * not refused.
    */
   private boolean holdsForAllPossible(
       long atMs, long graceMs, Predicate<ConfigurationModel> holds) {
@@ -173,49 +182,56 @@
     for (Run run : ledger.runs()) {
       Call call = ledger.calls.get(run.id);
       if (call == null) {
-        addViolation(SoakRule.UNASKED, run.atMs, List.of(run.id), "nobody sent it");
+        addViolation(SoakRule.UNASKED, run.atMs, List.of(run.id), "no client sent it");
         continue;
       }
       if (!run.bodyDigest.equals(call.bodyDigest))
-        addViolation(SoakRule.UNASKED, call, "ran with another body");
+        addViolation(SoakRule.UNASKED, call, "ran with a different body");
       if (!run.tenant.equals(ConfigurationModel.ownerOfKey(call.key)))
-        addViolation(SoakRule.UNASKED, call, "ran in the name of '" + run.tenant + "'");
-      if (!run.leakedKey.isEmpty()) addViolation(SoakRule.UNASKED, call, "the replica got its key");
+        addViolation(SoakRule.UNASKED, call, "ran as tenant '" + run.tenant + "'");
+      if (!run.leakedKey.isEmpty())
+        addViolation(SoakRule.UNASKED, call, "the replica received the client's key");
     }
     Map<String, String> holders = new HashMap<>();
     for (SoakLedger.Order order : ledger.orders()) {
       String fence = order.instance() + " fence " + order.fence();
-      String before = holders.putIfAbsent(fence, order.holder());
-      if (before != null && !before.equals(order.holder()))
+      String earlierHolder = holders.putIfAbsent(fence, order.holder());
+      if (earlierHolder != null && !earlierHolder.equals(order.holder()))
         addViolation(
-            SoakRule.FENCE, order.atMs(), List.of(), fence + ": " + before + ", " + order.holder());
+            SoakRule.FENCE,
+            order.atMs(),
+            List.of(),
+            fence + ": " + earlierHolder + ", " + order.holder());
     }
   }
 
   private void checkIsolation() {
     for (PartUse use : ledger.partUses()) {
       Call call = ledger.calls.get(use.id());
-      if (call == null || use.tenant().equals(use.makerTenant())) continue;
+      if (call == null || use.tenant().equals(use.creatorTenant())) continue;
       boolean inTouch = disturbanceWindows.isUndisturbed(call.machine, call.sentAtMs, use.atMs());
       long graceMs = inTouch ? APPLY_MS : REVOCATION_MS;
-      for (String tenant : List.of(use.tenant(), use.makerTenant()))
+      for (String tenant : List.of(use.tenant(), use.creatorTenant()))
         if (holdsForAllPossible(call.sentAtMs, graceMs, model -> model.isIsolated(tenant)))
           addViolation(
               SoakRule.WALL,
               use.atMs(),
-              List.of(use.id(), use.makerId()),
+              List.of(use.id(), use.creatorId()),
               use.tenant()
-                  + " used a part of "
-                  + use.makerTenant()
+                  + " used a cached part of "
+                  + use.creatorTenant()
                   + "; "
                   + tenant
                   + " is isolated");
     }
   }
 
-  /** The pages: more than half of those unanswered at their time have no answer soon after. */
+  /**
+   * The specification's bound: at most half of the calls that are open at their deadline may stay
+   * without an answer for longer than MAX_ANSWER_DELAY_MS.
+   */
   private void checkUnanswered() {
-    List<Call> open = new ArrayList<>(), late = new ArrayList<>();
+    List<Call> openAtDeadline = new ArrayList<>(), late = new ArrayList<>();
     for (Call call : ledger.calls.values()) {
       long dueMs = call.sentAtMs + call.deadlineMs;
       boolean sent = call.writtenAtMs >= 0 && call.writtenAtMs < dueMs;
@@ -223,20 +239,20 @@
         continue;
       if (!disturbanceWindows.isUndisturbed(
           call.machine, call.sentAtMs, dueMs + MAX_ANSWER_DELAY_MS)) continue;
-      open.add(call);
+      openAtDeadline.add(call);
       if (call.endedAtMs > dueMs + MAX_ANSWER_DELAY_MS) late.add(call);
     }
-    if (late.size() >= MIN_OFFENDERS && late.size() * 2 > open.size())
+    if (late.size() >= MIN_OFFENDERS && late.size() * 2 > openAtDeadline.size())
       addViolation(
           SoakRule.ANSWERED,
           late.get(0).sentAtMs,
           ids(late),
           late.size()
               + " of "
-              + open.size()
-              + " had no answer "
+              + openAtDeadline.size()
+              + " calls open at their deadline had no answer "
               + MAX_ANSWER_DELAY_MS
-              + " ms after their time");
+              + " ms later");
   }
 
   private void checkLost() {
@@ -264,22 +280,28 @@
           SoakRule.LOST,
           lost.get(0).endedAtMs,
           ids(lost),
-          lost.size() + " connections ended without an answer");
+          lost.size() + " connections ended without a complete answer");
   }
 
-  /** The pages: over three times as often beside configurations as at other times. */
+  /**
+   * The specification's bound: calls may be lost at most three times as often during configuration
+   * changes as at other times.
+   */
   private void checkLostAtChanges(List<Call> duringChanges, int atOtherTimes) {
     long changingMs = 0;
     for (long atMs = 0; atMs < ledger.nowMs(); atMs += SAMPLE_INTERVAL_MS)
       if (isDuringChange(atMs)) changingMs += SAMPLE_INTERVAL_MS;
     long otherMs = Math.max(SAMPLE_INTERVAL_MS, ledger.nowMs() - changingMs);
-    double share = duringChanges.size() / (double) Math.max(1, changingMs);
-    if (duringChanges.size() >= MIN_OFFENDERS && share > 3.0 * atOtherTimes / otherMs)
+    double lostPerMs = duringChanges.size() / (double) Math.max(1, changingMs);
+    if (duringChanges.size() >= MIN_OFFENDERS && lostPerMs > 3.0 * atOtherTimes / otherMs)
       addViolation(
           SoakRule.LOST_AT_CHANGE,
           duringChanges.get(0).endedAtMs,
           ids(duringChanges),
-          duringChanges.size() + " cut beside configurations, " + atOtherTimes + " otherwise");
+          duringChanges.size()
+              + " cut during configuration changes, "
+              + atOtherTimes
+              + " at other times");
   }
 
   private boolean isDuringChange(long atMs) {
@@ -292,7 +314,9 @@
     return false;
   }
 
-  /** Whether it was passed on and no replica's fault cut it. */
+  /**
+   * Returns whether the call reached a replica and no fault of a replica affected any of its runs.
+   */
   private boolean ranWithoutReplicaFault(Call call) {
     List<Run> runs = runsOf(call);
     return !runs.isEmpty()
@@ -310,6 +334,7 @@
                         || disturbance.fromMs() <= run.endedAtMs + TIMING_SLACK_MS));
   }
 
+  /** Returns a planned stop of the call's relay that overlaps the call, or null. */
   private Disturbance relayStopDuring(Call call) {
     for (Disturbance disturbance : disturbances) {
       if (disturbance.kind().stopsRelay()
@@ -350,8 +375,8 @@
         retries += counts[1];
       }
       if (retries > RETRY_RATIO * requests + RETRY_SLACK) {
-        String what = retries + " further tries beside " + requests + " requests";
-        addViolation(SoakRule.BUDGET, second * 1000, List.of(), what);
+        String description = retries + " retries for " + requests + " requests";
+        addViolation(SoakRule.BUDGET, second * 1000, List.of(), description);
         return;
       }
     }
@@ -360,25 +385,30 @@
   private void checkConfigurations() {
     Map<Long, Change> byBase = new HashMap<>();
     for (Change change : changes) {
-      if (change.refusedAgain)
+      if (change.refusedAfterAcknowledgement)
         addViolation(SoakRule.SENT_AGAIN, change.acknowledgedAtMs, List.of(), describe(change));
       if (!change.isAcknowledged()) continue;
       if (!change.valid)
         addViolation(SoakRule.INVALID, change.acknowledgedAtMs, List.of(), describe(change));
-      Change other = byBase.put(change.baseRevision, change);
-      if (other != null)
+      Change otherChange = byBase.put(change.baseRevision, change);
+      if (otherChange != null)
         addViolation(
             SoakRule.ONE_WINNER,
             change.acknowledgedAtMs,
             List.of(),
-            describe(change) + ", " + describe(other));
+            describe(change) + ", " + describe(otherChange));
     }
     checkReadBack();
   }
 
   private static String describe(Change change) {
     String answer = change.answers.substring(0, Math.min(200, change.answers.length()));
-    return "revision " + change.revision + " on " + change.baseRevision + " answered " + answer;
+    return "revision "
+        + change.revision
+        + " based on "
+        + change.baseRevision
+        + " answered "
+        + answer;
   }
 
   private void checkReadBack() {
@@ -390,31 +420,34 @@
             .orElse(0);
     String text = ledger.finalConfiguration();
     if (newest == 0 || ledger.endOfEventsMs() < 0) return;
-    String wrong = text == null ? "it did not come" : describeWrongReadBack(text, newest);
-    if (!wrong.isEmpty()) addViolation(SoakRule.READ_BACK, ledger.nowMs(), List.of(), wrong);
+    String problem =
+        text == null ? "no configuration could be read" : describeWrongReadBack(text, newest);
+    if (!problem.isEmpty()) addViolation(SoakRule.READ_BACK, ledger.nowMs(), List.of(), problem);
   }
 
   private String describeWrongReadBack(String text, long newest) {
     JsonObject json = Json.parse(text).asObject();
     long revision = json.getLong("Revision", -1);
-    if (revision < newest) return "revision " + revision + " after " + newest;
+    if (revision < newest)
+      return "revision " + revision + " was read after the acknowledgement of " + newest;
     for (Change change : changes)
       if (change.revision == revision && change.outcome != ChangeOutcome.REFUSED)
         return tenants(json).equals(change.configuration.tenants())
             ? ""
-            : "revision " + revision + " has other tenants than were sent";
-    return "revision " + revision + ", which nobody sent";
+            : "revision " + revision + " has other tenants than the one that was sent";
+    return "revision " + revision + ", which no operator sent";
   }
 
   private static Map<String, ConfigurationModel.Tenant> tenants(JsonObject json) {
     Map<String, ConfigurationModel.Tenant> tenants = new HashMap<>();
     JsonValue items = json.get("Tenants");
     for (JsonValue item : items == null ? new JsonArray() : items.asArray()) {
-      JsonObject one = item.asObject();
+      JsonObject tenant = item.asObject();
       tenants.put(
-          one.getString("Name", ""),
+          tenant.getString("Name", ""),
           new ConfigurationModel.Tenant(
-              one.get("ApiKeys").asArray().get(0).asString(), one.getBoolean("Isolated", false)));
+              tenant.get("ApiKeys").asArray().get(0).asString(),
+              tenant.getBoolean("Isolated", false)));
     }
     return tenants;
   }
@@ -422,35 +455,47 @@
   private void checkProcesses() {
     for (SoakLedger.UnexpectedExit exit : ledger.unexpectedExits())
       addViolation(
-          SoakRule.EXIT, exit.atMs(), List.of(), exit.process() + " ended with " + exit.code());
+          SoakRule.EXIT,
+          exit.atMs(),
+          List.of(),
+          exit.process() + " ended with exit code " + exit.code());
     for (SoakLedger.MemoryReading reading : ledger.memory())
       if (reading.rssKb() > SoakMachines.MEMORY_LIMIT_MB * 1024L) {
-        String what = reading.process() + " took " + reading.rssKb() + " kB";
-        addViolation(SoakRule.MEMORY, reading.atMs(), List.of(), what);
+        String description = reading.process() + " used " + reading.rssKb() + " kB of memory";
+        addViolation(SoakRule.MEMORY, reading.atMs(), List.of(), description);
         return;
       }
   }
 
-  /** After the last event: readiness, and what is served once there was the time to recover. */
+  /**
+   * Checks readiness and the share of served calls once the time to recover after the last event is
+   * over.
+   */
   private void checkRecovery() {
     if (ledger.endOfEventsMs() < 0) return;
-    long fromMs = ledger.endOfEventsMs() + RECOVERY_MS;
+    long recoveredAtMs = ledger.endOfEventsMs() + RECOVERY_MS;
     int sent = 0, served = 0;
     for (Call call : ledger.calls.values()) {
-      if (call.sentAtMs < fromMs || call.end == End.GIVEN_UP || call.end == End.OPEN) continue;
+      if (call.sentAtMs < recoveredAtMs || call.end == End.GIVEN_UP || call.end == End.OPEN)
+        continue;
       sent++;
       if (call.isServed() || call.status == 401) served++;
     }
     if (served * 4 < sent || sent == 0)
-      addViolation(SoakRule.RECOVERS, fromMs, List.of(), served + " of " + sent + " were served");
+      addViolation(
+          SoakRule.RECOVERS,
+          recoveredAtMs,
+          List.of(),
+          served + " of " + sent + " calls were served");
     Map<Integer, Boolean> ready = new TreeMap<>();
     for (SoakLedger.Readiness answer : ledger.readiness())
-      if (answer.atMs() >= fromMs)
+      if (answer.atMs() >= recoveredAtMs)
         ready.merge(answer.machine(), answer.ready(), Boolean::logicalOr);
     ready.forEach(
-        (machine, was) -> {
-          if (!was)
-            addViolation(SoakRule.READY, fromMs, List.of(), "relay " + machine + " is not ready");
+        (machine, wasReady) -> {
+          if (!wasReady)
+            addViolation(
+                SoakRule.READY, recoveredAtMs, List.of(), "relay " + machine + " is not ready");
         });
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakLedger.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakLedger.java
@@ -6,28 +6,31 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the stand-ins saw on their sockets, and what was done to the processes. Everything a judge
- * may use stands here; nothing comes from what the fleet says of itself. Times are in ms from the
- * start of the soak. Written by many threads.
+ * Records what the stand-ins observed on their sockets and what was done to the processes. It is
+ * the only input of the judge, and contains nothing that the fleet reports about itself. Times are
+ * in ms since the start of the soak test. Thread-safe.
  */
 final class SoakLedger {
-  /** How a client's request came to its end. */
+  /** How a client's request ended. */
   enum End {
-    /** It has none yet. */
+    /** It has not ended yet. */
     OPEN,
-    /** An answer that ended as its head said. */
+    /** The client received a complete answer. */
     ANSWERED,
-    /** The connection ended, or what came was no answer, before or amid the answer. */
+    /** The connection closed, or malformed data came, before the end of the answer. */
     CUT,
-    /** No connection came to be, or it ended before the request had left. */
+    /** The connection closed before the request was written. */
     NOT_SENT,
-    /** The client gave it up. */
+    /** The client gave up on purpose. */
     GIVEN_UP,
-    /** Nothing more came until long after its deadline. */
+    /** No complete answer came until long after the deadline. */
     SILENT
   }
 
-  /** One request of a client; filled in by the client's thread. */
+  /**
+   * One request of a client; the client's thread fills in the fields. Times of -1 are not known
+   * yet.
+   */
   static final class Call {
     final String id;
     final String tenant;
@@ -44,7 +47,7 @@
     volatile String seal = "";
     volatile String echoedId = "";
 
-    /** What is wrong with the body of a success, or empty. */
+    /** What is wrong with the body of a successful answer, or empty. */
     volatile String bodyProblem = "";
 
     Call(
@@ -68,14 +71,14 @@
       return end == End.ANSWERED && status >= 200 && status < 300;
     }
 
-    /** Whether its answer promises that it has not run and never will. */
+    /** Returns whether the answer promises that the request has not run and never will. */
     boolean isRefusedUnexecuted() {
       return end == End.ANSWERED
           && (status == 429 || status == 503 || status == 408 || status == 421);
     }
   }
 
-  /** A run of a request at a replica. */
+  /** One execution of a request at a replica. */
   static final class Run {
     final String id;
     final String instance;
@@ -85,12 +88,13 @@
     final String bodyDigest;
     final String leakedKey;
 
-    /** The fault of the replica that spoilt the answer, or null. */
+    /** The fault of the replica that spoiled the answer, or null. */
     volatile EventKind spoiledBy;
 
-    /** When it ended at the replica, or -1; whole where the answer was written to its end. */
+    /** When it ended at the replica, or -1 if it has not ended. */
     volatile long endedAtMs = -1;
 
+    /** Whether the replica wrote the complete answer. */
     volatile boolean answerComplete;
 
     Run(
@@ -111,25 +115,25 @@
     }
   }
 
-  /** A request used a part of a prompt that another request made. */
-  record PartUse(String id, String tenant, String makerId, String makerTenant, long atMs) {}
+  /** A request's use of a cached part of a prompt that another request created. */
+  record PartUse(String id, String tenant, String creatorId, String creatorTenant, long atMs) {}
 
-  /** An order to a replica that it accepted. */
+  /** An order that a replica accepted. */
   record Order(String instance, String holder, long fence, long atMs) {}
 
-  /** What operators were told of a configuration. */
+  /** What operators know about a change of the configuration. */
   enum ChangeOutcome {
     UNKNOWN,
     ACKNOWLEDGED,
     REFUSED
   }
 
-  /** A configuration that was sent. */
+  /** A change of the configuration that an operator sent. */
   static final class Change {
     final long revision;
     final long baseRevision;
 
-    /** PUT or PATCH. */
+    /** The HTTP method: PUT or PATCH. */
     final String method;
 
     final String text;
@@ -139,10 +143,10 @@
     volatile long acknowledgedAtMs = -1;
     volatile ChangeOutcome outcome = ChangeOutcome.UNKNOWN;
 
-    /** A clear refusal of the same change after it had been acknowledged. */
-    volatile boolean refusedAgain;
+    /** Whether the same change was refused after it had been acknowledged. */
+    volatile boolean refusedAfterAcknowledgement;
 
-    /** What was answered, the last first. */
+    /** All answers to this change, the latest first. */
     volatile String answers = "";
 
     Change(
@@ -167,16 +171,16 @@
     }
   }
 
-  /** Something was done to a machine's process, or to all of the core. */
+  /** A planned disturbance of a process. */
   record Disturbance(long fromMs, long toMs, EventKind kind, String process) {}
 
-  /** A process ended though nobody told it to. */
+  /** A process that ended by itself. */
   record UnexpectedExit(String process, int code, long atMs) {}
 
-  /** What a process took of memory. */
+  /** The resident memory of a process at a time. */
   record MemoryReading(String process, long rssKb, long atMs) {}
 
-  /** Whether a relay said that it is ready. */
+  /** The answer of a relay to a readiness probe. */
   record Readiness(int machine, boolean ready, long atMs) {}
 
   private final long startedAtNs = System.nanoTime();
@@ -235,17 +239,19 @@
     readiness.add(answer);
   }
 
-  /** The configuration that was read back at the end, or null where none came. */
+  /**
+   * Records the configuration that was read at the end of the run, or null if none could be read.
+   */
   void recordFinalConfiguration(String text) {
     finalConfiguration = text;
   }
 
-  /** From now on nothing is disturbed any more. */
+  /** Records that the last event has ended, so that recovery can be judged. */
   void recordEndOfEvents(long atMs) {
     endOfEventsMs = atMs;
   }
 
-  /** The soak itself ends all processes from now on. */
+  /** Records that the run was interrupted; from now on the soak test itself kills the processes. */
   void recordInterruption(long atMs) {
     interruptedAtMs = atMs;
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakMachines.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakMachines.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * The machines of a soak, a loopback address each: a relay on every one, beside it a member of the
- * core on the first three and an index on the next three.
+ * The machines of a soak test, each with its own loopback address. Every machine runs a relay; the
+ * first three also run a member of the core, and the next three an index.
  */
 final class SoakMachines implements AutoCloseable {
   static final int TERMINATION_GRACE_MS = 8000;
@@ -19,7 +19,7 @@
   private static final int INDEX_COUNT = 3;
   private static final int INTERNAL_PORT_COUNT = 16;
 
-  /** Until a process that ended is started again. */
+  /** How long after its end a process that ended by itself is started again. */
   private static final int RESTART_AFTER_MS = 300;
 
   private static final int WATCH_INTERVAL_MS = 100;
@@ -38,7 +38,9 @@
   private volatile boolean initialBoot = true;
 
   /**
-   * @param addressPrefix the first three numbers of the machines' addresses, with a dot at the end
+   * Prepares the processes without starting them.
+   *
+   * @param addressPrefix the first three octets of the machines' addresses, with a trailing dot
    */
   SoakMachines(
       DeployCommands commands,
@@ -84,15 +86,15 @@
     return controlPort;
   }
 
-  /** All processes. */
-  List<SoakProcess> all() {
-    List<SoakProcess> all = new ArrayList<>(members);
-    all.addAll(indexes);
-    all.addAll(relays);
-    return all;
+  /** Returns the processes of all machines. */
+  List<SoakProcess> allProcesses() {
+    List<SoakProcess> processes = new ArrayList<>(members);
+    processes.addAll(indexes);
+    processes.addAll(relays);
+    return processes;
   }
 
-  /** The machines that serve operators. */
+  /** Returns the number of machines that answer operators: those with a core member or an index. */
   int operatorEndpointCount() {
     return members.size() + indexes.size();
   }
@@ -103,12 +105,13 @@
     }
   }
 
-  /** Ports in a row that are free on all machines. */
+  /** Returns the first of several consecutive ports that are free on all machines. */
   private int findFreePortRange(int machines) throws IOException {
     for (int from = 20_000 + (int) (ProcessHandle.current().pid() * 37 % 9000);
         from < 60_000;
         from += INTERNAL_PORT_COUNT) if (isRangeFree(from, machines)) return from;
-    throw new IOException("no " + INTERNAL_PORT_COUNT + " ports in a row are free");
+    throw new IOException(
+        "no " + INTERNAL_PORT_COUNT + " consecutive ports are free on all machines");
   }
 
   private boolean isRangeFree(int from, int machines) throws IOException {
@@ -221,31 +224,37 @@
       """;
 
   void startAll() throws IOException {
-    for (SoakProcess process : all()) process.start(true);
+    for (SoakProcess process : allProcesses()) process.start(true);
     DaemonThreads.start("watch", this::watch);
   }
 
-  /** From now on a process that starts is told that the fleet started before. */
+  /** Makes processes that start from now on get the setting InitialBoot=false. */
   void markFirstStartOver() {
     initialBoot = false;
   }
 
-  /** Starts it again, unless all is being ended. */
+  /**
+   * Starts a process again, unless the machines are closed.
+   *
+   * @param dataDeleted whether its data was deleted, in which case InitialBoot is always false
+   */
   void restart(SoakProcess process, boolean dataDeleted) {
     synchronized (this) {
       if (closed) return;
       try {
         process.start(initialBoot && !dataDeleted);
       } catch (IOException e) {
-        throw new IllegalStateException(process.name + " can't be started", e);
+        throw new IllegalStateException(process.name + " cannot be started", e);
       }
     }
   }
 
-  /** Starts processes again that ended by themselves, as the platform does, and reads memory. */
+  /**
+   * Restarts processes that ended by themselves, as the platform does, and records memory readings.
+   */
   private void watch() {
     for (int round = 0; !closed; round++) {
-      for (SoakProcess process : all()) {
+      for (SoakProcess process : allProcesses()) {
         Integer code = process.takeUnexpectedExitCode();
         if (code != null) {
           ledger.recordExit(new SoakLedger.UnexpectedExit(process.name, code, ledger.nowMs()));
@@ -260,12 +269,12 @@
     }
   }
 
-  /** Ends every process, whatever its state. */
+  /** Kills all processes, whatever their state. */
   @Override
   public void close() {
     synchronized (this) {
       closed = true;
     }
-    for (SoakProcess process : all()) process.kill();
+    for (SoakProcess process : allProcesses()) process.kill();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakOperator.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.Future;
 
 /**
- * The operators: they send configurations whole or as a patch, on the newest version they know, to
- * one node after the other until they get a clear answer, and read them back. One change at a time,
- * but for two that race.
+ * The operators of a soak test. They send configurations, whole or as a patch, based on the newest
+ * revision they know, to random nodes until they get a conclusive answer, and read them back.
+ * Changes are made one at a time, except for two that race.
  */
 final class SoakOperator {
   private static final String PUT = "PUT";
@@ -29,10 +29,13 @@
   private static final int ANSWER_TIMEOUT_MS = 4500;
   private static final int RETRY_PAUSE_MS = 200;
 
-  /** How long a change is sent again without a clear answer. */
+  /** How long a change is sent again until there is a conclusive answer. */
   private static final int CHANGE_TIMEOUT_MS = 25_000;
 
-  /** Routes of a large configuration: two to five megabytes, of which the largest are too large. */
+  /**
+   * Numbers of routes that make a configuration of two to five megabytes; the largest exceed the
+   * limit.
+   */
   private static final int MIN_LARGE_ROUTES = 6000, LARGE_ROUTES_SPREAD = 9500;
 
   private static final int MAX_ROUTES_PER_CHANGE = 350;
@@ -45,7 +48,7 @@
   private Change current;
   private int weightsRevision = 1;
 
-  /** What clients are told to use: the newest that was acknowledged. */
+  /** The newest acknowledged configuration, which clients use. */
   private volatile ConfigurationModel configuration;
 
   SoakOperator(SoakLedger ledger, SoakMachines machines, ConfigurationModel first, long seed) {
@@ -63,7 +66,7 @@
     return weightsRevision;
   }
 
-  /** Sends the first configuration until it is taken; whether it was in so many ms. */
+  /** Sends the first configuration until it is acknowledged; returns whether it was in time. */
   boolean sendFirst(long timeoutMs) {
     current = recordChange(0, configuration, PUT, configuration.toJson(1), 1);
     newestSentRevision = 1;
@@ -71,13 +74,13 @@
   }
 
   private Change recordChange(
-      long base, ConfigurationModel next, String method, String text, long revision) {
+      long base, ConfigurationModel next, String method, String configurationJson, long revision) {
     newestSentRevision = Math.max(newestSentRevision, revision);
     return ledger.recordChange(
-        new Change(revision, base, method, text, true, next, ledger.nowMs()));
+        new Change(revision, base, method, configurationJson, true, next, ledger.nowMs()));
   }
 
-  /** Does what an event of a kind asks of operators. */
+  /** Performs an event of one of the operators' kinds. */
   void perform(SoakEvent event) {
     String name = ConfigurationModel.tenantName(Math.max(1, event.target()));
     switch (event.kind()) {
@@ -95,7 +98,7 @@
       case RACE -> sendRacing();
       case RESEND -> resend();
       case WEIGHTS -> announceWeights();
-      default -> throw new IllegalArgumentException(event + " is none of the operators'");
+      default -> throw new IllegalArgumentException(event + " is not an event for operators");
     }
   }
 
@@ -105,7 +108,7 @@
     changeTo(configuration.withTenant(name, new Tenant(tenant.key(), !tenant.isolated())));
   }
 
-  /** One that is isolated and one that shares change places. */
+  /** Ends the isolation of a random tenant and isolates another one in the same change. */
   private void swapIsolation() {
     List<String> isolated = new ArrayList<>(), sharing = new ArrayList<>();
     configuration
@@ -120,7 +123,7 @@
             .withTenant(other, new Tenant(configuration.tenants().get(other).key(), true)));
   }
 
-  /** A tenant that was removed comes back isolated as often as not. */
+  /** Removes a tenant, or adds a removed one again, isolated with a probability of one half. */
   private void removeOrRestore(String name) {
     Tenant tenant = configuration.tenants().get(name);
     String key = "key-" + name.substring(name.lastIndexOf('-') + 1) + "-0";
@@ -137,7 +140,7 @@
     changeTo(configuration.withTenant(name, new Tenant(key, tenant.isolated())));
   }
 
-  /** Some more or fewer than there are. */
+  /** Draws a number of extra routes near the current one. */
   private int drawRouteCount() {
     int routes =
         configuration.extraRoutes()
@@ -146,7 +149,10 @@
     return Math.max(0, routes);
   }
 
-  /** Many in place of few; of many, few again as often as not. */
+  /**
+   * Draws the number of extra routes of a large configuration; if the current one is large, a small
+   * number with a probability of one half.
+   */
   private int drawLargeRouteCount() {
     boolean many = configuration.extraRoutes() >= MIN_LARGE_ROUTES;
     return many && random.nextBoolean()
@@ -154,14 +160,18 @@
         : MIN_LARGE_ROUTES + random.nextInt(LARGE_ROUTES_SPREAD);
   }
 
-  /** A change on the newest version; where that turns out not to be the newest, once more. */
+  /**
+   * Sends a change based on the newest known revision, and once more if that turns out to be
+   * outdated.
+   */
   private void changeTo(ConfigurationModel next) {
     for (int attempt = 0; attempt < 2; attempt++) {
       long revision = newestSentRevision + 1;
       boolean patches = next.differsOnlyInTenants(current.configuration) && random.nextBoolean();
-      String text =
+      String configurationJson =
           patches ? next.patchFrom(revision, current.configuration) : next.toJson(revision);
-      Change change = recordChange(current.revision, next, patches ? PATCH : PUT, text, revision);
+      Change change =
+          recordChange(current.revision, next, patches ? PATCH : PUT, configurationJson, revision);
       ChangeOutcome fate = send(change, CHANGE_TIMEOUT_MS);
       if (fate == ChangeOutcome.ACKNOWLEDGED) {
         current = change;
@@ -173,11 +183,11 @@
     }
   }
 
-  /** Learns which change is the newest. */
+  /** Reads the configuration and adopts the change that it shows as the newest one. */
   private void refresh() {
-    String text = readBack(CHANGE_TIMEOUT_MS);
-    if (text == null) return;
-    long revision = revisionOf(text);
+    String configurationJson = readBack(CHANGE_TIMEOUT_MS);
+    if (configurationJson == null) return;
+    long revision = revisionOf(configurationJson);
     for (Change change : ledger.changes())
       if (change.revision == revision && change.outcome != ChangeOutcome.REFUSED) {
         current = change;
@@ -185,13 +195,13 @@
       }
   }
 
-  static long revisionOf(String text) {
-    return Json.parse(text).asObject().getLong("Revision", -1);
+  static long revisionOf(String configurationJson) {
+    return Json.parse(configurationJson).asObject().getLong("Revision", -1);
   }
 
   private void sendInvalid() {
     long revision = newestSentRevision + 1;
-    String text =
+    String configurationJson =
         configuration
             .toJson(revision)
             .replaceFirst(
@@ -201,11 +211,17 @@
     send(
         ledger.recordChange(
             new Change(
-                revision, current.revision, PUT, text, false, configuration, ledger.nowMs())),
+                revision,
+                current.revision,
+                PUT,
+                configurationJson,
+                false,
+                configuration,
+                ledger.nowMs())),
         CHANGE_TIMEOUT_MS);
   }
 
-  /** Two changes on one version, sent at once to different nodes. */
+  /** Sends two changes based on the same revision at once. */
   private void sendRacing() {
     long revision = newestSentRevision + 1;
     ConfigurationModel one = configuration.withExtraRoutes(random.nextInt(40));
@@ -225,7 +241,7 @@
     refresh();
   }
 
-  /** The newest acknowledged change as it was, as where the answer had been lost. */
+  /** Sends the newest acknowledged change again, as an operator who lost the answer would. */
   private void resend() {
     if (current == null || !current.isAcknowledged()) return;
     send(current, CHANGE_TIMEOUT_MS);
@@ -233,20 +249,23 @@
 
   private void announceWeights() {
     weightsRevision++;
-    String text =
+    String configurationJson =
         Json.object()
             .add("ModelName", ConfigurationModel.MODEL)
             .add("Revision", weightsRevision)
             .toString();
     long untilMs = ledger.nowMs() + CHANGE_TIMEOUT_MS;
     while (ledger.nowMs() < untilMs) {
-      HttpMessage answer = call("POST /-/version-put", "", text);
+      HttpMessage answer = call("POST /-/version-put", "", configurationJson);
       if (answer != null && answer.status() / 100 == 2) return;
       DaemonThreads.pause(RETRY_PAUSE_MS);
     }
   }
 
-  /** Sends a change until there is a clear answer; its fate, which is noted too. */
+  /**
+   * Sends a change until there is a conclusive answer; records the outcome in the change and
+   * returns it.
+   */
   private ChangeOutcome send(Change change, long timeoutMs) {
     long untilMs = ledger.nowMs() + timeoutMs;
     while (ledger.nowMs() < untilMs) {
@@ -264,7 +283,7 @@
         return ChangeOutcome.ACKNOWLEDGED;
       }
       if (status >= 400 && status < 500 && status != 408 && status != 429) {
-        if (change.isAcknowledged()) change.refusedAgain = true;
+        if (change.isAcknowledged()) change.refusedAfterAcknowledgement = true;
         else change.outcome = ChangeOutcome.REFUSED;
         return ChangeOutcome.REFUSED;
       }
@@ -273,7 +292,9 @@
     return change.outcome;
   }
 
-  /** The newest configuration as any node tells it, or null. */
+  /**
+   * Reads the configuration at random nodes until one answers; returns null if none does in time.
+   */
   String readBack(long timeoutMs) {
     long untilMs = ledger.nowMs() + timeoutMs;
     while (ledger.nowMs() < untilMs) {
@@ -284,13 +305,13 @@
     return null;
   }
 
-  /** One call at any node; null where no whole answer came. */
-  private HttpMessage call(String what, String headers, String text) {
+  /** Calls a random node once; returns null if no complete answer came. */
+  private HttpMessage call(String methodAndPath, String headers, String configurationJson) {
     int machine;
     synchronized (random) {
       machine = 1 + random.nextInt(machines.operatorEndpointCount());
     }
-    byte[] body = text.getBytes(StandardCharsets.UTF_8);
+    byte[] body = configurationJson.getBytes(StandardCharsets.UTF_8);
     try (Socket socket = new Socket()) {
       socket.connect(
           new InetSocketAddress(machines.address(machine), machines.controlPort()),
@@ -299,7 +320,7 @@
       OutputStream out = socket.getOutputStream();
       HttpMessage.write(
           out,
-          what
+          methodAndPath
               + " HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\n"
               + headers
               + "Content-Length: "
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakPlan.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakPlan.java
@@ -12,13 +12,15 @@
 import java.util.List;
 
 /**
- * What a soak plays. As a file it is JSON with these fields and, in `events`, one object an event:
- * `atMs`, `kind`, and where the kind has them `target` and `forMs`.
+ * The plan of a soak test. Its file is JSON with these fields. Each object in `events` has the
+ * fields `atMs` and `kind`, and `target` and `forMs` (the duration) if the kind has them.
  *
- * @param seed what was drawn from it: the plan, and the clients' requests
- * @param seconds how long events and requests go on; the quiet end comes after it
- * @param machines machines with a relay each; the first three have a member of the core beside it
- * @param events in the order of their times
+ * @param seed the seed of the plan and of the clients' requests
+ * @param seconds how long events go on; the recovery period without events follows
+ * @param machines number of machines, each with a relay; the first three also have a member of the
+ *     core
+ * @param replicas number of replicas
+ * @param events the events, sorted by their times
  */
 record SoakPlan(long seed, int seconds, int machines, int replicas, List<SoakEvent> events) {
   static final int MEMBERS = 3;
@@ -34,11 +36,11 @@
     events = List.copyOf(sorted);
   }
 
-  SoakPlan withEvents(List<SoakEvent> others) {
-    return new SoakPlan(seed, seconds, machines, replicas, others);
+  SoakPlan withEvents(List<SoakEvent> events) {
+    return new SoakPlan(seed, seconds, machines, replicas, events);
   }
 
-  /** How many targets of a kind the plan has. */
+  /** Returns the number of targets of a kind in this plan. */
   int targetCount(EventKind.Target target) {
     return switch (target) {
       case NONE -> 0;
@@ -66,7 +68,9 @@
         .toString(WriterConfig.PRETTY_PRINT);
   }
 
-  /** Reads a plan from a file's text; findings with their places where it is none. */
+  /**
+   * Reads a plan from the text of a file; returns the findings with their places if it is invalid.
+   */
   static Result<SoakPlan> read(String text) {
     return LocatedJson.parse(text).flatMap(SoakPlan::read);
   }
@@ -80,14 +84,14 @@
     int replicas = (int) fields.integer("replicas", 1, MAX_REPLICAS);
     List<LocatedJson> items = fields.list("events", true);
     fields.reportUnknownFields();
-    SoakPlan bare = new SoakPlan(seed, seconds, machines, replicas, List.of());
+    SoakPlan planWithoutEvents = new SoakPlan(seed, seconds, machines, replicas, List.of());
     List<SoakEvent> events = new ArrayList<>();
-    for (LocatedJson item : items) readEvent(item, bare, findings, events);
-    return Result.of(findings, () -> bare.withEvents(events));
+    for (LocatedJson item : items) readEvent(item, planWithoutEvents, findings, events);
+    return Result.of(findings, () -> planWithoutEvents.withEvents(events));
   }
 
   private static void readEvent(
-      LocatedJson item, SoakPlan plan, Findings findings, List<SoakEvent> into) {
+      LocatedJson item, SoakPlan plan, Findings findings, List<SoakEvent> events) {
     LocatedJson.Fields fields = item.fields(findings);
     long atMs = fields.integer("atMs", 0, plan.seconds * 1000L);
     String id = fields.text("kind");
@@ -101,6 +105,6 @@
     int targetCount = plan.targetCount(kind.target);
     int target = targetCount == 0 ? 0 : (int) fields.integer("target", 1, targetCount);
     fields.reportUnknownFields();
-    into.add(new SoakEvent(atMs, kind, target, durationMs));
+    events.add(new SoakEvent(atMs, kind, target, durationMs));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakProcess.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakProcess.java
@@ -10,8 +10,8 @@
 import java.util.stream.Stream;
 
 /**
- * A role on a machine: its settings file, its data folder and its process, which is ended by its
- * own id. Methods that start or end it are called under its lock.
+ * A role on a machine, with its settings file, its data folder and its process. Thread-safe; the
+ * state is guarded by this object's lock.
  */
 final class SoakProcess {
   final String name;
@@ -44,9 +44,10 @@
   }
 
   /**
-   * Starts it, unless it runs already as events overlap.
+   * Starts the process unless it is already running, which overlapping events can cause.
    *
-   * @param initialBoot only while the whole fleet starts for the first time
+   * @param initialBoot the setting InitialBoot: true while the whole fleet starts for the first
+   *     time
    */
   synchronized void start(boolean initialBoot) throws IOException {
     if (isRunning()) return;
@@ -56,7 +57,7 @@
     expectedRunning = true;
   }
 
-  /** The exit code where it ended though nobody told it to, else null. */
+  /** Returns the exit code, once, if the process ended by itself, else null. */
   synchronized Integer takeUnexpectedExitCode() {
     if (!expectedRunning || process.isAlive()) return null;
     expectedRunning = false;
@@ -79,9 +80,9 @@
   }
 
   /**
-   * SIGTERM, and SIGKILL where it still runs after the grace period.
+   * Sends SIGTERM, then SIGKILL if the process still runs after the grace period.
    *
-   * @param secondTermAfterMs when SIGTERM is sent a second time, or 0 for never
+   * @param secondTermAfterMs how long after the first SIGTERM a second one is sent; 0 for none
    */
   void terminate(int graceMs, int secondTermAfterMs) {
     synchronized (this) {
@@ -120,7 +121,7 @@
     }
   }
 
-  /** What its data folder held is gone; it must not run. */
+  /** Deletes the data folder; the process must not be running. */
   synchronized void deleteData() throws IOException {
     if (!Files.exists(data)) return;
     try (Stream<Path> all = Files.walk(data)) {
@@ -128,14 +129,14 @@
     }
   }
 
-  /** Its memory in kB; 0 where it doesn't run. */
+  /** Returns the resident memory in kB, or 0 if the process is not running. */
   synchronized long rssKb() {
     if (process == null || !process.isAlive()) return 0;
     try {
       for (String line : Files.readAllLines(Path.of("/proc", "" + process.pid(), "status")))
         if (line.startsWith("VmRSS:")) return Long.parseLong(line.replaceAll("\\D+", ""));
     } catch (IOException e) {
-      // it has just ended
+      // the process has just ended
     }
     return 0;
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakReplica.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakReplica.java
@@ -13,13 +13,14 @@
 import java.util.function.Function;
 
 /**
- * A model replica that speaks the platform's protocol, keeps parts of prompts with who made them,
- * writes every run into the ledger, and has troubles of its own.
+ * A stand-in for a model replica. It speaks the platform's protocol, caches parts of prompts along
+ * with the requests that created them, records every run in the ledger and injects faults on
+ * demand.
  */
 final class SoakReplica implements AutoCloseable {
   static final int SLOTS = 96;
 
-  /** How long an answer without an end goes on where its caller doesn't let go of it. */
+  /** How long an endless answer goes on if its caller doesn't close the connection. */
   private static final int MAX_ENDLESS_ANSWER_MS = 5000;
 
   private static final int HUGE_ANSWER_BYTES = 24 << 20;
@@ -32,7 +33,9 @@
   private final SoakLedger ledger;
   private final SocketServer server;
 
-  /** By address, the parts that another replica or the store keeps; null where there is none. */
+  /**
+   * Looks up the cache of the replica or store at an address; returns null for an unknown address.
+   */
   private final Function<String, PrefixCache> cacheByAddress;
 
   private final AtomicInteger active = new AtomicInteger();
@@ -48,7 +51,7 @@
     this.number = number;
     this.ledger = ledger;
     this.cacheByAddress = cacheByAddress;
-    server = new SocketServer(host, "replica " + number, this::answer);
+    server = new SocketServer(host, "replica " + number, this::handle);
     server.open();
   }
 
@@ -60,7 +63,7 @@
     return server.address();
   }
 
-  /** As the platform lists it, or null while it is gone. */
+  /** Returns this replica's entry in the platform's list, or null while it is not listed. */
   JsonObject listEntry() {
     return !listed
         ? null
@@ -73,11 +76,11 @@
             .add("LifecycleState", "ready")
             .add("ColdRemainingMs", 0)
             .add("ServingStage", "prefill_decode")
-            .add("ModelList", models())
+            .add("ModelList", modelsJson())
             .add("InstanceId", instance());
   }
 
-  private JsonArray models() {
+  private JsonArray modelsJson() {
     return new JsonArray()
         .add(
             Json.object()
@@ -86,13 +89,13 @@
                 .add("AdapterList", new JsonArray()));
   }
 
-  /** Its process ends: connections are reset, and what it kept is gone. */
+  /** Simulates the end of the process: resets all connections and clears the cache. */
   void crash() {
     server.close();
     cache.restart();
   }
 
-  /** It starts again, as another instance at the same address. */
+  /** Simulates a restart, as a new instance at the same address. */
   void restart(int newestRevision) throws IOException {
     synchronized (this) {
       incarnation++;
@@ -104,38 +107,38 @@
     listed = true;
   }
 
-  /** The platform noticed that it is gone. */
+  /** Removes this replica from the platform's list. */
   void unlist() {
     listed = false;
   }
 
-  private void answer(HttpMessage request, OutputStream out) throws IOException {
+  private void handle(HttpMessage request, OutputStream out) throws IOException {
     String target = request.startLine().split(" ")[1];
     String expected = request.header("X-Gladelug-Expect-Instance");
     boolean page = target.startsWith("/-/");
     if (page && faults.isActive(EventKind.PAGES_MALFORMED) && !target.startsWith("/-/order"))
       writeMalformed(out);
     else if (!expected.isEmpty() && !expected.equals(instance()))
-      SocketServer.writeAnswer(out, 421, notExecuted(request), "{}");
-    else if (target.startsWith("/-/report")) SocketServer.writeAnswer(out, 200, "", report());
+      SocketServer.writeAnswer(out, 421, notExecutedHeaders(request), "{}");
+    else if (target.startsWith("/-/report")) SocketServer.writeAnswer(out, 200, "", reportJson());
     else if (target.startsWith("/-/order")) handleOrder(request, out);
     else if (target.equals("/health"))
       SocketServer.writeAnswer(out, 200, "X-Gladelug-Instance-Id: " + instance() + "\r\n", "{}");
     else if (!cache.answerIfCacheCall(target, request, out)) handleRequest(request, target, out);
   }
 
-  private static String echo(HttpMessage request) {
+  private static String requestIdHeader(HttpMessage request) {
     return "X-Gladelug-Request-Id: " + request.header("X-Gladelug-Request-Id") + "\r\n";
   }
 
-  private static String notExecuted(HttpMessage request) {
-    return echo(request) + "X-Gladelug-Not-Executed: 1\r\n";
+  private static String notExecutedHeaders(HttpMessage request) {
+    return requestIdHeader(request) + "X-Gladelug-Not-Executed: 1\r\n";
   }
 
-  private String report() {
+  private String reportJson() {
     return Json.object()
         .add("ServingStage", "prefill_decode")
-        .add("ModelList", models())
+        .add("ModelList", modelsJson())
         .add("IsBusy", false)
         .add("Sequence", sequence)
         .add("Queued", 0)
@@ -146,7 +149,7 @@
         .toString();
   }
 
-  /** A page that is none: not JSON, far too nested, or without an end. */
+  /** Writes an answer that is truncated JSON, far too deeply nested, or endless. */
   private void writeMalformed(OutputStream out) throws IOException {
     switch ((int) (System.nanoTime() / 1000 % 3)) {
       case 0 -> SocketServer.writeAnswer(out, 200, "", "{\"EventLog\":[[1,");
@@ -179,17 +182,17 @@
       throws IOException {
     String version = request.header("X-Gladelug-Expect-Version");
     if (!version.isEmpty() && !version.equals(String.valueOf(revision))) {
-      SocketServer.writeAnswer(out, 421, notExecuted(request), "{}");
+      SocketServer.writeAnswer(out, 421, notExecutedHeaders(request), "{}");
       return;
     }
     RequestKind kind = RequestKind.ofPath(target);
     if (kind == null) {
-      SocketServer.writeAnswer(out, 404, echo(request), "{}");
+      SocketServer.writeAnswer(out, 404, requestIdHeader(request), "{}");
       return;
     }
     if (active.incrementAndGet() > SLOTS) {
       active.decrementAndGet();
-      SocketServer.writeAnswer(out, 503, notExecuted(request), "{}");
+      SocketServer.writeAnswer(out, 503, notExecutedHeaders(request), "{}");
       return;
     }
     Run run =
@@ -214,24 +217,27 @@
     }
   }
 
-  /** Looks parts up in order, here and where it is told to fetch from; keeps what it reads. */
+  /**
+   * Looks up the parts of the prompt in order, in this cache and in the one to fetch from, records
+   * each use, and stores all parts.
+   */
   private void useParts(HttpMessage request, Run run) {
     PrefixCache other = cacheByAddress.apply(request.header("X-Gladelug-Kv-Fetch-From"));
     PrefixCache store = cacheByAddress.apply(request.header("X-Gladelug-Kv-Save-To"));
     List<PrefixCache.Part> parts =
         PrefixCache.parseParts(
             request.header("X-Gladelug-Cache-Salt"), request.header("X-Gladelug-Prompt-Prefix"));
-    PrefixCache.Maker self = new PrefixCache.Maker(run.tenant, run.id);
+    PrefixCache.Creator self = new PrefixCache.Creator(run.tenant, run.id);
     boolean found = true;
     for (PrefixCache.Part part : parts) {
-      PrefixCache.Maker maker = cache.find(part);
-      if (maker == null && other != null) maker = other.find(part);
-      found &= maker != null;
+      PrefixCache.Creator creator = cache.find(part);
+      if (creator == null && other != null) creator = other.find(part);
+      found &= creator != null;
       if (found)
         ledger.recordPartUse(
-            new SoakLedger.PartUse(run.id, run.tenant, maker.id(), maker.tenant(), run.atMs));
-      cache.keep(part, found ? maker : self);
-      if (store != null) store.keep(part, found ? maker : self);
+            new SoakLedger.PartUse(run.id, run.tenant, creator.id(), creator.tenant(), run.atMs));
+      cache.keep(part, found ? creator : self);
+      if (store != null) store.keep(part, found ? creator : self);
     }
   }
 
@@ -241,30 +247,33 @@
     int workMs =
         kind.workPerStepMs * (faults.isActive(EventKind.REPLICA_SLOW) ? SLOWDOWN_FACTOR : 1);
     if (fault == EventKind.ANSWER_ENDLESS) {
-      writeEndless(out, head(request));
+      writeEndless(out, answerHeaders(request));
     } else if (fault == EventKind.ANSWER_HUGE && kind.eventCount == 0) {
       DaemonThreads.pause(workMs);
       byte[] body = new byte[HUGE_ANSWER_BYTES];
       Arrays.fill(body, (byte) 'h');
-      writeBody(out, head(request), body, body.length);
+      writeBody(out, answerHeaders(request), body, body.length);
     } else if (kind.eventCount == 0) {
       DaemonThreads.pause(workMs);
       byte[] body = expectedBody(run.id);
       writeBody(
-          out, head(request), body, fault == null ? body.length : bytesToSend(fault, body.length));
+          out,
+          answerHeaders(request),
+          body,
+          fault == null ? body.length : bytesToSend(fault, body.length));
     } else writeEvents(kind, request, run, workMs, fault, out);
     if (fault == EventKind.ANSWER_SURPLUS)
       out.write(
           "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra".getBytes(StandardCharsets.US_ASCII));
     if (fault == EventKind.ANSWER_CUT || fault == EventKind.REPLICA_RESET)
-      throw new IOException("this answer ends here");
+      throw new IOException("answer cut by a planned fault");
   }
 
   private static int bytesToSend(EventKind fault, int length) {
     return fault == EventKind.ANSWER_SURPLUS ? length : length / 2;
   }
 
-  /** What a request that isn't streamed is answered with. */
+  /** Returns the body of the answer to a request that is not streamed. */
   static byte[] expectedBody(String id) {
     return ("answer to " + id + " ").repeat(12).getBytes(StandardCharsets.US_ASCII);
   }
@@ -273,9 +282,9 @@
     return "id: " + number + "\ndata: piece " + number + " of " + id + "\n\n";
   }
 
-  private String head(HttpMessage request) {
+  private String answerHeaders(HttpMessage request) {
     return "HTTP/1.1 200 OK\r\n"
-        + echo(request)
+        + requestIdHeader(request)
         + "X-Gladelug-Server-Seal: "
         + seal(request.header("X-Gladelug-Request-Id"))
         + "\r\nX-Gladelug-Weight-Versions: "
@@ -309,7 +318,8 @@
             : kind.eventCount;
     HttpMessage.write(
         out,
-        head(request) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
+        answerHeaders(request)
+            + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
         new byte[0]);
     for (int number = from; number <= to; number++) {
       DaemonThreads.pause(workMs);
@@ -325,7 +335,9 @@
     out.flush();
   }
 
-  /** An answer whose first event or value never ends, as fast as it is read. */
+  /**
+   * Writes an answer whose first event or JSON value never ends, as fast as the caller reads it.
+   */
   private static void writeEndless(OutputStream out, String headOrType) throws IOException {
     String head =
         headOrType.startsWith("HTTP/")
@@ -336,7 +348,7 @@
     byte[] many = chunk.repeat(200).getBytes(StandardCharsets.US_ASCII);
     long untilNs = System.nanoTime() + MAX_ENDLESS_ANSWER_MS * 1_000_000L;
     while (System.nanoTime() < untilNs) out.write(many);
-    throw new IOException("nobody let go of it");
+    throw new IOException("the caller did not close an endless answer");
   }
 
   @Override
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakReport.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakReport.java
@@ -23,16 +23,19 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** What a soak found, as text, JSON and a chart, in the folder of its logs and its plan. */
+/**
+ * Writes the result of a soak test as text, JSON and a chart into the folder of its logs and its
+ * plan.
+ */
 final class SoakReport {
   private static final int CHART_WIDTH_PX = 1100, CHART_HEIGHT_PX = 480;
 
-  /** What was under way around a broken rule. */
+  /** Events that overlap this period around a violation are reported with it. */
   private static final int CONTEXT_BEFORE_MS = 6000, CONTEXT_AFTER_MS = 500;
 
   private SoakReport() {}
 
-  /** One line on a run that is under way. */
+  /** Returns one line on the progress of a run. */
   static String progress(SoakLedger ledger) {
     return String.format(
         "%4d s: %d requests, %d served, %d refused, %d cut, %d configurations, largest process %d MB",
@@ -45,8 +48,8 @@
         largestProcessKb(ledger) / 1024);
   }
 
-  private static long count(SoakLedger ledger, Predicate<Call> which) {
-    return ledger.calls.values().stream().filter(which).count();
+  private static long count(SoakLedger ledger, Predicate<Call> condition) {
+    return ledger.calls.values().stream().filter(condition).count();
   }
 
   private static long largestProcessKb(SoakLedger ledger) {
@@ -55,15 +58,15 @@
 
   /** Writes report.txt, report.json and chart.svg; returns the text. */
   static String write(Soak.Result result) throws IOException {
-    String text = text(result);
+    String text = toText(result);
     Files.writeString(result.folder().resolve("report.txt"), text);
     Files.writeString(
-        result.folder().resolve("report.json"), json(result).toString(WriterConfig.PRETTY_PRINT));
-    chart(result, result.folder().resolve("chart.svg"));
+        result.folder().resolve("report.json"), toJson(result).toString(WriterConfig.PRETTY_PRINT));
+    writeChart(result, result.folder().resolve("chart.svg"));
     return text;
   }
 
-  private static String text(Soak.Result result) {
+  private static String toText(Soak.Result result) {
     SoakPlan plan = result.plan();
     StringBuilder text =
         new StringBuilder(
@@ -94,7 +97,7 @@
         .toList();
   }
 
-  private static JsonObject json(Soak.Result result) {
+  private static JsonObject toJson(Soak.Result result) {
     SoakLedger ledger = result.ledger();
     JsonArray broken = new JsonArray();
     for (Violation violation : result.violations()) {
@@ -126,18 +129,18 @@
         .add("broken", broken);
   }
 
-  private static void chart(Soak.Result result, Path file) throws IOException {
+  private static void writeChart(Soak.Result result, Path file) throws IOException {
     SoakLedger ledger = result.ledger();
     String title = "soak, seed " + result.plan().seed();
     XYChart chart =
         new XYChartBuilder().width(CHART_WIDTH_PX).height(CHART_HEIGHT_PX).title(title).build();
     chart.setXAxisTitle("s");
-    chart.setYAxisTitle("a second; MB / 10; events by kind");
+    chart.setYAxisTitle("per second; memory in 10 MB; events by kind");
     Collection<Call> calls = ledger.calls.values();
-    addLine(chart, "served", bySecond(calls, Call::isServed));
-    addLine(chart, "refused", bySecond(calls, Call::isRefusedUnexecuted));
-    addLine(chart, "cut", bySecond(calls, call -> call.end == End.CUT));
-    addLine(chart, "silent", bySecond(calls, call -> call.end == End.SILENT));
+    addLine(chart, "served", countPerSecond(calls, Call::isServed));
+    addLine(chart, "refused", countPerSecond(calls, Call::isRefusedUnexecuted));
+    addLine(chart, "cut", countPerSecond(calls, call -> call.end == End.CUT));
+    addLine(chart, "silent", countPerSecond(calls, call -> call.end == End.SILENT));
     Map<Long, Double> memory = new TreeMap<>();
     for (MemoryReading reading : ledger.memory())
       memory.merge(reading.atMs() / 1000, reading.rssKb() / 10_240.0, Math::max);
@@ -157,11 +160,12 @@
     return events.stream().mapToDouble(value).toArray();
   }
 
-  private static Map<Long, Double> bySecond(Collection<Call> calls, Predicate<Call> which) {
-    Map<Long, Double> seconds = new TreeMap<>();
+  private static Map<Long, Double> countPerSecond(
+      Collection<Call> calls, Predicate<Call> condition) {
+    Map<Long, Double> countBySecond = new TreeMap<>();
     for (Call call : calls)
-      if (which.test(call)) seconds.merge(call.endedAtMs / 1000, 1.0, Double::sum);
-    return seconds;
+      if (condition.test(call)) countBySecond.merge(call.endedAtMs / 1000, 1.0, Double::sum);
+    return countBySecond;
   }
 
   private static void addLine(XYChart chart, String name, Map<Long, Double> points) {
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakRule.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakRule.java
@@ -1,28 +1,30 @@
 package gladelug.emulator.soak;
 
-/** What must hold of every soak, whatever its plan; the words are what a broken one is told in. */
+/** The rules that must hold in every soak test, whatever its plan. */
 enum SoakRule {
-  MIXED("a success is the replica's own answer, whole, to this very request"),
-  UNASKED("a replica runs only what a client sent, unchanged and in its tenant's name"),
-  TWICE("a request that may not be repeated runs once at the most"),
-  REFUSED("what is answered as not run has not run"),
-  KEY("no request runs on a key whose end was acknowledged RevocationMs before it was sent"),
-  WALL("an isolated tenant uses nothing of another's, nor another anything of its"),
-  DENIED("no proper request is denied that every configuration allows"),
-  ANSWERED("a request has its final answer when its route's time is over"),
-  LOST_AT_STOP("SIGTERM cuts no request that could have ended within the grace period"),
-  LOST_AT_CHANGE("configurations don't make a machine end requests without an answer"),
-  LOST("a machine that nothing happens to ends no request without an answer"),
-  BUDGET("further tries stay within the budget of all machines"),
-  ONE_WINNER("of two changes on one version one is taken"),
-  INVALID("an invalid configuration is not taken"),
-  SENT_AGAIN("a change that was acknowledged is not refused when it is sent again"),
-  READ_BACK("the newest acknowledged configuration is read back as it was sent"),
-  FENCE("no two holders order a replica under one fence"),
+  MIXED("a successful answer is the replica's complete and unchanged answer to this request"),
+  UNASKED("a replica runs only requests that a client sent, unchanged and as the client's tenant"),
+  TWICE("a request that must not be repeated runs at most once"),
+  REFUSED("a request whose answer says that it did not run has not run"),
+  KEY("no request runs with a key whose removal was acknowledged RevocationMs before it was sent"),
+  WALL(
+      "an isolated tenant uses no cached parts of other tenants, nor other tenants any of its parts"),
+  DENIED("no valid request is denied that every possible configuration allows"),
+  ANSWERED("a request has its final answer when its route's deadline has passed"),
+  LOST_AT_STOP("a stop by SIGTERM cuts no request that could have ended within the grace period"),
+  LOST_AT_CHANGE("configuration changes don't make a machine end requests without an answer"),
+  LOST("an undisturbed machine ends no request without an answer"),
+  BUDGET("retries stay within the retry budget of all machines"),
+  ONE_WINNER("of two changes based on the same revision only one is acknowledged"),
+  INVALID("an invalid configuration is not acknowledged"),
+  SENT_AGAIN("an acknowledged change is not refused when it is sent again"),
+  READ_BACK("the newest acknowledged configuration, or a later one, is read back as it was sent"),
+  FENCE("no two holders send orders to a replica with the same fence token"),
   EXIT("no process ends by itself"),
-  MEMORY("no process takes more memory than its machine has for it"),
-  READY("every relay is ready once nothing disturbs it any more"),
-  RECOVERS("a quarter of the requests is served RecoveryS after the last disturbance");
+  MEMORY("no process uses more memory than its limit"),
+  READY("every relay is ready RecoveryS after the last disturbance"),
+  RECOVERS(
+      "at least a quarter of the requests sent RecoveryS after the last disturbance is served");
 
   final String description;
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakStore.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakStore.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A store of parts of prompts that goes and comes back empty. */
+/** A stand-in for the prefix store; it can stop and restart empty. */
 final class SoakStore implements AutoCloseable {
   final PrefixCache cache = new PrefixCache();
   private final SocketServer server;
--- a/emulator/src/main/java/gladelug/emulator/soak/SocketServer.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SocketServer.java
@@ -11,11 +11,17 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A server of HTTP/1.1 on plain sockets, a thread a connection, that can go and come back. */
+/**
+ * An HTTP/1.1 server on plain sockets, with a thread per connection, that can be closed and opened
+ * again.
+ */
 final class SocketServer implements AutoCloseable {
   private static final int BACKLOG = 512;
 
-  /** Orders are short; of long bodies only the digest counts. */
+  /**
+   * Limit of the bytes of a request body that are kept; orders are shorter, and only the digest of
+   * longer bodies is needed.
+   */
   private static final int MAX_KEPT_REQUEST_BYTES = 1 << 14;
 
   /** Answers one request. */
@@ -36,7 +42,7 @@
     this.handler = handler;
   }
 
-  /** Listens, unless it does; at the address of the last time if there was one. */
+  /** Starts to listen, unless the server already does; uses the same port as the last time. */
   synchronized void open() throws IOException {
     if (server != null && !server.isClosed()) return;
     ServerSocket opened = new ServerSocket();
@@ -75,29 +81,33 @@
     return HttpMessage.read(in, HttpMessage.BodyReader.NONE, MAX_KEPT_REQUEST_BYTES);
   }
 
-  /** Ends all connections with a reset. */
+  /** Closes all connections with a TCP reset. */
   void resetConnections() {
     for (Socket socket : connections)
       try {
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (IOException e) {
-        // it is closed already
+        // the socket is already closed
       }
   }
 
-  /** Listens no more and resets all connections. */
+  /** Stops listening and resets all connections. */
   @Override
   public synchronized void close() {
     try {
       if (server != null) server.close();
     } catch (IOException e) {
-      // it is closed already
+      // the socket is already closed
     }
     resetConnections();
   }
 
-  /** Writes an answer with a body; the lines of further headers end with a line's end each. */
+  /**
+   * Writes a complete answer.
+   *
+   * @param headers further header lines, each terminated by CRLF; may be empty
+   */
   static void writeAnswer(OutputStream out, int status, String headers, String body)
       throws IOException {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
--- a/emulator/src/main/java/gladelug/emulator/soak/Violation.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/Violation.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A rule that was broken.
+ * A violation of a rule.
  *
- * @param requests ids of the requests concerned, the first few
+ * @param requests ids of the first few requests concerned
  */
 record Violation(SoakRule rule, long atMs, List<String> requests, String description) {
   private static final int MAX_REQUESTS_SHOWN = 8;
--- a/emulator/src/test/java/gladelug/emulator/control/ControlJudgeTest.java
+++ b/emulator/src/test/java/gladelug/emulator/control/ControlJudgeTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of ControlJudge: each rule finds the violation that is planted for it and no other rule
- * does, and the nearest innocent neighbour passes.
+ * Tests that each rule of ControlJudge finds the violation planted for it, that no other rule does,
+ * and that the most similar correct behavior breaks no rule.
  */
 final class ControlJudgeTest {
   private static final long LONGEST_GAP_MS = 12_000;
   private final ChangeLedger ledger = new ChangeLedger();
 
-  /** Content 1 is confirmed as 1 at 100, content 2 as 2 at 1100. */
+  /** Content 1 is confirmed under number 1 at 100 ms, content 2 under number 2 at 1100 ms. */
   @BeforeEach
   void twoChanges() {
     attempt(1, 0, 0, 100, Outcome.CONFIRMED, 1);
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aDayOfConfirmedChangesIsClean() {
+  void confirmedChangesAndCurrentReadsBreakNoRule() {
     reading(50, 0, -1);
     reading(200, 1, 1);
     reading(1200, 2, 2);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void anOldStateShownWhileTheChangeIsUnderWayIsBorne() {
+  void anOldStateShownWhileTheChangeIsInProgressIsAllowed() {
     reading(1100, 1, 1);
     assertBrokenRules();
   }
@@ -79,13 +79,13 @@
   }
 
   @Test
-  void aRefusalOfJustTheCurrentNumberIsFound() {
+  void aRefusalOfAChangeBasedOnTheCurrentNumberIsFound() {
     attempt(3, 2, 1200, 1300, Outcome.REFUSED_AS_STALE, 2);
     assertBrokenRules(ControlJudge.REFUSED_ON_OLD_STATE);
   }
 
   @Test
-  void aRefusalOfWhatIsNoLongerCurrentIsBorne() {
+  void aRefusalOfAnOutdatedChangeIsAllowed() {
     attempt(3, 1, 1200, 1300, Outcome.REFUSED_AS_STALE, 2);
     assertBrokenRules();
   }
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void theSameContentConfirmedAgainUnderItsNumberIsBorne() {
+  void theSameContentConfirmedAgainUnderItsNumberIsAllowed() {
     attempt(2, 1, 1200, 1300, Outcome.CONFIRMED, 2);
     assertBrokenRules();
   }
@@ -113,17 +113,17 @@
     attempt(3, 2, 1200, 1250, Outcome.UNKNOWN, -1);
     reading(1300, 3, 3);
     attempt(3, 2, 1400, 1450, Outcome.REFUSED_AS_STALE, 3);
-    assertBrokenRules(ControlJudge.TAKEN_AND_REFUSED);
+    assertBrokenRules(ControlJudge.TAKEN_CHANGE_REFUSED);
   }
 
   @Test
   void aConfirmedChangeThatIsRefusedWhenSentAgainIsFound() {
     attempt(2, 1, 1200, 1300, Outcome.REFUSED, -1);
-    assertBrokenRules(ControlJudge.TAKEN_AND_REFUSED);
+    assertBrokenRules(ControlJudge.TAKEN_CHANGE_REFUSED);
   }
 
   @Test
-  void aLostChangeThatIsRefusedWhenSentAgainIsBorne() {
+  void aLostChangeThatIsRefusedWhenSentAgainIsAllowed() {
     attempt(3, 1, 1050, 1060, Outcome.UNKNOWN, -1);
     attempt(3, 1, 1200, 1250, Outcome.REFUSED_AS_STALE, 2);
     assertBrokenRules();
@@ -133,7 +133,7 @@
   void aRefusedChangeThatWasTakenIsFound() {
     attempt(3, 2, 1200, 1250, Outcome.REFUSED, -1);
     reading(1300, 3, 3);
-    assertBrokenRules(ControlJudge.REFUSED_AND_TAKEN);
+    assertBrokenRules(ControlJudge.REFUSED_CHANGE_TAKEN);
   }
 
   @Test
@@ -147,11 +147,11 @@
     attempt(3, 2, 12_000, 1100 + LONGEST_GAP_MS, Outcome.CONFIRMED, 3);
     assertBrokenRules();
     attempt(4, 3, 20_000, 1101 + 2 * LONGEST_GAP_MS, Outcome.CONFIRMED, 4);
-    assertBrokenRules(ControlJudge.NO_MAJORITY_FOR_LONG);
+    assertBrokenRules(ControlJudge.NO_CHANGE_FOR_TOO_LONG);
   }
 
   @Test
-  void aDayWithNoConfirmedChangeIsFound() {
+  void aRunWithoutAConfirmedChangeIsFound() {
     assertEquals(
         List.of("no change was confirmed at all"),
         ControlJudge.judge(new ChangeLedger(), LONGEST_GAP_MS).get(7).offenders());
--- a/emulator/src/test/java/gladelug/emulator/soak/SoakJudgeTest.java
+++ b/emulator/src/test/java/gladelug/emulator/soak/SoakJudgeTest.java
@@ -24,16 +24,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Tests of SoakJudge: a breach planted for each rule is found, by that rule and no other. */
+/** Tests that SoakJudge finds a planted violation of each rule, by that rule and by no other. */
 final class SoakJudgeTest {
-  /** When everything that is planted happens; long after the first configuration. */
+  /** The time of all planted violations, long after the first configuration. */
   private static final long AT_MS = 100_000;
 
   private static final ConfigurationModel FIRST = ConfigurationModel.initial("127.0.0.1:1");
   private static final Map<SoakRule, Consumer<SoakLedger>> BREACHES = breaches();
 
   /**
-   * A ledger of a well run: requests served before and after the events, configuration in force.
+   * Returns the ledger of a run without violations: requests are served after the events, under one
+   * configuration.
    */
   private static SoakLedger cleanLedger() {
     SoakLedger ledger = new SoakLedger();
@@ -98,42 +99,43 @@
 
   private static Map<SoakRule, Consumer<SoakLedger>> breaches() {
     Map<SoakRule, Consumer<SoakLedger>> all = new EnumMap<>(SoakRule.class);
-    all.put(SoakRule.MIXED, l -> served(l, "x", RequestKind.READ, AT_MS).echoedId = "well-1");
+    all.put(
+        SoakRule.MIXED, ledger -> served(ledger, "x", RequestKind.READ, AT_MS).echoedId = "well-1");
     all.put(
         SoakRule.UNASKED,
-        l ->
-            l.recordRun(
+        ledger ->
+            ledger.recordRun(
                 new Run("nobody's", "i-1-1", ConfigurationModel.SERVICE, "", AT_MS, "digest", "")));
-    all.put(SoakRule.TWICE, l -> run(l, served(l, "x", RequestKind.ASK, AT_MS)));
+    all.put(SoakRule.TWICE, ledger -> run(ledger, served(ledger, "x", RequestKind.ASK, AT_MS)));
     all.put(
         SoakRule.REFUSED,
-        l -> {
-          Call call = call(l, "x", RequestKind.ASK, AT_MS, End.ANSWERED);
+        ledger -> {
+          Call call = call(ledger, "x", RequestKind.ASK, AT_MS, End.ANSWERED);
           call.status = 503;
-          run(l, call);
+          run(ledger, call);
         });
     all.put(
         SoakRule.KEY,
-        l -> {
+        ledger -> {
           ConfigurationModel other = withFirstTenant(false, "key-1-1");
-          l.recordFinalConfiguration(other.toJson(2));
-          change(l, 2, 1, other, AT_MS + 1000);
-          served(l, "x", RequestKind.READ, AT_MS + 8000);
+          ledger.recordFinalConfiguration(other.toJson(2));
+          change(ledger, 2, 1, other, AT_MS + 1000);
+          served(ledger, "x", RequestKind.READ, AT_MS + 8000);
         });
     all.put(
         SoakRule.WALL,
-        l -> {
+        ledger -> {
           ConfigurationModel other = withFirstTenant(true, "key-1-0");
-          l.recordFinalConfiguration(other.toJson(2));
-          change(l, 2, 1, other, AT_MS + 1000);
-          served(l, "x", RequestKind.READ, AT_MS + 5000);
-          l.recordPartUse(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 5010));
+          ledger.recordFinalConfiguration(other.toJson(2));
+          change(ledger, 2, 1, other, AT_MS + 1000);
+          served(ledger, "x", RequestKind.READ, AT_MS + 5000);
+          ledger.recordPartUse(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 5010));
         });
     all.put(
         SoakRule.DENIED,
-        l -> {
+        ledger -> {
           for (int i = 0; i < 8; i++)
-            call(l, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 404;
+            call(ledger, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 404;
         });
     answersAndStops(all);
     changesAndProcesses(all);
@@ -143,67 +145,71 @@
   private static void answersAndStops(Map<SoakRule, Consumer<SoakLedger>> all) {
     all.put(
         SoakRule.ANSWERED,
-        l -> {
+        ledger -> {
           for (int i = 0; i < 4; i++)
-            call(l, "x" + i, RequestKind.READ, AT_MS, End.SILENT).endedAtMs = AT_MS + 9500;
+            call(ledger, "x" + i, RequestKind.READ, AT_MS, End.SILENT).endedAtMs = AT_MS + 9500;
         });
     all.put(
         SoakRule.LOST_AT_STOP,
-        l -> {
-          l.recordDisturbance(
+        ledger -> {
+          ledger.recordDisturbance(
               new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
-          cut(l, 1, AT_MS + 1000, AT_MS + 4000);
+          cut(ledger, 1, AT_MS + 1000, AT_MS + 4000);
         });
     all.put(
         SoakRule.LOST_AT_CHANGE,
-        l -> {
-          change(l, 2, 1, FIRST, AT_MS + 1000);
-          l.recordFinalConfiguration(FIRST.toJson(2));
-          for (int i = 0; i < 3; i++) cut(l, i, AT_MS + 1000, AT_MS + 1500);
+        ledger -> {
+          change(ledger, 2, 1, FIRST, AT_MS + 1000);
+          ledger.recordFinalConfiguration(FIRST.toJson(2));
+          for (int i = 0; i < 3; i++) cut(ledger, i, AT_MS + 1000, AT_MS + 1500);
         });
     all.put(
         SoakRule.LOST,
-        l -> {
-          for (int i = 0; i < 5; i++) cut(l, i, AT_MS, AT_MS + 500);
+        ledger -> {
+          for (int i = 0; i < 5; i++) cut(ledger, i, AT_MS, AT_MS + 500);
         });
     all.put(
         SoakRule.BUDGET,
-        l -> {
-          for (int i = 0; i < 120; i++) run(l, served(l, "x" + i, RequestKind.READ, AT_MS));
+        ledger -> {
+          for (int i = 0; i < 120; i++)
+            run(ledger, served(ledger, "x" + i, RequestKind.READ, AT_MS));
         });
   }
 
   private static void changesAndProcesses(Map<SoakRule, Consumer<SoakLedger>> all) {
     all.put(
         SoakRule.ONE_WINNER,
-        l -> {
-          change(l, 2, 1, FIRST, AT_MS);
-          change(l, 3, 1, FIRST, AT_MS);
-          l.recordFinalConfiguration(FIRST.toJson(3));
+        ledger -> {
+          change(ledger, 2, 1, FIRST, AT_MS);
+          change(ledger, 3, 1, FIRST, AT_MS);
+          ledger.recordFinalConfiguration(FIRST.toJson(3));
         });
     all.put(
         SoakRule.INVALID,
-        l -> {
-          Change change = l.recordChange(new Change(2, 1, "PUT", "{}", false, FIRST, AT_MS));
+        ledger -> {
+          Change change = ledger.recordChange(new Change(2, 1, "PUT", "{}", false, FIRST, AT_MS));
           change.outcome = ChangeOutcome.ACKNOWLEDGED;
-          l.recordFinalConfiguration(FIRST.toJson(2));
+          ledger.recordFinalConfiguration(FIRST.toJson(2));
         });
-    all.put(SoakRule.SENT_AGAIN, l -> l.changes().get(0).refusedAgain = true);
-    all.put(SoakRule.READ_BACK, l -> l.recordFinalConfiguration(null));
+    all.put(
+        SoakRule.SENT_AGAIN, ledger -> ledger.changes().get(0).refusedAfterAcknowledgement = true);
+    all.put(SoakRule.READ_BACK, ledger -> ledger.recordFinalConfiguration(null));
     all.put(
         SoakRule.FENCE,
-        l -> {
-          l.recordOrder(new Order("i-1-1", "node-1", 7, AT_MS));
-          l.recordOrder(new Order("i-1-1", "node-2", 7, AT_MS));
+        ledger -> {
+          ledger.recordOrder(new Order("i-1-1", "node-1", 7, AT_MS));
+          ledger.recordOrder(new Order("i-1-1", "node-2", 7, AT_MS));
         });
-    all.put(SoakRule.EXIT, l -> l.recordExit(new UnexpectedExit("relay-1", 4, AT_MS)));
-    all.put(SoakRule.MEMORY, l -> l.recordMemory(new MemoryReading("relay-1", 431L << 10, AT_MS)));
-    all.put(SoakRule.READY, l -> l.recordReadiness(new Readiness(2, false, AT_MS)));
+    all.put(SoakRule.EXIT, ledger -> ledger.recordExit(new UnexpectedExit("relay-1", 4, AT_MS)));
+    all.put(
+        SoakRule.MEMORY,
+        ledger -> ledger.recordMemory(new MemoryReading("relay-1", 431L << 10, AT_MS)));
+    all.put(SoakRule.READY, ledger -> ledger.recordReadiness(new Readiness(2, false, AT_MS)));
     all.put(
         SoakRule.RECOVERS,
-        l -> {
+        ledger -> {
           for (int i = 0; i < 200; i++)
-            call(l, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 500;
+            call(ledger, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 500;
         });
   }
 
@@ -214,22 +220,23 @@
   }
 
   @Test
-  void aRunInWhichAllWentWellBreaksNothing() {
+  void aRunWithoutFaultsBreaksNoRule() {
     Assertions.assertEquals(List.of(), SoakJudge.judge(cleanLedger(), Set.of()));
   }
 
   @ParameterizedTest
   @EnumSource
-  void aPlantedBreachIsFoundByItsRuleAlone(SoakRule rule) {
+  void aPlantedViolationIsFoundByItsRuleAlone(SoakRule rule) {
     SoakLedger ledger = cleanLedger();
     BREACHES.get(rule).accept(ledger);
     Set<SoakRule> found = brokenRules(ledger, Set.of());
     Assertions.assertEquals(Set.of(rule), found);
-    Assertions.assertFalse(brokenRules(ledger, Set.of(rule)).contains(rule), "switched off");
+    Assertions.assertFalse(
+        brokenRules(ledger, Set.of(rule)).contains(rule), "a disabled rule reports nothing");
   }
 
   @Test
-  void whatMayStillBeInForceIsJudgedByNothing() {
+  void usesAllowedByAConfigurationThatMayBeInForceBreakNoRule() {
     SoakLedger ledger = cleanLedger();
     ConfigurationModel isolated = withFirstTenant(true, "key-1-1");
     change(ledger, 2, 1, isolated, AT_MS + 1000);
@@ -242,7 +249,7 @@
   }
 
   @Test
-  void aStreamThatIsCutAtTheEndOfTheGraceBreaksNothing() {
+  void aStreamThatIsCutAtTheEndOfTheGracePeriodBreaksNoRule() {
     SoakLedger ledger = cleanLedger();
     ledger.recordDisturbance(new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
     cut(ledger, 1, AT_MS - 1000, AT_MS + 7500);
@@ -250,7 +257,7 @@
   }
 
   @Test
-  void whatIsCutAsTheSoakIsInterruptedBreaksNothing() {
+  void requestsThatAreCutWhenTheSoakIsInterruptedBreakNoRule() {
     SoakLedger ledger = cleanLedger();
     for (int i = 0; i < 5; i++) cut(ledger, i, AT_MS, AT_MS + 500);
     ledger.recordInterruption(AT_MS + 500);
@@ -258,7 +265,7 @@
   }
 
   @Test
-  void whatAReplicasFaultSpoiltIsNoMachinesBreach() {
+  void answersThatAReplicaFaultCutBreakNoRule() {
     SoakLedger ledger = cleanLedger();
     for (int i = 0; i < 6; i++) {
       Call call = call(ledger, "x" + i, RequestKind.STREAM, AT_MS, End.CUT);
--- a/emulator/src/test/java/gladelug/emulator/soak/SoakPlanTest.java
+++ b/emulator/src/test/java/gladelug/emulator/soak/SoakPlanTest.java
@@ -31,14 +31,14 @@
   }
 
   @Test
-  void aSeedDrawsOnePlanAndAnotherSeedAnother() {
+  void aSeedAlwaysGivesTheSamePlanAndAnotherSeedADifferentOne() {
     SoakPlan plan = PlanGenerator.generate(5, 120, 0, Set.of());
     Assertions.assertEquals(plan, PlanGenerator.generate(5, 120, 0, Set.of()));
     Assertions.assertNotEquals(plan.events(), PlanGenerator.generate(6, 120, 0, Set.of()).events());
   }
 
   @Test
-  void whatIsNoPlanIsAFindingWithItsPlace() {
+  void anInvalidPlanIsReportedWithThePlaceOfTheFault() {
     String head = "{\"seed\":1,\"seconds\":9,\"machines\":3,\"replicas\":2,\"events\":[";
     assertFinding("{", "line 1");
     assertFinding(head + "{\"atMs\":1,\"kind\":\"relay-sleep\"}]}", "must be one of relay-term");
@@ -49,15 +49,15 @@
   }
 
   @Test
-  void onlyTheKindsThatAreAskedForAreDrawn() {
+  void onlyAllowedKindsOfEventsAreDrawn() {
     Set<EventKind> only = EnumSet.of(EventKind.SWAP, EventKind.RELAY_FREEZE);
     for (SoakEvent event : PlanGenerator.generate(3, 300, 4, only).events())
       Assertions.assertTrue(only.contains(event.kind()), event.toString());
   }
 
-  /** At most one member at a time is disturbed, and has time to catch up before the next. */
+  /** At most one member at a time is disturbed, and it has time to catch up before the next one. */
   @Test
-  void noPlanAsksMoreOfTheCoreThanItHasToBear() {
+  void noPlanDisturbsTheCoreMoreThanItMustTolerate() {
     Set<EventKind> met = EnumSet.noneOf(EventKind.class);
     for (long seed = 0; seed < 200; seed++) {
       long freeFromMs = 0;
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void aPlanIsShrunkToTheEventsThatItsFailureNeeds() {
+  void aPlanIsShrunkToTheEventsThatCauseTheFailure() {
     SoakPlan plan = PlanGenerator.generate(9, 300, 4, Set.of());
     List<SoakEvent> needed = List.of(plan.events().get(7), plan.events().get(20));
     List<Integer> sizes = new ArrayList<>();
@@ -86,7 +86,7 @@
             });
     Assertions.assertEquals(needed, smallest.events());
     Assertions.assertEquals(
-        plan, PlanShrinker.shrink(plan, 0, smaller -> true), "with no try left nothing is dropped");
+        plan, PlanShrinker.shrink(plan, 0, smaller -> true), "without tries no event is removed");
     Assertions.assertTrue(sizes.size() <= 200, sizes.toString());
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/soak/SoakTest.java
+++ b/emulator/src/test/java/gladelug/emulator/soak/SoakTest.java
@@ -8,17 +8,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A short soak of real processes with the flags of the deploy file and the classes of this build.
+ * Runs a short soak test with real processes, the flags of the deploy file and the classes of this
+ * build.
  */
 final class SoakTest {
-  /** Where surefire runs a module's tests is a folder below the root. */
+  /** The root of the project; surefire runs the tests in a module's folder, one level below. */
   private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
 
   private static SoakEvent event(long atMs, EventKind kind, int target, int forMs) {
     return new SoakEvent(atMs, kind, target, forMs);
   }
 
-  /** One of each family of events, in series that overlap. */
+  /**
+   * Returns a plan with overlapping events of every group: relays, core, configurations, replicas,
+   * clients and the store.
+   */
   private static SoakPlan plan() {
     return new SoakPlan(
         3,
