--- a/emulator/src/main/java/gladelug/emulator/AddedLatency.java
+++ b/emulator/src/main/java/gladelug/emulator/AddedLatency.java
@@ -24,9 +24,9 @@
   }
 
   /** Makes one pair of calls. */
-  void pair() {
+  void measurePair() {
     String tag = "added-" + pairs++;
-    String relay = fleet.callers.get(1 + pairs % (fleet.callers.size() - 1));
+    String relay = fleet.callerAddresses.get(1 + pairs % (fleet.callerAddresses.size() - 1));
     measure(directMs, () -> direct(tag));
     measure(relayedMs, () -> relayed(relay, tag));
   }
--- a/emulator/src/main/java/gladelug/emulator/Child.java
+++ b/emulator/src/main/java/gladelug/emulator/ChildProcess.java
@@ -12,23 +12,23 @@
  * own id. Its lines go to a file. With -Dgladelug.programs=JAR the programs are those of another
  * build, so that two builds can be measured by the same rehearsal.
  */
-public final class Child {
+public final class ChildProcess {
   public final String name;
-  private final String main;
+  private final String mainClass;
   private final List<String> args;
   private final Path log;
   private final int heapMb;
   private Process process;
 
-  public Child(String name, String main, List<String> args, Path log, int heapMb) {
+  public ChildProcess(String name, String main, List<String> args, Path log, int heapMb) {
     this.name = name;
-    this.main = main;
+    this.mainClass = main;
     this.args = args;
     this.log = log;
     this.heapMb = heapMb;
   }
 
-  public Child start() throws IOException {
+  public ChildProcess start() throws IOException {
     List<String> l =
         new ArrayList<>(
             List.of(
@@ -40,7 +40,7 @@
                 "-Dvertx.disableDnsResolver=true",
                 "-cp",
                 System.getProperty("gladelug.programs", System.getProperty("java.class.path")),
-                main));
+                mainClass));
     l.addAll(args);
     process =
         new ProcessBuilder(l)
@@ -50,7 +50,7 @@
     return this;
   }
 
-  public boolean alive() {
+  public boolean isAlive() {
     return process != null && process.isAlive();
   }
 
@@ -89,11 +89,11 @@
     }
   }
 
-  public int exit() {
+  public int exitCode() {
     return process.exitValue();
   }
 
-  public String lines() {
+  public String readLog() {
     try {
       return Files.readString(log);
     } catch (IOException e) {
--- a/emulator/src/main/java/gladelug/emulator/ChoiceComparison.java
+++ b/emulator/src/main/java/gladelug/emulator/ChoiceComparison.java
@@ -28,7 +28,7 @@
     double of(Figures figures);
   }
 
-  private static final long ENDED_MS = 30_000;
+  private static final long DRAIN_TIMEOUT_MS = 30_000;
   private final Options options;
   private final Map<String, List<Figures>> figures = new TreeMap<>();
 
@@ -48,7 +48,7 @@
   }
 
   private void play(int round, String choice) throws Exception {
-    Deployment deployment = Deployment.named(options.deployment);
+    Deployment deployment = Deployment.byName(options.deployment);
     Path out =
         Path.of(options.out)
             .toAbsolutePath()
@@ -63,15 +63,16 @@
           new StandInCallers(
               fleet.vertx,
               fleet.ledger,
-              fleet.callers,
+              fleet.callerAddresses,
               deployment.tenants(),
               deployment.kinds(),
               round);
-      callers.faster = options.rate;
+      callers.rateFactor = options.rate;
       callers.start();
       Fleet.pause(options.seconds * 1000L);
       callers.stop();
-      Fleet.until("the last requests ended", ENDED_MS, () -> callers.open() == 0);
+      Fleet.waitUntil(
+          "the last requests ended", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
       Figures result = figuresOf(fleet.ledger);
       figures.computeIfAbsent(choice, c -> new ArrayList<>()).add(result);
       print(round, choice, result);
@@ -83,8 +84,8 @@
     ledger.runs.values().forEach(runs -> runs.forEach(blocks::add));
     List<Long> firstPieces =
         ledger.calls.values().stream()
-            .filter(call -> call.firstPiece >= 0)
-            .map(call -> call.firstPiece - call.sent)
+            .filter(call -> call.firstPieceMs >= 0)
+            .map(call -> call.firstPieceMs - call.sentMs)
             .toList();
     double complete =
         ledger.calls.values().stream().filter(call -> call.outcome.equals("complete")).count();
--- a/emulator/src/main/java/gladelug/emulator/Deployment.java
+++ b/emulator/src/main/java/gladelug/emulator/Deployment.java
@@ -14,7 +14,7 @@
  */
 public record Deployment(
     String name,
-    int net,
+    int subnet,
     String service,
     int replicas,
     int relays,
@@ -100,7 +100,7 @@
         "eight");
   }
 
-  public static Deployment named(String n) {
+  public static Deployment byName(String n) {
     return switch (n) {
       case "safari-njia" -> safariNjia();
       case "moka-ridge" -> mokaRidge();
@@ -130,41 +130,44 @@
    * last kind's path is gone, tenants isolated further, and whether the first replica's address is
    * no longer allowed.
    */
-  public record Wish(
+  public record ConfigurationOptions(
       int marker,
-      List<String> without,
+      List<String> revokedTenants,
       String application,
-      int more,
-      boolean gone,
-      List<String> walled,
-      boolean narrow) {}
+      int extraRoutes,
+      boolean lastPathRemoved,
+      List<String> isolatedTenants,
+      boolean firstReplicaForbidden) {}
 
   public JsonObject configuration(int marker, List<String> without, String application, int more) {
-    return configuration(new Wish(marker, without, application, more, false, List.of(), false));
+    return configuration(
+        new ConfigurationOptions(marker, without, application, more, false, List.of(), false));
   }
 
-  public StandInCallers.Kind last() {
+  public StandInCallers.Kind lastKind() {
     return kinds.get(kinds.size() - 1);
   }
 
-  public JsonObject configuration(Wish w) {
-    JsonArray ms = new JsonArray();
+  public JsonObject configuration(ConfigurationOptions options) {
+    JsonArray mappings = new JsonArray();
     for (StandInCallers.Kind k : kinds)
-      ms.add(
+      mappings.add(
           Json.object()
               .add("name", k.name())
-              .add("path", w.gone && k.equals(last()) ? k.path() + "-gone" : k.path())
+              .add(
+                  "path",
+                  options.lastPathRemoved && k.equals(lastKind()) ? k.path() + "-gone" : k.path())
               .add("service", service)
               .add("expiryMs", 8000)
               .add("repeatable", k.repeatable()));
-    ms.add(
+    mappings.add(
         Json.object()
             .add("name", "lookup-stop")
             .add("path", "/lookup-stop")
-            .add("service", w.application)
-            .add("expiryMs", 5000 + w.marker % 1000));
-    for (int i = 0; i < w.more; i++)
-      ms.add(
+            .add("service", options.application)
+            .add("expiryMs", 5000 + options.marker % 1000));
+    for (int i = 0; i < options.extraRoutes; i++)
+      mappings.add(
           Json.object()
               .add("name", "more-" + i)
               .add("path", "/more/" + i)
@@ -174,13 +177,16 @@
     JsonArray ts = new JsonArray();
     for (StandInCallers.Tenant t : tenants) {
       JsonArray keys = new JsonArray();
-      if (!w.without.contains(t.name())) keys.add("sha256:" + Configuration.hashKey(t.key()));
+      if (!options.revokedTenants.contains(t.name()))
+        keys.add("sha256:" + Configuration.hashKey(t.key()));
       ts.add(
           Json.object()
               .add("name", t.name())
               .add("keys", keys)
               .add("weight", t.size())
-              .add("isolated", t.name().equals(isolated) || w.walled.contains(t.name()))
+              .add(
+                  "isolated",
+                  t.name().equals(isolated) || options.isolatedTenants.contains(t.name()))
               .add(
                   "shares",
                   Json.array()
@@ -201,10 +207,10 @@
     }
     // all that is listed but the first replica, at .21
     JsonArray allow = new JsonArray();
-    if (w.narrow)
+    if (options.firstReplicaForbidden)
       for (String n : new String[] {"22/31", "24/29", "32/27", "64/26", "128/25"})
-        allow.add("127." + net + ".0." + n);
-    else allow.add("127." + net + ".0.0/16");
+        allow.add("127." + subnet + ".0." + n);
+    else allow.add("127." + subnet + ".0.0/16");
     return Json.object()
         .add(
             "services",
@@ -215,20 +221,20 @@
                         Json.object()
                             .add("name", "prefix-store")
                             .add("kind", "store")
-                            .add("allow", Json.array("127." + net + ".0.0/16")))
+                            .add("allow", Json.array("127." + subnet + ".0.0/16")))
                 .add(
                     (JsonValue)
                         Json.object()
                             .add("name", "application")
                             .add("kind", "application")
-                            .add("allow", Json.array("127." + net + ".0.0/16")))
+                            .add("allow", Json.array("127." + subnet + ".0.0/16")))
                 .add(
                     (JsonValue)
                         Json.object()
                             .add("name", "application-two")
                             .add("kind", "application")
-                            .add("allow", Json.array("127." + net + ".0.0/16"))))
-        .add("mappings", ms)
+                            .add("allow", Json.array("127." + subnet + ".0.0/16"))))
+        .add("mappings", mappings)
         .add("tenants", ts);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/Fleet.java
+++ b/emulator/src/main/java/gladelug/emulator/Fleet.java
@@ -36,22 +36,22 @@
   public record Answer(int status, JsonObject body, Map<String, List<String>> headers) {}
 
   public final Deployment deployment;
-  public final Path dir;
+  public final Path folder;
   public final Ledger ledger = new Ledger();
   public final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
   public final Map<String, StandInReplica> replicas = new LinkedHashMap<>();
-  public final Map<String, Child> children = new LinkedHashMap<>();
-  public final Map<String, String> operator = new LinkedHashMap<>();
-  public final Map<String, String> records = new LinkedHashMap<>();
-  public final List<String> callers = new ArrayList<>();
+  public final Map<String, ChildProcess> children = new LinkedHashMap<>();
+  public final Map<String, String> operatorAddresses = new LinkedHashMap<>();
+  public final Map<String, String> recordsAddresses = new LinkedHashMap<>();
+  public final List<String> callerAddresses = new ArrayList<>();
   public StandInPlatform platform;
-  public final Wires wires = new Wires(vertx);
+  public final LinkProxy links = new LinkProxy(vertx);
   private final HttpClient http =
       HttpClient.newBuilder()
           .connectTimeout(Duration.ofSeconds(2))
           .version(HttpClient.Version.HTTP_1_1)
           .build();
-  private HttpServer trap;
+  private HttpServer forbiddenServer;
   public final Set<String> frozen = ConcurrentHashMap.newKeySet();
   private int marker;
 
@@ -62,10 +62,10 @@
   public Fleet(Deployment deployment, Path dir, long seed, String choice, String division)
       throws Exception {
     this.deployment = deployment;
-    this.dir = dir;
+    this.folder = dir;
     Files.createDirectories(dir);
-    platform = new StandInPlatform(vertx, bind(100), ip(100));
-    wires.carry(platform.address(), platform.bound(), "platform");
+    platform = new StandInPlatform(vertx, bindIp(100), advertisedIp(100));
+    links.forward(platform.address(), platform.boundAddress(), "platform");
     for (int i = 1; i <= deployment.replicas(); i++)
       addReplica(
           StandInReplica.Kind.MODEL,
@@ -89,45 +89,46 @@
         62,
         "zone-c",
         seed * 1000 + 902);
-    trap =
+    forbiddenServer =
         vertx
             .createHttpServer()
             .requestHandler(
                 request -> {
-                  ledger.trapped.add(request.method() + " " + request.path());
+                  ledger.forbiddenCalls.add(request.method() + " " + request.path());
                   request.response().setStatusCode(404).end();
                 });
-    String trapHost = "127." + (deployment.net() + 50) + ".0.9";
+    String trapHost = "127." + (deployment.subnet() + 50) + ".0.9";
     int port =
-        trap.listen(0, trapHost)
+        forbiddenServer
+            .listen(0, trapHost)
             .toCompletionStage()
             .toCompletableFuture()
             .get(10, TimeUnit.SECONDS)
             .actualPort();
     platform.list(deployment.service(), "not-allowed-1", trapHost + ":" + port, "zone-a", true);
     platform.list("ghost", "ghost-1", trapHost + ":" + port, "zone-a", true);
-    programs(choice, division);
+    createProcesses(choice, division);
   }
 
-  public String ip(int host) {
-    return "127." + deployment.net() + ".0." + host;
+  public String advertisedIp(int host) {
+    return "127." + deployment.subnet() + ".0." + host;
   }
 
   /** Where what is advertised on ip(host) really listens. */
-  String bind(int host) {
-    return "127." + deployment.net() + ".1." + host;
+  String bindIp(int host) {
+    return "127." + deployment.subnet() + ".1." + host;
   }
 
   /** A free address of a machine, carried by the wires to where its process will listen. */
-  private String door(int host, String machine) throws Exception {
-    String port = free(bind(host)).replaceFirst(".*:", "");
-    wires.machine(bind(host), machine);
-    wires.carry(ip(host) + ":" + port, bind(host) + ":" + port, machine);
-    return ip(host) + ":" + port;
+  private String reserveAddress(int host, String machine) throws Exception {
+    String port = freeAddress(bindIp(host)).replaceFirst(".*:", "");
+    links.registerMachine(bindIp(host), machine);
+    links.forward(advertisedIp(host) + ":" + port, bindIp(host) + ":" + port, machine);
+    return advertisedIp(host) + ":" + port;
   }
 
   /** The machine that edge processes number i share. */
-  public static String edge(int i) {
+  public static String edgeMachine(int i) {
     return "edge-" + i;
   }
 
@@ -138,20 +139,20 @@
         new StandInReplica(
             vertx,
             ledger,
-            model(kind, service, instance),
-            bind(host),
+            modelOf(kind, service, instance),
+            bindIp(host),
             kind == StandInReplica.Kind.MODEL ? "w1" : "",
             seed,
             replicas::get);
     r.start();
-    r.advertised = ip(host) + ":" + r.port;
-    wires.carry(r.advertised, bind(host) + ":" + r.port, instance);
+    r.advertised = advertisedIp(host) + ":" + r.port;
+    links.forward(r.advertised, bindIp(host) + ":" + r.port, instance);
     replicas.put(instance, r);
     platform.list(service, instance, r.address(), zone, true);
     return r;
   }
 
-  private static StandInReplica.Model model(
+  private static StandInReplica.Model modelOf(
       StandInReplica.Kind kind, String service, String instance) {
     return switch (kind) {
       case MODEL -> new StandInReplica.Model(kind, service, instance, 6, 1500, 4, 6, 0.3);
@@ -160,128 +161,128 @@
     };
   }
 
-  private static String free(String ip) throws IOException {
+  private static String freeAddress(String ip) throws IOException {
     try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(ip))) {
       return ip + ":" + s.getLocalPort();
     }
   }
 
-  private void programs(String choice, String division) throws Exception {
+  private void createProcesses(String choice, String division) throws Exception {
     List<String> controls = List.of("control-1", "control-2", "control-3");
     for (int i = 0; i < 3; i++) {
-      operator.put(controls.get(i), door(i + 1, controls.get(i)));
-      records.put(controls.get(i), door(i + 1, controls.get(i)));
+      operatorAddresses.put(controls.get(i), reserveAddress(i + 1, controls.get(i)));
+      recordsAddresses.put(controls.get(i), reserveAddress(i + 1, controls.get(i)));
     }
     JsonArray founders = new JsonArray(), seeds = new JsonArray();
     for (String c : controls) {
-      founders.add(c + "=" + records.get(c) + "/" + operator.get(c));
-      seeds.add(records.get(c));
+      founders.add(c + "=" + recordsAddresses.get(c) + "/" + operatorAddresses.get(c));
+      seeds.add(recordsAddresses.get(c));
     }
     for (int i = 0; i < 3; i++) {
       String c = controls.get(i);
       Path path =
-          settings(
+          writeSettings(
               c,
               Json.object()
                   .add("name", c)
                   .add("domain", deployment.zone(i))
-                  .add("records", records.get(c))
-                  .add("bind", bind(i + 1))
-                  .add("operator", operator.get(c))
+                  .add("records", recordsAddresses.get(c))
+                  .add("bind", bindIp(i + 1))
+                  .add("operator", operatorAddresses.get(c))
                   .add("platform", platform.address())
                   .add("bootstrapMembers", founders)
                   .add("seeds", seeds)
-                  .add("data", dir.resolve(c + "-data").toString()));
+                  .add("data", folder.resolve(c + "-data").toString()));
       children.put(
           c,
-          new Child(
+          new ChildProcess(
               c,
               "gladelug.control.ControlPlane",
               List.of("run", "--settings", path.toString()),
-              dir.resolve(c + ".log"),
+              folder.resolve(c + ".log"),
               160));
     }
     List<String> indexes = new ArrayList<>();
     for (int i = 1; i <= deployment.indexes(); i++) {
       String n = "index-" + i;
-      operator.put(n, door(3 + i, edge(i)));
-      records.put(n, door(3 + i, edge(i)));
-      indexes.add(records.get(n));
+      operatorAddresses.put(n, reserveAddress(3 + i, edgeMachine(i)));
+      recordsAddresses.put(n, reserveAddress(3 + i, edgeMachine(i)));
+      indexes.add(recordsAddresses.get(n));
       Path path =
-          settings(
+          writeSettings(
               n,
               Json.object()
                   .add("name", n)
                   .add("domain", deployment.zone(i))
-                  .add("records", records.get(n))
-                  .add("bind", bind(3 + i))
-                  .add("operator", operator.get(n))
+                  .add("records", recordsAddresses.get(n))
+                  .add("bind", bindIp(3 + i))
+                  .add("operator", operatorAddresses.get(n))
                   .add("seeds", seeds));
       children.put(
           n,
-          new Child(
+          new ChildProcess(
               n,
               "gladelug.data.DataPlane",
               List.of("index", "--settings", path.toString()),
-              dir.resolve(n + ".log"),
+              folder.resolve(n + ".log"),
               128));
     }
     for (int i = 1; i <= deployment.relays(); i++) {
       String n = "relay-" + i;
-      operator.put(n, door(3 + i, edge(i)));
-      records.put(n, door(3 + i, edge(i)));
-      String c = door(3 + i, edge(i));
-      callers.add(c);
+      operatorAddresses.put(n, reserveAddress(3 + i, edgeMachine(i)));
+      recordsAddresses.put(n, reserveAddress(3 + i, edgeMachine(i)));
+      String c = reserveAddress(3 + i, edgeMachine(i));
+      callerAddresses.add(c);
       JsonObject json =
           Json.object()
               .add("name", n)
               .add("domain", deployment.zone(i))
-              .add("records", records.get(n))
-              .add("bind", bind(3 + i))
-              .add("operator", operator.get(n))
+              .add("records", recordsAddresses.get(n))
+              .add("bind", bindIp(3 + i))
+              .add("operator", operatorAddresses.get(n))
               .add("callers", c)
               .add("seeds", seeds)
               .add("choice", choice)
               .add("division", division);
       if (i <= indexes.size()) json.add("index", indexes.get(i - 1));
-      Path path = settings(n, json);
+      Path path = writeSettings(n, json);
       children.put(
           n,
-          new Child(
+          new ChildProcess(
               n,
               "gladelug.data.DataPlane",
               List.of("relay", "--settings", path.toString()),
-              dir.resolve(n + ".log"),
+              folder.resolve(n + ".log"),
               160));
     }
   }
 
   /** A further control machine with an empty disk, whose process is not yet started. */
-  public Child control(String name, int host) throws Exception {
-    operator.put(name, door(host, name));
-    records.put(name, door(host, name));
+  public ChildProcess addControlMachine(String name, int host) throws Exception {
+    operatorAddresses.put(name, reserveAddress(host, name));
+    recordsAddresses.put(name, reserveAddress(host, name));
     JsonArray seeds = new JsonArray();
-    for (String c : records.keySet())
+    for (String c : recordsAddresses.keySet())
       if (!c.equals(name) && (c.startsWith("relay") || c.startsWith("control")))
-        seeds.add(records.get(c));
+        seeds.add(recordsAddresses.get(c));
     Path path =
-        settings(
+        writeSettings(
             name,
             Json.object()
                 .add("name", name)
                 .add("domain", "zone-a")
-                .add("records", records.get(name))
-                .add("bind", bind(host))
-                .add("operator", operator.get(name))
+                .add("records", recordsAddresses.get(name))
+                .add("bind", bindIp(host))
+                .add("operator", operatorAddresses.get(name))
                 .add("platform", platform.address())
                 .add("seeds", seeds)
-                .add("data", dir.resolve(name + "-data-" + host).toString()));
-    Child c =
-        new Child(
+                .add("data", folder.resolve(name + "-data-" + host).toString()));
+    ChildProcess c =
+        new ChildProcess(
             name,
             "gladelug.control.ControlPlane",
             List.of("run", "--settings", path.toString()),
-            dir.resolve(name + ".log"),
+            folder.resolve(name + ".log"),
             160);
     children.put(name, c);
     return c;
@@ -290,14 +291,16 @@
   /** The data folder of a control machine is gone for good. */
   public void loseDisk(String name) throws IOException {
     String data =
-        Json.parse(Files.readString(dir.resolve(name + ".json"))).asObject().getString("data", "");
+        Json.parse(Files.readString(folder.resolve(name + ".json")))
+            .asObject()
+            .getString("data", "");
     try (Stream<Path> all = Files.walk(Path.of(data))) {
       for (Path path : all.sorted(Comparator.reverseOrder()).toList()) Files.delete(path);
     }
   }
 
-  private Path settings(String name, JsonObject json) throws IOException {
-    Path path = dir.resolve(name + ".json");
+  private Path writeSettings(String name, JsonObject json) throws IOException {
+    Path path = folder.resolve(name + ".json");
     Files.writeString(path, json.toString());
     return path;
   }
@@ -308,7 +311,7 @@
    */
   public void start() throws Exception {
     bootstrap();
-    for (Child c : children.values()) c.start();
+    for (ChildProcess c : children.values()) c.start();
     awaitServing();
   }
 
@@ -316,40 +319,41 @@
   void bootstrap() throws Exception {
     for (int i = 1; i <= 3; i++) {
       String c = "control-" + i;
-      Child found =
-          new Child(
+      ChildProcess found =
+          new ChildProcess(
                   c,
                   "gladelug.control.ControlPlane",
-                  List.of("bootstrap", "--settings", dir.resolve(c + ".json").toString()),
-                  dir.resolve(c + ".log"),
+                  List.of("bootstrap", "--settings", folder.resolve(c + ".json").toString()),
+                  folder.resolve(c + ".log"),
                   64)
               .start();
-      if (!found.waitFor(60_000) || found.exit() != 0)
-        throw new IllegalStateException("found failed: " + found.lines());
+      if (!found.waitFor(60_000) || found.exitCode() != 0)
+        throw new IllegalStateException("found failed: " + found.readLog());
     }
   }
 
   /** Waits for the core, sends the first configuration and weights, and waits for the relays. */
   void awaitServing() {
-    until(
+    waitUntil(
         "a majority of control machines ready",
         60_000,
-        () -> ready("control-1") && ready("control-2") && ready("control-3"));
-    until(
+        () -> isReady("control-1") && isReady("control-2") && isReady("control-3"));
+    waitUntil(
         "the first policy taken",
         30_000,
         () -> {
-          Answer a = configuration(List.of(), "*");
+          Answer a = sendStandardConfiguration(List.of(), "*");
           return a.status == 200;
         });
-    until("weights named", 30_000, () -> weights("w1").status == 200);
-    until(
+    waitUntil("weights named", 30_000, () -> setWeights("w1").status == 200);
+    waitUntil(
         "every relay ready",
         60_000,
-        () -> children.keySet().stream().filter(n -> n.startsWith("relay")).allMatch(this::ready));
+        () ->
+            children.keySet().stream().filter(n -> n.startsWith("relay")).allMatch(this::isReady));
   }
 
-  public Answer configuration(List<String> without, String match) {
+  public Answer sendStandardConfiguration(List<String> without, String match) {
     return call(
         "POST",
         "/v1/configuration",
@@ -358,7 +362,7 @@
   }
 
   /** A configuration given whole; the door is whichever control machine answers first. */
-  public Answer send(JsonObject configuration, String match) {
+  public Answer sendConfiguration(JsonObject configuration, String match) {
     return call("POST", "/v1/configuration", configuration.toString(), Map.of("If-Match", match));
   }
 
@@ -366,7 +370,7 @@
     return ++marker;
   }
 
-  public Answer weights(String w) {
+  public Answer setWeights(String w) {
     return call(
         "POST",
         "/v1/weights",
@@ -378,8 +382,8 @@
   public Answer call(String method, String path, String body, Map<String, String> headers) {
     Answer last = new Answer(0, new JsonObject(), Map.of());
     for (String c : children.keySet()) {
-      if (!c.startsWith("control") || !children.get(c).alive() || frozen.contains(c)) continue;
-      last = http(operator.get(c), method, path, body, headers);
+      if (!c.startsWith("control") || !children.get(c).isAlive() || frozen.contains(c)) continue;
+      last = http(operatorAddresses.get(c), method, path, body, headers);
       if (last.status != 0 && last.status != 503) return last;
     }
     return last;
@@ -440,11 +444,11 @@
     return names;
   }
 
-  public boolean ready(String node) {
-    return http(operator.get(node), "GET", "/ready", null, Map.of()).status == 200;
+  public boolean isReady(String node) {
+    return http(operatorAddresses.get(node), "GET", "/ready", null, Map.of()).status == 200;
   }
 
-  public static void until(String what, long ms, BooleanSupplier s) {
+  public static void waitUntil(String what, long ms, BooleanSupplier s) {
     long end = System.nanoTime() + ms * 1_000_000;
     while (!s.getAsBoolean()) {
       if (System.nanoTime() > end) throw new IllegalStateException("waited in vain until " + what);
@@ -462,7 +466,7 @@
 
   @Override
   public void close() {
-    for (Child c : children.values()) c.kill();
+    for (ChildProcess c : children.values()) c.kill();
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
+++ b/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
@@ -27,18 +27,18 @@
  * <p>The program that rehearses fleets; one command a run.
  */
 public final class FleetEmulator {
-  private static final int BY_HAND_NETWORK = 14;
+  private static final int STAND_INS_SUBNET = 14;
 
   private FleetEmulator() {}
 
   /** Ends with 0 if all went well, 1 if a rule was broken, 2 for wrong use. */
   public static void main(String[] args) throws Exception {
     Namespace options = Program.parseArguments(CommandLine.parser(), args);
-    System.exit(clean(options) ? 0 : 1);
+    System.exit(runCommand(options) ? 0 : 1);
   }
 
   /** Plays the command; whether no rule was broken. */
-  private static boolean clean(Namespace options) throws Exception {
+  private static boolean runCommand(Namespace options) throws Exception {
     switch (options.getString("command")) {
       case "run" -> {
         return run(options);
@@ -56,15 +56,15 @@
         return soak(options);
       }
       case "stand-ins" -> standIns(options);
-      case "weights" -> WeightsRoll.measure(deployment(options), options.getString("out"));
+      case "weights" -> WeightsRollout.measure(deployment(options), options.getString("out"));
       case "table" ->
-          Table.measure(
+          SummaryBenchmark.measure(
               options.getInt("rounds"),
               options.getInt("holders"),
               options.getInt("shared"),
               options.getInt("own"));
       case "shares" ->
-          Shares.measure(
+          ShareComparison.measure(
               options.getString("out"), options.getInt("rounds"), options.getInt("seconds"));
       case "scale" -> scale(options);
       case "ablation" -> ablation(options);
@@ -92,7 +92,7 @@
   }
 
   private static Deployment deployment(Namespace options) {
-    return Deployment.named(options.getString("deployment"));
+    return Deployment.byName(options.getString("deployment"));
   }
 
   /** A new folder for what a run leaves. */
@@ -174,8 +174,8 @@
   /** Stays until it is ended. */
   private static void standIns(Namespace options) throws Exception {
     Path out = Path.of(options.getString("out")).toAbsolutePath().resolve("stand-ins");
-    Fleet fleet = new Fleet(Deployment.small(BY_HAND_NETWORK), out, 1, "summary");
-    Path configuration = fleet.dir.resolve("configuration.json");
+    Fleet fleet = new Fleet(Deployment.small(STAND_INS_SUBNET), out, 1, "summary");
+    Path configuration = fleet.folder.resolve("configuration.json");
     Files.writeString(
         configuration,
         fleet.deployment.configuration(0, List.of()).toString(WriterConfig.PRETTY_PRINT));
@@ -221,7 +221,7 @@
             options.getString("roles"),
             options.getBoolean("quick"));
     ScalePlan plan =
-        Program.valueOrExit("fleet-emulator", ScalePlan.of(wanted, ScalePlan.machineMb()));
+        Program.valueOrExit("fleet-emulator", ScalePlan.parse(wanted, ScalePlan.totalMemoryMb()));
     new ScaleRun(plan, folder(options, "scale"), System.out::println).run();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/KillRun.java
+++ b/emulator/src/main/java/gladelug/emulator/KillRun.java
@@ -15,14 +15,14 @@
  */
 final class KillRun {
   private static final List<String> VICTIMS = List.of("control", "index", "relay", "replica");
-  private static final long CHANGE_EVERY_MS = 3000;
+  private static final long CHANGE_INTERVAL_MS = 3000;
   private static final long STEP_MS = 40;
   private static final long READY_MS = 30_000;
   private static final long TAKEOVER_MS = 10_000;
 
   private final Fleet fleet;
   private final List<Long> acknowledgedMs = new ArrayList<>();
-  private Runnable mend = () -> {};
+  private Runnable repair = () -> {};
 
   private KillRun(Fleet fleet) {
     this.fleet = fleet;
@@ -49,19 +49,19 @@
     int changes = 0;
     for (long at = 0; at < lastsMs; at = (System.nanoTime() - began) / 1_000_000) {
       if (killed < victims.size() && at >= lastsMs * (killed + 1) / (victims.size() + 1)) {
-        mend.run();
+        repair.run();
         kill(victims.get(killed++));
       }
-      if (at / CHANGE_EVERY_MS > changes) {
+      if (at / CHANGE_INTERVAL_MS > changes) {
         changes++;
-        change();
+        sendChange();
       }
-      added.pair();
+      added.measurePair();
       Fleet.pause(STEP_MS);
     }
-    mend.run();
+    repair.run();
     callers.stop();
-    Fleet.until("the last requests ended", READY_MS, () -> callers.open() == 0);
+    Fleet.waitUntil("the last requests ended", READY_MS, () -> callers.openRequests() == 0);
     return LedgerReport.print(fleet, List.of(acknowledgements(), "relay: " + added));
   }
 
@@ -70,14 +70,19 @@
     kinds.add(fleet.deployment.application());
     StandInCallers callers =
         new StandInCallers(
-            fleet.vertx, fleet.ledger, fleet.callers, fleet.deployment.tenants(), kinds, seed);
-    callers.faster = rate;
+            fleet.vertx,
+            fleet.ledger,
+            fleet.callerAddresses,
+            fleet.deployment.tenants(),
+            kinds,
+            seed);
+    callers.rateFactor = rate;
     callers.start();
     return callers;
   }
 
-  private void change() {
-    Fleet.Answer answer = fleet.configuration(List.of(), "*");
+  private void sendChange() {
+    Fleet.Answer answer = fleet.sendStandardConfiguration(List.of(), "*");
     if (answer.status() == 200) acknowledgedMs.add(answer.body().getLong("waitedMs", -1));
     else System.out.println("configuration answered " + answer.status() + " " + answer.body());
   }
@@ -98,11 +103,11 @@
       return;
     }
     boolean control = what.equals("control");
-    Child victim = fleet.children.get(control ? fleet.ownerOf("policy") : what + "-1");
+    ChildProcess victim = fleet.children.get(control ? fleet.ownerOf("policy") : what + "-1");
     long killedAt = System.currentTimeMillis();
     victim.kill();
     System.out.println("killed " + victim.name + (control ? ", owner of the configuration" : ""));
-    mend =
+    repair =
         () -> {
           if (control) {
             System.out.println("takeover gap of its keys, ms: " + takeovers(victim.name, killedAt));
@@ -115,29 +120,29 @@
     StandInReplica replica = fleet.replicas.get("replica-2");
     replica.kill();
     System.out.println("killed " + replica.instance);
-    mend =
+    repair =
         () -> {
           replica.start();
           System.out.println("back " + replica.instance);
         };
   }
 
-  private void restart(Child child) {
+  private void restart(ChildProcess child) {
     try {
       child.start();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    Fleet.until(child.name + " ready again", READY_MS, () -> fleet.ready(child.name));
+    Fleet.waitUntil(child.name + " ready again", READY_MS, () -> fleet.isReady(child.name));
     System.out.println("back " + child.name);
   }
 
   /** From the other members' logs: when each first served a key after the kill. */
   private List<Long> takeovers(String dead, long killedAt) {
     List<Long> gaps = new ArrayList<>();
-    for (Child child : fleet.children.values()) {
+    for (ChildProcess child : fleet.children.values()) {
       if (!child.name.startsWith("control") || child.name.equals(dead)) continue;
-      for (String line : child.lines().split("\n")) {
+      for (String line : child.readLog().split("\n")) {
         if (!line.contains("event=ownership-acquired")) continue;
         long at = Instant.parse(line.substring(5, line.indexOf(' '))).toEpochMilli();
         if (at >= killedAt && at < killedAt + TAKEOVER_MS) gaps.add(at - killedAt);
--- a/emulator/src/main/java/gladelug/emulator/Ledger.java
+++ b/emulator/src/main/java/gladelug/emulator/Ledger.java
@@ -21,13 +21,13 @@
     public final String weights;
     public final String wall;
     public final int attempt;
-    public final long at;
+    public final long atMs;
     public volatile boolean ran;
     public volatile int pieces;
     public volatile boolean ended;
 
     /** Its connection was closed before its end. */
-    public volatile boolean left;
+    public volatile boolean closedEarly;
 
     public int blocks;
     public int reused;
@@ -51,7 +51,7 @@
       this.weights = weights;
       this.wall = wall;
       this.attempt = attempt;
-      this.at = at;
+      this.atMs = at;
     }
   }
 
@@ -62,7 +62,7 @@
     public final String tenant;
     public final String relay;
     public final boolean repeatable;
-    public final long sent;
+    public final long sentMs;
     public volatile String outcome = "none";
     public volatile String order = "";
     public volatile String reason = "";
@@ -72,8 +72,8 @@
     public volatile int misordered;
     public volatile boolean explicitEnd;
     public volatile boolean bodyTerminated;
-    public volatile long firstPiece = -1;
-    public volatile long done = -1;
+    public volatile long firstPieceMs = -1;
+    public volatile long doneMs = -1;
 
     public Call(
         String tag, String kind, String tenant, String relay, boolean repeatable, long sent) {
@@ -82,7 +82,7 @@
       this.tenant = tenant;
       this.relay = relay;
       this.repeatable = repeatable;
-      this.sent = sent;
+      this.sentMs = sent;
     }
   }
 
@@ -93,7 +93,7 @@
   public final ConcurrentLinkedQueue<Note> notes = new ConcurrentLinkedQueue<>();
 
   /** Reuse of a block made under other weights or behind another wall, as the replicas saw it. */
-  public final ConcurrentLinkedQueue<String> wrongReuse = new ConcurrentLinkedQueue<>();
+  public final ConcurrentLinkedQueue<String> invalidReuses = new ConcurrentLinkedQueue<>();
 
   /**
    * One time a request used a cached block that another tenant's request had made.
@@ -101,7 +101,7 @@
    * @param tag of the request that used it
    * @param maker of the request that made it
    * @param instance the replica that used it
-   * @param at when the request that used it was handed to the replica
+   * @param atMs when the request that used it was handed to the replica
    */
   public record ForeignUse(String tag, String maker, String instance, long at) {}
 
@@ -109,23 +109,23 @@
   public final ConcurrentLinkedQueue<ForeignUse> foreignUses = new ConcurrentLinkedQueue<>();
 
   /** Anything that reached a server nobody was ever allowed to call. */
-  public final ConcurrentLinkedQueue<String> trapped = new ConcurrentLinkedQueue<>();
+  public final ConcurrentLinkedQueue<String> forbiddenCalls = new ConcurrentLinkedQueue<>();
 
-  public final ConcurrentLinkedQueue<String> doubleCommand = new ConcurrentLinkedQueue<>();
+  public final ConcurrentLinkedQueue<String> commanderConflicts = new ConcurrentLinkedQueue<>();
 
-  public void run(Run r) {
+  public void addRun(Run r) {
     runs.computeIfAbsent(r.tag, t -> Collections.synchronizedList(new ArrayList<>())).add(r);
   }
 
   /** A run used a cached block that the request with another tag made. */
-  public void used(Run run, String maker) {
+  public void recordReuse(Run run, String maker) {
     Call user = calls.get(run.tag);
     Call other = calls.get(maker);
     if (user == null || other == null || user.tenant.equals(other.tenant)) return;
-    foreignUses.add(new ForeignUse(run.tag, maker, run.instance, run.at));
+    foreignUses.add(new ForeignUse(run.tag, maker, run.instance, run.atMs));
   }
 
-  public void note(String what) {
+  public void addNote(String what) {
     notes.add(new Note(System.nanoTime() / 1_000_000, what));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/Judge.java
+++ b/emulator/src/main/java/gladelug/emulator/LedgerChecker.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /** A judgement per must-never from the stand-ins' ledgers alone, naming the offending requests. */
-public final class Judge {
+public final class LedgerChecker {
   public record Finding(String rule, List<String> offenders) {
-    public boolean clean() {
+    public boolean passed() {
       return offenders.isEmpty();
     }
   }
@@ -19,13 +19,13 @@
    * Second tries that need no first ones: what four relays may have saved, and a few for relays
    * that restart.
    */
-  private static final int ALLOWANCE = 16;
+  private static final int RETRY_ALLOWANCE = 16;
 
-  private static final long WINDOW = 10;
+  private static final long WINDOW_SECONDS = 10;
 
-  private Judge() {}
+  private LedgerChecker() {}
 
-  public static List<Finding> all(Ledger l) {
+  public static List<Finding> checkAll(Ledger l) {
     Map<String, List<String>> m = new LinkedHashMap<>();
     for (String r :
         new String[] {
@@ -54,10 +54,10 @@
       if (c.outcome.equals("not-run") && ran > 0)
         m.get("not-run-but-ran").add(c.tag + " (" + c.order + "): " + c.reason);
     }
-    m.get("service-never-allowed").addAll(l.trapped);
-    m.get("cache-of-other-weights-or-wall").addAll(l.wrongReuse);
-    m.get("two-commanders").addAll(l.doubleCommand);
-    m.get("second-tries-over-a-fifth").addAll(secondTries(l, 0.2, ALLOWANCE));
+    m.get("service-never-allowed").addAll(l.forbiddenCalls);
+    m.get("cache-of-other-weights-or-wall").addAll(l.invalidReuses);
+    m.get("two-commanders").addAll(l.commanderConflicts);
+    m.get("second-tries-over-a-fifth").addAll(findRetryExcess(l, 0.2, RETRY_ALLOWANCE));
     List<Finding> out = new ArrayList<>();
     m.forEach((k, v) -> out.add(new Finding(k, v)));
     return out;
@@ -67,7 +67,7 @@
    * Of each service, over the whole and over every window of ten seconds: second tries are at most
    * a fraction of first ones and an allowance.
    */
-  public static List<String> secondTries(Ledger l, double fraction, double allowance) {
+  public static List<String> findRetryExcess(Ledger l, double fraction, double allowance) {
     Map<String, TreeMap<Long, int[]>> by = new TreeMap<>();
     for (List<Ledger.Run> runs : l.runs.values()) {
       List<Ledger.Run> rs;
@@ -76,7 +76,7 @@
       }
       for (int i = 0; i < rs.size(); i++)
         by.computeIfAbsent(rs.get(i).service, text -> new TreeMap<>())
-            .computeIfAbsent(rs.get(i).at / 1000, t -> new int[2])[i == 0 ? 0 : 1]++;
+            .computeIfAbsent(rs.get(i).atMs / 1000, t -> new int[2])[i == 0 ? 0 : 1]++;
     }
     List<String> out = new ArrayList<>();
     by.forEach(
@@ -87,7 +87,7 @@
                 out,
                 service,
                 "in the 10 s from " + t,
-                seconds.subMap(t, t + WINDOW).values(),
+                seconds.subMap(t, t + WINDOW_SECONDS).values(),
                 fraction,
                 allowance);
         });
--- a/emulator/src/main/java/gladelug/emulator/LedgerReport.java
+++ b/emulator/src/main/java/gladelug/emulator/LedgerReport.java
@@ -13,7 +13,7 @@
  * <p>Prints what a ledger holds.
  */
 public final class LedgerReport {
-  private static final int MOST_OFFENDERS_SHOWN = 5;
+  private static final int MAX_OFFENDERS_SHOWN = 5;
 
   private LedgerReport() {}
 
@@ -29,8 +29,8 @@
     further.forEach(System.out::println);
     printIndexes(fleet);
     boolean clean = true;
-    for (Judge.Finding finding : Judge.all(fleet.ledger)) {
-      clean &= finding.clean();
+    for (LedgerChecker.Finding finding : LedgerChecker.checkAll(fleet.ledger)) {
+      clean &= finding.passed();
       printRule(finding.rule(), finding.offenders());
     }
     return clean;
@@ -38,7 +38,7 @@
 
   /** Prints the verdict of one rule. */
   public static void printRule(String rule, List<String> offenders) {
-    int shown = Math.min(MOST_OFFENDERS_SHOWN, offenders.size());
+    int shown = Math.min(MAX_OFFENDERS_SHOWN, offenders.size());
     String verdict =
         offenders.isEmpty()
             ? "clean"
@@ -54,10 +54,10 @@
       outcomes
           .computeIfAbsent(call.kind, kind -> new TreeMap<>())
           .merge(call.outcome, 1, Integer::sum);
-      if (call.firstPiece >= 0) {
+      if (call.firstPieceMs >= 0) {
         firstPieces
             .computeIfAbsent(call.kind, kind -> new ArrayList<>())
-            .add(call.firstPiece - call.sent);
+            .add(call.firstPieceMs - call.sentMs);
       }
       if (!call.outcome.equals("complete")) {
         String reason = call.reason.replaceAll("replica-\\d+", "a replica");
@@ -110,10 +110,12 @@
   }
 
   private static void printIndexes(Fleet fleet) {
-    for (String name : fleet.operator.keySet()) {
+    for (String name : fleet.operatorAddresses.keySet()) {
       if (!name.startsWith("index")) continue;
       var status =
-          fleet.http(fleet.operator.get(name), "GET", "/operator/status", null, Map.of()).body();
+          fleet
+              .http(fleet.operatorAddresses.get(name), "GET", "/operator/status", null, Map.of())
+              .body();
       System.out.println(
           name
               + ": warm "
--- a/emulator/src/main/java/gladelug/emulator/Wires.java
+++ b/emulator/src/main/java/gladelug/emulator/LinkProxy.java
@@ -19,7 +19,7 @@
  * ones hang; a link can be slowed, or its connections broken. Machines are named by their IP
  * number's last parts.
  */
-public final class Wires {
+public final class LinkProxy {
   /**
    * Whoever calls from an IP number that is no machine's: callers, operators, the platform's own
    * programs.
@@ -29,42 +29,42 @@
   private final Vertx vertx;
   private final NetClient client;
   private final Map<String, String> machines = new ConcurrentHashMap<>();
-  private final Set<String> cut = ConcurrentHashMap.newKeySet();
-  private final Map<String, Long> slow = new ConcurrentHashMap<>();
-  private final Set<Link> links = ConcurrentHashMap.newKeySet();
-  public final AtomicLong stopped = new AtomicLong();
+  private final Set<String> cutPairs = ConcurrentHashMap.newKeySet();
+  private final Map<String, Long> delaysMs = new ConcurrentHashMap<>();
+  private final Set<ProxiedConnection> connections = ConcurrentHashMap.newKeySet();
+  public final AtomicLong pauseCount = new AtomicLong();
 
-  public Wires(Vertx vertx) {
+  public LinkProxy(Vertx vertx) {
     this.vertx = vertx;
     this.client =
         vertx.createNetClient(new NetClientOptions().setConnectTimeout(5000).setTcpNoDelay(true));
   }
 
   /** Calls that come from this IP number are the machine's. */
-  public void machine(String ip, String name) {
+  public void registerMachine(String ip, String name) {
     machines.put(ip, name);
   }
 
   /** Carries what comes to an advertised address to where a process of the machine listens. */
-  public void carry(String advertised, String bound, String machine) throws Exception {
-    String[] a = split(advertised), b = split(bound);
+  public void forward(String advertised, String bound, String machine) throws Exception {
+    String[] a = splitAddress(advertised), b = splitAddress(bound);
     vertx
         .createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true))
         .connectHandler(
             socket -> {
-              Link l =
-                  new Link(
+              ProxiedConnection l =
+                  new ProxiedConnection(
                       machines.getOrDefault(socket.remoteAddress().hostAddress(), OUTSIDE),
                       machine,
                       socket);
               socket.pause();
-              links.add(l);
+              connections.add(l);
               client
                   .connect(Integer.parseInt(b[1]), b[0])
                   .onComplete(
                       r -> {
                         if (r.failed()) l.close();
-                        else l.joined(r.result());
+                        else l.onConnected(r.result());
                       });
             })
         .listen(Integer.parseInt(a[1]), a[0])
@@ -73,15 +73,15 @@
         .get(10, TimeUnit.SECONDS);
   }
 
-  private static String[] split(String address) {
+  private static String[] splitAddress(String address) {
     int c = address.lastIndexOf(':');
     return new String[] {address.substring(0, c), address.substring(c + 1)};
   }
 
   /** Nothing more comes from one machine to the other, until it is mended. */
   public void cutOneWay(String from, String to) {
-    cut.add(from + ">" + to);
-    links.forEach(Link::look);
+    cutPairs.add(from + ">" + to);
+    connections.forEach(ProxiedConnection::updateFlow);
   }
 
   public void cut(String a, String b) {
@@ -90,60 +90,60 @@
   }
 
   /** Each of the one side from each of the other. */
-  public void split(Set<String> side, Set<String> other) {
+  public void cutBetween(Set<String> side, Set<String> other) {
     for (String a : side) for (String b : other) if (!a.equals(b)) cut(a, b);
   }
 
   /** Milliseconds more for every piece of bytes between two. */
-  public void slow(String a, String b, long ms) {
-    slow.put(a + ">" + b, ms);
-    slow.put(b + ">" + a, ms);
+  public void addDelay(String a, String b, long ms) {
+    delaysMs.put(a + ">" + b, ms);
+    delaysMs.put(b + ">" + a, ms);
   }
 
   /** All connections between two end at once, as when a machine between them is restarted. */
   public void breakConnections(String a, String b) {
-    for (Link l : links) if (l.is(a, b) || l.is(b, a)) l.close();
+    for (ProxiedConnection l : connections) if (l.connects(a, b) || l.connects(b, a)) l.close();
   }
 
-  public void mend() {
-    cut.clear();
-    slow.clear();
-    links.forEach(Link::look);
+  public void heal() {
+    cutPairs.clear();
+    delaysMs.clear();
+    connections.forEach(ProxiedConnection::updateFlow);
   }
 
   /** One connection through the wires. */
-  private final class Link {
+  private final class ProxiedConnection {
     private final String caller;
     private final String callee;
-    private final NetSocket near;
-    private volatile NetSocket far;
+    private final NetSocket callerSocket;
+    private volatile NetSocket calleeSocket;
 
-    Link(String caller, String callee, NetSocket near) {
+    ProxiedConnection(String caller, String callee, NetSocket callerSocket) {
       this.caller = caller;
       this.callee = callee;
-      this.near = near;
-      near.closeHandler(v -> close());
-      near.exceptionHandler(failure -> close());
+      this.callerSocket = callerSocket;
+      callerSocket.closeHandler(v -> close());
+      callerSocket.exceptionHandler(failure -> close());
     }
 
-    boolean is(String a, String b) {
+    boolean connects(String a, String b) {
       return caller.equals(a) && callee.equals(b);
     }
 
-    void joined(NetSocket socket) {
-      far = socket;
+    void onConnected(NetSocket socket) {
+      calleeSocket = socket;
       socket.closeHandler(v -> close());
       socket.exceptionHandler(failure -> close());
       socket.pause();
-      way(near, socket, caller + ">" + callee);
-      way(socket, near, callee + ">" + caller);
-      look();
+      forwardBytes(callerSocket, socket, caller + ">" + callee);
+      forwardBytes(socket, callerSocket, callee + ">" + caller);
+      updateFlow();
     }
 
-    private void way(NetSocket from, NetSocket socket, String pair) {
+    private void forwardBytes(NetSocket from, NetSocket socket, String pair) {
       from.handler(
           buffer -> {
-            Long ms = slow.get(pair);
+            Long ms = delaysMs.get(pair);
             if (ms != null) vertx.setTimer(ms, i -> write(from, socket, buffer));
             else write(from, socket, buffer);
           });
@@ -153,27 +153,27 @@
       socket.write(buffer);
       if (!socket.writeQueueFull()) return;
       from.pause();
-      socket.drainHandler(v -> look());
+      socket.drainHandler(v -> updateFlow());
     }
 
     /** Lets bytes flow or stops them, as the pair stands now. */
-    void look() {
-      if (far == null) return;
-      flow(near, cut.contains(caller + ">" + callee));
-      flow(far, cut.contains(callee + ">" + caller));
+    void updateFlow() {
+      if (calleeSocket == null) return;
+      setPaused(callerSocket, cutPairs.contains(caller + ">" + callee));
+      setPaused(calleeSocket, cutPairs.contains(callee + ">" + caller));
     }
 
-    private void flow(NetSocket socket, boolean stop) {
+    private void setPaused(NetSocket socket, boolean stop) {
       if (stop) {
-        stopped.incrementAndGet();
+        pauseCount.incrementAndGet();
         socket.pause();
       } else socket.resume();
     }
 
     void close() {
-      if (!links.remove(this)) return;
-      near.close();
-      if (far != null) far.close();
+      if (!connections.remove(this)) return;
+      callerSocket.close();
+      if (calleeSocket != null) calleeSocket.close();
     }
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/ReplicaCache.java
+++ b/emulator/src/main/java/gladelug/emulator/ReplicaCache.java
@@ -28,9 +28,9 @@
 
   private record Event(long sequence, boolean stored, long block) {}
 
-  private static final int MOST_EVENTS = 2048;
+  private static final int MAX_EVENTS = 2048;
   private static final long PULSE_MS = 400;
-  private static final int LONGEST_DELAY_MS = 400;
+  private static final int MAX_EVENT_DELAY_MS = 400;
 
   private final Vertx vertx;
   private final Object lock;
@@ -66,7 +66,7 @@
   }
 
   /** Tells all who follow where the sequence stands. */
-  void pulseAll() {
+  void sendPulses() {
     for (HttpServerResponse follower : new ArrayList<>(followers)) {
       if (!follower.closed()) follower.write(pulse());
     }
@@ -76,7 +76,7 @@
     return incarnation;
   }
 
-  boolean has(long block) {
+  boolean contains(long block) {
     return kept.containsKey(block);
   }
 
@@ -97,11 +97,11 @@
 
   /** Keeps a block and lets the least recently used go for it. */
   void keep(long block, Origin origin) {
-    if (kept.put(block, origin) == null) tell(true, block);
+    if (kept.put(block, origin) == null) recordEvent(true, block);
     while (kept.size() > capacity) {
       long oldest = kept.keySet().iterator().next();
       kept.remove(oldest);
-      tell(false, oldest);
+      recordEvent(false, oldest);
     }
   }
 
@@ -148,21 +148,21 @@
     }
   }
 
-  private void tell(boolean stored, long block) {
+  private void recordEvent(boolean stored, long block) {
     Event event = new Event(++sequence, stored, block);
     events.add(event);
-    if (events.size() > MOST_EVENTS) events.poll();
+    if (events.size() > MAX_EVENTS) events.poll();
     Buffer line = line(event);
     for (HttpServerResponse follower : new ArrayList<>(followers)) {
-      if (random.nextDouble() < faults.loseEvents || follower.closed()) continue;
-      if (random.nextDouble() < faults.delayEvents) tellLate(follower, line);
+      if (random.nextDouble() < faults.eventLossRate || follower.closed()) continue;
+      if (random.nextDouble() < faults.eventDelayRate) sendLate(follower, line);
       else follower.write(line);
     }
   }
 
-  private void tellLate(HttpServerResponse follower, Buffer line) {
+  private void sendLate(HttpServerResponse follower, Buffer line) {
     vertx.setTimer(
-        1 + random.nextInt(LONGEST_DELAY_MS),
+        1 + random.nextInt(MAX_EVENT_DELAY_MS),
         timer -> {
           if (!follower.closed()) follower.write(line);
         });
--- a/emulator/src/main/java/gladelug/emulator/ReplicaFaults.java
+++ b/emulator/src/main/java/gladelug/emulator/ReplicaFaults.java
@@ -13,56 +13,56 @@
   public volatile boolean cutStreams;
 
   /** It sends a piece after the end of the answer. */
-  public volatile boolean lateBytes;
+  public volatile boolean pieceAfterEnd;
 
   /** It ends the answer in the middle of the third piece. */
-  public volatile boolean halfPieces;
+  public volatile boolean truncatePiece;
 
   /** It leaves out the number of the third piece. */
   public volatile boolean skipPiece;
 
   /** It names weights in its answers that it does not run. */
-  public volatile boolean lieAboutWeights;
+  public volatile boolean reportWrongWeights;
 
   /** It names another service when it is asked who it is. */
-  public volatile boolean lieAboutService;
+  public volatile boolean reportWrongService;
 
   /** It reports a load that can't be. */
-  public volatile boolean absurdLoad;
+  public volatile boolean reportInvalidLoad;
 
   /** The part of its cache events that it never sends. */
-  public volatile double loseEvents;
+  public volatile double eventLossRate;
 
   /** The part of its cache events that it sends late. */
-  public volatile double delayEvents;
+  public volatile double eventDelayRate;
 
   /** The part of requests that it refuses without running them. */
-  public volatile double notRun;
+  public volatile double refusalRate;
 
   /** The part of requests whose connection it closes before the first piece. */
-  public volatile double cutBeforeFirst;
+  public volatile double earlyCloseRate;
 
   /** How many times slower than usual its links to other replicas are. */
   public volatile double linkFactor = 1;
 
   /** Further milliseconds between two pieces. */
-  public volatile long slowPieces;
+  public volatile long extraPieceDelayMs;
 
   /** Takes all faults away. */
-  public void none() {
+  public void clear() {
     hang = false;
     cutStreams = false;
-    lateBytes = false;
-    halfPieces = false;
+    pieceAfterEnd = false;
+    truncatePiece = false;
     skipPiece = false;
-    lieAboutWeights = false;
-    lieAboutService = false;
-    absurdLoad = false;
-    loseEvents = 0;
-    delayEvents = 0;
-    notRun = 0;
-    cutBeforeFirst = 0;
+    reportWrongWeights = false;
+    reportWrongService = false;
+    reportInvalidLoad = false;
+    eventLossRate = 0;
+    eventDelayRate = 0;
+    refusalRate = 0;
+    earlyCloseRate = 0;
     linkFactor = 1;
-    slowPieces = 0;
+    extraPieceDelayMs = 0;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/ReplicaWork.java
+++ b/emulator/src/main/java/gladelug/emulator/ReplicaWork.java
@@ -33,17 +33,17 @@
 
   /** One request from its admission to its end. */
   private static final class Job {
-    final HttpServerResponse out;
-    final JsonObject in;
+    final HttpServerResponse response;
+    final JsonObject request;
     final Ledger.Run run;
     final long[] blocks;
     final int wantedPieces;
-    boolean gone;
+    boolean closed;
     int pieces;
 
     Job(HttpServerResponse out, JsonObject json, Ledger.Run run, long[] blocks, int wantedPieces) {
-      this.out = out;
-      this.in = json;
+      this.response = out;
+      this.request = json;
       this.run = run;
       this.blocks = blocks;
       this.wantedPieces = wantedPieces;
@@ -60,7 +60,7 @@
   private static final int BREAKING_PIECE = 2;
 
   /** The part of a link's measured time that stays when it is measured again. */
-  private static final double LINK_MEMORY = 0.7;
+  private static final double LINK_SMOOTHING = 0.7;
 
   private final Vertx vertx;
   private final Object lock;
@@ -104,11 +104,11 @@
     busyUntil = 0;
   }
 
-  boolean idle() {
+  boolean isIdle() {
     return running == 0 && waiting.isEmpty();
   }
 
-  boolean full() {
+  boolean isFull() {
     return running >= model.slots() && waiting.size() >= QUEUE_PER_SLOT * model.slots();
   }
 
@@ -117,10 +117,10 @@
     JsonObject measured = new JsonObject();
     links.forEach(measured::put);
     occupancy
-        .put("running", faults.absurdLoad ? -2_000_000_000 : running)
+        .put("running", faults.reportInvalidLoad ? -2_000_000_000 : running)
         .put("waiting", waiting.size())
         .put("slots", model.slots())
-        .put("waitMs", faults.absurdLoad ? 1e30 : Math.max(0, busyUntil - now()))
+        .put("waitMs", faults.reportInvalidLoad ? 1e30 : Math.max(0, busyUntil - now()))
         .put("msPerBlock", model.msPerBlock())
         .put("links", measured);
   }
@@ -135,10 +135,10 @@
             : new long[0];
     int wanted = StandInContent.piecesOf(run.tag, json.getInteger("maxPieces"));
     Job job = new Job(request.response(), json, run, blocks, wanted);
-    job.out.closeHandler(v -> leave(job));
-    job.out.exceptionHandler(failure -> leave(job));
+    job.response.closeHandler(v -> abandon(job));
+    job.response.exceptionHandler(failure -> abandon(job));
     if (closeAtOnce) {
-      job.gone = true;
+      job.closed = true;
       request.connection().close();
     } else if (running < model.slots()) {
       begin(job);
@@ -147,19 +147,19 @@
     }
   }
 
-  private void leave(Job job) {
+  private void abandon(Job job) {
     synchronized (lock) {
-      if (job.gone) return;
-      job.gone = true;
-      job.run.left = !job.run.ended;
+      if (job.closed) return;
+      job.closed = true;
+      job.run.closedEarly = !job.run.ended;
       if (!waiting.remove(job) && !job.run.ended) finish();
     }
   }
 
   /** A connection that closed before its handlers were set tells nobody. */
-  private boolean left(Job job) {
-    if (!job.out.closed()) return false;
-    leave(job);
+  private boolean detectClosed(Job job) {
+    if (!job.response.closed()) return false;
+    abandon(job);
     return true;
   }
 
@@ -176,7 +176,7 @@
     double began = now();
     int fetched = 0;
     double fetchMs = 0;
-    JsonObject hint = job.in.getJsonObject("fetch");
+    JsonObject hint = job.request.getJsonObject("fetch");
     if (hint != null) {
       StandInReplica from = host.other(hint.getString("from"));
       fetched = fetch(job, hint, from, reused);
@@ -198,11 +198,11 @@
   private int reuse(Job job) {
     ReplicaCache.Origin asked = origin(job.run);
     int reused = 0;
-    while (reused < job.blocks.length && cache.has(job.blocks[reused])) {
+    while (reused < job.blocks.length && cache.contains(job.blocks[reused])) {
       ReplicaCache.Origin made = cache.origin(job.blocks[reused]);
-      ledger.used(job.run, made.maker());
+      ledger.recordReuse(job.run, made.maker());
       if (!made.sameWeightsAndWall(asked)) {
-        ledger.wrongReuse.add(
+        ledger.invalidReuses.add(
             job.run.tag
                 + " at "
                 + model.instance()
@@ -231,9 +231,9 @@
     while (from != null
         && reused + fetched < job.blocks.length
         && named.contains(job.blocks[reused + fetched])
-        && from.has(job.blocks[reused + fetched])) {
+        && from.hasBlock(job.blocks[reused + fetched])) {
       ReplicaCache.Origin made = from.origin(job.blocks[reused + fetched]);
-      if (made != null) ledger.used(job.run, made.maker());
+      if (made != null) ledger.recordReuse(job.run, made.maker());
       fetched++;
     }
     return fetched;
@@ -243,20 +243,20 @@
   private double measuredLink(String name, StandInReplica from) {
     double factor = Math.max(faults.linkFactor, from.faults.linkFactor);
     double perBlock = (model.linkMs() + from.linkMs()) * factor;
-    links.merge(name, perBlock, (old, now) -> old * LINK_MEMORY + now * (1 - LINK_MEMORY));
+    links.merge(name, perBlock, (old, now) -> old * LINK_SMOOTHING + now * (1 - LINK_SMOOTHING));
     return perBlock;
   }
 
   private void prefilled(Job job, Prefill prefill) {
     synchronized (lock) {
-      if (!host.up() || job.gone || left(job)) return;
+      if (!host.up() || job.closed || detectClosed(job)) return;
       ReplicaCache.Origin origin = origin(job.run);
       for (long block : job.blocks) cache.keepFirst(block, origin);
       StandInReplica store = host.other("store");
       if (store != null && prefill.computed > 0) store.save(job.blocks, origin);
-      job.out.setChunked(true).putHeader("Content-Type", "application/x-ndjson");
-      job.out.write(head(job, prefill).encode() + "\n");
-      piece(job);
+      job.response.setChunked(true).putHeader("Content-Type", "application/x-ndjson");
+      job.response.write(head(job, prefill).encode() + "\n");
+      continueStream(job);
     }
   }
 
@@ -268,51 +268,51 @@
             .put("computed", prefill.computed);
     String weights = model.kind() == StandInReplica.Kind.MODEL ? host.weights() : "";
     return new JsonObject()
-        .put("order", job.in.getString("order"))
+        .put("order", job.request.getString("order"))
         .put("instance", model.instance())
-        .put("weights", faults.lieAboutWeights ? "made-up" : weights)
+        .put("weights", faults.reportWrongWeights ? "made-up" : weights)
         .put("used", used);
   }
 
-  private void piece(Job job) {
+  private void continueStream(Job job) {
     synchronized (lock) {
-      if (!host.up() || job.gone || left(job)) return;
+      if (!host.up() || job.closed || detectClosed(job)) return;
       if (job.pieces >= job.wantedPieces) end(job);
       else if (faults.cutStreams && job.pieces == BREAKING_PIECE) cut(job);
-      else if (faults.halfPieces && job.pieces == BREAKING_PIECE) halve(job);
-      else nextPiece(job);
+      else if (faults.truncatePiece && job.pieces == BREAKING_PIECE) truncate(job);
+      else sendNextPiece(job);
     }
   }
 
   private void cut(Job job) {
-    job.out.reset();
-    leave(job);
+    job.response.reset();
+    abandon(job);
   }
 
-  private void halve(Job job) {
-    job.out.write("{\"piece\":2,\"te");
-    job.out.end();
+  private void truncate(Job job) {
+    job.response.write("{\"piece\":2,\"te");
+    job.response.end();
     job.run.ended = true;
     finish();
   }
 
-  private void nextPiece(Job job) {
+  private void sendNextPiece(Job job) {
     boolean skip = faults.skipPiece && job.pieces == BREAKING_PIECE;
     int number = skip ? BREAKING_PIECE + 1 : job.pieces;
     String text = StandInContent.textOf(job.run.tag, job.pieces);
-    job.out.write("{\"piece\":" + number + ",\"text\":\"" + text + "\"}\n");
+    job.response.write("{\"piece\":" + number + ",\"text\":\"" + text + "\"}\n");
     job.run.pieces = ++job.pieces;
-    long wait = Math.max(1, (long) model.msPerPiece()) + faults.slowPieces;
-    vertx.setTimer(wait, timer -> piece(job));
+    long wait = Math.max(1, (long) model.msPerPiece()) + faults.extraPieceDelayMs;
+    vertx.setTimer(wait, timer -> continueStream(job));
   }
 
   private void end(Job job) {
     job.run.ended = true;
-    job.out.write("{\"end\":true,\"pieces\":" + job.wantedPieces + "}\n");
-    if (faults.lateBytes) {
-      job.out.write("{\"piece\":" + job.wantedPieces + ",\"text\":\"after the end\"}\n");
+    job.response.write("{\"end\":true,\"pieces\":" + job.wantedPieces + "}\n");
+    if (faults.pieceAfterEnd) {
+      job.response.write("{\"piece\":" + job.wantedPieces + ",\"text\":\"after the end\"}\n");
     }
-    job.out.end();
+    job.response.end();
     finish();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/Shares.java
+++ b/emulator/src/main/java/gladelug/emulator/ShareComparison.java
@@ -15,10 +15,10 @@
  * comes by two relays with five times its due, a light one by a third relay, another light one by
  * all.
  */
-final class Shares {
+final class ShareComparison {
   private record Flow(String label, int tenant, double perSecond, int[] relays) {}
 
-  private Shares() {}
+  private ShareComparison() {}
 
   static void measure(String base, int rounds, int seconds) throws Exception {
     Map<String, List<double[]>> got = new TreeMap<>();
@@ -33,13 +33,13 @@
         try (Fleet fleet = new Fleet(deployment, out, round, "summary", division)) {
           fleet.start();
           for (StandInReplica r : fleet.replicas.values())
-            if (r.kind == StandInReplica.Kind.MODEL) r.faults.slowPieces = 60;
+            if (r.kind == StandInReplica.Kind.MODEL) r.faults.extraPieceDelayMs = 60;
           StandInCallers.Kind k = deployment.kinds().get(2);
           StandInCallers callers =
               new StandInCallers(
                   fleet.vertx,
                   fleet.ledger,
-                  fleet.callers,
+                  fleet.callerAddresses,
                   deployment.tenants(),
                   deployment.kinds(),
                   round);
@@ -60,7 +60,8 @@
                 callers.send(
                     k,
                     deployment.tenants().get(flows[i].tenant),
-                    fleet.callers.get(flows[i].relays[random.nextInt(flows[i].relays.length)]));
+                    fleet.callerAddresses.get(
+                        flows[i].relays[random.nextInt(flows[i].relays.length)]));
                 due[i] += 1 / flows[i].perSecond;
               }
             Fleet.pause(2);
@@ -89,7 +90,7 @@
           callers.stop();
         }
       }
-    got.forEach(Shares::printSummary);
+    got.forEach(ShareComparison::printSummary);
   }
 
   /** What of a tenant's requests ended whole between two times in ms, per second. */
@@ -99,8 +100,8 @@
                 call ->
                     call.tenant.equals(tenant)
                         && call.outcome.equals("complete")
-                        && call.done >= from
-                        && call.done < to)
+                        && call.doneMs >= from
+                        && call.doneMs < to)
             .count()
         * 1000.0
         / (to - from);
--- a/emulator/src/main/java/gladelug/emulator/StandInCallers.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInCallers.java
@@ -36,10 +36,10 @@
   private final List<Kind> kinds;
   private final Random random;
   private final int tenantWeight;
-  private final AtomicInteger open = new AtomicInteger();
+  private final AtomicInteger openRequests = new AtomicInteger();
   private volatile boolean running;
-  private int nr;
-  public volatile double faster = 1;
+  private int nextNumber;
+  public volatile double rateFactor = 1;
 
   public StandInCallers(
       Vertx vertx,
@@ -66,133 +66,145 @@
 
   public void start() {
     running = true;
-    for (Kind k : kinds) next(k);
+    for (Kind k : kinds) scheduleNext(k);
   }
 
   public void stop() {
     running = false;
   }
 
-  public int open() {
-    return open.get();
+  public int openRequests() {
+    return openRequests.get();
   }
 
-  private void next(Kind k) {
+  private void scheduleNext(Kind k) {
     if (!running) return;
-    double gap = -Math.log(1 - random.nextDouble()) * 1000 / (k.perSecond * faster);
+    double gap = -Math.log(1 - random.nextDouble()) * 1000 / (k.perSecond * rateFactor);
     vertx.setTimer(
         Math.max(1, (long) gap),
         i -> {
           if (!running) return;
-          send(k, pick(), relays.get(random.nextInt(relays.size())));
-          next(k);
+          send(k, randomTenant(), relays.get(random.nextInt(relays.size())));
+          scheduleNext(k);
         });
   }
 
-  private Tenant pick() {
+  private Tenant randomTenant() {
     int n = random.nextInt(tenantWeight);
     for (Tenant t : tenants) if ((n -= t.size) < 0) return t;
     return tenants.get(0);
   }
 
-  static String prefix(Kind k, Tenant t) {
+  static String prefix(Kind kind, Tenant tenant) {
     StringBuilder builder = new StringBuilder();
     String line =
         "Instructions for "
-            + k.name
+            + kind.name
             + " written for "
-            + (k.prefixBlocks > 20 ? t.name : "everybody")
+            + (kind.prefixBlocks > 20 ? tenant.name : "everybody")
             + ", line ";
-    for (int i = 0; builder.length() < k.prefixBlocks * StandInContent.BLOCK_BYTES; i++)
+    for (int i = 0; builder.length() < kind.prefixBlocks * StandInContent.BLOCK_BYTES; i++)
       builder.append(line).append(i).append(".\n");
-    builder.setLength(k.prefixBlocks * StandInContent.BLOCK_BYTES);
+    builder.setLength(kind.prefixBlocks * StandInContent.BLOCK_BYTES);
     return builder.toString();
   }
 
-  public Ledger.Call send(Kind k, Tenant t, String relay) {
-    String tag = k.name + "-" + t.name + "-" + nr++ + "-" + Integer.toHexString(random.nextInt());
+  public Ledger.Call send(Kind kind, Tenant tenant, String relay) {
+    String tag =
+        kind.name
+            + "-"
+            + tenant.name
+            + "-"
+            + nextNumber++
+            + "-"
+            + Integer.toHexString(random.nextInt());
     StringBuilder own = new StringBuilder();
-    while (own.length() < k.ownBytes) own.append(Integer.toHexString(random.nextInt())).append(' ');
-    Ledger.Call c =
-        new Ledger.Call(tag, k.name, t.name, relay, k.repeatable, System.nanoTime() / 1_000_000);
-    ledger.calls.put(tag, c);
+    while (own.length() < kind.ownBytes)
+      own.append(Integer.toHexString(random.nextInt())).append(' ');
+    Ledger.Call call =
+        new Ledger.Call(
+            tag, kind.name, tenant.name, relay, kind.repeatable, System.nanoTime() / 1_000_000);
+    ledger.calls.put(tag, call);
     String body =
         new JsonObject()
-            .put("prompt", prefix(k, t) + own + "#" + tag)
+            .put("prompt", prefix(kind, tenant) + own + "#" + tag)
             .put("maxPieces", 64)
             .encode();
     int colon = relay.lastIndexOf(':');
-    open.incrementAndGet();
+    openRequests.incrementAndGet();
     http.request(
             new RequestOptions()
                 .setMethod(HttpMethod.POST)
                 .setHost(relay.substring(0, colon))
                 .setPort(Integer.parseInt(relay.substring(colon + 1)))
-                .setURI(k.path)
+                .setURI(kind.path)
                 .setTimeout(30_000))
         .onComplete(
             a -> {
               if (a.failed()) {
-                end(c, "no-circuit");
+                finish(call, "no-circuit");
                 return;
               }
               a.result()
-                  .putHeader("Authorization", "Bearer " + t.key)
+                  .putHeader("Authorization", "Bearer " + tenant.key)
                   .send(Buffer.buffer(body))
                   .onComplete(
                       b -> {
                         if (b.failed()) {
-                          end(c, "broken");
+                          finish(call, "broken");
                           return;
                         }
                         var response = b.result();
-                        c.status = response.statusCode();
-                        c.order =
+                        call.status = response.statusCode();
+                        call.order =
                             response.getHeader("Gladelug-Request") == null
                                 ? ""
                                 : response.getHeader("Gladelug-Request");
                         RecordParser lines =
-                            RecordParser.newDelimited("\n", buffer -> line(c, buffer));
+                            RecordParser.newDelimited("\n", buffer -> handleLine(call, buffer));
                         response.handler(lines);
                         response.exceptionHandler(
-                            failure -> end(c, c.outcome.equals("none") ? "broken" : c.outcome));
+                            failure ->
+                                finish(
+                                    call, call.outcome.equals("none") ? "broken" : call.outcome));
                         response.endHandler(
                             v -> {
-                              c.bodyTerminated = true;
-                              end(c, c.outcome);
+                              call.bodyTerminated = true;
+                              finish(call, call.outcome);
                             });
                       });
             });
-    return c;
+    return call;
   }
 
-  private void line(Ledger.Call c, Buffer buffer) {
+  private void handleLine(Ledger.Call call, Buffer buffer) {
     JsonObject json;
     try {
       json = buffer.toJsonObject();
     } catch (RuntimeException e) {
-      c.foreign++;
+      call.foreign++;
       return;
     }
     if (json.containsKey("piece")) {
-      if (c.explicitEnd || json.getInteger("piece") != c.pieces) c.misordered++;
-      if (!StandInContent.textOf(c.tag, c.pieces).equals(json.getString("text"))) c.foreign++;
-      if (c.pieces == 0) c.firstPiece = System.nanoTime() / 1_000_000;
-      c.pieces++;
+      if (call.explicitEnd || json.getInteger("piece") != call.pieces) call.misordered++;
+      if (!StandInContent.textOf(call.tag, call.pieces).equals(json.getString("text")))
+        call.foreign++;
+      if (call.pieces == 0) call.firstPieceMs = System.nanoTime() / 1_000_000;
+      call.pieces++;
     } else {
-      c.outcome = json.getString("outcome", "none");
-      c.reason = json.getString("reason", "");
+      call.outcome = json.getString("outcome", "none");
+      call.reason = json.getString("reason", "");
       if (json.getBoolean("end", false)) {
-        c.explicitEnd = true;
-        if (json.getInteger("pieces") != c.pieces) c.misordered++;
+        call.explicitEnd = true;
+        if (json.getInteger("pieces") != call.pieces) call.misordered++;
       }
     }
   }
 
-  private void end(Ledger.Call c, String outcome) {
-    if (c.done >= 0) return;
-    c.done = System.nanoTime() / 1_000_000;
-    c.outcome = outcome;
-    open.decrementAndGet();
+  private void finish(Ledger.Call call, String outcome) {
+    if (call.doneMs >= 0) return;
+    call.doneMs = System.nanoTime() / 1_000_000;
+    call.outcome = outcome;
+    openRequests.decrementAndGet();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/StandInContent.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInContent.java
@@ -16,8 +16,8 @@
   public static final int BLOCK_BYTES = 256;
 
   private static final String NO_TAG = "untagged";
-  private static final int FEWEST_PIECES = 4;
-  private static final int SPREAD_OF_PIECES = 13;
+  private static final int MIN_PIECES = 4;
+  private static final int PIECE_COUNT_RANGE = 13;
 
   private StandInContent() {}
 
@@ -29,7 +29,7 @@
 
   /** How many pieces a request with a tag is answered with. */
   public static int piecesOf(String tag, int most) {
-    return Math.min(most, FEWEST_PIECES + Math.floorMod(tag.hashCode(), SPREAD_OF_PIECES));
+    return Math.min(most, MIN_PIECES + Math.floorMod(tag.hashCode(), PIECE_COUNT_RANGE));
   }
 
   /** The text of one piece. */
--- a/emulator/src/main/java/gladelug/emulator/StandInPlatform.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInPlatform.java
@@ -12,24 +12,25 @@
 
 /** A stand-in for the platform: lists replicas as ready or leaving over HTTP, as told. */
 public final class StandInPlatform {
-  private record Line(String service, String instance, String address, String zone, String state) {}
+  private record Entry(
+      String service, String instance, String address, String zone, String state) {}
 
-  private final Map<String, Line> lines = new LinkedHashMap<>();
+  private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final HttpServer server;
   public final int port;
   public final String host;
   public volatile boolean silent;
 
   /** Answers that make no sense. */
-  public volatile boolean lies;
+  public volatile boolean malformed;
 
   /**
    * Told of every state that was answered for the first time: an instance and ready, leaving or
    * gone.
    */
-  public volatile BiConsumer<String, String> answered = (i, text) -> {};
+  public volatile BiConsumer<String, String> stateListener = (i, text) -> {};
 
-  private final Map<String, String> last = new HashMap<>();
+  private final Map<String, String> lastStates = new HashMap<>();
 
   private final String advertised;
 
@@ -45,7 +46,7 @@
                   if (silent) return;
                   if (!request.path().equals("/replicas"))
                     request.response().setStatusCode(404).end();
-                  else if (lies)
+                  else if (malformed)
                     request
                         .response()
                         .putHeader("Content-Type", "application/json")
@@ -54,7 +55,7 @@
                     request
                         .response()
                         .putHeader("Content-Type", "application/json")
-                        .end(json().toBuffer());
+                        .end(replicaList().toBuffer());
                 });
     port =
         server
@@ -65,16 +66,16 @@
             .actualPort();
   }
 
-  private synchronized JsonObject json() {
+  private synchronized JsonObject replicaList() {
     Map<String, String> now = new HashMap<>();
-    last.keySet().forEach(i -> now.put(i, "gone"));
-    lines.values().forEach(l -> now.put(l.instance, l.state));
+    lastStates.keySet().forEach(i -> now.put(i, "gone"));
+    entries.values().forEach(l -> now.put(l.instance, l.state));
     now.forEach(
         (i, text) -> {
-          if (!text.equals(last.put(i, text))) answered.accept(i, text);
+          if (!text.equals(lastStates.put(i, text))) stateListener.accept(i, text);
         });
     JsonArray array = new JsonArray();
-    for (Line l : lines.values())
+    for (Entry l : entries.values())
       array.add(
           new JsonObject()
               .put("service", l.service)
@@ -87,18 +88,18 @@
 
   public synchronized void list(
       String service, String instance, String address, String zone, boolean ready) {
-    lines.put(instance, new Line(service, instance, address, zone, ready ? "ready" : "leaving"));
+    entries.put(instance, new Entry(service, instance, address, zone, ready ? "ready" : "leaving"));
   }
 
   public synchronized void unlist(String instance) {
-    lines.remove(instance);
+    entries.remove(instance);
   }
 
   public String address() {
     return advertised + ":" + port;
   }
 
-  String bound() {
+  String boundAddress() {
     return host + ":" + port;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/StandInReplica.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInReplica.java
@@ -52,9 +52,9 @@
 
   private static final List<String> OFFERED_WEIGHTS = List.of("w1", "w2", "w3", "w4");
   private static final long LOAD_WEIGHTS_MS = 1500;
-  private static final long LOOK_FOR_IDLE_MS = 20;
-  private static final long START_MS = 20_000;
-  private static final long STOP_MS = 10_000;
+  private static final long IDLE_POLL_MS = 20;
+  private static final long START_TIMEOUT_MS = 20_000;
+  private static final long STOP_TIMEOUT_MS = 10_000;
   private static final long PORT_RETRY_MS = 100;
   private static final int IDLE_TIMEOUT_S = 120;
   private static final int CONFLICT = 409;
@@ -92,7 +92,7 @@
   private final ReplicaWork work;
   private HttpServer server;
   private volatile String weights;
-  private String loading = "";
+  private String loadingWeights = "";
   private long commanderEpoch;
   private String commander = "";
   private boolean up;
@@ -160,9 +160,9 @@
   /** Starts, on the same port after the first time; memory is empty and the incarnation new. */
   public void start() {
     synchronized (this) {
-      empty();
+      reset();
     }
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MS);
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
     HttpServer started = null;
     // the port of the life before may not be free at once
     while (started == null) {
@@ -190,14 +190,14 @@
         .listen(port, host)
         .toCompletionStage()
         .toCompletableFuture()
-        .get(START_MS, TimeUnit.MILLISECONDS);
+        .get(START_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void empty() {
+  private void reset() {
     cache.dropFollowers();
     cache.clear();
     work.clear();
-    loading = "";
+    loadingWeights = "";
     weights = firstWeights;
     commanderEpoch = 0;
     commander = "";
@@ -216,14 +216,14 @@
     CompletableFuture<Void> closed = new CompletableFuture<>();
     running.close().onComplete(result -> closed.complete(null));
     try {
-      closed.get(STOP_MS, TimeUnit.MILLISECONDS);
+      closed.get(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  synchronized boolean has(long block) {
-    return up && cache.has(block);
+  synchronized boolean hasBlock(long block) {
+    return up && cache.contains(block);
   }
 
   /** What a block was made under; null where it is gone. */
@@ -232,7 +232,7 @@
   }
 
   /** How many blocks it keeps. */
-  public synchronized int keeps() {
+  public synchronized int blockCount() {
     return cache.size();
   }
 
@@ -261,14 +261,14 @@
 
   private JsonObject identity() {
     return new JsonObject()
-        .put("service", faults.lieAboutService ? "somebody-else" : service)
+        .put("service", faults.reportWrongService ? "somebody-else" : service)
         .put("instance", instance)
         .put("weights", weights)
         .put("blockBytes", StandInContent.BLOCK_BYTES)
         .put("capacityBlocks", model.capacity)
         .put("slots", model.slots)
         .put("incarnation", cache.incarnation())
-        .put("loading", !loading.isEmpty())
+        .put("loading", !loadingWeights.isEmpty())
         .put("offers", new JsonArray(OFFERED_WEIGHTS));
   }
 
@@ -277,7 +277,7 @@
         new JsonObject()
             .put("service", service)
             .put("instance", instance)
-            .put("weights", loading.isEmpty() ? weights : "")
+            .put("weights", loadingWeights.isEmpty() ? weights : "")
             .put("blockBytes", StandInContent.BLOCK_BYTES);
     work.report(occupancy);
     return occupancy;
@@ -287,11 +287,11 @@
     if (!up) return;
     JsonObject json = body.toJsonObject();
     Ledger.Run run = runOf(json);
-    ledger.run(run);
+    ledger.addRun(run);
     requests++;
     String refusal = refusal(json);
     if (refusal.isEmpty()) {
-      work.admit(request, json, run, random.nextDouble() < faults.cutBeforeFirst);
+      work.admit(request, json, run, random.nextDouble() < faults.earlyCloseRate);
     } else {
       refuse(request, json, refusal);
     }
@@ -314,12 +314,12 @@
     boolean meant =
         instance.equals(json.getString("instance")) && service.equals(json.getString("service"));
     if (!meant) return "this is " + service + "/" + instance;
-    if (!loading.isEmpty()) return "weights " + loading + " are being loaded";
+    if (!loadingWeights.isEmpty()) return "weights " + loadingWeights + " are being loaded";
     if (kind == Kind.MODEL && !weights.equals(json.getString("weights"))) {
       return "weights " + weights + " run here";
     }
-    if (work.full()) return "full";
-    return random.nextDouble() < faults.notRun ? "not now" : "";
+    if (work.isFull()) return "full";
+    return random.nextDouble() < faults.refusalRate ? "not now" : "";
   }
 
   private static void refuse(HttpServerRequest request, JsonObject json, String reason) {
@@ -342,7 +342,7 @@
       return;
     }
     if (epoch == commanderEpoch && !who.equals(commander)) {
-      ledger.doubleCommand.add(
+      ledger.commanderConflicts.add(
           instance + ": epoch " + epoch + " used by " + commander + " and " + who);
     }
     commanderEpoch = epoch;
@@ -352,23 +352,23 @@
   }
 
   private void load(String wanted) {
-    boolean known = wanted.equals(weights) || wanted.equals(loading);
+    boolean known = wanted.equals(weights) || wanted.equals(loadingWeights);
     if (wanted.isEmpty() || known || !OFFERED_WEIGHTS.contains(wanted)) return;
-    ledger.note("weights " + instance + " " + weights + "->" + wanted);
-    loading = wanted;
+    ledger.addNote("weights " + instance + " " + weights + "->" + wanted);
+    loadingWeights = wanted;
     vertx.setTimer(LOAD_WEIGHTS_MS, timer -> loaded(wanted));
   }
 
   /** New weights are in: what was kept under the old ones is gone, told as a new incarnation. */
   private synchronized void loaded(String wanted) {
-    if (!up || !loading.equals(wanted)) return;
-    if (!work.idle()) {
-      vertx.setTimer(LOOK_FOR_IDLE_MS, timer -> loaded(wanted));
+    if (!up || !loadingWeights.equals(wanted)) return;
+    if (!work.isIdle()) {
+      vertx.setTimer(IDLE_POLL_MS, timer -> loaded(wanted));
       return;
     }
     weights = wanted;
-    loading = "";
+    loadingWeights = "";
     cache.clear();
-    cache.pulseAll();
+    cache.sendPulses();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/Table.java
+++ b/emulator/src/main/java/gladelug/emulator/SummaryBenchmark.java
@@ -15,7 +15,7 @@
  * blocks of their own; or many holders against thirteen. Counts first; times as ratios within one
  * run, turn about, the nanoseconds beside only to give their size.
  */
-final class Table {
+final class SummaryBenchmark {
   private static final int USUAL = 13;
 
   /**
@@ -24,7 +24,7 @@
    */
   private record Shape(String name, int slots, int bits, int holders, int shared, int own) {}
 
-  private Table() {}
+  private SummaryBenchmark() {}
 
   /**
    * The first shape is what others' times are compared to: the table as it is, with the usual
--- a/emulator/src/main/java/gladelug/emulator/Promises.java
+++ b/emulator/src/main/java/gladelug/emulator/TimedGuarantees.java
@@ -13,66 +13,68 @@
  * r", "allowed r") and a meaning; a run may act on the last meaning whose acknowledgement is older
  * than the promise's grace, and on any told since. The simulator judges with no grace at all.
  */
-public final class Promises {
+public final class TimedGuarantees {
   /** A change: what it meant, when it went out, when it was acknowledged (or -1). */
-  public record Told(String key, String meaning, long sent, long acked) {}
+  public record Change(String key, String meaning, long sentMs, long acknowledgedMs) {}
 
   /**
    * How long after the acknowledgement the old may still be seen; slack for what may overtake on
    * the way.
    */
-  public record Graces(long configuration, long key, long weights, long replica, long slack) {}
+  public record GracePeriods(
+      long configurationMs, long keyMs, long weightsMs, long replicaMs, long reorderMs) {}
 
-  public static final Graces BRIEF = new Graces(2000, 5000, 25_000, 3000, 1000);
+  public static final GracePeriods REQUIRED = new GracePeriods(2000, 5000, 25_000, 3000, 1000);
 
   /** A change of unknown fate may yet be taken this long after it was sent. */
-  private static final long FATE = 15_000;
+  private static final long UNKNOWN_OUTCOME_MS = 15_000;
 
-  private final Map<String, List<Told>> told = new HashMap<>();
+  private final Map<String, List<Change>> changesByKey = new HashMap<>();
 
-  public synchronized void told(Told t) {
-    told.computeIfAbsent(t.key, k -> new ArrayList<>()).add(t);
+  public synchronized void record(Change t) {
+    changesByKey.computeIfAbsent(t.key, k -> new ArrayList<>()).add(t);
   }
 
   /** Sent, and nothing heard yet: its fate is unknown until answered() says more. */
-  public Told sent(String key, String meaning, long at) {
-    Told t = new Told(key, meaning, at, -1);
-    told(t);
+  public Change recordSent(String key, String meaning, long at) {
+    Change t = new Change(key, meaning, at, -1);
+    record(t);
     return t;
   }
 
   /** It was acknowledged at a time, or it is certain that it was not taken (acked negative). */
-  public synchronized void answered(Told t, long acked) {
-    List<Told> l = told.get(t.key);
+  public synchronized void recordAnswer(Change t, long acked) {
+    List<Change> l = changesByKey.get(t.key);
     int i = l.indexOf(t);
     if (acked < 0) l.remove(i);
-    else l.set(i, new Told(t.key, t.meaning, t.sent, acked));
+    else l.set(i, new Change(t.key, t.meaning, t.sentMs, acked));
   }
 
-  public void told(String key, String meaning, long sent, long acked) {
-    told(new Told(key, meaning, sent, acked));
+  public void record(String key, String meaning, long sent, long acked) {
+    record(new Change(key, meaning, sent, acked));
   }
 
-  private synchronized List<Told> of(String key) {
-    return new ArrayList<>(told.getOrDefault(key, List.of()));
+  private synchronized List<Change> changesOf(String key) {
+    return new ArrayList<>(changesByKey.getOrDefault(key, List.of()));
   }
 
   /** Whether something may be acted on at a moment; of what nobody was ever told, anything. */
-  public boolean may(String key, String meaning, long at, long grace) {
-    List<Told> l = of(key);
+  public boolean isAllowed(String key, String meaning, long at, long grace) {
+    List<Change> l = changesOf(key);
     if (l.isEmpty()) return true;
     int from = -1;
     for (int i = 0; i < l.size(); i++)
-      if (l.get(i).acked >= 0 && l.get(i).acked + grace < at) from = i;
+      if (l.get(i).acknowledgedMs >= 0 && l.get(i).acknowledgedMs + grace < at) from = i;
     for (int i = 0; i < l.size(); i++) {
-      Told t = l.get(i);
-      boolean lateFate = t.acked < 0 && from >= 0 && t.sent > l.get(from).sent - FATE;
-      if ((i >= from || lateFate) && t.meaning.equals(meaning) && t.sent <= at) return true;
+      Change t = l.get(i);
+      boolean lateFate =
+          t.acknowledgedMs < 0 && from >= 0 && t.sentMs > l.get(from).sentMs - UNKNOWN_OUTCOME_MS;
+      if ((i >= from || lateFate) && t.meaning.equals(meaning) && t.sentMs <= at) return true;
     }
     return false;
   }
 
-  public Map<String, List<String>> judge(Ledger l, Graces g) {
+  public Map<String, List<String>> check(Ledger l, GracePeriods g) {
     Map<String, List<String>> out = new LinkedHashMap<>();
     for (String r :
         new String[] {
@@ -94,28 +96,30 @@
           }
           for (Ledger.Run r : rs) {
             String who = tag + " (" + r.order + ")";
-            if (!may("mapping " + c.kind, r.service, r.at, g.configuration))
+            if (!isAllowed("mapping " + c.kind, r.service, r.atMs, g.configurationMs))
               out.get("old-policy-after-2s").add(who + " ran at " + r.service);
             if (!r.weights.isEmpty()
-                && !may("wall " + c.tenant, meaning(r.wall), r.at, g.configuration))
+                && !isAllowed("wall " + c.tenant, meaning(r.wall), r.atMs, g.configurationMs))
               out.get("old-policy-after-2s").add(who + " behind the wall '" + r.wall + "'");
-            if (!may("allowed " + r.instance, "yes", r.at, g.configuration))
+            if (!isAllowed("allowed " + r.instance, "yes", r.atMs, g.configurationMs))
               out.get("old-policy-after-2s").add(who + " at " + r.instance + ", allowed no more");
-            if (!may("tenant " + c.tenant, "good", r.at, g.key))
+            if (!isAllowed("tenant " + c.tenant, "good", r.atMs, g.keyMs))
               out.get("revoked-key-after-5s").add(who);
-            if (!r.weights.isEmpty() && !may("weights", r.weights, r.at, g.weights))
+            if (!r.weights.isEmpty() && !isAllowed("weights", r.weights, r.atMs, g.weightsMs))
               out.get("old-weights-after-25s").add(who + " on " + r.weights);
-            if (!may("replica " + r.instance, "ready", r.at, g.replica))
+            if (!isAllowed("replica " + r.instance, "ready", r.atMs, g.replicaMs))
               out.get("leaving-replica-after-3s").add(who + " at " + r.instance);
             byRelay
                 .computeIfAbsent(c.relay + " mapping " + c.kind, k -> new ArrayList<>())
-                .add(new Object[] {r.at, r.service, who, "mapping " + c.kind});
+                .add(new Object[] {r.atMs, r.service, who, "mapping " + c.kind});
           }
         });
-    byRelay.values().forEach(rs -> out.get("slipped-back").addAll(back(rs, g.slack)));
+    byRelay
+        .values()
+        .forEach(rs -> out.get("slipped-back").addAll(findRegressions(rs, g.reorderMs)));
     for (Ledger.ForeignUse use : l.foreignUses)
       for (String tag : List.of(use.tag(), use.maker()))
-        if (!may("wall " + l.calls.get(tag).tenant, "", use.at(), g.configuration))
+        if (!isAllowed("wall " + l.calls.get(tag).tenant, "", use.at(), g.configurationMs))
           out.get("isolated-tenant-shared-a-prefix")
               .add(
                   use.tag()
@@ -137,10 +141,10 @@
   /**
    * Of one relay and route: no run under an earlier telling than that of a run clearly before it.
    */
-  private List<String> back(List<Object[]> runs, long slack) {
+  private List<String> findRegressions(List<Object[]> runs, long slack) {
     List<String> out = new ArrayList<>();
     runs.sort(Comparator.comparingLong(r -> (Long) r[0]));
-    List<Told> l = of((String) runs.get(0)[3]);
+    List<Change> l = changesOf((String) runs.get(0)[3]);
     if (l.isEmpty()) return out;
     List<long[]> seen = new ArrayList<>();
     int next = 0, floor = 0;
@@ -149,7 +153,7 @@
       for (; next < seen.size() && seen.get(next)[0] <= at - slack; next++)
         floor = Math.max(floor, (int) seen.get(next)[1]);
       int i = floor;
-      while (i < l.size() && !(l.get(i).meaning.equals(r[1]) && l.get(i).sent <= at)) i++;
+      while (i < l.size() && !(l.get(i).meaning.equals(r[1]) && l.get(i).sentMs <= at)) i++;
       if (i < l.size()) seen.add(new long[] {at, i});
       else out.add(r[2] + " at " + r[1] + ", after a later policy was acted on");
     }
--- a/emulator/src/main/java/gladelug/emulator/WeightsRoll.java
+++ b/emulator/src/main/java/gladelug/emulator/WeightsRollout.java
@@ -10,16 +10,16 @@
  *
  * <p>The rehearsal "weights".
  */
-final class WeightsRoll {
+final class WeightsRollout {
   private static final String OLD = "w1";
   private static final String NEW = "w2";
-  private static final long BEFORE_MS = 5000;
-  private static final long LONGEST_MS = 40_000;
+  private static final long WARM_UP_MS = 5000;
+  private static final long ROLLOUT_TIMEOUT_MS = 40_000;
   private static final long STEP_MS = 20;
-  private static final long AFTER_MS = 2000;
-  private static final long ENDED_MS = 30_000;
+  private static final long SETTLE_MS = 2000;
+  private static final long DRAIN_TIMEOUT_MS = 30_000;
 
-  private WeightsRoll() {}
+  private WeightsRollout() {}
 
   private static long now() {
     return System.nanoTime() / 1_000_000;
@@ -34,18 +34,19 @@
           new StandInCallers(
               fleet.vertx,
               fleet.ledger,
-              fleet.callers,
+              fleet.callerAddresses,
               deployment.tenants(),
               deployment.kinds(),
               1);
       callers.start();
-      Fleet.pause(BEFORE_MS);
+      Fleet.pause(WARM_UP_MS);
       long named = now();
-      Fleet.Answer answer = fleet.weights(NEW);
+      Fleet.Answer answer = fleet.setWeights(NEW);
       List<Long> moved = moved(fleet, named);
-      Fleet.pause(AFTER_MS);
+      Fleet.pause(SETTLE_MS);
       callers.stop();
-      Fleet.until("the last requests ended", ENDED_MS, () -> callers.open() == 0);
+      Fleet.waitUntil(
+          "the last requests ended", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
       report(fleet.ledger, answer.status(), moved, named);
     }
   }
@@ -57,7 +58,7 @@
             .filter(replica -> replica.kind == StandInReplica.Kind.MODEL)
             .toList();
     List<Long> moved = new ArrayList<>();
-    while (moved.size() < models.size() && now() - named <= LONGEST_MS) {
+    while (moved.size() < models.size() && now() - named <= ROLLOUT_TIMEOUT_MS) {
       long onNew = models.stream().filter(replica -> replica.weights().equals(NEW)).count();
       while (moved.size() < onNew) moved.add(now() - named);
       Fleet.pause(STEP_MS);
@@ -67,19 +68,19 @@
 
   private static void report(Ledger ledger, int status, List<Long> moved, long named) {
     List<Ledger.Call> calls =
-        ledger.calls.values().stream().filter(call -> call.sent >= named).toList();
+        ledger.calls.values().stream().filter(call -> call.sentMs >= named).toList();
     long incomplete = calls.stream().filter(call -> !call.outcome.equals("complete")).count();
     long lastOnOld =
         ledger.runs.values().stream()
             .flatMap(List::stream)
             .filter(run -> run.weights.equals(OLD))
-            .mapToLong(run -> run.at - named)
+            .mapToLong(run -> run.atMs - named)
             .max()
             .orElse(0);
     List<Long> firstPieces =
         calls.stream()
-            .filter(call -> call.firstPiece >= 0)
-            .map(call -> call.firstPiece - call.sent)
+            .filter(call -> call.firstPieceMs >= 0)
+            .map(call -> call.firstPieceMs - call.sentMs)
             .toList();
     System.out.printf(
         Locale.ROOT,
--- a/emulator/src/main/java/gladelug/emulator/control/ConnectionResets.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ConnectionResets.java
@@ -1,8 +1,8 @@
 package gladelug.emulator.control;
 
 import gladelug.emulator.Fleet;
+import gladelug.emulator.LinkProxy;
 import gladelug.emulator.StandInReplica;
-import gladelug.emulator.Wires;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -32,28 +32,28 @@
     for (StandInReplica replica : day.fleet.replicas.values()) {
       if (replica.kind == StandInReplica.Kind.MODEL) models.add(replica);
     }
-    for (StandInReplica replica : models) replica.faults.cutBeforeFirst = CLOSED_BEFORE_FIRST;
+    for (StandInReplica replica : models) replica.faults.earlyCloseRate = CLOSED_BEFORE_FIRST;
     long steps = lastsMs / STEP_MS;
     for (long step = 1; step <= steps; step++) {
       StandInReplica replica = models.get(day.random.nextInt(models.size()));
-      String edge = Fleet.edge(1 + day.random.nextInt(day.fleet.deployment.relays()));
+      String edge = Fleet.edgeMachine(1 + day.random.nextInt(day.fleet.deployment.relays()));
       if (step % STEPS_A_SILENCE == 0) {
         silence(day, edge, replica.instance);
       } else if (step % 2 == 0) {
-        day.fleet.wires.breakConnections(edge, replica.instance);
+        day.fleet.links.breakConnections(edge, replica.instance);
       } else {
-        day.fleet.wires.breakConnections(Wires.OUTSIDE, edge);
+        day.fleet.links.breakConnections(LinkProxy.OUTSIDE, edge);
       }
       replica.faults.cutStreams = step % 5 == 0;
       Fleet.pause(STEP_MS);
     }
-    for (StandInReplica replica : models) replica.faults.none();
+    for (StandInReplica replica : models) replica.faults.clear();
   }
 
   private static void silence(ControlDay day, String edge, String replica) {
-    day.fleet.wires.cut(edge, replica);
+    day.fleet.links.cut(edge, replica);
     Fleet.pause(SILENCE_MS);
-    day.fleet.wires.mend();
+    day.fleet.links.heal();
   }
 
   @Override
--- a/emulator/src/main/java/gladelug/emulator/control/ControlDay.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ControlDay.java
@@ -2,8 +2,8 @@
 
 import gladelug.emulator.Deployment;
 import gladelug.emulator.Fleet;
-import gladelug.emulator.Judge;
-import gladelug.emulator.Judge.Finding;
+import gladelug.emulator.LedgerChecker;
+import gladelug.emulator.LedgerChecker.Finding;
 import gladelug.emulator.StandInCallers;
 import gladelug.emulator.control.ChangeLedger.Attempt;
 import gladelug.emulator.control.ChangeLedger.Outcome;
@@ -69,7 +69,7 @@
     Deployment small = Deployment.small(NETWORK);
     return new Deployment(
         small.name(),
-        small.net(),
+        small.subnet(),
         small.service(),
         small.replicas(),
         RELAYS,
@@ -87,7 +87,7 @@
         new StandInCallers(
             fleet.vertx,
             fleet.ledger,
-            fleet.callers,
+            fleet.callerAddresses,
             fleet.deployment.tenants(),
             fleet.deployment.kinds(),
             random.nextLong());
@@ -99,7 +99,7 @@
     operator("closing").change(CHANGE_MS);
     for (Member member : members) operator("closing").read(member);
     callers.stop();
-    Fleet.until("the last requests ended", RETURN_MS, () -> callers.open() == 0);
+    Fleet.waitUntil("the last requests ended", RETURN_MS, () -> callers.openRequests() == 0);
     return report(trouble);
   }
 
@@ -159,7 +159,7 @@
   List<String> namesOfMembers() {
     List<String> names = fleet.members();
     if (!names.isEmpty()) {
-      members = names.stream().map(n -> new Member(n, fleet.operator.get(n))).toList();
+      members = names.stream().map(n -> new Member(n, fleet.operatorAddresses.get(n))).toList();
       operators.forEach(operator -> operator.members(members));
     }
     return names;
@@ -180,7 +180,7 @@
   void restart(String name) throws IOException {
     fleet.children.get(name).start();
     long began = System.nanoTime();
-    Fleet.until(name + " ready again", RETURN_MS, () -> fleet.ready(name));
+    Fleet.waitUntil(name + " ready again", RETURN_MS, () -> fleet.isReady(name));
     say(name + " ready " + (System.nanoTime() - began) / 1_000_000 + " ms after its start");
   }
 
@@ -188,7 +188,7 @@
   void changeConfirmed(String when) {
     long began = System.nanoTime();
     StandInOperator operator = operator("after");
-    Fleet.until(
+    Fleet.waitUntil(
         "a change is confirmed " + when,
         RETURN_MS,
         () -> operator.change(CHANGE_MS).outcome() == Outcome.CONFIRMED);
@@ -198,7 +198,7 @@
   /** The names of all machines and replicas but the one. */
   Set<String> everybodyBut(String name) {
     Set<String> others = new LinkedHashSet<>(namesOfMembers());
-    for (int i = 1; i <= fleet.deployment.relays(); i++) others.add(Fleet.edge(i));
+    for (int i = 1; i <= fleet.deployment.relays(); i++) others.add(Fleet.edgeMachine(i));
     others.addAll(fleet.replicas.keySet());
     others.add("platform");
     others.remove(name);
@@ -212,10 +212,10 @@
     say("calls by outcome " + callsByOutcome());
     sayTimes();
     List<Finding> findings = new ArrayList<>(ControlJudge.judge(changes, trouble.longestGapMs()));
-    findings.addAll(Judge.all(fleet.ledger));
+    findings.addAll(LedgerChecker.checkAll(fleet.ledger));
     boolean clean = true;
     for (Finding finding : findings) {
-      clean &= finding.clean();
+      clean &= finding.passed();
       out.accept("must never: " + finding.rule() + ": " + words(finding.offenders()));
     }
     return clean;
--- a/emulator/src/main/java/gladelug/emulator/control/ControlJudge.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ControlJudge.java
@@ -1,6 +1,6 @@
 package gladelug.emulator.control;
 
-import gladelug.emulator.Judge.Finding;
+import gladelug.emulator.LedgerChecker.Finding;
 import gladelug.emulator.control.ChangeLedger.Attempt;
 import gladelug.emulator.control.ChangeLedger.Outcome;
 import gladelug.emulator.control.ChangeLedger.Reading;
--- a/emulator/src/main/java/gladelug/emulator/control/LongCut.java
+++ b/emulator/src/main/java/gladelug/emulator/control/LongCut.java
@@ -27,9 +27,9 @@
     String owner = day.ownerOfConfiguration();
     Set<String> others = day.everybodyBut(owner);
     day.say("cut off " + owner + " for " + cutMs + " ms");
-    day.fleet.wires.split(Set.of(owner), others);
+    day.fleet.links.cutBetween(Set.of(owner), others);
     Fleet.pause(cutMs);
-    day.fleet.wires.mend();
+    day.fleet.links.heal();
     day.say("mended");
     Fleet.pause(AFTER_MS);
   }
--- a/emulator/src/main/java/gladelug/emulator/control/ManyChanges.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ManyChanges.java
@@ -47,7 +47,8 @@
   }
 
   private static long readAt(ControlDay day, StandInOperator operator, String member) {
-    return operator.read(new StandInOperator.Member(member, day.fleet.operator.get(member)));
+    return operator.read(
+        new StandInOperator.Member(member, day.fleet.operatorAddresses.get(member)));
   }
 
   private static void change(StandInOperator operator, int howMany) {
--- a/emulator/src/main/java/gladelug/emulator/control/ReplacementsInTurn.java
+++ b/emulator/src/main/java/gladelug/emulator/control/ReplacementsInTurn.java
@@ -36,13 +36,13 @@
   private static void replace(ControlDay day, String leaving, String next, int host)
       throws Exception {
     day.say("replace " + leaving + " by " + next);
-    day.fleet.control(next, host).start();
+    day.fleet.addControlMachine(next, host).start();
     String swap = "{\"out\":\"" + leaving + "\",\"in\":\"" + next + "\"}";
-    Fleet.until(
+    Fleet.waitUntil(
         "the swap of " + leaving + " is begun",
         ControlDay.RETURN_MS,
         () -> day.fleet.call("POST", "/v1/core/swap", swap, Map.of()).status() == 202);
-    Fleet.until(
+    Fleet.waitUntil(
         next + " is a member",
         ControlDay.RETURN_MS,
         () -> {
--- a/emulator/src/main/java/gladelug/emulator/day/Day.java
+++ b/emulator/src/main/java/gladelug/emulator/day/Day.java
@@ -2,8 +2,8 @@
 
 import gladelug.emulator.Fleet;
 import gladelug.emulator.LedgerReport;
-import gladelug.emulator.Promises;
 import gladelug.emulator.StandInCallers;
+import gladelug.emulator.TimedGuarantees;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -21,20 +21,20 @@
  * <p>The play of a day.
  */
 public final class Day {
-  private static final long BEFORE_MS = 2000;
-  private static final long BETWEEN_MS = 1500;
-  private static final long ENDED_MS = 40_000;
+  private static final long WARM_UP_MS = 2000;
+  private static final long RECOVERY_MS = 1500;
+  private static final long DRAIN_TIMEOUT_MS = 40_000;
 
   /** The part of a trouble, in thousandths, after which the configuration may change. */
-  private static final long UNTIL_CHANGE = 400;
+  private static final long CHANGE_AFTER_PERMILLE = 400;
 
   private final Fleet fleet;
   private final Random random;
   private final StandInCallers callers;
-  private final Promises promises = new Promises();
+  private final TimedGuarantees promises = new TimedGuarantees();
   private final DayOperator operator;
   private final DayFleet machines;
-  private final OperatorTroubles operatorTroubles;
+  private final OperatorEpisodes operatorEpisodes;
   private final LastFault lastFault;
 
   /** Plays on a fleet that was not started yet, at a multiple of the deployment's rates. */
@@ -45,52 +45,57 @@
     kinds.add(fleet.deployment.application());
     callers =
         new StandInCallers(
-            fleet.vertx, fleet.ledger, fleet.callers, fleet.deployment.tenants(), kinds, seed);
-    callers.faster = rate;
+            fleet.vertx,
+            fleet.ledger,
+            fleet.callerAddresses,
+            fleet.deployment.tenants(),
+            kinds,
+            seed);
+    callers.rateFactor = rate;
     operator = new DayOperator(fleet, promises);
     machines = new DayFleet(fleet, random);
-    operatorTroubles = new OperatorTroubles(machines, operator);
+    operatorEpisodes = new OperatorEpisodes(machines, operator);
     lastFault = new LastFault(machines, operator);
   }
 
-  static long now() {
+  static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
-  static void say(String what) {
+  static void printLine(String what) {
     System.out.println("  " + what);
   }
 
   /**
    * Plays the day; true if no rule was broken.
    *
-   * @param secondsEach how long each trouble lasts
-   * @param most how many of the day's troubles are played before the last fault
+   * @param secondsPerEpisode how long each trouble lasts
+   * @param maxEpisodes how many of the day's troubles are played before the last fault
    */
-  public boolean play(int secondsEach, int most) throws Exception {
-    fleet.platform.answered =
-        (instance, state) -> promises.told("replica " + instance, state, now(), now());
+  public boolean play(int secondsPerEpisode, int maxEpisodes) throws Exception {
+    fleet.platform.stateListener =
+        (instance, state) -> promises.record("replica " + instance, state, nowMs(), nowMs());
     fleet.start();
-    promises.told("weights", operator.weights(), 0, 0);
-    operator.meanings().forEach((key, meaning) -> promises.told(key, meaning, 0, 0));
+    promises.record("weights", operator.currentWeights(), 0, 0);
+    operator.currentMeanings().forEach((key, meaning) -> promises.record(key, meaning, 0, 0));
     callers.start();
-    Fleet.pause(BEFORE_MS);
+    Fleet.pause(WARM_UP_MS);
     List<Episode> episodes = episodes();
-    for (Episode episode : episodes.subList(0, Math.min(most, episodes.size()))) {
-      play(episode, secondsEach);
+    for (Episode episode : episodes.subList(0, Math.min(maxEpisodes, episodes.size()))) {
+      play(episode, secondsPerEpisode);
     }
     lastFault.play();
     callers.stop();
-    Fleet.until("the last requests ended", ENDED_MS, () -> callers.open() == 0);
+    Fleet.waitUntil("the last requests ended", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
     return report();
   }
 
   /** All troubles, in the order that the seed gives. */
   private List<Episode> episodes() {
-    List<Episode> episodes = new ArrayList<>(new ProcessTroubles(machines).episodes());
-    episodes.addAll(new ReplicaTroubles(machines).episodes());
-    episodes.addAll(operatorTroubles.episodes());
-    episodes.addAll(new NetworkTroubles(machines, operator).episodes());
+    List<Episode> episodes = new ArrayList<>(new ProcessEpisodes(machines).episodes());
+    episodes.addAll(new ReplicaEpisodes(machines).episodes());
+    episodes.addAll(operatorEpisodes.episodes());
+    episodes.addAll(new NetworkEpisodes(machines, operator).episodes());
     Collections.shuffle(episodes, random);
     return episodes;
   }
@@ -98,24 +103,24 @@
   private void play(Episode episode, int seconds) throws Exception {
     System.out.println("episode: " + episode.name());
     episode.begin().run();
-    long end = now() + seconds * 1000L;
-    Fleet.pause(seconds * UNTIL_CHANGE);
+    long end = nowMs() + seconds * 1000L;
+    Fleet.pause(seconds * CHANGE_AFTER_PERMILLE);
     if (episode.changesMeanwhile() || random.nextBoolean()) operator.send();
-    if (end > now()) Fleet.pause(end - now());
+    if (end > nowMs()) Fleet.pause(end - nowMs());
     episode.mend().run();
-    Fleet.pause(BETWEEN_MS);
+    Fleet.pause(RECOVERY_MS);
   }
 
   private boolean report() {
-    boolean clean = LedgerReport.print(fleet);
-    Map<String, List<String>> rules = promises.judge(fleet.ledger, Promises.BRIEF);
-    rules.put("acknowledged-configuration-lost", operator.lost());
+    boolean passed = LedgerReport.print(fleet);
+    Map<String, List<String>> rules = promises.check(fleet.ledger, TimedGuarantees.REQUIRED);
+    rules.put("acknowledged-configuration-lost", operator.findLostConfiguration());
     rules.put("back-later-than-12s", lastFault.slowReturns());
-    rules.put("both-of-two-racing-taken", operatorTroubles.racesWonTwice());
+    rules.put("both-of-two-racing-taken", operatorEpisodes.racesWonTwice());
     for (Map.Entry<String, List<String>> rule : rules.entrySet()) {
-      clean &= rule.getValue().isEmpty();
+      passed &= rule.getValue().isEmpty();
       LedgerReport.printRule(rule.getKey(), rule.getValue());
     }
-    return clean;
+    return passed;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/day/DayFleet.java
+++ b/emulator/src/main/java/gladelug/emulator/day/DayFleet.java
@@ -15,7 +15,7 @@
 final class DayFleet {
   static final String CONFIGURATION_KEY = "policy";
   static final String REPLICAS_KEY = "replicas";
-  private static final long READY_MS = 40_000;
+  private static final long READY_TIMEOUT_MS = 40_000;
   private static final int FIRST_FREE_HOST = 150;
 
   final Fleet fleet;
@@ -28,7 +28,7 @@
   }
 
   /** The number of a machine that nothing runs on yet. */
-  int freshHost() {
+  int allocateHost() {
     return nextHost++;
   }
 
@@ -38,7 +38,7 @@
   }
 
   /** One of the three members, by chance. */
-  String anyMember() {
+  String randomMember() {
     return members().get(random.nextInt(3));
   }
 
@@ -50,12 +50,12 @@
   /** The members and all machines of relays and indexes. */
   Set<String> membersAndEdges() {
     Set<String> machines = new LinkedHashSet<>(members());
-    for (int i = 1; i <= fleet.deployment.relays(); i++) machines.add(Fleet.edge(i));
+    for (int i = 1; i <= fleet.deployment.relays(); i++) machines.add(Fleet.edgeMachine(i));
     return machines;
   }
 
   /** The members, as machines. */
-  Set<String> core() {
+  Set<String> coreMachines() {
     return new LinkedHashSet<>(members());
   }
 
@@ -68,7 +68,7 @@
   void restart(String... names) throws IOException {
     for (String name : names) fleet.children.get(name).start();
     for (String name : names) {
-      Fleet.until(name + " ready", READY_MS, () -> fleet.ready(name));
+      Fleet.waitUntil(name + " ready", READY_TIMEOUT_MS, () -> fleet.isReady(name));
     }
   }
 
--- a/emulator/src/main/java/gladelug/emulator/day/DayOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/day/DayOperator.java
@@ -4,8 +4,8 @@
 import com.eclipsesource.json.JsonObject;
 import gladelug.emulator.Deployment;
 import gladelug.emulator.Fleet;
-import gladelug.emulator.Promises;
 import gladelug.emulator.StandInCallers;
+import gladelug.emulator.TimedGuarantees;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -18,37 +18,37 @@
  * <p>What is wanted of a day's fleet, and how it is sent.
  */
 final class DayOperator {
-  private static final long TAKEN_MS = 40_000;
+  private static final long CONFIRM_TIMEOUT_MS = 40_000;
   private static final String FIRST_APPLICATION = "application";
   private static final String SECOND_APPLICATION = "application-two";
 
   private final Fleet fleet;
-  private final Promises promises;
+  private final TimedGuarantees promises;
   private String lastConfiguration = "";
   private String application = FIRST_APPLICATION;
-  private int weights = 1;
+  private int weightsNumber = 1;
 
   /** The tenants whose keys are revoked. */
-  List<String> revoked = List.of();
+  List<String> revokedTenants = List.of();
 
   /** The tenants that are isolated beside the one that always is. */
-  List<String> isolated = List.of();
+  List<String> isolatedTenants = List.of();
 
   /** How many routes there are beside the deployment's own. */
-  int furtherRoutes;
+  int extraRoutes;
 
   /** Whether the path of the last kind of requests is gone. */
-  boolean pathGone;
+  boolean lastPathRemoved;
 
   /** Whether the address of the first replica is no longer allowed. */
   boolean firstReplicaForbidden;
 
-  DayOperator(Fleet fleet, Promises promises) {
+  DayOperator(Fleet fleet, TimedGuarantees promises) {
     this.fleet = fleet;
     this.promises = promises;
   }
 
-  private static long now() {
+  private static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
@@ -58,19 +58,19 @@
   }
 
   /** The newest weights that were named. */
-  String weights() {
-    return "w" + weights;
+  String currentWeights() {
+    return "w" + weightsNumber;
   }
 
   /** Names the next weights. */
-  void nameNextWeights() {
-    weights++;
-    Promises.Told told = promises.sent("weights", weights(), now());
-    Fleet.Answer answer = fleet.weights(weights());
-    if (answer.status() == 200) promises.answered(told, now());
-    Day.say(
+  void setNextWeights() {
+    weightsNumber++;
+    TimedGuarantees.Change told = promises.recordSent("weights", currentWeights(), nowMs());
+    Fleet.Answer answer = fleet.setWeights(currentWeights());
+    if (answer.status() == 200) promises.recordAnswer(told, nowMs());
+    Day.printLine(
         "weights "
-            + weights()
+            + currentWeights()
             + " answered "
             + answer.status()
             + (answer.status() == 200
@@ -79,58 +79,60 @@
   }
 
   /** What the configuration means at present, by the keys of promises. */
-  Map<String, String> meanings() {
+  Map<String, String> currentMeanings() {
     Deployment deployment = fleet.deployment;
     Map<String, String> meanings = new LinkedHashMap<>();
     meanings.put("mapping lookup-stop", application);
-    meanings.put("mapping " + deployment.last().name(), pathGone ? "none" : deployment.service());
+    meanings.put(
+        "mapping " + deployment.lastKind().name(), lastPathRemoved ? "none" : deployment.service());
     meanings.put("allowed replica-1", firstReplicaForbidden ? "no" : "yes");
     for (StandInCallers.Tenant tenant : deployment.tenants()) {
       String name = tenant.name();
-      boolean alone = name.equals(deployment.isolated()) || isolated.contains(name);
-      meanings.put("tenant " + name, revoked.contains(name) ? "revoked" : "good");
+      boolean alone = name.equals(deployment.isolated()) || isolatedTenants.contains(name);
+      meanings.put("tenant " + name, revokedTenants.contains(name) ? "revoked" : "good");
       meanings.put("wall " + name, alone ? name : "");
     }
     return meanings;
   }
 
   /** The whole configuration that is wanted, with a marker of its own. */
-  JsonObject wanted() {
+  JsonObject desiredConfiguration() {
     return fleet.deployment.configuration(
-        new Deployment.Wish(
+        new Deployment.ConfigurationOptions(
             fleet.nextMarker(),
-            revoked,
+            revokedTenants,
             application,
-            furtherRoutes,
-            pathGone,
-            isolated,
+            extraRoutes,
+            lastPathRemoved,
+            isolatedTenants,
             firstReplicaForbidden));
   }
 
   /** Sends what is wanted in place of whatever there is; whether it was confirmed. */
   boolean send() {
-    JsonObject configuration = wanted();
-    List<Promises.Told> told = new ArrayList<>();
-    meanings().forEach((key, meaning) -> told.add(promises.sent(key, meaning, now())));
-    Fleet.Answer answer = fleet.send(configuration, "*");
+    JsonObject configuration = desiredConfiguration();
+    List<TimedGuarantees.Change> told = new ArrayList<>();
+    currentMeanings()
+        .forEach((key, meaning) -> told.add(promises.recordSent(key, meaning, nowMs())));
+    Fleet.Answer answer = fleet.sendConfiguration(configuration, "*");
     if (answer.status() != 200) {
-      Day.say("configuration answered " + answer.status() + " " + answer.body());
+      Day.printLine("configuration answered " + answer.status() + " " + answer.body());
       return false;
     }
     lastConfiguration = configuration.toString();
-    for (Promises.Told one : told) promises.answered(one, now());
+    for (TimedGuarantees.Change one : told) promises.recordAnswer(one, nowMs());
     return true;
   }
 
   /** Sends until it is confirmed, as an operator does once the core is back. */
-  void sendUntilTaken() {
-    Fleet.until("a configuration taken", TAKEN_MS, this::send);
+  void sendUntilConfirmed() {
+    Fleet.waitUntil("a configuration taken", CONFIRM_TIMEOUT_MS, this::send);
   }
 
   /**
    * What is wrong with the configuration that the core shows; empty if it is the last confirmed.
    */
-  List<String> lost() {
+  List<String> findLostConfiguration() {
     JsonObject shown = fleet.call("GET", "/v1/configuration", null, Map.of()).body();
     if (shown.get("value").equals(Json.parse(lastConfiguration))) return List.of();
     return List.of("number " + shown.get("number") + " is not what was acknowledged last");
--- a/emulator/src/main/java/gladelug/emulator/day/LastFault.java
+++ b/emulator/src/main/java/gladelug/emulator/day/LastFault.java
@@ -1,6 +1,6 @@
 package gladelug.emulator.day;
 
-import gladelug.emulator.Child;
+import gladelug.emulator.ChildProcess;
 import gladelug.emulator.Fleet;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -23,18 +23,18 @@
     SPLIT("the core is split three ways and heals"),
     BACK_ONE_BY_ONE("core machines are killed and come back one after another");
 
-    final String words;
+    final String description;
 
     Kind(String words) {
-      this.words = words;
+      this.description = words;
     }
   }
 
   private static final long SPLIT_MS = 4000;
   private static final long DOWN_MS = 3000;
-  private static final long SERVES_MS = 60_000;
-  private static final long BOUND_MS = 12_000;
-  private static final long AFTER_MS = 4000;
+  private static final long RECOVERY_TIMEOUT_MS = 60_000;
+  private static final long MAX_RETURN_MS = 12_000;
+  private static final long SETTLE_MS = 4000;
 
   private final DayFleet machines;
   private final DayOperator operator;
@@ -55,66 +55,66 @@
   void play() throws Exception {
     Kind kind = Kind.values()[machines.random.nextInt(Kind.values().length)];
     operator.moveApplication();
-    operator.sendUntilTaken();
-    System.out.println("last fault: " + kind.words);
+    operator.sendUntilConfirmed();
+    System.out.println("last fault: " + kind.description);
     List<String> members = machines.members();
     long back = kind == Kind.SPLIT ? split(members) : kill(kind, members);
-    Fleet.until(
+    Fleet.waitUntil(
         "requests complete at every relay again",
-        SERVES_MS,
-        () -> fleet.callers.stream().allMatch(relay -> completedAfter(relay, back) >= 0));
-    for (String relay : fleet.callers) {
+        RECOVERY_TIMEOUT_MS,
+        () -> fleet.callerAddresses.stream().allMatch(relay -> completedAfter(relay, back) >= 0));
+    for (String relay : fleet.callerAddresses) {
       long took = completedAfter(relay, back);
-      Day.say(
+      Day.printLine(
           "the first request that began and completed at "
               + relay
               + " did so after "
               + took
               + " ms");
-      if (took > BOUND_MS) slowReturns.add(relay + " after " + took + " ms");
+      if (took > MAX_RETURN_MS) slowReturns.add(relay + " after " + took + " ms");
     }
-    Fleet.pause(AFTER_MS);
+    Fleet.pause(SETTLE_MS);
   }
 
   private long split(List<String> members) {
     for (String from : members) {
       for (String to : members) {
-        if (!from.equals(to)) fleet.wires.cut(from, to);
+        if (!from.equals(to)) fleet.links.cut(from, to);
       }
     }
     Fleet.pause(SPLIT_MS);
-    fleet.wires.mend();
-    return Day.now();
+    fleet.links.heal();
+    return Day.nowMs();
   }
 
   /** Kills and starts again; the moment from which the fleet can serve. */
   private long kill(Kind kind, List<String> members) throws IOException {
-    Map<String, Child> edges = new LinkedHashMap<>(fleet.children);
+    Map<String, ChildProcess> edges = new LinkedHashMap<>(fleet.children);
     edges.keySet().removeIf(name -> name.startsWith("control"));
-    if (kind == Kind.FLEET_KILLED) edges.values().forEach(Child::kill);
+    if (kind == Kind.FLEET_KILLED) edges.values().forEach(ChildProcess::kill);
     machines.kill(members.toArray(new String[0]));
     if (kind == Kind.DISK_LOST) fleet.loseDisk(members.get(machines.random.nextInt(3)));
     Fleet.pause(DOWN_MS);
     long majority = 0;
     for (int i = 0; i < members.size(); i++) {
       fleet.children.get(members.get(i)).start();
-      if (i == 1) majority = Day.now();
+      if (i == 1) majority = Day.nowMs();
       if (kind == Kind.BACK_ONE_BY_ONE) Fleet.pause(DOWN_MS);
     }
     if (kind == Kind.FLEET_KILLED) {
-      for (Child edge : edges.values()) edge.start();
+      for (ChildProcess edge : edges.values()) edge.start();
     }
     // with a disk lost it takes all three: the two that are left, and the one let in again
     boolean all = kind == Kind.DISK_LOST || kind == Kind.FLEET_KILLED;
-    return all ? Day.now() : majority;
+    return all ? Day.nowMs() : majority;
   }
 
   /** When, after a moment, a request sent to a relay since then completed; -1 for none yet. */
   private long completedAfter(String relay, long from) {
     return fleet.ledger.calls.values().stream()
-        .filter(call -> call.relay.equals(relay) && call.sent >= from)
-        .filter(call -> call.done >= 0 && call.outcome.equals("complete"))
-        .mapToLong(call -> call.done - from)
+        .filter(call -> call.relay.equals(relay) && call.sentMs >= from)
+        .filter(call -> call.doneMs >= 0 && call.outcome.equals("complete"))
+        .mapToLong(call -> call.doneMs - from)
         .min()
         .orElse(-1);
   }
--- a/emulator/src/main/java/gladelug/emulator/day/NetworkTroubles.java
+++ b/emulator/src/main/java/gladelug/emulator/day/NetworkEpisodes.java
@@ -1,9 +1,9 @@
 package gladelug.emulator.day;
 
 import gladelug.emulator.Fleet;
+import gladelug.emulator.LinkProxy;
 import gladelug.emulator.StandInPlatform;
 import gladelug.emulator.StandInReplica;
-import gladelug.emulator.Wires;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -15,82 +15,83 @@
  *
  * <p>Troubles of links, addresses and the platform's list.
  */
-final class NetworkTroubles {
+final class NetworkEpisodes {
   private static final String LAST_REPLICA = "replica-8";
   private static final long SLOW_LINK_MS = 40;
-  private static final int FURTHER_ROUTES = 2000;
-  private static final int FLAPS = 6;
+  private static final int EXTRA_ROUTES = 2000;
+  private static final int FLAP_COUNT = 6;
 
   private final DayFleet machines;
   private final DayOperator operator;
   private final Fleet fleet;
-  private final Wires wires;
+  private final LinkProxy wires;
   private String killedMember;
-  private StandInReplica stranger;
+  private StandInReplica otherServiceReplica;
 
-  NetworkTroubles(DayFleet machines, DayOperator operator) {
+  NetworkEpisodes(DayFleet machines, DayOperator operator) {
     this.machines = machines;
     this.operator = operator;
     this.fleet = machines.fleet;
-    this.wires = fleet.wires;
+    this.wires = fleet.links;
   }
 
   List<Episode> episodes() {
-    List<Episode> episodes = new ArrayList<>(cuts());
-    episodes.addAll(platformAndAddresses());
-    episodes.addAll(ofDeployment());
+    List<Episode> episodes = new ArrayList<>(partitionEpisodes());
+    episodes.addAll(platformAndAddressEpisodes());
+    episodes.addAll(deploymentSpecificEpisodes());
     return episodes;
   }
 
-  private void mendAndSend() {
-    wires.mend();
-    operator.sendUntilTaken();
+  private void healAndSend() {
+    wires.heal();
+    operator.sendUntilConfirmed();
   }
 
-  private List<Episode> cuts() {
+  private List<Episode> partitionEpisodes() {
     return List.of(
         Episode.of(
             "the owner of the configuration is cut off from the core, and its side keeps two relays",
             this::cutOffOwnerWithTwoRelays,
-            this::mendAndSend),
+            this::healAndSend),
         Episode.of(
             "a relay's machine is cut off from the core while a key is revoked",
             this::cutOffRelayAndRevoke,
             () -> {
-              wires.mend();
-              operator.revoked = List.of();
-              operator.sendUntilTaken();
+              wires.heal();
+              operator.revokedTenants = List.of();
+              operator.sendUntilConfirmed();
             }),
         Episode.of(
             "a relay hears the core no more, though the core hears it",
             () -> {
-              for (String member : machines.core()) wires.cutOneWay(member, Fleet.edge(4));
+              for (String member : machines.coreMachines())
+                wires.cutOneWay(member, Fleet.edgeMachine(4));
               operator.send();
             },
-            this::mendAndSend),
+            this::healAndSend),
         Episode.of(
             "a relay is cut off from a replica, and another hears nothing from one",
             () -> {
-              wires.cut(Fleet.edge(1), "replica-2");
-              wires.cutOneWay("replica-3", Fleet.edge(2));
+              wires.cut(Fleet.edgeMachine(1), "replica-2");
+              wires.cutOneWay("replica-3", Fleet.edgeMachine(2));
             },
-            wires::mend),
+            wires::heal),
         Episode.of(
             "the platform is cut off from the core",
-            () -> wires.split(Set.of("platform"), machines.core()),
-            this::mendAndSend),
+            () -> wires.cutBetween(Set.of("platform"), machines.coreMachines()),
+            this::healAndSend),
         Episode.of(
             "links between core machines are slow, and connections of one break",
             this::slowCore,
-            this::mendAndSend),
+            this::healAndSend),
         Episode.of("a whole zone is killed at once", this::killZone, this::restartZone));
   }
 
-  private List<Episode> platformAndAddresses() {
+  private List<Episode> platformAndAddressEpisodes() {
     return List.of(
         Episode.of(
             "the platform lies, flaps and falls silent",
-            this::platformGoesWrong,
+            this::disturbPlatform,
             () -> fleet.platform.silent = false),
         Episode.of(
             "a replica is unlisted while it lives",
@@ -98,57 +99,58 @@
             () -> list(fleet.replicas.get(LAST_REPLICA), true)),
         Episode.of(
             "an address is given to another service's replica",
-            this::giveAddressAway,
+            this::reassignAddress,
             () -> {
-              stranger.kill();
+              otherServiceReplica.kill();
               fleet.replicas.get(LAST_REPLICA).start();
             }),
         Episode.of(
             "a path goes away, a tenant is isolated, an address is allowed no more",
             () -> {
-              operator.pathGone = true;
+              operator.lastPathRemoved = true;
               operator.firstReplicaForbidden = true;
-              operator.isolated = List.of(fleet.deployment.tenants().get(2).name());
+              operator.isolatedTenants = List.of(fleet.deployment.tenants().get(2).name());
               operator.send();
             },
             () -> {
-              operator.pathGone = false;
+              operator.lastPathRemoved = false;
               operator.firstReplicaForbidden = false;
-              operator.isolated = List.of();
-              operator.sendUntilTaken();
+              operator.isolatedTenants = List.of();
+              operator.sendUntilConfirmed();
             }));
   }
 
-  private List<Episode> ofDeployment() {
+  private List<Episode> deploymentSpecificEpisodes() {
     if (!fleet.deployment.name().equals("moka-ridge")) {
       return List.of(
           Episode.of(
               "the configuration grows by 2000 routes while a cut heals",
-              this::growWhileCut,
-              this::mendAndSend));
+              this::growWhilePartitioned,
+              this::healAndSend));
     }
     return List.of(
         Episode.of(
             "a single core machine is cut off from everybody",
             this::cutOffMember,
-            this::mendAndSend),
+            this::healAndSend),
         Episode.of(
             "a single edge machine is cut off from everybody",
             this::cutOffEdge,
-            this::mendAndSend));
+            this::healAndSend));
   }
 
   private void cutOffOwnerWithTwoRelays() {
     String owner = machines.ownerOf(DayFleet.CONFIGURATION_KEY);
-    Set<String> side = new LinkedHashSet<>(List.of(owner, Fleet.edge(1), Fleet.edge(2)));
+    Set<String> side =
+        new LinkedHashSet<>(List.of(owner, Fleet.edgeMachine(1), Fleet.edgeMachine(2)));
     Set<String> others = machines.membersAndEdges();
     others.removeAll(side);
-    wires.split(side, others);
+    wires.cutBetween(side, others);
   }
 
   private void cutOffRelayAndRevoke() {
-    wires.split(Set.of(Fleet.edge(3)), machines.core());
-    operator.revoked = List.of(fleet.deployment.tenants().get(0).name());
+    wires.cutBetween(Set.of(Fleet.edgeMachine(3)), machines.coreMachines());
+    operator.revokedTenants = List.of(fleet.deployment.tenants().get(0).name());
     operator.moveApplication();
     operator.send();
   }
@@ -157,7 +159,7 @@
     List<String> members = machines.members();
     for (String from : members) {
       for (String to : members) {
-        if (!from.equals(to)) wires.slow(from, to, SLOW_LINK_MS);
+        if (!from.equals(to)) wires.addDelay(from, to, SLOW_LINK_MS);
       }
     }
     wires.breakConnections(members.get(0), members.get(1));
@@ -180,56 +182,56 @@
     fleet.platform.list(replica.service, replica.instance, replica.address(), "zone-a", ready);
   }
 
-  private void platformGoesWrong() {
+  private void disturbPlatform() {
     StandInPlatform platform = fleet.platform;
-    platform.lies = true;
+    platform.malformed = true;
     Fleet.pause(500);
-    platform.lies = false;
+    platform.malformed = false;
     StandInReplica replica = fleet.replicas.get(LAST_REPLICA);
-    for (int i = 0; i < FLAPS; i++) {
+    for (int i = 0; i < FLAP_COUNT; i++) {
       list(replica, i % 2 == 1);
       Fleet.pause(300);
     }
     platform.silent = true;
   }
 
-  private void giveAddressAway() {
+  private void reassignAddress() {
     StandInReplica former = fleet.replicas.get(LAST_REPLICA);
     former.kill();
     StandInReplica.Model model =
         new StandInReplica.Model(
             StandInReplica.Kind.MODEL, "another-service", "another-1", 6, 1500, 4, 6, 0.3);
-    stranger =
+    otherServiceReplica =
         new StandInReplica(
             fleet.vertx,
             fleet.ledger,
             model,
             former.host,
-            operator.weights(),
+            operator.currentWeights(),
             1,
             fleet.replicas::get);
-    stranger.port = former.port;
-    stranger.start();
+    otherServiceReplica.port = former.port;
+    otherServiceReplica.start();
   }
 
-  private void growWhileCut() {
-    wires.split(Set.of(Fleet.edge(2)), machines.core());
-    operator.furtherRoutes += FURTHER_ROUTES;
+  private void growWhilePartitioned() {
+    wires.cutBetween(Set.of(Fleet.edgeMachine(2)), machines.coreMachines());
+    operator.extraRoutes += EXTRA_ROUTES;
     operator.send();
   }
 
   private void cutOffMember() {
-    String member = machines.anyMember();
+    String member = machines.randomMember();
     Set<String> others = machines.membersAndEdges();
     others.add("platform");
-    wires.split(Set.of(member), others);
+    wires.cutBetween(Set.of(member), others);
     operator.send();
   }
 
   private void cutOffEdge() {
     Set<String> others = machines.membersAndEdges();
     others.addAll(fleet.replicas.keySet());
-    wires.split(Set.of(Fleet.edge(2)), others);
+    wires.cutBetween(Set.of(Fleet.edgeMachine(2)), others);
     operator.send();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/day/OperatorTroubles.java
+++ b/emulator/src/main/java/gladelug/emulator/day/OperatorEpisodes.java
@@ -13,12 +13,12 @@
  *
  * <p>Changes by operators.
  */
-final class OperatorTroubles {
-  private static final long BETWEEN_NAMINGS_MS = 1500;
-  private static final long LOADED_MS = 30_000;
-  private static final long SWAP_BEGUN_MS = 20_000;
-  private static final long LET_IN_MS = 30_000;
-  private static final int FURTHER_ROUTES = 3000;
+final class OperatorEpisodes {
+  private static final long BETWEEN_WEIGHT_CHANGES_MS = 1500;
+  private static final long LOAD_TIMEOUT_MS = 30_000;
+  private static final long SWAP_START_TIMEOUT_MS = 20_000;
+  private static final long JOIN_TIMEOUT_MS = 30_000;
+  private static final int EXTRA_ROUTES = 3000;
 
   private final DayFleet machines;
   private final DayOperator operator;
@@ -27,7 +27,7 @@
   private String swappedIn;
   private String swappedOut;
 
-  OperatorTroubles(DayFleet machines, DayOperator operator) {
+  OperatorEpisodes(DayFleet machines, DayOperator operator) {
     this.machines = machines;
     this.operator = operator;
   }
@@ -42,7 +42,9 @@
         new ArrayList<>(
             List.of(
                 Episode.of(
-                    "new weights are named, and others half way", this::nameTwice, this::allLoaded),
+                    "new weights are named, and others half way",
+                    this::changeWeightsTwice,
+                    this::awaitWeightsLoaded),
                 Episode.of(
                     "a key is revoked from connected callers",
                     () -> revoke(List.of(machines.fleet.deployment.tenants().get(1).name())),
@@ -62,32 +64,32 @@
     return episodes;
   }
 
-  private void nameTwice() {
-    operator.nameNextWeights();
-    Fleet.pause(BETWEEN_NAMINGS_MS);
-    if (machines.random.nextBoolean()) operator.nameNextWeights();
+  private void changeWeightsTwice() {
+    operator.setNextWeights();
+    Fleet.pause(BETWEEN_WEIGHT_CHANGES_MS);
+    if (machines.random.nextBoolean()) operator.setNextWeights();
     killedCommander = machines.random.nextBoolean() ? machines.ownerOf("commander/replica-1") : "";
     if (!killedCommander.isEmpty()) machines.kill(killedCommander);
   }
 
-  private void allLoaded() throws Exception {
+  private void awaitWeightsLoaded() throws Exception {
     if (!killedCommander.isEmpty()) machines.restart(killedCommander);
-    Fleet.until(
-        "every replica runs " + operator.weights(),
-        LOADED_MS,
+    Fleet.waitUntil(
+        "every replica runs " + operator.currentWeights(),
+        LOAD_TIMEOUT_MS,
         () ->
             machines.fleet.replicas.values().stream()
                 .filter(replica -> replica.kind == StandInReplica.Kind.MODEL)
-                .allMatch(replica -> replica.weights().equals(operator.weights())));
+                .allMatch(replica -> replica.weights().equals(operator.currentWeights())));
   }
 
   private void revoke(List<String> tenants) {
-    operator.revoked = tenants;
+    operator.revokedTenants = tenants;
     operator.send();
   }
 
   private void grow() {
-    operator.furtherRoutes += FURTHER_ROUTES;
+    operator.extraRoutes += EXTRA_ROUTES;
     operator.send();
   }
 
@@ -99,36 +101,38 @@
     Thread[] threads = new Thread[answers.length];
     for (int i = 0; i < answers.length; i++) {
       int mine = i;
-      JsonObject configuration = operator.wanted();
+      JsonObject configuration = operator.desiredConfiguration();
       threads[i] =
           new Thread(
-              () -> answers[mine] = machines.fleet.send(configuration, Long.toString(number)));
+              () ->
+                  answers[mine] =
+                      machines.fleet.sendConfiguration(configuration, Long.toString(number)));
       threads[i].start();
     }
     for (Thread thread : threads) thread.join();
-    Day.say("race answered " + answers[0].status() + " and " + answers[1].status());
+    Day.printLine("race answered " + answers[0].status() + " and " + answers[1].status());
     if (answers[0].status() == 200 && answers[1].status() == 200) {
       racesWonTwice.add("both racing configurations were taken on number " + number);
     }
   }
 
   private void beginSwap() throws Exception {
-    int host = machines.freshHost();
+    int host = machines.allocateHost();
     swappedIn = "control-" + host;
-    machines.fleet.control(swappedIn, host).start();
-    swappedOut = machines.anyMember();
+    machines.fleet.addControlMachine(swappedIn, host).start();
+    swappedOut = machines.randomMember();
     String swap = "{\"out\":\"" + swappedOut + "\",\"in\":\"" + swappedIn + "\"}";
-    Fleet.until(
+    Fleet.waitUntil(
         "the swap begun",
-        SWAP_BEGUN_MS,
+        SWAP_START_TIMEOUT_MS,
         () -> machines.fleet.call("POST", "/v1/core/swap", swap, Map.of()).status() == 202);
   }
 
   private void endSwap() {
-    Fleet.until(
+    Fleet.waitUntil(
         swappedIn + " let in",
-        LET_IN_MS,
-        () -> machines.fleet.ready(swappedIn) && machines.members().contains(swappedIn));
+        JOIN_TIMEOUT_MS,
+        () -> machines.fleet.isReady(swappedIn) && machines.members().contains(swappedIn));
     machines.kill(swappedOut);
     machines.fleet.children.remove(swappedOut);
   }
--- a/emulator/src/main/java/gladelug/emulator/day/ProcessTroubles.java
+++ b/emulator/src/main/java/gladelug/emulator/day/ProcessEpisodes.java
@@ -8,8 +8,8 @@
  *
  * <p>Kills and freezes of members, relays and indexes.
  */
-final class ProcessTroubles {
-  private static final long LET_IN_MS = 30_000;
+final class ProcessEpisodes {
+  private static final long JOIN_TIMEOUT_MS = 30_000;
   private final DayFleet machines;
   private String killedOwner;
   private String frozenOwner;
@@ -17,7 +17,7 @@
   private String firstOfTwo;
   private String secondOfTwo;
 
-  ProcessTroubles(DayFleet machines) {
+  ProcessEpisodes(DayFleet machines) {
     this.machines = machines;
   }
 
@@ -39,10 +39,12 @@
             () -> machines.thaw(frozenOwner)),
         Episode.of(
             "a core machine returns empty at a new address",
-            this::returnEmpty,
+            this::returnWithEmptyDisk,
             () ->
-                Fleet.until(
-                    emptyMember + " let in", LET_IN_MS, () -> machines.fleet.ready(emptyMember))),
+                Fleet.waitUntil(
+                    emptyMember + " let in",
+                    JOIN_TIMEOUT_MS,
+                    () -> machines.fleet.isReady(emptyMember))),
         Episode.of(
             "two core machines are killed at once",
             this::killTwo,
@@ -57,10 +59,10 @@
             () -> machines.restart("relay-1", "index-1")));
   }
 
-  private void returnEmpty() throws Exception {
-    emptyMember = machines.anyMember();
+  private void returnWithEmptyDisk() throws Exception {
+    emptyMember = machines.randomMember();
     machines.kill(emptyMember);
-    machines.fleet.control(emptyMember, machines.freshHost()).start();
+    machines.fleet.addControlMachine(emptyMember, machines.allocateHost()).start();
   }
 
   private void killTwo() {
--- a/emulator/src/main/java/gladelug/emulator/day/ReplicaTroubles.java
+++ b/emulator/src/main/java/gladelug/emulator/day/ReplicaEpisodes.java
@@ -11,12 +11,12 @@
  *
  * <p>Faults of the stand-in replicas.
  */
-final class ReplicaTroubles {
+final class ReplicaEpisodes {
   private static final long LEAVING_MS = 2500;
   private final DayFleet machines;
   private final Map<String, StandInReplica> replicas;
 
-  ReplicaTroubles(DayFleet machines) {
+  ReplicaEpisodes(DayFleet machines) {
     this.machines = machines;
     this.replicas = machines.fleet.replicas;
   }
@@ -34,11 +34,11 @@
         Episode.of(
             "a replica vanishes for good",
             () -> replicas.get("replica-5").kill(),
-            () -> forget("replica-5")),
+            () -> removeReplica("replica-5")),
         new Episode(
             "two replicas are released one by one",
             () -> {
-              for (String name : List.of("replica-6", "replica-7")) release(name);
+              for (String name : List.of("replica-6", "replica-7")) replaceReplica(name);
             },
             () -> {},
             true),
@@ -48,46 +48,46 @@
             () -> replicas.get("store").start()),
         Episode.of(
             "links slow down and cache events are late or lost",
-            () -> replicas.values().forEach(ReplicaTroubles::slow),
-            () -> replicas.values().forEach(replica -> replica.faults.none())),
+            () -> replicas.values().forEach(ReplicaEpisodes::slowDown),
+            () -> replicas.values().forEach(replica -> replica.faults.clear())),
         Episode.of(
             "streams break at a replica, and another refuses half",
             () -> {
               replicas.get("replica-1").faults.cutStreams = true;
-              replicas.get("replica-2").faults.notRun = 0.5;
+              replicas.get("replica-2").faults.refusalRate = 0.5;
             },
             () -> {
-              replicas.get("replica-1").faults.none();
-              replicas.get("replica-2").faults.none();
+              replicas.get("replica-1").faults.clear();
+              replicas.get("replica-2").faults.clear();
             }));
   }
 
-  private static void slow(StandInReplica replica) {
+  private static void slowDown(StandInReplica replica) {
     replica.faults.linkFactor = 60;
-    replica.faults.loseEvents = 0.2;
-    replica.faults.delayEvents = 0.3;
+    replica.faults.eventLossRate = 0.2;
+    replica.faults.eventDelayRate = 0.3;
   }
 
-  private void forget(String name) {
+  private void removeReplica(String name) {
     machines.fleet.platform.unlist(name);
     replicas.remove(name);
   }
 
   /** A replica is listed as leaving, dies, and another of a new name is listed. */
-  private void release(String name) throws Exception {
+  private void replaceReplica(String name) throws Exception {
     StandInReplica leaving = replicas.get(name);
     machines.fleet.platform.list(leaving.service, name, leaving.address(), "zone-a", false);
     Fleet.pause(LEAVING_MS);
     leaving.kill();
-    forget(name);
+    removeReplica(name);
     StandInReplica next =
         machines.fleet.addReplica(
             StandInReplica.Kind.MODEL,
             leaving.service,
             name + "-next",
-            machines.freshHost(),
+            machines.allocateHost(),
             "zone-a",
             machines.random.nextLong());
-    Day.say(name + " became " + next.instance);
+    Day.printLine(name + " became " + next.instance);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/experiment/Ablation.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/Ablation.java
@@ -40,8 +40,9 @@
     Path deployFile = checkout.resolve(DEPLOY_FILE);
     String complete = Files.readString(deployFile);
     for (String variant : plan.variants()) {
-      switchOff(deployFile, complete, variant);
-      for (AblationPlan.Play play : plan.plays(variant)) table.add(variant, served(play, checkout));
+      writeDeployFile(deployFile, complete, variant);
+      for (AblationPlan.Trial trial : plan.trials(variant))
+        table.add(variant, runTrial(trial, checkout));
       table.write(plan.out(), plan.site().getFileName() + ", what callers get by each mechanism");
       System.out.println(table.markdown());
     }
@@ -51,37 +52,37 @@
   private Path checkout() throws IOException, InterruptedException {
     Path folder = plan.out().resolve("checkout").toAbsolutePath();
     if (!Files.exists(folder))
-      start(
+      runProcess(
           List.of("git", "clone", "--quiet", repository.toString(), folder.toString()),
           repository,
           plan.out().resolve("clone.log"));
     return folder;
   }
 
-  private static void switchOff(Path deployFile, String complete, String variant)
+  private static void writeDeployFile(Path deployFile, String complete, String variant)
       throws IOException {
     String off = RELAY_COMMAND_END.replace("\"", " --without " + variant + "\"");
     boolean all = variant.equals(AblationPlan.ALL_ON);
     Files.writeString(deployFile, all ? complete : complete.replace(RELAY_COMMAND_END, off));
   }
 
-  private double served(AblationPlan.Play play, Path checkout)
+  private double runTrial(AblationPlan.Trial trial, Path checkout)
       throws IOException, InterruptedException {
-    Path report = plan.out().resolve(play.label() + ".json").toAbsolutePath();
-    Path log = plan.out().resolve(play.label() + ".txt");
-    String why = "ablation, " + play.variant() + (isComplete(play) ? "" : " off");
-    int ended = start(plan.command(play, report, why), checkout, log);
-    double served = ended == 0 || Files.exists(report) ? served(report) : Double.NaN;
+    Path report = plan.out().resolve(trial.label() + ".json").toAbsolutePath();
+    Path log = plan.out().resolve(trial.label() + ".txt");
+    String why = "ablation, " + trial.variant() + (hasAllMechanisms(trial) ? "" : " off");
+    int ended = runProcess(plan.command(trial, report, why), checkout, log);
+    double served = ended == 0 || Files.exists(report) ? readServedShare(report) : Double.NaN;
     System.out.println(
-        play.label() + " " + (Double.isNaN(served) ? "no figure, see " + log : served));
+        trial.label() + " " + (Double.isNaN(served) ? "no figure, see " + log : served));
     return served;
   }
 
-  private static boolean isComplete(AblationPlan.Play play) {
-    return play.variant().equals(AblationPlan.ALL_ON);
+  private static boolean hasAllMechanisms(AblationPlan.Trial trial) {
+    return trial.variant().equals(AblationPlan.ALL_ON);
   }
 
-  private static double served(Path report) throws IOException {
+  private static double readServedShare(Path report) throws IOException {
     try {
       JsonValue served = Json.parse(Files.readString(report)).asObject().get(SERVED);
       return served == null || !served.isNumber() ? Double.NaN : served.asDouble();
@@ -90,7 +91,7 @@
     }
   }
 
-  private static int start(List<String> command, Path folder, Path log)
+  private static int runProcess(List<String> command, Path folder, Path log)
       throws IOException, InterruptedException {
     File output = log.toFile();
     return new ProcessBuilder(command)
--- a/emulator/src/main/java/gladelug/emulator/experiment/AblationPlan.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/AblationPlan.java
@@ -28,7 +28,7 @@
   static final String ALL_ON = "all-on";
 
   /** One play: a variant is ALL_ON or the name of the mechanism that is off. */
-  record Play(String variant, String day, String seed) {
+  record Trial(String variant, String day, String seed) {
     String label() {
       return variant + "_" + day + (seed.isEmpty() ? "" : "_" + seed);
     }
@@ -42,19 +42,19 @@
   }
 
   /** All plays of a variant. */
-  List<Play> plays(String variant) {
-    List<Play> plays = new ArrayList<>();
+  List<Trial> trials(String variant) {
+    List<Trial> trials = new ArrayList<>();
     for (String day : days)
       for (String seed : seeds.isEmpty() ? List.of("") : seeds)
-        plays.add(new Play(variant, day, seed));
-    return plays;
+        trials.add(new Trial(variant, day, seed));
+    return trials;
   }
 
   /** The bench's command for a play; report is where it writes its figures. */
-  List<String> command(Play play, Path report, String why) {
+  List<String> command(Trial trial, Path report, String why) {
     List<String> command =
-        new ArrayList<>(List.of(bench.toString(), "run", site.toString(), play.day));
-    if (!play.seed.isEmpty()) command.addAll(List.of("--seed", play.seed));
+        new ArrayList<>(List.of(bench.toString(), "run", site.toString(), trial.day));
+    if (!trial.seed.isEmpty()) command.addAll(List.of("--seed", trial.seed));
     command.addAll(options);
     command.addAll(List.of("--report", report.toString(), "--why", why));
     return command;
--- a/emulator/src/main/java/gladelug/emulator/experiment/AblationTable.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/AblationTable.java
@@ -26,43 +26,43 @@
    * The share of requests that was served, by variant, in the order of the plays; NaN where a play
    * gave no figure.
    */
-  private final Map<String, List<Double>> served = new LinkedHashMap<>();
+  private final Map<String, List<Double>> servedByVariant = new LinkedHashMap<>();
 
   void add(String variant, double value) {
-    served.computeIfAbsent(variant, name -> new ArrayList<>()).add(value);
+    servedByVariant.computeIfAbsent(variant, name -> new ArrayList<>()).add(value);
   }
 
   /**
    * One row of the table; differences are all-on less this variant: what is served thanks to it.
    */
   record Row(
-      String variant, int plays, double mean, double servedByIt, double least, double most) {}
+      String variant, int trials, double mean, double contribution, double min, double max) {}
 
   List<Row> rows() {
     List<Row> rows = new ArrayList<>();
-    List<Double> base = served.getOrDefault(AblationPlan.ALL_ON, List.of());
-    for (Map.Entry<String, List<Double>> entry : served.entrySet())
+    List<Double> base = servedByVariant.getOrDefault(AblationPlan.ALL_ON, List.of());
+    for (Map.Entry<String, List<Double>> entry : servedByVariant.entrySet())
       rows.add(row(entry.getKey(), base, entry.getValue()));
     return rows;
   }
 
   private static Row row(String variant, List<Double> base, List<Double> values) {
-    int plays = 0;
+    int trials = 0;
     double sum = 0;
     double differences = 0;
-    double least = Double.MAX_VALUE;
-    double most = -Double.MAX_VALUE;
+    double min = Double.MAX_VALUE;
+    double max = -Double.MAX_VALUE;
     for (int i = 0; i < Math.min(base.size(), values.size()); i++) {
       double difference = base.get(i) - values.get(i);
       if (Double.isNaN(difference)) continue;
-      plays++;
+      trials++;
       sum += values.get(i);
       differences += difference;
-      least = Math.min(least, difference);
-      most = Math.max(most, difference);
+      min = Math.min(min, difference);
+      max = Math.max(max, difference);
     }
-    if (plays == 0) return new Row(variant, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
-    return new Row(variant, plays, sum / plays, differences / plays, least, most);
+    if (trials == 0) return new Row(variant, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    return new Row(variant, trials, sum / trials, differences / trials, min, max);
   }
 
   String markdown() {
@@ -75,11 +75,11 @@
               Locale.ROOT,
               "| %s | %d | %.3f | %.3f | %.3f | %.3f |%n",
               row.variant,
-              row.plays,
+              row.trials,
               row.mean,
-              row.servedByIt,
-              row.least,
-              row.most));
+              row.contribution,
+              row.min,
+              row.max));
     return text.toString();
   }
 
@@ -89,9 +89,9 @@
     List<String> names = new ArrayList<>();
     List<Double> values = new ArrayList<>();
     for (Row row : rows())
-      if (!row.variant.equals(AblationPlan.ALL_ON) && row.plays > 0) {
+      if (!row.variant.equals(AblationPlan.ALL_ON) && row.trials > 0) {
         names.add(row.variant);
-        values.add(row.servedByIt);
+        values.add(row.contribution);
       }
     if (names.isEmpty()) return;
     CategoryChart chart =
--- a/emulator/src/main/java/gladelug/emulator/scale/HollowNode.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/HollowNode.java
@@ -29,23 +29,25 @@
  * connections, timers and counting are here. Many share a process.
  */
 final class HollowNode {
-  private static final long ASK = 400, ROUND = 1000, ANSWER = 900;
+  private static final long SUBSCRIPTION_INTERVAL_MS = 400,
+      SHUFFLE_INTERVAL_MS = 1000,
+      SHUFFLE_TIMEOUT_MS = 900;
   private final Vertx vertx;
   private final Traffic traffic;
-  private final ConnectionAcceptor doors;
-  private final PartialView views;
-  private final ReplicatedStateView book;
+  private final ConnectionAcceptor acceptor;
+  private final PartialView partialView;
+  private final ReplicatedStateView stateView;
   private final List<Address> core;
   private final List<StateUpdate.QuotaDemand> demands;
-  private final List<StateUpdate.ServiceCapacity> places;
+  private final List<StateUpdate.ServiceCapacity> capacities;
   private final ConcurrentHistogram lookups;
-  private final List<PersistentConnection> news = new ArrayList<>();
-  private final Map<Long, Long> asked = new ConcurrentHashMap<>();
-  private final long begun = System.nanoTime();
+  private final List<PersistentConnection> stateConnections = new ArrayList<>();
+  private final Map<Long, Long> lookupStartsNs = new ConcurrentHashMap<>();
+  private final long startNs = System.nanoTime();
   private final long[] timers = new long[4];
-  private PersistentConnection index;
-  private long nr;
-  private int seed;
+  private PersistentConnection indexConnection;
+  private long lastSequence;
+  private int nextCoreMember;
 
   /**
    * @param core records addresses of the core's members
@@ -59,28 +61,28 @@
       Address records,
       List<Address> core,
       List<StateUpdate.QuotaDemand> demands,
-      List<StateUpdate.ServiceCapacity> places,
+      List<StateUpdate.ServiceCapacity> capacities,
       ConcurrentHistogram lookups,
-      long random) {
+      long randomSeed) {
     this.vertx = vertx;
     this.traffic = traffic;
     this.core = core;
     this.demands = demands;
-    this.places = places;
+    this.capacities = capacities;
     this.lookups = lookups;
-    SplittableRandom r = new SplittableRandom(random);
+    SplittableRandom random = new SplittableRandom(randomSeed);
     Shuffle.Descriptor self =
         new Shuffle.Descriptor(
             name, "relay", records.toString(), records.toString(), "zone-a", 0, 0);
-    doors = new ConnectionAcceptor(vertx, records, new BindAddress(records.host()), name);
-    views = new PartialView(self, r::nextLong);
-    book = new ReplicatedStateView(self, r.nextLong(1, Long.MAX_VALUE), p -> true);
-    seed = r.nextInt(core.size());
+    acceptor = new ConnectionAcceptor(vertx, records, new BindAddress(records.host()), name);
+    partialView = new PartialView(self, random::nextLong);
+    stateView = new ReplicatedStateView(self, random.nextLong(1, Long.MAX_VALUE), p -> true);
+    nextCoreMember = random.nextInt(core.size());
   }
 
   /** Begins; its askings and rounds fall at a time of its own, late by so many ms. */
-  void start(Address indexAt, long late) {
-    doors.register(
+  void start(Address indexAddress, long delayMs) {
+    acceptor.register(
         Hello.SHUFFLE,
         (hello, c) ->
             record -> {
@@ -89,69 +91,87 @@
                 throw new IOException("no request");
               Shuffle.Response a;
               synchronized (this) {
-                a = views.onRequest(q);
+                a = partialView.onRequest(q);
               }
               send(Traffic.Kind.SHUFFLE, c, a);
             });
     // what other relays hand on of their requests is read and forgotten
-    doors.register(Hello.DECISION_RECORDS, (hello, c) -> record -> {});
-    doors.start(null);
+    acceptor.register(Hello.DECISION_RECORDS, (hello, c) -> record -> {});
+    acceptor.start(null);
     for (Address address : core)
-      news.add(
+      stateConnections.add(
           new PersistentConnection(
-              vertx, doors, address, Hello.STATE_UPDATES, this::told, this::ask));
-    index =
+              vertx,
+              acceptor,
+              address,
+              Hello.STATE_UPDATES,
+              this::handleUpdate,
+              this::sendSubscriptionRequest));
+    indexConnection =
         new PersistentConnection(
-            vertx, doors, indexAt, Hello.LOOKUP, (h, record) -> answered(record), h -> {});
+            vertx,
+            acceptor,
+            indexAddress,
+            Hello.LOOKUP,
+            (h, record) -> handleLookupResponse(record),
+            h -> {});
     timers[0] =
         vertx.setTimer(
-            1 + late % ASK, i -> timers[1] = vertx.setPeriodic(ASK, j -> news.forEach(this::ask)));
-    timers[2] = vertx.setTimer(1 + late, i -> timers[3] = vertx.setPeriodic(ROUND, j -> round()));
+            1 + delayMs % SUBSCRIPTION_INTERVAL_MS,
+            i ->
+                timers[1] =
+                    vertx.setPeriodic(
+                        SUBSCRIPTION_INTERVAL_MS,
+                        j -> stateConnections.forEach(this::sendSubscriptionRequest)));
+    timers[2] =
+        vertx.setTimer(
+            1 + delayMs,
+            i -> timers[3] = vertx.setPeriodic(SHUFFLE_INTERVAL_MS, j -> runShuffleRound()));
   }
 
   void stop() {
     for (long t : timers) vertx.cancelTimer(t);
-    news.forEach(PersistentConnection::close);
-    if (index != null) index.close();
-    doors.stop();
+    stateConnections.forEach(PersistentConnection::close);
+    if (indexConnection != null) indexConnection.close();
+    acceptor.stop();
   }
 
   /** The number of the configuration held. */
-  synchronized long configuration() {
-    return book.number(StateKeys.CONFIGURATION);
+  synchronized long configurationNumber() {
+    return stateView.number(StateKeys.CONFIGURATION);
   }
 
-  private long now() {
-    return (System.nanoTime() - begun) / 1_000_000;
+  private long nowMs() {
+    return (System.nanoTime() - startNs) / 1_000_000;
   }
 
   /** Holds a lease for each key that needs one. */
-  synchronized boolean leased() {
-    return book.leases.isValid(now());
+  synchronized boolean hasValidLeases() {
+    return stateView.leases.isValid(nowMs());
   }
 
-  private void ask(PersistentConnection connection) {
+  private void sendSubscriptionRequest(PersistentConnection connection) {
     StateUpdate.SubscriptionRequest a;
     synchronized (this) {
-      a = book.subscriptionRequest(now(), demands, places);
+      a = stateView.subscriptionRequest(nowMs(), demands, capacities);
     }
     byte[] bytes = WireRecord.encode(a);
     if (connection.send(a)) traffic.count(Traffic.Kind.ASK, bytes.length);
   }
 
-  private void told(PersistentConnection connection, byte[] record) throws IOException {
+  private void handleUpdate(PersistentConnection connection, byte[] record) throws IOException {
     StateUpdate update = WireRecord.decode(record, StateUpdate::read);
-    traffic.count(kind(update), record.length);
+    traffic.count(kindOf(update), record.length);
     ReplicatedStateView.UpdateResult t;
     synchronized (this) {
-      t = book.apply(update);
+      t = stateView.apply(update);
     }
     if (t == ReplicatedStateView.UpdateResult.NEEDS_FULL_VALUE)
       connection.send(new StateUpdate.FullValueRequest(((StateUpdate.ValuePush) update).key()));
-    if (update instanceof StateUpdate.ValuePush) ask(connection);
+    if (update instanceof StateUpdate.ValuePush) sendSubscriptionRequest(connection);
   }
 
-  private static Traffic.Kind kind(StateUpdate update) {
+  private static Traffic.Kind kindOf(StateUpdate update) {
     if (update instanceof StateUpdate.ValuePush p)
       return p.key().equals(StateKeys.CONFIGURATION) ? Traffic.Kind.POLICY : Traffic.Kind.PUSH;
     return update instanceof StateUpdate.CapacityGrant ? Traffic.Kind.ALLOT : Traffic.Kind.GRANTS;
@@ -162,21 +182,21 @@
     if (connection.send(bytes)) traffic.count(k, bytes.length);
   }
 
-  private void round() {
+  private void runShuffleRound() {
     Map.Entry<Shuffle.Descriptor, Shuffle.Request> r;
     Shuffle.Request begin;
     boolean few;
     synchronized (this) {
-      r = views.nextShuffle();
-      few = r == null || views.all().size() < 3;
-      begin = few ? views.createRequest() : null;
+      r = partialView.nextShuffle();
+      few = r == null || partialView.all().size() < 3;
+      begin = few ? partialView.createRequest() : null;
     }
     if (r != null) shuffle(Address.of(r.getKey().recordsAddress()), r.getValue());
-    if (few) shuffle(core.get(seed++ % core.size()), begin);
+    if (few) shuffle(core.get(nextCoreMember++ % core.size()), begin);
   }
 
   private void shuffle(Address address, Shuffle.Request q) {
-    doors
+    acceptor
         .connect(
             address,
             Hello.SHUFFLE,
@@ -185,7 +205,7 @@
                   traffic.count(Traffic.Kind.SHUFFLE, record.length);
                   if (WireRecord.decode(record, Shuffle::read) instanceof Shuffle.Response a)
                     synchronized (this) {
-                      views.onResponse(a);
+                      partialView.onResponse(a);
                     }
                   connection.close();
                 })
@@ -193,29 +213,30 @@
         .with(
             connection -> {
               send(Traffic.Kind.SHUFFLE, connection, q);
-              vertx.setTimer(ANSWER, i -> connection.close());
+              vertx.setTimer(SHUFFLE_TIMEOUT_MS, i -> connection.close());
             },
             failure -> {});
   }
 
   /** A question to the index; how long its answer takes is recorded. */
-  void lookup(long[] blocks) {
+  void sendLookup(long[] blocks) {
     long n;
     synchronized (this) {
-      n = ++nr;
+      n = ++lastSequence;
     }
-    asked.put(n, System.nanoTime());
+    lookupStartsNs.put(n, System.nanoTime());
     byte[] bytes = WireRecord.encode(new Lookup.Query(n, blocks));
-    if (index.send(new Lookup.Query(n, blocks))) traffic.count(Traffic.Kind.QUESTION, bytes.length);
-    else asked.remove(n);
+    if (indexConnection.send(new Lookup.Query(n, blocks)))
+      traffic.count(Traffic.Kind.QUESTION, bytes.length);
+    else lookupStartsNs.remove(n);
   }
 
-  private void answered(byte[] record) throws IOException {
+  private void handleLookupResponse(byte[] record) throws IOException {
     long at = System.nanoTime();
     traffic.count(Traffic.Kind.ANSWER, record.length);
     if (!(WireRecord.decode(record, Lookup::read) instanceof Lookup.Response a))
       throw new IOException("no answer");
-    Long since = asked.remove(a.sequence());
+    Long since = lookupStartsNs.remove(a.sequence());
     if (since != null) lookups.recordValue(Math.max(1, (at - since) / 1000));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/HollowReplicas.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/HollowReplicas.java
@@ -20,39 +20,39 @@
  * memory however many blocks there are; a few blocks at the beginning are kept by all.
  */
 final class HollowReplicas {
-  static final int SHARED = 64, SLOTS = 6;
+  static final int SHARED_BLOCKS = 64, SLOTS = 6;
   static final String SERVICE = "m", WEIGHTS = "w1";
-  private static final long BATCH = 20, PULSE = 400;
+  private static final long EVENT_INTERVAL_MS = 20, PULSE_INTERVAL_MS = 400;
 
   /**
    * One replica: keeps the shared blocks and its own numbers from low to high, less high itself.
    */
-  private final class One {
+  private final class HollowReplica {
     final String name;
     final long salt;
-    final long keeps;
+    final long ownBlocks;
     final List<HttpServerResponse> followers = new ArrayList<>();
     HttpServer server;
     String address;
-    long low;
-    long high;
-    long seq;
-    double owes;
-    boolean full;
-
-    One(int i, long keeps) {
-      name = "replica-" + i;
-      salt = mix(seed * 7919 + i);
-      this.keeps = keeps;
-      high = keeps;
+    long lowestOwn;
+    long endOfOwn;
+    long sequence;
+    double pendingEvents;
+    boolean storesNext;
+
+    HollowReplica(int number, long ownBlocks) {
+      name = "replica-" + number;
+      salt = mix(seed * 7919 + number);
+      this.ownBlocks = ownBlocks;
+      endOfOwn = ownBlocks;
     }
 
     private String incarnation() {
       return Long.toHexString(salt);
     }
 
-    synchronized void request(HttpServerRequest request) {
-      asked.increment();
+    synchronized void handleRequest(HttpServerRequest request) {
+      requestCount.increment();
       switch (request.path()) {
         case "/identity" ->
             answer(
@@ -62,7 +62,7 @@
                     .put("instance", name)
                     .put("weights", WEIGHTS)
                     .put("blockBytes", 256)
-                    .put("capacityBlocks", keeps + SHARED)
+                    .put("capacityBlocks", ownBlocks + SHARED_BLOCKS)
                     .put("slots", SLOTS)
                     .put("incarnation", incarnation())
                     .put("loading", false)
@@ -81,23 +81,23 @@
                     .put("waitMs", 0)
                     .put("msPerBlock", 4)
                     .put("links", new JsonObject()));
-        case "/cache/list" -> list(request);
-        case "/cache/events" -> follow(request);
+        case "/cache/list" -> sendBlockList(request);
+        case "/cache/events" -> streamEvents(request);
         default -> answer(request, new JsonObject().put("epoch", 0).put("weights", WEIGHTS));
       }
     }
 
-    private void list(HttpServerRequest request) {
+    private void sendBlockList(HttpServerRequest request) {
       StringBuilder builder =
-          new StringBuilder((int) (20 * (keeps + SHARED)) + 100)
+          new StringBuilder((int) (20 * (ownBlocks + SHARED_BLOCKS)) + 100)
               .append("{\"incarnation\":\"")
               .append(incarnation())
               .append("\",\"seq\":")
-              .append(seq)
+              .append(sequence)
               .append(",\"blocks\":[");
-      for (int i = 0; i < SHARED; i++)
-        builder.append(i == 0 ? "\"" : ",\"").append(hex(shared(i))).append('"');
-      for (long i = low; i < high; i++)
+      for (int i = 0; i < SHARED_BLOCKS; i++)
+        builder.append(i == 0 ? "\"" : ",\"").append(hex(sharedBlock(i))).append('"');
+      for (long i = lowestOwn; i < endOfOwn; i++)
         builder.append(",\"").append(hex(mix(salt + i))).append('"');
       request
           .response()
@@ -105,10 +105,10 @@
           .end(Buffer.buffer(builder.append("]}").toString()));
     }
 
-    private void follow(HttpServerRequest request) {
+    private void streamEvents(HttpServerRequest request) {
       HttpServerResponse response =
           request.response().setChunked(true).putHeader("Content-Type", "application/x-ndjson");
-      response.write(Buffer.buffer(line("pulse", seq, 0)));
+      response.write(Buffer.buffer(line("pulse", sequence, 0)));
       followers.add(response);
       response.closeHandler(
           v -> {
@@ -131,8 +131,8 @@
           + "\"}\n";
     }
 
-    synchronized void pulse() {
-      write(Buffer.buffer(line("pulse", seq, 0)));
+    synchronized void sendPulse() {
+      write(Buffer.buffer(line("pulse", sequence, 0)));
     }
 
     private void write(Buffer buffer) {
@@ -141,14 +141,14 @@
     }
 
     /** In turn the oldest own block goes and a new one comes. */
-    synchronized void events(double n) {
-      owes += n;
+    synchronized void sendEvents(double n) {
+      pendingEvents += n;
       StringBuilder builder = new StringBuilder();
-      for (; owes >= 1; owes--) {
-        if (full) builder.append(line("store", ++seq, mix(salt + high++)));
-        else builder.append(line("evict", ++seq, mix(salt + low++)));
-        full = !full;
-        told.increment();
+      for (; pendingEvents >= 1; pendingEvents--) {
+        if (storesNext) builder.append(line("store", ++sequence, mix(salt + endOfOwn++)));
+        else builder.append(line("evict", ++sequence, mix(salt + lowestOwn++)));
+        storesNext = !storesNext;
+        eventCount.increment();
       }
       if (builder.length() > 0) write(Buffer.buffer(builder.toString()));
     }
@@ -156,12 +156,12 @@
 
   private final Vertx vertx;
   private final long seed;
-  private final List<One> all = new ArrayList<>();
-  private volatile double rate;
+  private final List<HollowReplica> replicas = new ArrayList<>();
+  private volatile double eventsPerSecond;
   private final List<Long> timers = new ArrayList<>();
 
   /** Requests by HTTP, and events told. */
-  final LongAdder asked = new LongAdder(), told = new LongAdder();
+  final LongAdder requestCount = new LongAdder(), eventCount = new LongAdder();
 
   /**
    * So many replicas that keep so many blocks together beside the shared ones; from the addresses
@@ -171,11 +171,11 @@
     this.vertx = vertx;
     this.seed = seed;
     for (int i = 0; i < ips.size(); i++) {
-      One o = new One(i, Math.max(1, blocks / ips.size()));
+      HollowReplica o = new HollowReplica(i, Math.max(1, blocks / ips.size()));
       o.server =
           vertx
               .createHttpServer(new HttpServerOptions().setTcpNoDelay(true).setIdleTimeout(120))
-              .requestHandler(o::request);
+              .requestHandler(o::handleRequest);
       o.address =
           ips.get(i)
               + ":"
@@ -185,7 +185,7 @@
                   .toCompletableFuture()
                   .get(10, TimeUnit.SECONDS)
                   .actualPort();
-      all.add(o);
+      replicas.add(o);
     }
   }
 
@@ -204,51 +204,53 @@
     return "0".repeat(16 - text.length()) + text;
   }
 
-  private long shared(int i) {
+  private long sharedBlock(int i) {
     return mix(seed * 104_729 + i + 1);
   }
 
   /** Name and address of each. */
-  List<String[]> list() {
+  List<String[]> namesAndAddresses() {
     List<String[]> l = new ArrayList<>();
-    for (One o : all) l.add(new String[] {o.name, o.address});
+    for (HollowReplica o : replicas) l.add(new String[] {o.name, o.address});
     return l;
   }
 
   /** Events from now on, so many a second of all together. */
-  void tell(double perSecond) {
-    rate = perSecond;
-    timers.add(vertx.setPeriodic(PULSE, i -> all.forEach(One::pulse)));
+  void startEvents(double perSecond) {
+    eventsPerSecond = perSecond;
+    timers.add(
+        vertx.setPeriodic(PULSE_INTERVAL_MS, i -> replicas.forEach(HollowReplica::sendPulse)));
     long[] last = {System.nanoTime()};
     timers.add(
         vertx.setPeriodic(
-            BATCH,
+            EVENT_INTERVAL_MS,
             i -> {
               long t = System.nanoTime();
-              double each = rate * (t - last[0]) / 1e9 / all.size();
+              double each = eventsPerSecond * (t - last[0]) / 1e9 / replicas.size();
               last[0] = t;
-              for (One o : all) o.events(each);
+              for (HollowReplica o : replicas) o.sendEvents(each);
             }));
   }
 
   /** Events from now on at another rate. */
-  void rate(double perSecond) {
-    rate = perSecond;
+  void setEventRate(double perSecond) {
+    eventsPerSecond = perSecond;
   }
 
   /** A prompt's chain: some shared blocks, then some of one replica's own. */
-  long[] chain(int replica, int shared, int own) {
-    One o = all.get(replica % all.size());
+  long[] promptChain(int replica, int shared, int own) {
+    HollowReplica o = replicas.get(replica % replicas.size());
     long[] l = new long[shared + own];
-    for (int i = 0; i < shared; i++) l[i] = shared(i % SHARED);
+    for (int i = 0; i < shared; i++) l[i] = sharedBlock(i % SHARED_BLOCKS);
     synchronized (o) {
-      for (int i = 0; i < own; i++) l[shared + i] = mix(o.salt + o.low + (o.high - o.low) / 2 + i);
+      for (int i = 0; i < own; i++)
+        l[shared + i] = mix(o.salt + o.lowestOwn + (o.endOfOwn - o.lowestOwn) / 2 + i);
     }
     return l;
   }
 
   void stop() {
     timers.forEach(vertx::cancelTimer);
-    for (One o : all) o.server.close();
+    for (HollowReplica o : replicas) o.server.close();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/ProcessMeter.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ProcessMeter.java
@@ -9,14 +9,15 @@
  * written by calls (sockets count, files too) and bytes that went to the disk.
  */
 final class ProcessMeter {
-  private static final double TICKS = 100;
+  private static final double TICKS_PER_SECOND = 100;
 
   /**
-   * @param cpu processor seconds since the start
+   * @param cpuSeconds processor seconds since the start
    * @param peakKb VmHWM
-   * @param in bytes read, out bytes written, disk bytes written to the disk, since the start
+   * @param readBytes bytes read, out bytes written, disk bytes written to the disk, since the start
    */
-  record Reading(double cpu, long peakKb, long in, long out, long disk) {}
+  record Reading(
+      double cpuSeconds, long peakKb, long readBytes, long writtenBytes, long diskWrittenBytes) {}
 
   private ProcessMeter() {}
 
@@ -24,24 +25,24 @@
     Path path = Path.of("/proc", Long.toString(pid));
     String stat = Files.readString(path.resolve("stat"));
     String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    double cpu = (Long.parseLong(f[11]) + Long.parseLong(f[12])) / TICKS;
+    double cpu = (Long.parseLong(f[11]) + Long.parseLong(f[12])) / TICKS_PER_SECOND;
     return new Reading(
         cpu,
-        field(path.resolve("status"), "VmHWM:"),
-        field(path.resolve("io"), "rchar:"),
-        field(path.resolve("io"), "wchar:"),
-        field(path.resolve("io"), "write_bytes:"));
+        readField(path.resolve("status"), "VmHWM:"),
+        readField(path.resolve("io"), "rchar:"),
+        readField(path.resolve("io"), "wchar:"),
+        readField(path.resolve("io"), "write_bytes:"));
   }
 
-  static long machineKb() {
+  static long totalMemoryKb() {
     try {
-      return field(Path.of("/proc/meminfo"), "MemTotal:");
+      return readField(Path.of("/proc/meminfo"), "MemTotal:");
     } catch (IOException e) {
       return 0;
     }
   }
 
-  private static long field(Path file, String name) throws IOException {
+  private static long readField(Path file, String name) throws IOException {
     for (String l : Files.readAllLines(file))
       if (l.startsWith(name))
         return Long.parseLong(l.substring(name.length()).trim().split("\\s+")[0]);
--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleChart.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleChart.java
@@ -38,13 +38,13 @@
           .setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Scatter)
           .setMarker(SeriesMarkers.CIRCLE)
           .setMarkerColor(colour);
-      Slope s = Slope.of(e.getValue());
+      Slope s = Slope.fit(e.getValue());
       double most = e.getValue().stream().mapToDouble(p -> p[0]).max().orElse(0);
       double from = Math.max(0, s.slope() > 0 ? -s.intercept() / s.slope() : 0);
       c.addSeries(
               e.getKey() + ", line",
               new double[] {from, most},
-              new double[] {s.at(from), Math.max(0, s.at(most))})
+              new double[] {s.valueAt(from), Math.max(0, s.valueAt(most))})
           .setMarker(SeriesMarkers.NONE)
           .setLineColor(colour)
           .setShowInLegend(false);
