--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleFleet.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleFleet.java
@@ -8,7 +8,7 @@
 import gladelug.common.Digest;
 import gladelug.common.message.StateKeys;
 import gladelug.common.message.StateUpdate;
-import gladelug.emulator.Child;
+import gladelug.emulator.ChildProcess;
 import gladelug.emulator.Fleet;
 import gladelug.emulator.StandInPlatform;
 import io.vertx.core.VertxOptions;
@@ -38,15 +38,18 @@
  * seconds, while changes go in by the operator door. Ends what it started, each by its own id.
  */
 public final class ScaleFleet implements AutoCloseable {
-  private static final String NET = "127.93.";
-  private static final int PER_NET = 250, CHAIN_SHARED = 4, CHAIN_OWN = 4, PLACES = 64;
-  private static final long LONGEST = 60_000_000, AGAIN_NS = 10_000_000_000L;
+  private static final String ADDRESS_PREFIX = "127.93.";
+  private static final int ADDRESSES_PER_SUBNET = 250,
+      SHARED_CHAIN_BLOCKS = 4,
+      OWN_CHAIN_BLOCKS = 4,
+      SLOTS_PER_NODE = 64;
+  private static final long MAX_LATENCY_US = 60_000_000, RETRY_TIMEOUT_NS = 10_000_000_000L;
 
   /**
    * What a point gave.
    *
    * @param roles by role and metric, the figure
-   * @param records records of hollow nodes over the measured time
+   * @param recordsAddresses records of hollow nodes over the measured time
    * @param pushes of the configuration that came to nodes for the changes made, once all had come
    * @param changes acknowledged
    * @param acks microseconds from sending a change to its acknowledgement
@@ -63,14 +66,14 @@
       Histogram lookups) {
     /** Records of a kind a second and node. */
     double rate(Traffic.Kind k) {
-      return records.messages().get(k) / seconds / point.of(ScaleSize.NODES);
+      return records.messages().get(k) / seconds / point.get(ScaleSize.NODES);
     }
 
     /** Bytes of the kinds a second and node. */
     double bytes(Traffic.Kind... ks) {
       double n = 0;
       for (Traffic.Kind k : ks) n += records.bytes().get(k);
-      return n / seconds / point.of(ScaleSize.NODES);
+      return n / seconds / point.get(ScaleSize.NODES);
     }
   }
 
@@ -87,15 +90,15 @@
           .connectTimeout(Duration.ofSeconds(2))
           .version(HttpClient.Version.HTTP_1_1)
           .build();
-  private final Map<String, Child> children = new LinkedHashMap<>();
-  private final Map<String, String> operator = new LinkedHashMap<>(),
-      records = new LinkedHashMap<>();
+  private final Map<String, ChildProcess> children = new LinkedHashMap<>();
+  private final Map<String, String> operatorAddresses = new LinkedHashMap<>(),
+      recordsAddresses = new LinkedHashMap<>();
   private final List<HollowNode> nodes = new ArrayList<>();
   private final Traffic traffic = new Traffic();
-  private final ConcurrentHistogram lookups = new ConcurrentHistogram(LONGEST, 3);
+  private final ConcurrentHistogram lookups = new ConcurrentHistogram(MAX_LATENCY_US, 3);
   private HollowReplicas replicas;
   private int marker;
-  private int again;
+  private int retries;
 
   public ScaleFleet(ScalePoint point, Path dir, long seed) throws IOException {
     this.point = point;
@@ -106,57 +109,63 @@
   }
 
   private static String ip(int block, int i) {
-    return NET + (block + i / PER_NET) + "." + (1 + i % PER_NET);
+    return ADDRESS_PREFIX
+        + (block + i / ADDRESSES_PER_SUBNET)
+        + "."
+        + (1 + i % ADDRESSES_PER_SUBNET);
   }
 
-  private static String free(String ip) throws IOException {
+  private static String freeAddress(String ip) throws IOException {
     try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(ip))) {
       return ip + ":" + s.getLocalPort();
     }
   }
 
-  private Path settings(String name, JsonObject json) throws IOException {
+  private Path writeSettings(String name, JsonObject json) throws IOException {
     Path path = dir.resolve(name + ".json");
     Files.writeString(path, json.toString());
     return path;
   }
 
   private int size(ScaleSize s) {
-    return (int) point.of(s);
+    return (int) point.get(s);
   }
 
   /** Starts all of it and waits until everybody holds the first configuration. */
   public void start() throws Exception {
     List<String> ips = new ArrayList<>();
     for (int i = 0; i < size(ScaleSize.REPLICAS); i++) ips.add(ip(50, i));
-    replicas = new HollowReplicas(vertx.getDelegate(), seed, ips, point.of(ScaleSize.BLOCKS));
+    replicas = new HollowReplicas(vertx.getDelegate(), seed, ips, point.get(ScaleSize.BLOCKS));
     StandInPlatform platform = new StandInPlatform(vertx.getDelegate(), ip(0, 100), ip(0, 100));
-    for (String[] r : replicas.list())
+    for (String[] r : replicas.namesAndAddresses())
       platform.list(HollowReplicas.SERVICE, r[0], r[1], "zone-a", true);
-    programs(platform.address());
-    List<Child> founding = new ArrayList<>();
-    for (String c : controls())
+    createProcesses(platform.address());
+    List<ChildProcess> founding = new ArrayList<>();
+    for (String c : controlNames())
       founding.add(
-          new Child(
+          new ChildProcess(
                   c,
                   "gladelug.control.ControlPlane",
                   List.of("bootstrap", "--settings", dir.resolve(c + ".json").toString()),
                   dir.resolve(c + ".log"),
                   64)
               .start());
-    for (Child f : founding)
-      if (!f.waitFor(60_000) || f.exit() != 0)
-        throw new IllegalStateException("found failed: " + f.lines());
-    for (Child c : children.values()) c.start();
-    Fleet.until("the core is ready", 60_000, () -> controls().stream().allMatch(this::ready));
-    Fleet.until(
-        "the first configuration was taken", 60_000, () -> change(controls().get(0)) == 200);
-    Fleet.until(
+    for (ChildProcess f : founding)
+      if (!f.waitFor(60_000) || f.exitCode() != 0)
+        throw new IllegalStateException("found failed: " + f.readLog());
+    for (ChildProcess c : children.values()) c.start();
+    Fleet.waitUntil(
+        "the core is ready", 60_000, () -> controlNames().stream().allMatch(this::isReady));
+    Fleet.waitUntil(
+        "the first configuration was taken",
+        60_000,
+        () -> sendChange(controlNames().get(0)) == 200);
+    Fleet.waitUntil(
         "weights were named",
         60_000,
         () ->
             call(
-                        controls().get(0),
+                        controlNames().get(0),
                         "POST",
                         "/v1/weights",
                         Json.object()
@@ -165,115 +174,125 @@
                             .toString())
                     .statusCode()
                 == 200);
-    hollow();
-    replicas.tell(point.of(ScaleSize.EVENTS));
-    held();
-    Fleet.until("the relay is ready", 60_000, () -> ready("relay-1"));
-    Fleet.until(
+    startHollowNodes();
+    replicas.startEvents(point.get(ScaleSize.EVENTS));
+    awaitNodesReady();
+    Fleet.waitUntil("the relay is ready", 60_000, () -> isReady("relay-1"));
+    Fleet.waitUntil(
         "the index is warm",
         60_000,
         () -> {
-          if (!ready("index-1")) return false;
-          JsonObject json = json("index-1", "/operator/status");
+          if (!isReady("index-1")) return false;
+          JsonObject json = getJson("index-1", "/operator/status");
           return json.getBoolean("warm", false)
-              && json.getInt("entries", 0) > point.of(ScaleSize.BLOCKS) * 9 / 10;
+              && json.getInt("entries", 0) > point.get(ScaleSize.BLOCKS) * 9 / 10;
         });
   }
 
-  private void held() {
-    Fleet.until(
+  private void awaitNodesReady() {
+    Fleet.waitUntil(
         "every node holds configuration and leases",
         60_000,
-        () -> nodes.stream().allMatch(n -> n.configuration() > 0 && n.leased()));
+        () -> nodes.stream().allMatch(n -> n.configurationNumber() > 0 && n.hasValidLeases()));
   }
 
-  /** Another value of a size that can change while the fleet runs, see {@link ScaleSize#grows}. */
+  /**
+   * Another value of a size that can change while the fleet runs, see {@link ScaleSize#canGrow}.
+   */
   void grow(ScaleSize s, long value) throws IOException {
     point = point.with(s, value);
     switch (s) {
-      case EVENTS -> replicas.rate(value);
+      case EVENTS -> replicas.setEventRate(value);
       case TENANTS, ROUTES ->
-          Fleet.until(
-              "a larger configuration was taken", 60_000, () -> change(controls().get(0)) == 200);
+          Fleet.waitUntil(
+              "a larger configuration was taken",
+              60_000,
+              () -> sendChange(controlNames().get(0)) == 200);
       case LEAVES -> {
         nodes.forEach(HollowNode::stop);
         nodes.clear();
       }
       default -> {}
     }
-    hollow();
-    held();
+    startHollowNodes();
+    awaitNodesReady();
   }
 
-  private List<String> controls() {
+  private List<String> controlNames() {
     return children.keySet().stream().filter(n -> n.startsWith("control")).toList();
   }
 
-  private void programs(String platform) throws IOException {
+  private void createProcesses(String platform) throws IOException {
     JsonArray founders = new JsonArray(), seeds = new JsonArray();
     List<String> cs = new ArrayList<>();
     for (int i = 1; i <= size(ScaleSize.CONTROLS); i++) cs.add("control-" + i);
     for (int i = 0; i < cs.size(); i++) {
-      operator.put(cs.get(i), free(ip(0, i)));
-      records.put(cs.get(i), free(ip(0, i)));
-      founders.add(cs.get(i) + "=" + records.get(cs.get(i)) + "/" + operator.get(cs.get(i)));
-      seeds.add(records.get(cs.get(i)));
+      operatorAddresses.put(cs.get(i), freeAddress(ip(0, i)));
+      recordsAddresses.put(cs.get(i), freeAddress(ip(0, i)));
+      founders.add(
+          cs.get(i)
+              + "="
+              + recordsAddresses.get(cs.get(i))
+              + "/"
+              + operatorAddresses.get(cs.get(i)));
+      seeds.add(recordsAddresses.get(cs.get(i)));
     }
     for (String c : cs)
-      program(
+      createProcess(
           c,
           "gladelug.control.ControlPlane",
           "run",
-          ScalePoint.CONTROL_MB,
+          ScalePoint.CONTROL_HEAP_MB,
           Json.object()
               .add("platform", platform)
               .add("bootstrapMembers", founders)
               .add("seeds", seeds)
               .add("data", dir.resolve(c + "-data").toString()));
-    operator.put("index-1", free(ip(0, 20)));
-    records.put("index-1", free(ip(0, 20)));
-    program(
+    operatorAddresses.put("index-1", freeAddress(ip(0, 20)));
+    recordsAddresses.put("index-1", freeAddress(ip(0, 20)));
+    createProcess(
         "index-1",
         "gladelug.data.DataPlane",
         "index",
-        point.indexMb(),
+        point.indexHeapMb(),
         Json.object().add("seeds", seeds).add("mostHolders", 1024).add("fingerprintBits", 16));
-    operator.put("relay-1", free(ip(0, 21)));
-    records.put("relay-1", free(ip(0, 21)));
-    program(
+    operatorAddresses.put("relay-1", freeAddress(ip(0, 21)));
+    recordsAddresses.put("relay-1", freeAddress(ip(0, 21)));
+    createProcess(
         "relay-1",
         "gladelug.data.DataPlane",
         "relay",
-        ScalePoint.RELAY_MB,
+        ScalePoint.RELAY_HEAP_MB,
         Json.object()
             .add("seeds", seeds)
-            .add("callers", free(ip(0, 21)))
-            .add("index", records.get("index-1")));
+            .add("callers", freeAddress(ip(0, 21)))
+            .add("index", recordsAddresses.get("index-1")));
   }
 
-  private void program(String name, String main, String command, int heapMb, JsonObject more)
+  private void createProcess(String name, String main, String command, int heapMb, JsonObject more)
       throws IOException {
     JsonObject json =
         Json.object()
             .add("name", name)
             .add("domain", "zone-a")
-            .add("records", records.get(name))
-            .add("operator", operator.get(name))
+            .add("records", recordsAddresses.get(name))
+            .add("operator", operatorAddresses.get(name))
             .add("log", "warning");
     for (JsonObject.Member m : more) json.add(m.getName(), m.getValue());
     children.put(
         name,
-        new Child(
+        new ChildProcess(
             name,
             main,
-            List.of(command, "--settings", settings(name, json).toString()),
+            List.of(command, "--settings", writeSettings(name, json).toString()),
             dir.resolve(name + ".log"),
             heapMb));
   }
 
-  private void hollow() throws IOException {
-    List<Address> core = controls().stream().map(c -> Address.of(records.get(c))).toList();
-    Address index = Address.of(records.get("index-1"));
+  private void startHollowNodes() throws IOException {
+    List<Address> core =
+        controlNames().stream().map(c -> Address.of(recordsAddresses.get(c))).toList();
+    Address index = Address.of(recordsAddresses.get("index-1"));
     for (int i = nodes.size(); i < size(ScaleSize.NODES); i++) {
       List<StateUpdate.QuotaDemand> ds = new ArrayList<>();
       int first = random.nextInt(size(ScaleSize.TENANTS));
@@ -286,10 +305,10 @@
               vertx,
               traffic,
               "hollow-" + i,
-              Address.of(free(ip(100, i))),
+              Address.of(freeAddress(ip(100, i))),
               core,
               ds,
-              List.of(new StateUpdate.ServiceCapacity(HollowReplicas.SERVICE, PLACES)),
+              List.of(new StateUpdate.ServiceCapacity(HollowReplicas.SERVICE, SLOTS_PER_NODE)),
               lookups,
               random.nextLong());
       nodes.add(n);
@@ -322,13 +341,13 @@
                     (JsonValue)
                         Json.object()
                             .add("name", HollowReplicas.SERVICE)
-                            .add("allow", Json.array(NET + "0.0/16"))))
+                            .add("allow", Json.array(ADDRESS_PREFIX + "0.0/16"))))
         .add("mappings", ms)
         .add("tenants", ts)
         .toString();
   }
 
-  private int change(String at) {
+  private int sendChange(String at) {
     return call(at, "POST", "/v1/configuration", configuration()).statusCode();
   }
 
@@ -336,12 +355,12 @@
    * One change, sent again as operators do while it is answered that it was not taken, or that
    * nobody knows.
    */
-  private boolean changed(String at) {
+  private boolean sendChangeWithRetries(String at) {
     String body = configuration();
-    long end = System.nanoTime() + AGAIN_NS;
+    long end = System.nanoTime() + RETRY_TIMEOUT_NS;
     while (call(at, "POST", "/v1/configuration", body).statusCode() != 200) {
       if (System.nanoTime() > end) return false;
-      again++;
+      retries++;
       Fleet.pause(100);
     }
     return true;
@@ -349,7 +368,7 @@
 
   private HttpResponse<String> call(String node, String method, String path, String body) {
     HttpRequest.Builder b =
-        HttpRequest.newBuilder(URI.create("http://" + operator.get(node) + path))
+        HttpRequest.newBuilder(URI.create("http://" + operatorAddresses.get(node) + path))
             .timeout(Duration.ofSeconds(20))
             .header("If-Match", "*");
     try {
@@ -369,7 +388,7 @@
     }
   }
 
-  private boolean ready(String node) {
+  private boolean isReady(String node) {
     try {
       return call(node, "GET", "/ready", null).statusCode() == 200;
     } catch (IllegalStateException e) {
@@ -377,13 +396,13 @@
     }
   }
 
-  private JsonObject json(String node, String path) {
+  private JsonObject getJson(String node, String path) {
     return Json.parse(call(node, "GET", path, null).body()).asObject();
   }
 
   /** Who owns the key of the configuration. */
-  private String owner() {
-    for (JsonValue value : json(controls().get(0), "/v1/status").get("keys").asArray())
+  private String configurationOwner() {
+    for (JsonValue value : getJson(controlNames().get(0), "/v1/status").get("keys").asArray())
       if (value.asObject().getString("key", "").equals(StateKeys.CONFIGURATION))
         return value.asObject().getString("owner", "");
     return "";
@@ -391,25 +410,26 @@
 
   /** Loads and measures it for so many seconds, after so many ms to settle. */
   public Figures measure(int seconds, long settleMs) throws Exception {
-    long lookupTimer = asking(point.of(ScaleSize.LOOKUPS));
-    Fleet.until("the configuration has an owner", 30_000, () -> !owner().isEmpty());
-    String owner = owner();
+    long lookupTimer = startLookups(point.get(ScaleSize.LOOKUPS));
+    Fleet.waitUntil(
+        "the configuration has an owner", 30_000, () -> !configurationOwner().isEmpty());
+    String owner = configurationOwner();
     Fleet.pause(settleMs);
     lookups.reset();
-    Histogram acks = new Histogram(LONGEST, 3);
+    Histogram acks = new Histogram(MAX_LATENCY_US, 3);
     Map<String, ProcessMeter.Reading> before = readings(owner);
     Traffic.Count first = traffic.count();
-    long asked = replicas.asked.sum(),
+    long asked = replicas.requestCount.sum(),
         begin = System.nanoTime(),
         end = begin + seconds * 1_000_000_000L;
-    double gap = 60e9 / point.of(ScaleSize.CHANGES);
+    double gap = 60e9 / point.get(ScaleSize.CHANGES);
     int changes = 0;
-    again = 0;
+    retries = 0;
     for (long due = begin + (long) gap; due + 1_000_000_000L / 2 < end; due += (long) gap) {
       Fleet.pause(Math.max(0, (due - System.nanoTime()) / 1_000_000));
       long t = System.nanoTime();
       if (t > end) break;
-      if (!changed(owner)) continue;
+      if (!sendChangeWithRetries(owner)) continue;
       acks.recordValue((System.nanoTime() - t) / 1000);
       changes++;
     }
@@ -417,18 +437,18 @@
     double took = (System.nanoTime() - begin) / 1e9;
     Map<String, ProcessMeter.Reading> after = readings(owner);
     Traffic.Count during = traffic.count().since(first);
-    double asks = (replicas.asked.sum() - asked) / took;
+    double asks = (replicas.requestCount.sum() - asked) / took;
     vertx.cancelTimer(lookupTimer);
     Fleet.pause(500);
     long pushes = traffic.count().since(first).messages().get(Traffic.Kind.POLICY);
     Map<String, Map<String, Double>> roles = new LinkedHashMap<>();
-    for (String r : ScalePlan.ROLES) roles.put(r, figures(r, before, after, took));
+    for (String r : ScalePlan.ROLES) roles.put(r, averageFigures(r, before, after, took));
     roles.get("hollow").put("replica requests/s", asks);
-    roles.get("hollow").put("changes sent again", (double) again);
+    roles.get("hollow").put("changes sent again", (double) retries);
     return new Figures(point, took, roles, during, pushes, changes, acks, lookups.copy());
   }
 
-  private long asking(double perSecond) {
+  private long startLookups(double perSecond) {
     double[] owes = {0};
     long[] last = {System.nanoTime()};
     int[] turn = {0};
@@ -440,7 +460,9 @@
           last[0] = t;
           for (; owes[0] >= 1; owes[0]--) {
             int n = turn[0]++;
-            nodes.get(n % nodes.size()).lookup(replicas.chain(n, CHAIN_SHARED, CHAIN_OWN));
+            nodes
+                .get(n % nodes.size())
+                .sendLookup(replicas.promptChain(n, SHARED_CHAIN_BLOCKS, OWN_CHAIN_BLOCKS));
           }
         });
   }
@@ -448,7 +470,7 @@
   /** By role and process. */
   private Map<String, ProcessMeter.Reading> readings(String owner) throws IOException {
     Map<String, ProcessMeter.Reading> m = new TreeMap<>();
-    for (Map.Entry<String, Child> e : children.entrySet()) {
+    for (Map.Entry<String, ChildProcess> e : children.entrySet()) {
       String role =
           e.getKey().equals(owner)
               ? "core-owner"
@@ -460,7 +482,7 @@
   }
 
   /** The mean over the role's processes; peak memory is the largest. */
-  private static Map<String, Double> figures(
+  private static Map<String, Double> averageFigures(
       String role,
       Map<String, ProcessMeter.Reading> before,
       Map<String, ProcessMeter.Reading> after,
@@ -471,10 +493,10 @@
       if (!e.getKey().startsWith(role + " ")) continue;
       ProcessMeter.Reading a = before.get(e.getKey()), b = e.getValue();
       n++;
-      cpu += b.cpu() - a.cpu();
-      in += b.in() - a.in();
-      out += b.out() - a.out();
-      disk += b.disk() - a.disk();
+      cpu += b.cpuSeconds() - a.cpuSeconds();
+      in += b.readBytes() - a.readBytes();
+      out += b.writtenBytes() - a.writtenBytes();
+      disk += b.diskWrittenBytes() - a.diskWrittenBytes();
       peak = Math.max(peak, b.peakKb() / 1024.0);
     }
     Map<String, Double> m = new LinkedHashMap<>();
@@ -489,7 +511,7 @@
 
   @Override
   public void close() {
-    for (Child c : children.values()) c.kill();
+    for (ChildProcess c : children.values()) c.kill();
     nodes.forEach(HollowNode::stop);
     if (replicas != null) replicas.stop();
     vertx.getDelegate().close().toCompletionStage().toCompletableFuture().join();
--- a/emulator/src/main/java/gladelug/emulator/scale/ScalePlan.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScalePlan.java
@@ -27,8 +27,8 @@
   public static final List<String> ROLES =
       List.of("core-owner", "core-other", "index", "relay", "hollow");
 
-  static final int MOST_PROCESSES = 200, FEWEST_POINTS = 4;
-  private static final long MOST_ADDRESSES = 10_000, SETTLE_MS = 2000, QUICK_MS = 500;
+  static final int MAX_PROCESSES = 200, MIN_POINTS = 4;
+  private static final long MAX_ADDRESSES = 10_000, SETTLE_MS = 2000, QUICK_SETTLE_MS = 500;
 
   public ScalePlan {
     points = new EnumMap<>(points);
@@ -40,90 +40,104 @@
       long seed, int seconds, String sizes, List<String> points, String roles, boolean quick) {}
 
   /** memoryMb: what the machine has. */
-  public static Result<ScalePlan> of(Options o, long memoryMb) {
+  public static Result<ScalePlan> parse(Options options, long memoryMb) {
     Findings findings = new Findings();
-    Map<ScaleSize, List<Long>> all = new EnumMap<>(ScaleSize.class);
-    for (String n : o.sizes.isEmpty() ? names() : List.of(o.sizes.split(","))) {
-      ScaleSize s = ScaleSize.named(n);
-      if (s == null) findings.add("--sizes", "must be of " + names() + ", not " + n);
-      else all.put(s, boxed(s.points()));
+    Map<ScaleSize, List<Long>> pointsBySize = new EnumMap<>(ScaleSize.class);
+    for (String n : options.sizes.isEmpty() ? sizeNames() : List.of(options.sizes.split(","))) {
+      ScaleSize size = ScaleSize.fromText(n);
+      if (size == null) findings.add("--sizes", "must be of " + sizeNames() + ", not " + n);
+      else pointsBySize.put(size, toList(size.points()));
     }
-    if (o.quick) all.replaceAll((s, l) -> List.of(l.get(0), l.get(1)));
-    for (String p : o.points) point(p, all, findings);
+    if (options.quick)
+      pointsBySize.replaceAll((size, values) -> List.of(values.get(0), values.get(1)));
+    for (String p : options.points) parsePoints(p, pointsBySize, findings);
     Set<String> roles =
-        new LinkedHashSet<>(o.roles.isEmpty() ? ROLES : List.of(o.roles.split(",")));
+        new LinkedHashSet<>(options.roles.isEmpty() ? ROLES : List.of(options.roles.split(",")));
     for (String r : roles)
       if (!ROLES.contains(r)) findings.add("--roles", "must be of " + ROLES + ", not " + r);
-    if (o.seconds < 2 || o.seconds > 60)
-      findings.add("--seconds", "must be from 2 to 60, not " + o.seconds);
-    int fewest = o.quick ? 2 : FEWEST_POINTS;
-    all.forEach(
-        (s, l) -> {
-          if (l.size() < fewest)
-            findings.add("--points " + s.text(), "needs at least " + fewest + " points");
-          for (int i = 0; i < l.size(); i++) {
-            if (l.get(i) < 1)
-              findings.add("--points " + s.text(), "must be at least 1, not " + l.get(i));
-            else if (i > 0 && l.get(i) <= l.get(i - 1))
-              findings.add("--points " + s.text(), "must rise");
-            else sane(s, l.get(i), memoryMb, findings);
+    if (options.seconds < 2 || options.seconds > 60)
+      findings.add("--seconds", "must be from 2 to 60, not " + options.seconds);
+    int minPoints = options.quick ? 2 : MIN_POINTS;
+    pointsBySize.forEach(
+        (size, values) -> {
+          if (values.size() < minPoints)
+            findings.add("--points " + size.text(), "needs at least " + minPoints + " points");
+          for (int i = 0; i < values.size(); i++) {
+            if (values.get(i) < 1)
+              findings.add("--points " + size.text(), "must be at least 1, not " + values.get(i));
+            else if (i > 0 && values.get(i) <= values.get(i - 1))
+              findings.add("--points " + size.text(), "must rise");
+            else checkPoint(size, values.get(i), memoryMb, findings);
           }
         });
     return Result.of(
         findings,
-        () -> new ScalePlan(o.seed, o.seconds, o.quick ? QUICK_MS : SETTLE_MS, all, roles));
+        () ->
+            new ScalePlan(
+                options.seed,
+                options.seconds,
+                options.quick ? QUICK_SETTLE_MS : SETTLE_MS,
+                pointsBySize,
+                roles));
   }
 
-  private static void sane(ScaleSize s, long value, long memoryMb, Findings findings) {
-    String at = "--points " + s.text();
-    ScalePoint p = ScalePoint.base().with(s, value);
-    if (p.processes() > MOST_PROCESSES)
-      findings.add(at, value + " takes " + p.processes() + " processes; at most " + MOST_PROCESSES);
-    if (s == ScaleSize.LEAVES && value > ScaleSize.TENANTS.base())
+  private static void checkPoint(ScaleSize size, long value, long memoryMb, Findings findings) {
+    String place = "--points " + size.text();
+    ScalePoint point = ScalePoint.base().with(size, value);
+    if (point.processCount() > MAX_PROCESSES)
       findings.add(
-          at, "each tenant is one, " + ScaleSize.TENANTS.base() + " of them, not " + value);
-    if (s == ScaleSize.CONTROLS && value > 9)
-      findings.add(at, "a core is founded by at most 9, not " + value);
-    if ((s == ScaleSize.NODES || s == ScaleSize.REPLICAS) && value > MOST_ADDRESSES)
-      findings.add(at, "at most " + MOST_ADDRESSES + " have an address each, not " + value);
-    else if (p.memoryMb() * 2 > memoryMb)
+          place, value + " takes " + point.processCount() + " processes; at most " + MAX_PROCESSES);
+    if (size == ScaleSize.LEAVES && value > ScaleSize.TENANTS.base())
       findings.add(
-          at,
-          value + " may take " + p.memoryMb() + " MB, more than half of the machine's " + memoryMb);
+          place, "each tenant is one, " + ScaleSize.TENANTS.base() + " of them, not " + value);
+    if (size == ScaleSize.CONTROLS && value > 9)
+      findings.add(place, "a core is founded by at most 9, not " + value);
+    if ((size == ScaleSize.NODES || size == ScaleSize.REPLICAS) && value > MAX_ADDRESSES)
+      findings.add(place, "at most " + MAX_ADDRESSES + " have an address each, not " + value);
+    else if (point.memoryMb() * 2 > memoryMb)
+      findings.add(
+          place,
+          value
+              + " may take "
+              + point.memoryMb()
+              + " MB, more than half of the machine's "
+              + memoryMb);
   }
 
-  private static void point(String given, Map<ScaleSize, List<Long>> all, Findings findings) {
+  private static void parsePoints(
+      String given, Map<ScaleSize, List<Long>> pointsBySize, Findings findings) {
     int i = given.indexOf('=');
-    ScaleSize s = i < 0 ? null : ScaleSize.named(given.substring(0, i));
-    if (s == null) {
-      findings.add("--points", "must be SIZE=N,N,... with a size of " + names() + ", not " + given);
+    ScaleSize size = i < 0 ? null : ScaleSize.fromText(given.substring(0, i));
+    if (size == null) {
+      findings.add(
+          "--points", "must be SIZE=N,N,... with a size of " + sizeNames() + ", not " + given);
       return;
     }
-    List<Long> l = new ArrayList<>();
+    List<Long> values = new ArrayList<>();
     for (String n : given.substring(i + 1).split(","))
       try {
-        l.add(Long.parseLong(n));
+        values.add(Long.parseLong(n));
       } catch (NumberFormatException e) {
-        findings.add("--points " + s.text(), "is no whole number: " + n);
+        findings.add("--points " + size.text(), "is no whole number: " + n);
       }
-    if (all.containsKey(s)) all.put(s, l);
-    else findings.add("--points " + s.text(), "is not among the sizes that are varied");
+    if (pointsBySize.containsKey(size)) pointsBySize.put(size, values);
+    else findings.add("--points " + size.text(), "is not among the sizes that are varied");
   }
 
-  private static List<String> names() {
+  private static List<String> sizeNames() {
     List<String> l = new ArrayList<>();
     for (ScaleSize s : ScaleSize.values()) l.add(s.text());
     return l;
   }
 
-  private static List<Long> boxed(long[] ns) {
+  private static List<Long> toList(long[] ns) {
     List<Long> l = new ArrayList<>();
     for (long n : ns) l.add(n);
     return List.copyOf(l);
   }
 
   /** MB of memory of this machine. */
-  public static long machineMb() {
-    return ProcessMeter.machineKb() >> 10;
+  public static long totalMemoryMb() {
+    return ProcessMeter.totalMemoryKb() >> 10;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/ScalePoint.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScalePoint.java
@@ -10,52 +10,60 @@
  * @param sizes a value of every size
  */
 public record ScalePoint(Map<ScaleSize, Long> sizes) {
-  static final int CONTROL_MB = 256, INDEX_MB = 512, RELAY_MB = 256, OWN_MB = 300;
-  private static final long TENANT = 140, ROUTE = 100, OUTSIDE_HEAP_MB = 90;
+  static final int CONTROL_HEAP_MB = 256,
+      MIN_INDEX_HEAP_MB = 512,
+      RELAY_HEAP_MB = 256,
+      EMULATOR_MB = 300;
+  private static final long BYTES_PER_TENANT = 140, BYTES_PER_ROUTE = 100, OUTSIDE_HEAP_MB = 90;
 
   public ScalePoint {
     sizes = Map.copyOf(sizes);
   }
 
   public static ScalePoint base() {
-    Map<ScaleSize, Long> m = new EnumMap<>(ScaleSize.class);
-    for (ScaleSize s : ScaleSize.values()) m.put(s, s.base());
-    return new ScalePoint(m);
+    Map<ScaleSize, Long> values = new EnumMap<>(ScaleSize.class);
+    for (ScaleSize size : ScaleSize.values()) values.put(size, size.base());
+    return new ScalePoint(values);
   }
 
-  public ScalePoint with(ScaleSize s, long value) {
-    Map<ScaleSize, Long> m = new EnumMap<>(sizes);
-    m.put(s, value);
-    return new ScalePoint(m);
+  public ScalePoint with(ScaleSize size, long value) {
+    Map<ScaleSize, Long> values = new EnumMap<>(sizes);
+    values.put(size, value);
+    return new ScalePoint(values);
   }
 
-  public long of(ScaleSize s) {
-    return sizes.get(s);
+  public long get(ScaleSize size) {
+    return sizes.get(size);
   }
 
   /** Processes beside the run's own. */
-  public long processes() {
-    return of(ScaleSize.CONTROLS) + 2;
+  public long processCount() {
+    return get(ScaleSize.CONTROLS) + 2;
   }
 
   /** Bytes of the configuration, about. */
   public long configurationBytes() {
-    return 300 + TENANT * of(ScaleSize.TENANTS) + ROUTE * of(ScaleSize.ROUTES);
+    return 300
+        + BYTES_PER_TENANT * get(ScaleSize.TENANTS)
+        + BYTES_PER_ROUTE * get(ScaleSize.ROUTES);
   }
 
   /** MB that all processes of this point may take together, heaps counted whole. */
   public long memoryMb() {
     long heaps =
-        of(ScaleSize.CONTROLS) * CONTROL_MB + indexMb() + RELAY_MB + processes() * OUTSIDE_HEAP_MB;
+        get(ScaleSize.CONTROLS) * CONTROL_HEAP_MB
+            + indexHeapMb()
+            + RELAY_HEAP_MB
+            + processCount() * OUTSIDE_HEAP_MB;
     // a hollow node keeps the value and is handed another
-    return heaps + OWN_MB + (of(ScaleSize.NODES) * 3 * configurationBytes() >> 20);
+    return heaps + EMULATOR_MB + (get(ScaleSize.NODES) * 3 * configurationBytes() >> 20);
   }
 
   /**
    * Heap of the index: a table of four bytes a slot, once more while it grows, and the lists it
    * loads.
    */
-  int indexMb() {
-    return (int) Math.min(1 << 20, INDEX_MB + of(ScaleSize.BLOCKS) * 400 / (1 << 20));
+  int indexHeapMb() {
+    return (int) Math.min(1 << 20, MIN_INDEX_HEAP_MB + get(ScaleSize.BLOCKS) * 400 / (1 << 20));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleRun.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleRun.java
@@ -19,14 +19,14 @@
 public final class ScaleRun {
   private final ScalePlan plan;
   private final Path out;
-  private final Consumer<String> say;
+  private final Consumer<String> output;
   private ScaleFleet.Figures base;
 
   /** out: the folder that everything is written to; say: where lines of the table go. */
-  public ScaleRun(ScalePlan plan, Path out, Consumer<String> say) {
+  public ScaleRun(ScalePlan plan, Path out, Consumer<String> output) {
     this.plan = plan;
     this.out = out;
-    this.say = say;
+    this.output = output;
   }
 
   /** Runs all points and reports; by size, the figures of its points in order. */
@@ -37,50 +37,51 @@
         slopes = new ArrayList<>(List.of("size,role,metric,slope,error,intercept,r2,from,to"));
     for (Map.Entry<ScaleSize, List<Long>> e : plan.points().entrySet()) {
       List<ScaleFleet.Figures> l = new ArrayList<>();
-      points(
+      runPoints(
           e.getKey(),
           e.getValue(),
-          f -> {
-            long v = f.point().of(e.getKey());
-            l.add(f);
-            flat(f).forEach((k, x) -> table.add(row(e.getKey().text() + "," + v + "," + k, x)));
-            say.accept(line(e.getKey(), v, f));
+          figures -> {
+            long v = figures.point().get(e.getKey());
+            l.add(figures);
+            flatten(figures)
+                .forEach((k, x) -> table.add(formatRow(e.getKey().text() + "," + v + "," + k, x)));
+            output.accept(formatLine(e.getKey(), v, figures));
             Files.write(out.resolve("points.csv"), table);
           });
       all.put(e.getKey(), l);
-      slopes(e.getKey(), l, slopes);
+      writeSlopes(e.getKey(), l, slopes);
       Files.write(out.resolve("slopes.csv"), slopes);
     }
-    say.accept("written to " + out);
+    output.accept("written to " + out);
     return all;
   }
 
-  private interface Each {
-    void got(ScaleFleet.Figures f) throws IOException;
+  private interface PointListener {
+    void onPoint(ScaleFleet.Figures figures) throws IOException;
   }
 
   /**
    * A size that can grow keeps its fleet from its second point on; others have a fresh one each.
    */
-  private void points(ScaleSize s, List<Long> values, Each each) throws Exception {
+  private void runPoints(ScaleSize size, List<Long> values, PointListener each) throws Exception {
     ScaleFleet fleet = null;
     try {
       for (long v : values) {
-        if (v == s.base() && base != null) {
-          each.got(base);
+        if (v == size.base() && base != null) {
+          each.onPoint(base);
           continue;
         }
-        if (fleet != null && s.grows()) fleet.grow(s, v);
+        if (fleet != null && size.canGrow()) fleet.grow(size, v);
         else {
           if (fleet != null) fleet.close();
           fleet =
               new ScaleFleet(
-                  ScalePoint.base().with(s, v), out.resolve(s.text() + "-" + v), plan.seed());
+                  ScalePoint.base().with(size, v), out.resolve(size.text() + "-" + v), plan.seed());
           fleet.start();
         }
-        ScaleFleet.Figures f = fleet.measure(plan.seconds(), plan.settleMs());
-        if (v == s.base()) base = f;
-        each.got(f);
+        ScaleFleet.Figures figures = fleet.measure(plan.seconds(), plan.settleMs());
+        if (v == size.base()) base = figures;
+        each.onPoint(figures);
       }
     } finally {
       if (fleet != null) fleet.close();
@@ -88,20 +89,21 @@
   }
 
   /** All figures of a point by role and metric. */
-  private Map<String, Double> flat(ScaleFleet.Figures f) {
+  private Map<String, Double> flatten(ScaleFleet.Figures figures) {
     Map<String, Double> m = new LinkedHashMap<>();
-    f.roles()
+    figures
+        .roles()
         .forEach(
             (r, x) -> {
               if (plan.roles().contains(r)) x.forEach((k, v) -> m.put(r + "," + k, v));
             });
     for (Traffic.Kind k : Traffic.Kind.values()) {
-      m.put("node," + k + "/s", f.rate(k));
-      m.put("node," + k + " B/s", f.bytes(k));
+      m.put("node," + k + "/s", figures.rate(k));
+      m.put("node," + k + " B/s", figures.bytes(k));
     }
     m.put(
         "node,control B/s",
-        f.bytes(
+        figures.bytes(
             Traffic.Kind.ASK,
             Traffic.Kind.GRANTS,
             Traffic.Kind.POLICY,
@@ -110,23 +112,26 @@
             Traffic.Kind.SHUFFLE));
     m.put(
         "node,pushes a change",
-        f.changes() == 0 ? 0 : (double) f.pushes() / f.changes() / f.point().of(ScaleSize.NODES));
-    put(m, "acknowledgement", f.acks());
-    put(m, "lookup", f.lookups());
+        figures.changes() == 0
+            ? 0
+            : (double) figures.pushes() / figures.changes() / figures.point().get(ScaleSize.NODES));
+    addLatencies(m, "acknowledgement", figures.acks());
+    addLatencies(m, "lookup", figures.lookups());
     return m;
   }
 
-  private static void put(Map<String, Double> m, String what, Histogram h) {
+  private static void addLatencies(Map<String, Double> m, String what, Histogram h) {
     m.put(what + ",count", (double) h.getTotalCount());
     for (double q : new double[] {50, 95, 99})
       m.put(what + ",p" + (int) q + " ms", h.getValueAtPercentile(q) / 1000.0);
     m.put(what + ",longest ms", h.getMaxValue() / 1000.0);
   }
 
-  private String line(ScaleSize s, long v, ScaleFleet.Figures f) {
+  private String formatLine(ScaleSize size, long v, ScaleFleet.Figures figures) {
     StringBuilder builder =
-        new StringBuilder(String.format(Locale.ROOT, "%-9s %7d |", s.text(), v));
-    f.roles()
+        new StringBuilder(String.format(Locale.ROOT, "%-9s %7d |", size.text(), v));
+    figures
+        .roles()
         .forEach(
             (r, x) -> {
               if (plan.roles().contains(r) && !x.isEmpty())
@@ -147,14 +152,14 @@
                 " node %.1f records/s %.0f B/s, %d pushes of %d changes | ack p50 %.1f p95 %.1f ms"
                     + " | lookup p50 %.2f p95 "
                     + "%.2f ms",
-                perNode(f),
-                flat(f).get("node,control B/s"),
-                f.pushes(),
-                f.changes(),
-                f.acks().getValueAtPercentile(50) / 1000.0,
-                f.acks().getValueAtPercentile(95) / 1000.0,
-                f.lookups().getValueAtPercentile(50) / 1000.0,
-                f.lookups().getValueAtPercentile(95) / 1000.0))
+                recordsPerNodeAndSecond(figures),
+                flatten(figures).get("node,control B/s"),
+                figures.pushes(),
+                figures.changes(),
+                figures.acks().getValueAtPercentile(50) / 1000.0,
+                figures.acks().getValueAtPercentile(95) / 1000.0,
+                figures.lookups().getValueAtPercentile(50) / 1000.0,
+                figures.lookups().getValueAtPercentile(95) / 1000.0))
         .toString();
   }
 
@@ -162,32 +167,32 @@
    * Records of the control protocols a second that a node sends and receives, questions to the
    * index left out.
    */
-  public static double perNode(ScaleFleet.Figures f) {
+  public static double recordsPerNodeAndSecond(ScaleFleet.Figures figures) {
     double n = 0;
     for (Traffic.Kind k : Traffic.Kind.values())
-      if (k != Traffic.Kind.QUESTION && k != Traffic.Kind.ANSWER) n += f.rate(k);
+      if (k != Traffic.Kind.QUESTION && k != Traffic.Kind.ANSWER) n += figures.rate(k);
     return n;
   }
 
-  private void slopes(ScaleSize s, List<ScaleFleet.Figures> l, List<String> csv)
+  private void writeSlopes(ScaleSize size, List<ScaleFleet.Figures> l, List<String> csv)
       throws IOException {
     Map<String, List<double[]>> by = new LinkedHashMap<>();
-    for (ScaleFleet.Figures f : l)
-      flat(f)
+    for (ScaleFleet.Figures figures : l)
+      flatten(figures)
           .forEach(
               (k, v) ->
                   by.computeIfAbsent(k, x -> new ArrayList<>())
-                      .add(new double[] {f.point().of(s), v}));
+                      .add(new double[] {figures.point().get(size), v}));
     Map<String, List<double[]>> cpu = new LinkedHashMap<>(), peak = new LinkedHashMap<>();
     by.forEach(
         (k, ps) -> {
           if (ps.size() < 2) return;
-          Slope x = Slope.of(ps);
+          Slope x = Slope.fit(ps);
           csv.add(
               String.format(
                   Locale.ROOT,
                   "%s,%s,%.6g,%.3g,%.6g,%.4f,%d,%d",
-                  s.text(),
+                  size.text(),
                   k,
                   x.slope(),
                   x.error(),
@@ -198,7 +203,7 @@
           if (k.endsWith(",cpu")) cpu.put(k, ps);
           if (k.endsWith(",peak MB")) peak.put(k, ps);
           if (k.endsWith(",cpu") || k.endsWith(",peak MB"))
-            say.accept(
+            output.accept(
                 String.format(
                     Locale.ROOT,
                     "  %-24s %.4g each (± %.2g), %.4g at none, r² %.3f",
@@ -208,11 +213,11 @@
                     x.intercept(),
                     x.r2()));
         });
-    ScaleChart.write(out.resolve(s.text() + "-cpu.svg"), "cores by " + s.text(), cpu);
-    ScaleChart.write(out.resolve(s.text() + "-memory.svg"), "peak MB by " + s.text(), peak);
+    ScaleChart.write(out.resolve(size.text() + "-cpu.svg"), "cores by " + size.text(), cpu);
+    ScaleChart.write(out.resolve(size.text() + "-memory.svg"), "peak MB by " + size.text(), peak);
   }
 
-  private static String row(String head, double v) {
+  private static String formatRow(String head, double v) {
     return String.format(Locale.ROOT, "%s,%.6g", head, v);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleSize.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleSize.java
@@ -51,7 +51,7 @@
    * Whether a running fleet can go from one point to a larger one, so that its points share a
    * fleet.
    */
-  public boolean grows() {
+  public boolean canGrow() {
     return this != REPLICAS && this != BLOCKS && this != CONTROLS;
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Null where no size is called this. */
-  public static ScaleSize named(String text) {
+  public static ScaleSize fromText(String text) {
     for (ScaleSize x : values()) if (x.text().equals(text)) return x;
     return null;
   }
--- a/emulator/src/main/java/gladelug/emulator/scale/Slope.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/Slope.java
@@ -13,7 +13,7 @@
  */
 public record Slope(double slope, double error, double intercept, double r2) {
   /** Of points x and y, at least two with different x. */
-  public static Slope of(List<double[]> points) {
+  public static Slope fit(List<double[]> points) {
     int n = points.size();
     double mx = points.stream().mapToDouble(p -> p[0]).average().orElse(0);
     double my = points.stream().mapToDouble(p -> p[1]).average().orElse(0);
@@ -30,7 +30,7 @@
   }
 
   /** The value at x. */
-  public double at(double x) {
+  public double valueAt(double x) {
     return intercept + slope * x;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/Traffic.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/Traffic.java
@@ -22,8 +22,8 @@
   public record Count(Map<Kind, Long> messages, Map<Kind, Long> bytes) {
     Count since(Count old) {
       Map<Kind, Long> m = new EnumMap<>(messages), b = new EnumMap<>(bytes);
-      old.messages.forEach((k, n) -> m.merge(k, -n, Long::sum));
-      old.bytes.forEach((k, n) -> b.merge(k, -n, Long::sum));
+      old.messages.forEach((kind, n) -> m.merge(kind, -n, Long::sum));
+      old.bytes.forEach((kind, n) -> b.merge(kind, -n, Long::sum));
       return new Count(m, b);
     }
   }
@@ -32,21 +32,21 @@
       bytes = new EnumMap<>(Kind.class);
 
   Traffic() {
-    for (Kind k : Kind.values()) {
-      messages.put(k, new LongAdder());
-      bytes.put(k, new LongAdder());
+    for (Kind kind : Kind.values()) {
+      messages.put(kind, new LongAdder());
+      bytes.put(kind, new LongAdder());
     }
   }
 
-  void count(Kind k, int length) {
-    messages.get(k).increment();
-    bytes.get(k).add(length + 4L);
+  void count(Kind kind, int length) {
+    messages.get(kind).increment();
+    bytes.get(kind).add(length + 4L);
   }
 
   Count count() {
     Map<Kind, Long> m = new EnumMap<>(Kind.class), b = new EnumMap<>(Kind.class);
-    messages.forEach((k, n) -> m.put(k, n.sum()));
-    bytes.forEach((k, n) -> b.put(k, n.sum()));
+    messages.forEach((kind, n) -> m.put(kind, n.sum()));
+    bytes.forEach((kind, n) -> b.put(kind, n.sum()));
     return new Count(m, b);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestRelay.java
@@ -186,7 +186,7 @@
   private void end(Ledger.Call c, String outcome) {
     open.remove(c);
     c.outcome = outcome;
-    c.done = sim.now();
+    c.doneMs = sim.now();
   }
 
   /** A caller sends a request, and perhaps goes away before its end. */
@@ -258,7 +258,7 @@
       JsonObject json = Json.parse(piece.toString()).asObject();
       if (c.explicitEnd || json.getInt("piece", -1) != c.pieces) c.misordered++;
       if (!StandInContent.textOf(c.tag, c.pieces).equals(json.getString("text", ""))) c.foreign++;
-      if (c.firstPiece < 0) c.firstPiece = sim.now();
+      if (c.firstPieceMs < 0) c.firstPieceMs = sim.now();
       c.pieces++;
       return true;
     }
--- a/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestSim.java
@@ -19,9 +19,9 @@
 import gladelug.control.core.register.VersionedValue;
 import gladelug.control.rollout.WeightRollout;
 import gladelug.data.relay.Lookups;
-import gladelug.emulator.Judge;
 import gladelug.emulator.Ledger;
-import gladelug.emulator.Promises;
+import gladelug.emulator.LedgerChecker;
+import gladelug.emulator.TimedGuarantees;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -71,13 +71,14 @@
     CALLER_LEAVES
   }
 
-  static final Promises.Graces STRICT = new Promises.Graces(0, 0, 15_400, 0, 0);
+  static final TimedGuarantees.GracePeriods STRICT =
+      new TimedGuarantees.GracePeriods(0, 0, 15_400, 0, 0);
   static final String[] TENANTS = {"one", "two", "walled"};
   private static final int CUTOFF = 15_000;
   private static final long LATEST_SURPLUS_MS = 150;
 
   final Ledger ledger = new Ledger();
-  final Promises promises = new Promises();
+  final TimedGuarantees promises = new TimedGuarantees();
   final Map<String, SimReplica> replicas = new LinkedHashMap<>();
   final Map<String, SimReplica> byAddress = new HashMap<>();
   final Map<String, RequestRelay> fronts = new LinkedHashMap<>();
@@ -182,9 +183,9 @@
         var kept = control.node.storedValue(StateKeys.REPLICAS);
         if (kept.getKey() == 0 || !Arrays.equals(kept.getValue(), now)) {
           long at = now();
-          List<Promises.Told> ts = new ArrayList<>();
+          List<TimedGuarantees.Change> ts = new ArrayList<>();
           for (String r : replicas.keySet())
-            ts.add(promises.sent("replica " + r, told.getOrDefault(r, "gone"), at));
+            ts.add(promises.recordSent("replica " + r, told.getOrDefault(r, "gone"), at));
           control.node.change(
               StateKeys.REPLICAS, kept.getKey(), now, result -> answered(ts, result));
         }
@@ -254,10 +255,10 @@
   }
 
   /** What became of something that was told. */
-  void answered(List<Promises.Told> ts, ChangeResult result) {
+  void answered(List<TimedGuarantees.Change> ts, ChangeResult result) {
     if (result instanceof ChangeResult.Unknown) return;
-    for (Promises.Told t : ts)
-      promises.answered(t, result instanceof ChangeResult.Acknowledged ? now() : -1);
+    for (TimedGuarantees.Change t : ts)
+      promises.recordAnswer(t, result instanceof ChangeResult.Acknowledged ? now() : -1);
   }
 
   // ---- callers
@@ -501,14 +502,14 @@
   // ---- what must never be
 
   void judge() {
-    for (Judge.Finding f : Judge.all(ledger))
+    for (LedgerChecker.Finding f : LedgerChecker.checkAll(ledger))
       for (String o : f.offenders()) violation(f.rule() + ": " + o);
-    promises.judge(ledger, STRICT).forEach((k, v) -> v.forEach(o -> violation(k + ": " + o)));
+    promises.check(ledger, STRICT).forEach((k, v) -> v.forEach(o -> violation(k + ": " + o)));
     int restarts = fronts.values().stream().mapToInt(r -> r.restarts).sum();
-    Judge.secondTries(ledger, 0.2, 3 * fronts.size() + restarts)
+    LedgerChecker.findRetryExcess(ledger, 0.2, 3 * fronts.size() + restarts)
         .forEach(o -> violation("second tries: " + o));
     for (Ledger.Call c : ledger.calls.values())
-      if (c.done < 0) violation(c.tag + " was never answered");
+      if (c.doneMs < 0) violation(c.tag + " was never answered");
     index.judge();
   }
 
--- a/emulator/src/main/java/gladelug/emulator/sim/SimOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimOperator.java
@@ -7,7 +7,7 @@
 import gladelug.common.configuration.Weights;
 import gladelug.common.message.StateKeys;
 import gladelug.control.core.message.ChangeResult;
-import gladelug.emulator.Promises;
+import gladelug.emulator.TimedGuarantees;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -183,8 +183,8 @@
       means.put("allowed m9", narrow ? "no" : "yes");
     } else means.put("weights", "w" + weights);
     long at = sim.now();
-    List<Promises.Told> ts = new ArrayList<>();
-    means.forEach((k, m) -> ts.add(sim.promises.sent(k, m, at)));
+    List<TimedGuarantees.Change> ts = new ArrayList<>();
+    means.forEach((k, m) -> ts.add(sim.promises.recordSent(k, m, at)));
     boolean[] once = {false};
     ready
         .get(sim.random.nextInt(ready.size()))
--- a/emulator/src/main/java/gladelug/emulator/sim/SimReplica.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/SimReplica.java
@@ -172,7 +172,7 @@
             json.getString("wall", ""),
             json.getInt("try", 0),
             handed);
-    sim.ledger.run(run);
+    sim.ledger.addRun(run);
     String why =
         !instance.equals(json.getString("instance", ""))
                 || !service.equals(json.getString("service", ""))
@@ -205,7 +205,7 @@
   void left(Job j) {
     if (j.gone) return;
     j.gone = true;
-    j.run.left = !j.run.ended;
+    j.run.closedEarly = !j.run.ended;
     if (!waiting.remove(j) && running.remove(j)) next();
   }
 
@@ -223,9 +223,9 @@
     int have = 0;
     while (have < blocks.length && kept.containsKey(blocks[have])) {
       Kept k = kept.get(blocks[have]);
-      sim.ledger.used(j.run, k.maker);
+      sim.ledger.recordReuse(j.run, k.maker);
       if (!k.weights.equals(j.run.weights) || !k.wall.equals(j.run.wall))
-        sim.ledger.wrongReuse.add(
+        sim.ledger.invalidReuses.add(
             j.run.tag + " at " + instance + " reused what was made under " + k);
       have++;
     }
@@ -341,7 +341,7 @@
       return;
     }
     if (e == epoch && !who.equals(commander) && !commander.isEmpty())
-      sim.ledger.doubleCommand.add(
+      sim.ledger.commanderConflicts.add(
           instance + ": epoch " + e + " used by " + commander + " and " + who);
     epoch = e;
     commander = who;
--- a/emulator/src/test/java/gladelug/emulator/CoreRehearsalTest.java
+++ b/emulator/src/test/java/gladelug/emulator/CoreRehearsalTest.java
@@ -22,25 +22,28 @@
 
   private static boolean kept(Fleet fleet, String node, String id) {
     return fleet
-            .http(fleet.operator.get(node), "GET", "/operator/reasons/" + id, null, Map.of())
+            .http(
+                fleet.operatorAddresses.get(node), "GET", "/operator/reasons/" + id, null, Map.of())
             .status()
         == 200;
   }
 
-  private static Child explained(Fleet fleet, String... what) throws Exception {
+  private static ChildProcess explained(Fleet fleet, String... what) throws Exception {
     List<String> args =
         new ArrayList<>(
             List.of(
                 "explain-request",
                 "--control",
-                fleet.operator.get("control-1") + "," + fleet.operator.get("control-2")));
+                fleet.operatorAddresses.get("control-1")
+                    + ","
+                    + fleet.operatorAddresses.get("control-2")));
     args.addAll(List.of(what));
-    Child c =
-        new Child(
+    ChildProcess c =
+        new ChildProcess(
                 "explain",
                 "gladelug.tools.OperatorTools",
                 args,
-                fleet.dir.resolve("explain-" + String.join("-", what) + ".log"),
+                fleet.folder.resolve("explain-" + String.join("-", what) + ".log"),
                 64)
             .start();
     Assertions.assertTrue(c.waitFor(60_000));
@@ -53,7 +56,7 @@
     Deployment d =
         new Deployment(
             s.name(),
-            s.net(),
+            s.subnet(),
             s.service(),
             s.replicas(),
             3,
@@ -64,15 +67,16 @@
     try (Fleet fleet = new Fleet(d, Files.createTempDirectory("gladelug-reasons"), 9, "summary")) {
       fleet.start();
       StandInCallers callers =
-          new StandInCallers(fleet.vertx, fleet.ledger, fleet.callers, d.tenants(), d.kinds(), 9);
+          new StandInCallers(
+              fleet.vertx, fleet.ledger, fleet.callerAddresses, d.tenants(), d.kinds(), 9);
       Ledger.Call[] last = {null};
-      Fleet.until(
+      Fleet.waitUntil(
           "two fellows keep an order's record",
           30_000,
           () -> {
             Ledger.Call c =
-                callers.send(d.kinds().get(0), d.tenants().get(0), fleet.callers.get(0));
-            Fleet.until("it ended", 30_000, () -> c.done >= 0);
+                callers.send(d.kinds().get(0), d.tenants().get(0), fleet.callerAddresses.get(0));
+            Fleet.waitUntil("it ended", 30_000, () -> c.doneMs >= 0);
             last[0] = c;
             return IntStream.range(0, 20)
                 .anyMatch(
@@ -82,38 +86,39 @@
                     });
           });
       Ledger.Call ended = last[0];
-      for (StandInReplica r : fleet.replicas.values()) r.faults.slowPieces = 5000;
-      Ledger.Call live = callers.send(d.kinds().get(0), d.tenants().get(0), fleet.callers.get(0));
-      Fleet.until("it streams", 30_000, () -> live.pieces > 0);
-      Fleet.until(
+      for (StandInReplica r : fleet.replicas.values()) r.faults.extraPieceDelayMs = 5000;
+      Ledger.Call live =
+          callers.send(d.kinds().get(0), d.tenants().get(0), fleet.callerAddresses.get(0));
+      Fleet.waitUntil("it streams", 30_000, () -> live.pieces > 0);
+      Fleet.waitUntil(
           "a fellow keeps the live one's too", 30_000, () -> kept(fleet, "relay-3", live.order));
       fleet.children.get("relay-1").kill();
       fleet.children.get("relay-2").kill();
-      Child c = explained(fleet, ended.order);
-      Assertions.assertEquals(0, c.exit(), c.lines());
+      ChildProcess c = explained(fleet, ended.order);
+      Assertions.assertEquals(0, c.exitCode(), c.readLog());
       Assertions.assertTrue(
-          c.lines().contains(": complete") && c.lines().contains("as its relay told relay-3"),
-          c.lines());
+          c.readLog().contains(": complete") && c.readLog().contains("as its relay told relay-3"),
+          c.readLog());
       c = explained(fleet, live.order);
       Assertions.assertTrue(
-          c.lines().contains("handed to replica replica-")
-              && c.lines().contains("fate not known here"),
-          c.lines());
-      Assertions.assertEquals(200, fleet.configuration(List.of("two"), "*").status());
+          c.readLog().contains("handed to replica replica-")
+              && c.readLog().contains("fate not known here"),
+          c.readLog());
+      Assertions.assertEquals(200, fleet.sendStandardConfiguration(List.of("two"), "*").status());
       c = explained(fleet, "configuration", "1");
       Assertions.assertTrue(
-          c.lines().contains("configuration 1 was taken at 20")
-              && c.lines().contains("acknowledged")
-              && c.lines().contains("relay-3 was first seen with it at")
-              && c.lines().contains("it was replaced by 2")
-              && c.lines().contains("tenants changed: two"),
-          c.lines());
+          c.readLog().contains("configuration 1 was taken at 20")
+              && c.readLog().contains("acknowledged")
+              && c.readLog().contains("relay-3 was first seen with it at")
+              && c.readLog().contains("it was replaced by 2")
+              && c.readLog().contains("tenants changed: two"),
+          c.readLog());
       c = explained(fleet, "policy", "77");
       Assertions.assertTrue(
-          c.lines().contains("nothing more is remembered of configuration 77"), c.lines());
+          c.readLog().contains("nothing more is remembered of configuration 77"), c.readLog());
       c = explained(fleet, ended.order.substring(0, ended.order.lastIndexOf('.')) + ".999");
-      Assertions.assertEquals(1, c.exit());
-      Assertions.assertTrue(c.lines().contains("keeps a record"), c.lines());
+      Assertions.assertEquals(1, c.exitCode());
+      Assertions.assertTrue(c.readLog().contains("keeps a record"), c.readLog());
     }
   }
 
@@ -129,7 +134,7 @@
     Deployment d =
         new Deployment(
             s.name(),
-            s.net(),
+            s.subnet(),
             s.service(),
             s.replicas(),
             2,
@@ -141,20 +146,25 @@
       fleet.start();
       StandInCallers callers =
           new StandInCallers(
-              fleet.vertx, fleet.ledger, List.of(fleet.callers.get(0)), d.tenants(), d.kinds(), 9);
+              fleet.vertx,
+              fleet.ledger,
+              List.of(fleet.callerAddresses.get(0)),
+              d.tenants(),
+              d.kinds(),
+              9);
       callers.start();
       fleet.frozen.add("relay-2");
       fleet.children.get("relay-2").freeze(true);
       for (int i = 1; i <= 3; i++) {
         String out = "control-" + i, in = "control-" + (i + 3);
-        fleet.control(in, 200 + i).start();
-        Fleet.until("the swap of " + out + " begun", 30_000, () -> swap(fleet, out, in) == 202);
+        fleet.addControlMachine(in, 200 + i).start();
+        Fleet.waitUntil("the swap of " + out + " begun", 30_000, () -> swap(fleet, out, in) == 202);
         long[] askedAt = {System.nanoTime()};
-        Fleet.until(
+        Fleet.waitUntil(
             in + " let in",
             30_000,
             () -> {
-              if (fleet.ready(in) && member(fleet, in) && !member(fleet, out)) return true;
+              if (fleet.isReady(in) && member(fleet, in) && !member(fleet, out)) return true;
               // what the operators' page says: a swap that met a change of owners is asked for
               // again
               if (System.nanoTime() - askedAt[0] > SWAP_REPEATED_AFTER_NS) {
@@ -165,15 +175,15 @@
             });
         fleet.children.get(out).kill();
         fleet.children.remove(out);
-        Fleet.until(
+        Fleet.waitUntil(
             "a policy is taken by the new core",
             30_000,
-            () -> fleet.configuration(List.of(), "*").status() == 200);
+            () -> fleet.sendStandardConfiguration(List.of(), "*").status() == 200);
       }
       fleet.children.get("relay-2").freeze(false);
-      Fleet.until("the sleeper is ready", 40_000, () -> fleet.ready("relay-2"));
+      Fleet.waitUntil("the sleeper is ready", 40_000, () -> fleet.isReady("relay-2"));
       callers.stop();
-      Fleet.until("the last orders ended", 30_000, () -> callers.open() == 0);
+      Fleet.waitUntil("the last orders ended", 30_000, () -> callers.openRequests() == 0);
       // a machine too slow to renew a lease in time refuses requests, and never anything else
       List<String> away =
           fleet.ledger.calls.values().stream()
@@ -185,7 +195,8 @@
       Assertions.assertTrue(
           away.size() < fleet.ledger.calls.size() / 4, away.size() + " turned away");
       Assertions.assertTrue(fleet.ledger.calls.size() > 50);
-      for (Judge.Finding j : Judge.all(fleet.ledger)) Assertions.assertTrue(j.clean(), j.rule());
+      for (LedgerChecker.Finding j : LedgerChecker.checkAll(fleet.ledger))
+        Assertions.assertTrue(j.passed(), j.rule());
     }
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/FirstStartTest.java
+++ b/emulator/src/test/java/gladelug/emulator/FirstStartTest.java
@@ -19,7 +19,7 @@
     try (Fleet fleet =
         new Fleet(deployment, Files.createTempDirectory("gladelug-first"), 11, "summary")) {
       fleet.bootstrap();
-      for (Child child : fleet.children.values()) child.start();
+      for (ChildProcess child : fleet.children.values()) child.start();
       Fleet.pause(LOST_AFTER_MS);
       fleet.children.get(lost).kill();
       fleet.loseDisk(lost);
--- a/emulator/src/test/java/gladelug/emulator/JudgeTest.java
+++ b/emulator/src/test/java/gladelug/emulator/LedgerCheckerTest.java
@@ -1,13 +1,13 @@
 package gladelug.emulator;
 
-import static gladelug.emulator.Judge.all;
+import static gladelug.emulator.LedgerChecker.checkAll;
 
-import gladelug.emulator.Judge.Finding;
+import gladelug.emulator.LedgerChecker.Finding;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Judge. */
-final class JudgeTest {
+/** Tests of LedgerChecker. */
+final class LedgerCheckerTest {
   private static Ledger.Call call(
       Ledger l, String tag, boolean repeatable, String outcome, int pieces) {
     Ledger.Call c = new Ledger.Call(tag, "k", "t", "r", repeatable, 0);
@@ -24,12 +24,12 @@
     r.ran = ran;
     r.pieces = pieces;
     r.ended = ended;
-    l.run(r);
+    l.addRun(r);
   }
 
   private static String verdicts(Ledger l) {
     StringBuilder builder = new StringBuilder();
-    for (Finding f : all(l)) if (!f.clean()) builder.append(f.rule()).append(' ');
+    for (Finding f : checkAll(l)) if (!f.passed()) builder.append(f.rule()).append(' ');
     return builder.toString().trim();
   }
 
@@ -67,9 +67,9 @@
     l = new Ledger();
     call(l, "a", false, "cut-off", 2).misordered = 1;
     call(l, "b", false, "cut-off", 2).foreign = 1;
-    l.trapped.add("x");
-    l.wrongReuse.add("x");
-    l.doubleCommand.add("x");
+    l.forbiddenCalls.add("x");
+    l.invalidReuses.add("x");
+    l.commanderConflicts.add("x");
     Assertions.assertEquals(
         "stream-lost-repeated-spliced bytes-of-another service-never-allowed "
             + "cache-of-other-weights-or-wall two-commanders",
--- a/emulator/src/test/java/gladelug/emulator/WiresTest.java
+++ b/emulator/src/test/java/gladelug/emulator/LinkProxyTest.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Wires. */
-final class WiresTest {
+/** Tests of LinkProxy. */
+final class LinkProxyTest {
   @Test
   void aCutStopsBytesOneWayAndConnectionsStayOpen() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
-      Wires w = new Wires(vertx);
-      w.machine("127.19.1.1", "a");
+      LinkProxy proxy = new LinkProxy(vertx);
+      proxy.registerMachine("127.19.1.1", "a");
       StringBuffer came = new StringBuffer(), answered = new StringBuffer();
       int port =
           vertx
@@ -31,7 +31,7 @@
               .toCompletableFuture()
               .get(10, TimeUnit.SECONDS)
               .actualPort();
-      w.carry("127.19.0.2:" + port, "127.19.1.2:" + port, "b");
+      proxy.forward("127.19.0.2:" + port, "127.19.1.2:" + port, "b");
       NetSocket socket =
           vertx
               .createNetClient(new NetClientOptions().setLocalAddress("127.19.1.1"))
@@ -43,18 +43,19 @@
       boolean[] closed = {false};
       socket.closeHandler(x -> closed[0] = true);
       socket.write("1");
-      Fleet.until("an answer", 10_000, () -> answered.toString().equals("1"));
-      w.cutOneWay("b", "a");
+      Fleet.waitUntil("an answer", 10_000, () -> answered.toString().equals("1"));
+      proxy.cutOneWay("b", "a");
       socket.write("2");
-      Fleet.until("it came", 10_000, () -> came.toString().equals("12"));
-      w.cutOneWay("a", "b");
+      Fleet.waitUntil("it came", 10_000, () -> came.toString().equals("12"));
+      proxy.cutOneWay("a", "b");
       socket.write("3");
       Assertions.assertEquals("1", answered.toString());
-      w.mend();
-      Fleet.until("all came after the mending", 10_000, () -> answered.toString().equals("123"));
+      proxy.heal();
+      Fleet.waitUntil(
+          "all came after the mending", 10_000, () -> answered.toString().equals("123"));
       Assertions.assertFalse(closed[0]);
-      w.breakConnections("a", "b");
-      Fleet.until("it closed", 10_000, () -> closed[0]);
+      proxy.breakConnections("a", "b");
+      Fleet.waitUntil("it closed", 10_000, () -> closed[0]);
     } finally {
       vertx.close().toCompletionStage().toCompletableFuture().join();
     }
--- a/emulator/src/test/java/gladelug/emulator/RequestRehearsalTest.java
+++ b/emulator/src/test/java/gladelug/emulator/RequestRehearsalTest.java
@@ -36,19 +36,19 @@
     f.start();
     callers =
         new StandInCallers(
-            f.vertx, f.ledger, f.callers, deployment.tenants(), deployment.kinds(), 5);
+            f.vertx, f.ledger, f.callerAddresses, deployment.tenants(), deployment.kinds(), 5);
     ask = deployment.kinds().get(0);
     again = deployment.kinds().get(1);
     wide = deployment.kinds().get(2);
     one = deployment.tenants().get(0);
-    relay = f.callers.get(0);
+    relay = f.callerAddresses.get(0);
   }
 
   @AfterAll
   static void stop() {
-    List<Judge.Finding> bad =
-        Judge.all(f.ledger).stream()
-            .filter(j -> !j.clean() && !j.rule().startsWith("second-tries"))
+    List<LedgerChecker.Finding> bad =
+        LedgerChecker.checkAll(f.ledger).stream()
+            .filter(j -> !j.passed() && !j.rule().startsWith("second-tries"))
             .toList();
     f.close();
     Assertions.assertEquals(List.of(), bad);
@@ -56,16 +56,17 @@
 
   @AfterEach
   void well() {
-    for (StandInReplica r : f.replicas.values()) r.faults.none();
+    for (StandInReplica r : f.replicas.values()) r.faults.clear();
     until("both replicas usable", () -> usable() == 2);
   }
 
   private static void until(String what, BooleanSupplier s) {
-    Fleet.until(what, 30_000, s);
+    Fleet.waitUntil(what, 30_000, s);
   }
 
   private static JsonObject status() {
-    return f.http(f.operator.get("relay-1"), "GET", "/operator/status", null, Map.of()).body();
+    return f.http(f.operatorAddresses.get("relay-1"), "GET", "/operator/status", null, Map.of())
+        .body();
   }
 
   private static int usable() {
@@ -79,7 +80,7 @@
   }
 
   private static Ledger.Call done(Ledger.Call c) {
-    until("the order ended: " + c.tag, () -> c.done >= 0);
+    until("the order ended: " + c.tag, () -> c.doneMs >= 0);
     return c;
   }
 
@@ -125,7 +126,7 @@
           Ledger.Call b = order(ask);
           e[0] =
               f.http(
-                      f.operator.get("relay-1"),
+                      f.operatorAddresses.get("relay-1"),
                       "GET",
                       "/operator/requests/" + b.order,
                       null,
@@ -141,20 +142,20 @@
   }
 
   private static String explain(String id, int code) throws Exception {
-    Child c =
+    ChildProcess c =
         program(
             "gladelug.tools.OperatorTools",
             "explain-order",
             "--control",
-            f.operator.get("control-1") + "," + f.operator.get("control-2"),
+            f.operatorAddresses.get("control-1") + "," + f.operatorAddresses.get("control-2"),
             id);
-    Assertions.assertEquals(code, c.exit(), c.lines());
-    return c.lines();
+    Assertions.assertEquals(code, c.exitCode(), c.readLog());
+    return c.readLog();
   }
 
   @Test
   void aRequestIsExplainedLiveEndedAndRefused() throws Exception {
-    both(x -> x.slowPieces = 3000);
+    both(x -> x.extraPieceDelayMs = 3000);
     Ledger.Call c = callers.send(wide, one, relay);
     until("it streams", () -> c.pieces > 0);
     String live = explain(c.order, 0);
@@ -166,8 +167,8 @@
     done(c);
     String cut = explain(c.order, 0);
     Assertions.assertTrue(cut.contains("cut off after") && cut.contains("expired"), cut);
-    both(x -> x.none());
-    both(x -> x.notRun = 1);
+    both(x -> x.clear());
+    both(x -> x.refusalRate = 1);
     String away = explain(order(ask).order, 0);
     Assertions.assertTrue(
         away.contains("refused with 503: ") && away.contains("did not run it: not now"), away);
@@ -183,7 +184,7 @@
             "show-status",
             "--nodes",
             "--control",
-            f.operator.get("control-1")),
+            f.operatorAddresses.get("control-1")),
         0,
         "owner control-",
         "shares m divided=",
@@ -198,14 +199,14 @@
     List<String> ids = asked.headers().get("gladelug-request");
     Assertions.assertEquals(1, ids.size());
     Assertions.assertEquals(ids, asked.headers().get("gladelug-order"));
-    String operator = f.operator.get("relay-1");
+    String operator = f.operatorAddresses.get("relay-1");
     for (String path : new String[] {"/operator/requests/", "/operator/orders/"})
       Assertions.assertEquals(
           200, f.http(operator, "GET", path + ids.get(0), null, Map.of()).status(), path);
     Assertions.assertEquals(
         f.call("GET", "/v1/configuration", null, Map.of()).body(),
         f.call("GET", "/v1/policy", null, Map.of()).body());
-    String control = f.operator.get("control-1");
+    String control = f.operatorAddresses.get("control-1");
     for (String command : new String[] {"show-policy", "show-configuration"})
       ends(
           program("gladelug.tools.OperatorTools", command, "--control", control),
@@ -289,10 +290,14 @@
     for (String other : others) f.children.get(other).freeze(true);
     List<Fleet.Answer> answers = new ArrayList<>();
     for (String path : new String[] {"", "/numbers", "/numbers/1" + digest})
-      answers.add(f.http(f.operator.get(owner), "GET", "/v1/configuration" + path, null, Map.of()));
+      answers.add(
+          f.http(
+              f.operatorAddresses.get(owner), "GET", "/v1/configuration" + path, null, Map.of()));
     for (String other : others) f.children.get(other).freeze(false);
-    until("a change is taken again", () -> f.configuration(List.of(), "*").status() == 200);
-    until("the relay is ready again", () -> f.ready("relay-1"));
+    until(
+        "a change is taken again",
+        () -> f.sendStandardConfiguration(List.of(), "*").status() == 200);
+    until("the relay is ready again", () -> f.isReady("relay-1"));
     Assertions.assertEquals(503, answers.get(0).status());
     Assertions.assertEquals(503, answers.get(1).status());
     Assertions.assertEquals("unknown", answers.get(2).body().getString("fate", ""));
@@ -325,9 +330,9 @@
       int n = i;
       both(
           x -> {
-            x.none();
+            x.clear();
             x.cutStreams = n == 0;
-            x.halfPieces = n == 1;
+            x.truncatePiece = n == 1;
             x.skipPiece = n == 2;
           });
       if (n == 3) continue;
@@ -343,7 +348,7 @@
 
   @Test
   void bytesAfterTheEndGoNowhere() {
-    both(x -> x.lateBytes = true);
+    both(x -> x.pieceAfterEnd = true);
     for (int i = 0; i < 6; i++) {
       Ledger.Call c = order(ask);
       Assertions.assertEquals("complete", c.outcome);
@@ -355,9 +360,9 @@
   void whatTheReplicaDidNotRunIsTriedOnceMoreAndElseToldSo() {
     // second tries are paid for by first ones
     for (int i = 0; i < 20; i++) Assertions.assertEquals("complete", order(wide).outcome);
-    f.replicas.get("replica-1").faults.notRun = 1;
+    f.replicas.get("replica-1").faults.refusalRate = 1;
     for (int i = 0; i < 3; i++) Assertions.assertEquals("complete", order(wide).outcome);
-    both(x -> x.notRun = 1);
+    both(x -> x.refusalRate = 1);
     Ledger.Call c = order(ask);
     Assertions.assertEquals("not-run", c.outcome);
     Assertions.assertEquals(503, c.status);
@@ -366,13 +371,13 @@
 
   @Test
   void ofUnknownFateOnlyTheRepeatableIsRepeated() {
-    both(x -> x.cutBeforeFirst = 1);
+    both(x -> x.earlyCloseRate = 1);
     Ledger.Call c = order(ask);
     Assertions.assertEquals("unknown", c.outcome);
     Assertions.assertEquals(1, runs(c).size());
     until("usable", () -> usable() == 2);
-    both(x -> x.none());
-    f.replicas.get("replica-1").faults.cutBeforeFirst = 1;
+    both(x -> x.clear());
+    f.replicas.get("replica-1").faults.earlyCloseRate = 1;
     int tried = 0;
     for (int i = 0; i < 10; i++) {
       Ledger.Call d = order(again);
@@ -388,7 +393,7 @@
 
   @Test
   void anAnswerUnderOtherWeightsIsNotGivenOn() {
-    both(x -> x.lieAboutWeights = true);
+    both(x -> x.reportWrongWeights = true);
     Ledger.Call c = order(ask);
     Assertions.assertEquals("unknown", c.outcome);
     Assertions.assertEquals(0, c.pieces);
@@ -398,7 +403,7 @@
   void aReplicaThatIsSomebodyElseGetsNothing() {
     StandInReplica r = f.replicas.get("replica-1");
     r.kill();
-    r.faults.lieAboutService = true;
+    r.faults.reportWrongService = true;
     r.start();
     int before = r.requests;
     for (int i = 0; i < 10; i++) Assertions.assertEquals("complete", order(wide).outcome);
@@ -407,7 +412,7 @@
 
   @Test
   void absurdTalkOfLoadDoesNotStopTheService() {
-    f.replicas.get("replica-1").faults.absurdLoad = true;
+    f.replicas.get("replica-1").faults.reportInvalidLoad = true;
     for (int i = 0; i < 10; i++) Assertions.assertEquals("complete", order(wide).outcome);
   }
 
@@ -420,32 +425,32 @@
 
   @Test
   void aRevokedKeyIsCutFromItsStreamsAndItsQueue() {
-    both(x -> x.slowPieces = 400);
+    both(x -> x.extraPieceDelayMs = 400);
     StandInCallers.Tenant two = f.deployment.tenants().get(1);
     List<Ledger.Call> l = new ArrayList<>();
     for (int i = 0; i < 24; i++) l.add(callers.send(ask, two, relay));
     until("some stream", () -> l.stream().anyMatch(c -> c.pieces > 0));
-    Assertions.assertEquals(200, f.configuration(List.of("two"), "*").status());
+    Assertions.assertEquals(200, f.sendStandardConfiguration(List.of("two"), "*").status());
     long acked = System.nanoTime() / 1_000_000;
     for (Ledger.Call c : l) done(c);
     Assertions.assertEquals(
-        0, l.stream().filter(c -> c.done - acked > 2000).count(), "orders went on long after");
+        0, l.stream().filter(c -> c.doneMs - acked > 2000).count(), "orders went on long after");
     Assertions.assertEquals(
         0,
-        l.stream().filter(c -> runs(c).stream().anyMatch(r -> r.at > acked + 50)).count(),
+        l.stream().filter(c -> runs(c).stream().anyMatch(r -> r.atMs > acked + 50)).count(),
         "orders began after");
     Assertions.assertTrue(
         l.stream().anyMatch(c -> c.outcome.equals("cut-off"))
             && l.stream().anyMatch(c -> c.outcome.equals("not-run") && c.status == 401),
         l.stream().map(c -> c.outcome + c.status).toList().toString());
     Assertions.assertEquals(401, done(callers.send(ask, two, relay)).status);
-    Assertions.assertEquals(200, f.configuration(List.of(), "*").status());
+    Assertions.assertEquals(200, f.sendStandardConfiguration(List.of(), "*").status());
     Assertions.assertEquals("complete", done(callers.send(wide, two, relay)).outcome);
   }
 
   @Test
   void aLeavingReplicaFinishesWhatItHasAndGetsNothingNew() {
-    both(x -> x.slowPieces = 100);
+    both(x -> x.extraPieceDelayMs = 100);
     StandInReplica r = f.replicas.get("replica-1");
     List<Ledger.Call> l = new ArrayList<>();
     for (int i = 0; i < 8; i++) l.add(callers.send(wide, one, relay));
@@ -465,7 +470,7 @@
 
   @Test
   void aFullQueueRefusesAtOnceAndSaysWhenToComeBack() {
-    both(x -> x.slowPieces = 60);
+    both(x -> x.extraPieceDelayMs = 60);
     List<Ledger.Call> l = new ArrayList<>();
     for (int i = 0; i < 330; i++) l.add(callers.send(wide, one, relay));
     for (Ledger.Call c : l) done(c);
@@ -477,7 +482,7 @@
     Assertions.assertTrue(
         l.stream()
             .filter(c -> c.reason.contains("backlog is"))
-            .allMatch(c -> c.done - c.sent < 3000),
+            .allMatch(c -> c.doneMs - c.sentMs < 3000),
         "an answer was held back");
     Assertions.assertEquals(
         0, l.stream().filter(c -> c.outcome.equals("not-run") && !runs(c).isEmpty()).count());
@@ -485,7 +490,7 @@
 
   @Test
   void aCallerThatGoesAwayStopsItsOrderAtTheReplica() throws Exception {
-    both(x -> x.slowPieces = 60_000);
+    both(x -> x.extraPieceDelayMs = 60_000);
     String body = Json.object().add("prompt", "hello#goes-away").add("maxPieces", 64).toString();
     int c = relay.lastIndexOf(':');
     try (Socket s = new Socket(relay.substring(0, c), Integer.parseInt(relay.substring(c + 1)))) {
@@ -507,7 +512,8 @@
     }
     // long before another piece would be due
     until(
-        "the replica sees that nobody wants it", () -> f.ledger.runs.get("goes-away").get(0).left);
+        "the replica sees that nobody wants it",
+        () -> f.ledger.runs.get("goes-away").get(0).closedEarly);
     until("nothing is under way", () -> status().getInt("ordersUnderWay", -1) == 0);
     Assertions.assertFalse(f.ledger.runs.get("goes-away").get(0).ended);
   }
@@ -515,33 +521,33 @@
   @Test
   void withoutACoreRelaysStopAndWithItBackTheyServeWithinTwelveSeconds() throws Exception {
     for (int i = 1; i <= 3; i++) f.children.get("control-" + i).kill();
-    until("the relay says it isn't ready", () -> !f.ready("relay-1"));
+    until("the relay says it isn't ready", () -> !f.isReady("relay-1"));
     Ledger.Call c = order(ask);
     Assertions.assertEquals("not-run", c.outcome);
     Assertions.assertEquals("no licence", c.reason);
     Assertions.assertTrue(
         raw("/ask", one.key(), "{}").headers().containsKey("retry-after"), "when to come back");
     for (int i = 1; i <= 3; i++) f.children.get("control-" + i).start();
-    Fleet.until("the relay is ready again", 12_000, () -> f.ready("relay-1"));
+    Fleet.waitUntil("the relay is ready again", 12_000, () -> f.isReady("relay-1"));
     Assertions.assertEquals("complete", order(ask).outcome);
   }
 
   @Test
   void aPolitelyStoppedRelayFinishesItsStreams() throws Exception {
-    both(x -> x.slowPieces = 50);
+    both(x -> x.extraPieceDelayMs = 50);
     List<Ledger.Call> l = new ArrayList<>();
     for (int i = 0; i < 6; i++) l.add(callers.send(wide, one, relay));
-    until("all stream", () -> l.stream().allMatch(c -> c.pieces > 0 || c.done >= 0));
+    until("all stream", () -> l.stream().allMatch(c -> c.pieces > 0 || c.doneMs >= 0));
     Assertions.assertTrue(f.children.get("relay-1").stop(15_000), "did not end");
     for (Ledger.Call c : l) Assertions.assertEquals("complete", done(c).outcome);
     f.children.get("relay-1").start();
-    until("ready again", () -> f.ready("relay-1"));
+    until("ready again", () -> f.isReady("relay-1"));
   }
 
   @Test
   void newWeightsAreRolledInThirdsAndNothingBeginsOnOldOnesAfterTheCutoff() {
     order(ask);
-    Fleet.Answer a = f.weights("w2");
+    Fleet.Answer a = f.setWeights("w2");
     Assertions.assertEquals(200, a.status(), a.body().toString());
     until(
         "both run w2",
@@ -555,7 +561,7 @@
           return c.outcome.equals("complete")
               && runs(c).get(runs(c).size() - 1).weights.equals("w2");
         });
-    Assertions.assertEquals(200, f.weights("w1").status());
+    Assertions.assertEquals(200, f.setWeights("w1").status());
     until(
         "both run w1 again",
         () ->
@@ -563,22 +569,26 @@
                 && f.replicas.get("replica-2").weights().equals("w1"));
   }
 
-  private static Child program(String main, String... args) throws Exception {
-    Child c =
-        new Child(
-                "try", main, List.of(args), f.dir.resolve("try-" + System.nanoTime() + ".log"), 64)
+  private static ChildProcess program(String main, String... args) throws Exception {
+    ChildProcess c =
+        new ChildProcess(
+                "try",
+                main,
+                List.of(args),
+                f.folder.resolve("try-" + System.nanoTime() + ".log"),
+                64)
             .start();
     Assertions.assertTrue(c.waitFor(60_000), "did not end");
     return c;
   }
 
-  private static void ends(Child c, int code, String... words) {
-    Assertions.assertEquals(code, c.exit(), c.lines());
-    for (String w : words) Assertions.assertTrue(c.lines().contains(w), w + " in " + c.lines());
+  private static void ends(ChildProcess c, int code, String... words) {
+    Assertions.assertEquals(code, c.exitCode(), c.readLog());
+    for (String w : words) Assertions.assertTrue(c.readLog().contains(w), w + " in " + c.readLog());
   }
 
   private static String settings(String n) {
-    return f.dir.resolve(n + ".json").toString();
+    return f.folder.resolve(n + ".json").toString();
   }
 
   @Test
@@ -589,7 +599,7 @@
         program("gladelug.control.ControlPlane", "run", "--settings", "/nowhere/at.all"),
         2,
         "cannot be read");
-    Path path = f.dir.resolve("bad.json");
+    Path path = f.folder.resolve("bad.json");
     Files.writeString(
         path,
         "{\"name\": \"Bad One\",\n \"records\": \"somewhere:1\",\n \"backlog\": 0, \"colour\": \"red\"}");
@@ -611,7 +621,7 @@
     ends(
         program("gladelug.data.DataPlane", "relay", "--settings", settings("relay-1")),
         3,
-        "data-plane: cannot listen for records on " + f.records.get("relay-1"));
+        "data-plane: cannot listen for records on " + f.recordsAddresses.get("relay-1"));
     ends(
         program("gladelug.control.ControlPlane", "run", "--settings", settings("control-1")),
         3,
@@ -641,7 +651,7 @@
   @Test
   void malformedRecordsCloseTheirConnectionOnly() throws Exception {
     for (String n : new String[] {"relay-1", "control-1", "index-1"}) {
-      String a = f.records.get(n);
+      String a = f.recordsAddresses.get(n);
       int c = a.lastIndexOf(':');
       for (byte[] bytes :
           new byte[][] {
@@ -663,14 +673,15 @@
   }
 
   private static JsonObject index() {
-    return f.http(f.operator.get("index-1"), "GET", "/operator/status", null, Map.of()).body();
+    return f.http(f.operatorAddresses.get("index-1"), "GET", "/operator/status", null, Map.of())
+        .body();
   }
 
   @Test
   void lostAndLateCacheEventsAndRestartsEndInTheHoldersTruth() throws Exception {
     for (StandInReplica r : f.replicas.values()) {
-      r.faults.loseEvents = 0.2;
-      r.faults.delayEvents = 0.3;
+      r.faults.eventLossRate = 0.2;
+      r.faults.eventDelayRate = 0.3;
     }
     for (int i = 0; i < 40; i++)
       done(callers.send(i % 2 == 0 ? ask : wide, f.deployment.tenants().get(i % 8), relay));
@@ -679,14 +690,14 @@
     store.start();
     one.kill();
     one.start();
-    for (StandInReplica r : f.replicas.values()) r.faults.none();
+    for (StandInReplica r : f.replicas.values()) r.faults.clear();
     until("usable", () -> usable() == 2);
     for (int i = 0; i < 10; i++) done(callers.send(ask, f.deployment.tenants().get(i % 8), relay));
     until(
         "the index has exactly what holders keep",
         () ->
             index().getInt("entries", -1)
-                == f.replicas.values().stream().mapToInt(StandInReplica::keeps).sum());
+                == f.replicas.values().stream().mapToInt(StandInReplica::blockCount).sum());
     long resyncs = 0;
     for (var value : index().get("holders").asArray())
       resyncs += value.asObject().getLong("resyncs", 0);
@@ -699,7 +710,7 @@
         () ->
             index().get("holders") != null
                 && index().getInt("entries", -1)
-                    == f.replicas.values().stream().mapToInt(StandInReplica::keeps).sum());
+                    == f.replicas.values().stream().mapToInt(StandInReplica::blockCount).sum());
   }
 
   @Test
@@ -715,9 +726,9 @@
   }
 
   private static int isolating(List<String> tenants) {
-    return f.send(
+    return f.sendConfiguration(
             f.deployment.configuration(
-                new Deployment.Wish(
+                new Deployment.ConfigurationOptions(
                     f.nextMarker(), List.of(), "application", 0, false, tenants, false)),
             "*")
         .status();
@@ -737,7 +748,7 @@
     runOf(one);
     until("the other tenant finds it", () -> runOf(two).reused > 0);
     String shared = runOf(two).wall;
-    Assertions.assertEquals(200, f.configuration(List.of(), "*").status());
+    Assertions.assertEquals(200, f.sendStandardConfiguration(List.of(), "*").status());
     Assertions.assertEquals(shared, runOf(two).wall, "a change that isolates nobody keeps it");
     Assertions.assertEquals(200, isolating(List.of(name)));
     Ledger.Run firstOfTwo = runOf(two), firstOfOne = runOf(one);
@@ -747,7 +758,7 @@
     List<String> killed = List.of("control-1", "control-2", "control-3", "relay-1");
     for (String process : killed) f.children.get(process).kill();
     for (String process : killed) f.children.get(process).start();
-    until("the relay is back", () -> usable() == 2 && f.ready("relay-1"));
+    until("the relay is back", () -> usable() == 2 && f.isReady("relay-1"));
     until("each still finds its own", () -> runOf(two).reused > 0 && runOf(one).reused > 0);
     Assertions.assertEquals(firstOfTwo.wall, runOf(two).wall);
     until("a change is taken again", () -> isolating(List.of()) == 200);
@@ -763,14 +774,14 @@
   void aConfigurationThatGrowsByThousandsIsPushedAsItsChange() {
     JsonObject big = f.deployment.configuration(1, List.of(), "application", 3000),
         bigger = f.deployment.configuration(1, List.of(), "application", 3010);
-    Assertions.assertEquals(200, f.send(big, "*").status());
-    Assertions.assertEquals(200, f.send(bigger, "*").status());
+    Assertions.assertEquals(200, f.sendConfiguration(big, "*").status());
+    Assertions.assertEquals(200, f.sendConfiguration(bigger, "*").status());
     Assertions.assertEquals("complete", order(wide).outcome);
-    String l = f.children.get("relay-1").lines();
+    String l = f.children.get("relay-1").readLog();
     String last = l.substring(l.lastIndexOf("event=state-update-applied key=policy"));
     Assertions.assertTrue(
         last.substring(0, last.indexOf('\n')).contains("whole=false"),
         last.substring(0, last.indexOf('\n')));
-    Assertions.assertEquals(200, f.configuration(List.of(), "*").status());
+    Assertions.assertEquals(200, f.sendStandardConfiguration(List.of(), "*").status());
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/PromisesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/TimedGuaranteesTest.java
@@ -1,36 +1,36 @@
 package gladelug.emulator;
 
-import static gladelug.emulator.Promises.BRIEF;
+import static gladelug.emulator.TimedGuarantees.REQUIRED;
 
 import java.util.List;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Promises. */
-final class PromisesTest {
-  private static Promises promises() {
-    Promises p = new Promises();
-    p.told("mapping ask", "a", 0, 0);
-    p.told("mapping ask", "b", 10_000, 10_500);
-    p.told("weights", "w1", 0, 0);
-    p.told("weights", "w2", 10_000, 10_100);
-    p.told("tenant t", "good", 0, 0);
-    p.told("tenant t", "revoked", 10_000, 10_200);
-    p.told("wall u", "", 0, 0);
-    p.told("wall u", "u", 10_000, 10_500);
-    p.told("replica y", "ready", 0, 0);
-    p.told("replica y", "leaving", 10_000, 10_000);
-    p.told("allowed z", "yes", 0, 0);
-    p.told("allowed z", "no", 10_000, 10_500);
-    return p;
+/** Tests of TimedGuarantees. */
+final class TimedGuaranteesTest {
+  private static TimedGuarantees guarantees() {
+    TimedGuarantees guarantees = new TimedGuarantees();
+    guarantees.record("mapping ask", "a", 0, 0);
+    guarantees.record("mapping ask", "b", 10_000, 10_500);
+    guarantees.record("weights", "w1", 0, 0);
+    guarantees.record("weights", "w2", 10_000, 10_100);
+    guarantees.record("tenant t", "good", 0, 0);
+    guarantees.record("tenant t", "revoked", 10_000, 10_200);
+    guarantees.record("wall u", "", 0, 0);
+    guarantees.record("wall u", "u", 10_000, 10_500);
+    guarantees.record("replica y", "ready", 0, 0);
+    guarantees.record("replica y", "leaving", 10_000, 10_000);
+    guarantees.record("allowed z", "yes", 0, 0);
+    guarantees.record("allowed z", "no", 10_000, 10_500);
+    return guarantees;
   }
 
-  private static String broken(Promises p, Object... runs) {
+  private static String broken(TimedGuarantees guarantees, Object... runs) {
     Ledger l = new Ledger();
     for (int i = 0; i < runs.length; i += 7) {
       String tag = "t" + i;
       l.calls.put(tag, new Ledger.Call(tag, (String) runs[i], (String) runs[i + 1], "r", false, 0));
-      l.run(
+      l.addRun(
           new Ledger.Run(
               tag,
               "id",
@@ -42,7 +42,7 @@
               (Integer) runs[i + 6]));
     }
     StringBuilder builder = new StringBuilder();
-    p.judge(l, BRIEF).forEach((k, v) -> builder.append(v.isEmpty() ? "" : k + " "));
+    guarantees.check(l, REQUIRED).forEach((k, v) -> builder.append(v.isEmpty() ? "" : k + " "));
     return builder.toString().trim();
   }
 
@@ -70,7 +70,7 @@
     for (Object[] o : runs)
       Assertions.assertEquals(
           o[7],
-          broken(promises(), o[0], o[1], o[2], o[3], o[4], o[5], o[6]),
+          broken(guarantees(), o[0], o[1], o[2], o[3], o[4], o[5], o[6]),
           List.of(o).toString());
   }
 
@@ -79,7 +79,7 @@
     Assertions.assertEquals(
         "slipped-back",
         broken(
-            promises(),
+            guarantees(),
             "ask",
             "v",
             "b",
@@ -97,17 +97,31 @@
     Assertions.assertEquals(
         "",
         broken(
-            promises(), "ask", "v", "b", "x", "", "", 10_100, "ask", "v", "a", "x", "", "", 10_900),
+            guarantees(),
+            "ask",
+            "v",
+            "b",
+            "x",
+            "",
+            "",
+            10_100,
+            "ask",
+            "v",
+            "a",
+            "x",
+            "",
+            "",
+            10_900),
         "overtaken on the way");
   }
 
   @Test
   void aChangeOfUnknownFateMayBeSeenAfterTheNextAcknowledgedOne() {
-    Promises p = promises();
-    p.told("mapping ask", "c", 20_000, -1);
-    p.told("mapping ask", "b", 28_500, 28_600);
-    Assertions.assertTrue(p.may("mapping ask", "c", 32_000, 2000));
-    p.told("mapping ask", "b", 40_000, 40_100);
-    Assertions.assertFalse(p.may("mapping ask", "c", 43_000, 2000));
+    TimedGuarantees guarantees = guarantees();
+    guarantees.record("mapping ask", "c", 20_000, -1);
+    guarantees.record("mapping ask", "b", 28_500, 28_600);
+    Assertions.assertTrue(guarantees.isAllowed("mapping ask", "c", 32_000, 2000));
+    guarantees.record("mapping ask", "b", 40_000, 40_100);
+    Assertions.assertFalse(guarantees.isAllowed("mapping ask", "c", 43_000, 2000));
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/control/ControlJudgeTest.java
+++ b/emulator/src/test/java/gladelug/emulator/control/ControlJudgeTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gladelug.emulator.Judge.Finding;
+import gladelug.emulator.LedgerChecker.Finding;
 import gladelug.emulator.control.ChangeLedger.Attempt;
 import gladelug.emulator.control.ChangeLedger.Outcome;
 import gladelug.emulator.control.ChangeLedger.Reading;
@@ -47,7 +47,7 @@
     assertEquals(
         List.of(rules),
         ControlJudge.judge(ledger, LONGEST_GAP_MS).stream()
-            .filter(finding -> !finding.clean())
+            .filter(finding -> !finding.passed())
             .map(Finding::rule)
             .toList());
   }
--- a/emulator/src/test/java/gladelug/emulator/experiment/AblationTest.java
+++ b/emulator/src/test/java/gladelug/emulator/experiment/AblationTest.java
@@ -27,7 +27,7 @@
   @Test
   void everyVariantPlaysTheSameDaysAndSeeds() {
     Assertions.assertEquals(List.of("all-on", "retries"), plan().variants());
-    List<AblationPlan.Play> plays = plan().plays("retries");
+    List<AblationPlan.Trial> plays = plan().trials("retries");
     Assertions.assertEquals(4, plays.size());
     Assertions.assertEquals(
         List.of(
@@ -42,10 +42,10 @@
     for (double served : new double[] {0.8, 0.7, 0.9}) table.add("all-on", served);
     for (double served : new double[] {0.7, 0.65, Double.NaN}) table.add("retries", served);
     AblationTable.Row row = table.rows().get(1);
-    Assertions.assertEquals(2, row.plays());
-    Assertions.assertEquals(0.075, row.servedByIt(), 1e-9);
-    Assertions.assertEquals(0.05, row.least(), 1e-9);
-    Assertions.assertEquals(0.1, row.most(), 1e-9);
+    Assertions.assertEquals(2, row.trials());
+    Assertions.assertEquals(0.075, row.contribution(), 1e-9);
+    Assertions.assertEquals(0.05, row.min(), 1e-9);
+    Assertions.assertEquals(0.1, row.max(), 1e-9);
     table.write(folder, "a title");
     Assertions.assertTrue(Files.readString(folder.resolve("ablation.md")).contains("retries"));
     Assertions.assertTrue(Files.exists(folder.resolve("ablation.svg")));
--- a/emulator/src/test/java/gladelug/emulator/scale/ScaleTest.java
+++ b/emulator/src/test/java/gladelug/emulator/scale/ScaleTest.java
@@ -29,7 +29,7 @@
   void badInputIsToldTogether() {
     List<String> at =
         places(
-            ScalePlan.of(
+            ScalePlan.parse(
                 options(1, "nodes,apples", List.of("nodes=3,2,x", "pears=1"), "index,judge", false),
                 20_000));
     Assertions.assertEquals(
@@ -47,36 +47,37 @@
   @Test
   void whatPassesHalfOfTheMemoryIsRefused() {
     Assertions.assertTrue(
-        ScalePlan.of(options(5, "", List.of(), "", false), 20_000)
+        ScalePlan.parse(options(5, "", List.of(), "", false), 20_000)
             instanceof Result.Good<ScalePlan>);
     Assertions.assertEquals(
         10,
-        places(ScalePlan.of(options(5, "", List.of(), "", true), 2000)).stream()
+        places(ScalePlan.parse(options(5, "", List.of(), "", true), 2000)).stream()
             .distinct()
             .count());
     Assertions.assertEquals(
         List.of("--points blocks"),
         places(
-            ScalePlan.of(
+            ScalePlan.parse(
                 options(5, "blocks", List.of("blocks=10,20,30,44000000"), "", false), 20_000)));
     Assertions.assertEquals(
         List.of("--points controls"),
         places(
-            ScalePlan.of(options(5, "controls", List.of("controls=1,3,5,11"), "", false), 20_000)));
+            ScalePlan.parse(
+                options(5, "controls", List.of("controls=1,3,5,11"), "", false), 20_000)));
     Assertions.assertEquals(
         List.of("--points leaves"),
-        places(ScalePlan.of(options(5, "leaves", List.of("leaves=4,50,51"), "", true), 20_000)));
+        places(ScalePlan.parse(options(5, "leaves", List.of("leaves=4,50,51"), "", true), 20_000)));
   }
 
   @Test
   void aLineThroughPoints() {
-    Slope s = Slope.of(List.of(new double[] {0, 1}, new double[] {1, 3}, new double[] {2, 5}));
+    Slope s = Slope.fit(List.of(new double[] {0, 1}, new double[] {1, 3}, new double[] {2, 5}));
     Assertions.assertEquals(2, s.slope(), 1e-9);
     Assertions.assertEquals(1, s.intercept(), 1e-9);
     Assertions.assertEquals(0, s.error(), 1e-9);
     Assertions.assertEquals(1, s.r2(), 1e-9);
     Slope t =
-        Slope.of(
+        Slope.fit(
             List.of(
                 new double[] {0, 0},
                 new double[] {1, 2},
@@ -95,15 +96,16 @@
     Path out = Files.createTempDirectory("gladelug-scale");
     ScalePlan plan =
         ((Result.Good<ScalePlan>)
-                ScalePlan.of(
-                    options(2, "nodes", List.of("nodes=4,12"), "", true), ScalePlan.machineMb()))
+                ScalePlan.parse(
+                    options(2, "nodes", List.of("nodes=4,12"), "", true),
+                    ScalePlan.totalMemoryMb()))
             .value();
     List<String> said = new ArrayList<>();
     Map<ScaleSize, List<ScaleFleet.Figures>> all = new ScaleRun(plan, out, said::add).run();
     List<ScaleFleet.Figures> l = all.get(ScaleSize.NODES);
     Assertions.assertEquals(2, l.size());
     for (ScaleFleet.Figures f : l) {
-      long nodes = f.point().of(ScaleSize.NODES), controls = f.point().of(ScaleSize.CONTROLS);
+      long nodes = f.point().get(ScaleSize.NODES), controls = f.point().get(ScaleSize.CONTROLS);
       String at = nodes + " nodes: " + f.records().messages() + "; " + out;
       Assertions.assertTrue(f.changes() > 0, at);
       // a second push goes only to a node that still asks with the old number 300 ms after the
--- a/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
@@ -235,15 +235,15 @@
   }
 
   private static void add(TraceDigest trace, Ledger.Call call) {
-    trace.add(call.tag).add(call.tenant).add(call.relay).add(call.sent).add(call.order);
+    trace.add(call.tag).add(call.tenant).add(call.relay).add(call.sentMs).add(call.order);
     trace.add(call.status).add(call.pieces).add(call.foreign).add(call.misordered);
-    trace.add(call.explicitEnd).add(call.firstPiece).add(call.done);
+    trace.add(call.explicitEnd).add(call.firstPieceMs).add(call.doneMs);
   }
 
   private static void add(TraceDigest trace, Ledger.Run run) {
     trace.add(run.tag).add(run.order).add(run.service).add(run.instance).add(run.weights);
-    trace.add(run.wall).add(run.attempt).add(run.at).add(run.ran).add(run.pieces).add(run.ended);
-    trace.add(run.left).add(run.blocks).add(run.reused);
+    trace.add(run.wall).add(run.attempt).add(run.atMs).add(run.ran).add(run.pieces).add(run.ended);
+    trace.add(run.closedEarly).add(run.blocks).add(run.reused);
   }
 
   @Test
