--- a/emulator/src/main/java/gladelug/emulator/day/Day.java
+++ b/emulator/src/main/java/gladelug/emulator/day/Day.java
@@ -11,33 +11,36 @@
 import java.util.Random;
 
 /**
- * A seeded day of a deployment: at the deployment's rates, everything that may fail, in an order
- * the seed gives, each mended after a while; weights named, keys revoked, configurations raced and
- * grown meanwhile; one last fault at the end. The promises with a time in them (configurations,
- * keys, weights, leaving replicas) are judged by Promises from what operators and the platform were
- * told and when replicas got what; nothing acknowledged lost and back within 12 s here; the rest by
- * Judge.
+ * Plays a seeded sequence of fault episodes against a loaded fleet.
  *
- * <p>The play of a day.
+ * <p>The seed decides the order of the episodes. Each fault is repaired after a while; meanwhile
+ * weights are replaced, keys revoked, and configurations raced and grown. One final fault ends the
+ * day. {@link TimedGuarantees} checks the guarantees with a deadline (configurations, keys,
+ * weights, leaving replicas), this class checks that no acknowledged configuration is lost and that
+ * every relay serves again within 12 s, and {@link gladelug.emulator.LedgerChecker} checks the
+ * rest.
  */
 public final class Day {
   private static final long WARM_UP_MS = 2000;
   private static final long RECOVERY_MS = 1500;
   private static final long DRAIN_TIMEOUT_MS = 40_000;
 
-  /** The part of a trouble, in thousandths, after which the configuration may change. */
+  /** The share of an episode, in thousandths, after which the configuration may change. */
   private static final long CHANGE_AFTER_PERMILLE = 400;
 
   private final Fleet fleet;
   private final Random random;
   private final StandInCallers callers;
-  private final TimedGuarantees promises = new TimedGuarantees();
+  private final TimedGuarantees guarantees = new TimedGuarantees();
   private final DayOperator operator;
   private final DayFleet machines;
   private final OperatorEpisodes operatorEpisodes;
   private final LastFault lastFault;
 
-  /** Plays on a fleet that was not started yet, at a multiple of the deployment's rates. */
+  /**
+   * Creates a day on a fleet that is not started yet; {@code rate} multiplies the deployment's
+   * rates.
+   */
   public Day(Fleet fleet, long seed, double rate) {
     this.fleet = fleet;
     this.random = new Random(seed);
@@ -52,7 +55,7 @@
             kinds,
             seed);
     callers.rateFactor = rate;
-    operator = new DayOperator(fleet, promises);
+    operator = new DayOperator(fleet, guarantees);
     machines = new DayFleet(fleet, random);
     operatorEpisodes = new OperatorEpisodes(machines, operator);
     lastFault = new LastFault(machines, operator);
@@ -67,17 +70,17 @@
   }
 
   /**
-   * Plays the day; true if no rule was broken.
+   * Plays the day and returns true if no rule was broken.
    *
-   * @param secondsPerEpisode how long each trouble lasts
-   * @param maxEpisodes how many of the day's troubles are played before the last fault
+   * @param secondsPerEpisode how long each fault lasts
+   * @param maxEpisodes how many episodes are played at most before the last fault
    */
   public boolean play(int secondsPerEpisode, int maxEpisodes) throws Exception {
     fleet.platform.stateListener =
-        (instance, state) -> promises.record("replica " + instance, state, nowMs(), nowMs());
+        (instance, state) -> guarantees.record("replica " + instance, state, nowMs(), nowMs());
     fleet.start();
-    promises.record("weights", operator.currentWeights(), 0, 0);
-    operator.currentMeanings().forEach((key, meaning) -> promises.record(key, meaning, 0, 0));
+    guarantees.record("weights", operator.currentWeights(), 0, 0);
+    operator.currentSettings().forEach((key, setting) -> guarantees.record(key, setting, 0, 0));
     callers.start();
     Fleet.pause(WARM_UP_MS);
     List<Episode> episodes = episodes();
@@ -86,11 +89,11 @@
     }
     lastFault.play();
     callers.stop();
-    Fleet.waitUntil("the last requests ended", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
+    Fleet.waitUntil("the last requests end", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
     return report();
   }
 
-  /** All troubles, in the order that the seed gives. */
+  /** Returns all episodes in the order drawn from the seed. */
   private List<Episode> episodes() {
     List<Episode> episodes = new ArrayList<>(new ProcessEpisodes(machines).episodes());
     episodes.addAll(new ReplicaEpisodes(machines).episodes());
@@ -113,7 +116,7 @@
 
   private boolean report() {
     boolean passed = LedgerReport.print(fleet);
-    Map<String, List<String>> rules = promises.check(fleet.ledger, TimedGuarantees.REQUIRED);
+    Map<String, List<String>> rules = guarantees.check(fleet.ledger, TimedGuarantees.REQUIRED);
     rules.put("acknowledged-configuration-lost", operator.findLostConfiguration());
     rules.put("back-later-than-12s", lastFault.slowReturns());
     rules.put("both-of-two-racing-taken", operatorEpisodes.racesWonTwice());
--- a/emulator/src/main/java/gladelug/emulator/day/DayFleet.java
+++ b/emulator/src/main/java/gladelug/emulator/day/DayFleet.java
@@ -7,11 +7,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/**
- * What troubles of a day do to the fleet's processes, and what they ask of it.
- *
- * <p>The fleet as the troubles of a day see it.
- */
+/** Gives the episodes of a day access to the fleet: kills, restarts and freezes its processes. */
 final class DayFleet {
   static final String CONFIGURATION_KEY = "policy";
   static final String REPLICAS_KEY = "replicas";
@@ -27,44 +23,44 @@
     this.random = random;
   }
 
-  /** The number of a machine that nothing runs on yet. */
+  /** Returns the host number of an unused machine. */
   int allocateHost() {
     return nextHost++;
   }
 
-  /** The names of the core's members. */
+  /** Returns the names of the core's members. */
   List<String> members() {
     return fleet.members();
   }
 
-  /** One of the three members, by chance. */
+  /** Returns a random one of the three members. */
   String randomMember() {
     return members().get(random.nextInt(3));
   }
 
-  /** Who owns a key of the control state; the first member where nobody does. */
+  /** Returns the owner of a key of the control state, or the first member if nobody owns it. */
   String ownerOf(String key) {
     return fleet.ownerOf(key);
   }
 
-  /** The members and all machines of relays and indexes. */
+  /** Returns the core members and all machines of relays and indexes. */
   Set<String> membersAndEdges() {
     Set<String> machines = new LinkedHashSet<>(members());
     for (int i = 1; i <= fleet.deployment.relays(); i++) machines.add(Fleet.edgeMachine(i));
     return machines;
   }
 
-  /** The members, as machines. */
+  /** Returns the machines of the core members. */
   Set<String> coreMachines() {
     return new LinkedHashSet<>(members());
   }
 
-  /** Machines lose power. */
+  /** Kills processes at once, as a power loss does. */
   void kill(String... names) {
     for (String name : names) fleet.children.get(name).kill();
   }
 
-  /** Machines are started again; returns when all are ready. */
+  /** Restarts processes and returns when all are ready. */
   void restart(String... names) throws IOException {
     for (String name : names) fleet.children.get(name).start();
     for (String name : names) {
@@ -72,13 +68,13 @@
     }
   }
 
-  /** A machine stops where it is. */
+  /** Suspends a process. */
   void freeze(String name) throws IOException {
     fleet.frozen.add(name);
     fleet.children.get(name).freeze(true);
   }
 
-  /** A frozen machine goes on. */
+  /** Resumes a suspended process. */
   void thaw(String name) throws IOException {
     fleet.children.get(name).freeze(false);
     fleet.frozen.remove(name);
--- a/emulator/src/main/java/gladelug/emulator/day/DayOperator.java
+++ b/emulator/src/main/java/gladelug/emulator/day/DayOperator.java
@@ -12,10 +12,8 @@
 import java.util.Map;
 
 /**
- * The operator of a day: keeps what is wanted of the configuration, sends it whole, names weights,
- * and tells the judge of timed promises what was sent and acknowledged when.
- *
- * <p>What is wanted of a day's fleet, and how it is sent.
+ * The operator of a day: holds the desired configuration, always sends it complete, sets weights,
+ * and records in {@link TimedGuarantees} when each change was sent and acknowledged.
  */
 final class DayOperator {
   private static final long CONFIRM_TIMEOUT_MS = 40_000;
@@ -23,7 +21,7 @@
   private static final String SECOND_APPLICATION = "application-two";
 
   private final Fleet fleet;
-  private final TimedGuarantees promises;
+  private final TimedGuarantees guarantees;
   private String lastConfiguration = "";
   private String application = FIRST_APPLICATION;
   private int weightsNumber = 1;
@@ -31,43 +29,43 @@
   /** The tenants whose keys are revoked. */
   List<String> revokedTenants = List.of();
 
-  /** The tenants that are isolated beside the one that always is. */
+  /** The tenants that are isolated in addition to the one that always is. */
   List<String> isolatedTenants = List.of();
 
-  /** How many routes there are beside the deployment's own. */
+  /** The number of routes in addition to the deployment's own. */
   int extraRoutes;
 
-  /** Whether the path of the last kind of requests is gone. */
+  /** Whether the path of the last kind of requests is removed. */
   boolean lastPathRemoved;
 
   /** Whether the address of the first replica is no longer allowed. */
   boolean firstReplicaForbidden;
 
-  DayOperator(Fleet fleet, TimedGuarantees promises) {
+  DayOperator(Fleet fleet, TimedGuarantees guarantees) {
     this.fleet = fleet;
-    this.promises = promises;
+    this.guarantees = guarantees;
   }
 
   private static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Moves the application's route to the other of its two services; sent with the next change. */
+  /** Moves the application's route to its other service; takes effect with the next send. */
   void moveApplication() {
     application = application.equals(FIRST_APPLICATION) ? SECOND_APPLICATION : FIRST_APPLICATION;
   }
 
-  /** The newest weights that were named. */
+  /** Returns the most recently set weights. */
   String currentWeights() {
     return "w" + weightsNumber;
   }
 
-  /** Names the next weights. */
+  /** Sets the next weights and records the outcome. */
   void setNextWeights() {
     weightsNumber++;
-    TimedGuarantees.Change told = promises.recordSent("weights", currentWeights(), nowMs());
+    TimedGuarantees.Change change = guarantees.recordSent("weights", currentWeights(), nowMs());
     Fleet.Answer answer = fleet.setWeights(currentWeights());
-    if (answer.status() == 200) promises.recordAnswer(told, nowMs());
+    if (answer.status() == 200) guarantees.recordAnswer(change, nowMs());
     Day.printLine(
         "weights "
             + currentWeights()
@@ -78,24 +76,24 @@
                 : " " + answer.body()));
   }
 
-  /** What the configuration means at present, by the keys of promises. */
-  Map<String, String> currentMeanings() {
+  /** Returns the current settings by the keys of {@link TimedGuarantees}. */
+  Map<String, String> currentSettings() {
     Deployment deployment = fleet.deployment;
-    Map<String, String> meanings = new LinkedHashMap<>();
-    meanings.put("mapping lookup-stop", application);
-    meanings.put(
+    Map<String, String> settings = new LinkedHashMap<>();
+    settings.put("mapping lookup-stop", application);
+    settings.put(
         "mapping " + deployment.lastKind().name(), lastPathRemoved ? "none" : deployment.service());
-    meanings.put("allowed replica-1", firstReplicaForbidden ? "no" : "yes");
+    settings.put("allowed replica-1", firstReplicaForbidden ? "no" : "yes");
     for (StandInCallers.Tenant tenant : deployment.tenants()) {
       String name = tenant.name();
-      boolean alone = name.equals(deployment.isolated()) || isolatedTenants.contains(name);
-      meanings.put("tenant " + name, revokedTenants.contains(name) ? "revoked" : "good");
-      meanings.put("wall " + name, alone ? name : "");
+      boolean isIsolated = name.equals(deployment.isolated()) || isolatedTenants.contains(name);
+      settings.put("tenant " + name, revokedTenants.contains(name) ? "revoked" : "good");
+      settings.put("wall " + name, isIsolated ? name : "");
     }
-    return meanings;
+    return settings;
   }
 
-  /** The whole configuration that is wanted, with a marker of its own. */
+  /** Returns the complete desired configuration, with a new marker. */
   JsonObject desiredConfiguration() {
     return fleet.deployment.configuration(
         new Deployment.ConfigurationOptions(
@@ -108,33 +106,38 @@
             firstReplicaForbidden));
   }
 
-  /** Sends what is wanted in place of whatever there is; whether it was confirmed. */
+  /**
+   * Replaces the configuration unconditionally by the desired one; returns whether it was
+   * confirmed.
+   */
   boolean send() {
     JsonObject configuration = desiredConfiguration();
-    List<TimedGuarantees.Change> told = new ArrayList<>();
-    currentMeanings()
-        .forEach((key, meaning) -> told.add(promises.recordSent(key, meaning, nowMs())));
+    List<TimedGuarantees.Change> changes = new ArrayList<>();
+    currentSettings()
+        .forEach((key, setting) -> changes.add(guarantees.recordSent(key, setting, nowMs())));
     Fleet.Answer answer = fleet.sendConfiguration(configuration, "*");
     if (answer.status() != 200) {
       Day.printLine("configuration answered " + answer.status() + " " + answer.body());
       return false;
     }
     lastConfiguration = configuration.toString();
-    for (TimedGuarantees.Change one : told) promises.recordAnswer(one, nowMs());
+    for (TimedGuarantees.Change change : changes) guarantees.recordAnswer(change, nowMs());
     return true;
   }
 
-  /** Sends until it is confirmed, as an operator does once the core is back. */
+  /** Resends the configuration until it is confirmed, as an operator does once the core is back. */
   void sendUntilConfirmed() {
-    Fleet.waitUntil("a configuration taken", CONFIRM_TIMEOUT_MS, this::send);
+    Fleet.waitUntil("a configuration is confirmed", CONFIRM_TIMEOUT_MS, this::send);
   }
 
   /**
-   * What is wrong with the configuration that the core shows; empty if it is the last confirmed.
+   * Returns an error if the core does not show the last confirmed configuration, else an empty
+   * list.
    */
   List<String> findLostConfiguration() {
     JsonObject shown = fleet.call("GET", "/v1/configuration", null, Map.of()).body();
     if (shown.get("value").equals(Json.parse(lastConfiguration))) return List.of();
-    return List.of("number " + shown.get("number") + " is not what was acknowledged last");
+    return List.of(
+        "number " + shown.get("number") + " is not the configuration that was acknowledged last");
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/day/Episode.java
+++ b/emulator/src/main/java/gladelug/emulator/day/Episode.java
@@ -1,26 +1,24 @@
 package gladelug.emulator.day;
 
 /**
- * One trouble of a day: how it begins and how it is mended.
+ * A fault of a day: how it is injected and how it is repaired.
  *
- * <p>A trouble that a day plays at some moment.
- *
- * @param changesMeanwhile whether the configuration is changed for certain while it lasts; else by
- *     the day's chance
+ * @param changesMeanwhile whether the configuration always changes while the fault lasts; otherwise
+ *     the day decides at random
  */
 record Episode(String name, Step begin, Step mend, boolean changesMeanwhile) {
-  /** Something done to the fleet. */
+  /** An action on the fleet. */
   interface Step {
-    /** Does it. */
+    /** Performs the action. */
     void run() throws Exception;
   }
 
-  /** A trouble during which a change of the configuration is left to chance. */
+  /** Returns an episode during which the configuration changes at random. */
   static Episode of(String name, Step begin, Step mend) {
     return new Episode(name, begin, mend, false);
   }
 
-  /** A trouble that is over as soon as it was brought about. */
+  /** Returns an episode that needs no repair. */
   static Episode atOnce(String name, Step begin) {
     return of(name, begin, () -> {});
   }
--- a/emulator/src/main/java/gladelug/emulator/day/LastFault.java
+++ b/emulator/src/main/java/gladelug/emulator/day/LastFault.java
@@ -9,13 +9,11 @@
 import java.util.Map;
 
 /**
- * The fault that ends a day, as the seed draws it: everything that was acknowledged just before has
- * to be there after it, and each relay serves again within the bound.
- *
- * <p>The last fault of a day.
+ * Injects the fault that ends a day. Everything that was acknowledged just before must survive it,
+ * and each relay must serve again within {@link #MAX_RETURN_MS}. The seed selects the fault.
  */
 final class LastFault {
-  /** What may end a day. */
+  /** The faults that may end a day. */
   private enum Kind {
     CORE_KILLED("every core machine is killed just after an acknowledgement"),
     FLEET_KILLED("every process of the fleet is killed just after an acknowledgement"),
@@ -47,7 +45,7 @@
     this.fleet = machines.fleet;
   }
 
-  /** Relays that served again later than the bound. */
+  /** Returns the relays that elapsedMs longer than {@link #MAX_RETURN_MS} to serve again. */
   List<String> slowReturns() {
     return slowReturns;
   }
@@ -58,20 +56,22 @@
     operator.sendUntilConfirmed();
     System.out.println("last fault: " + kind.description);
     List<String> members = machines.members();
-    long back = kind == Kind.SPLIT ? split(members) : kill(kind, members);
+    long servingFromMs = kind == Kind.SPLIT ? split(members) : kill(kind, members);
     Fleet.waitUntil(
         "requests complete at every relay again",
         RECOVERY_TIMEOUT_MS,
-        () -> fleet.callerAddresses.stream().allMatch(relay -> completedAfter(relay, back) >= 0));
+        () ->
+            fleet.callerAddresses.stream()
+                .allMatch(relay -> firstCompletionAfter(relay, servingFromMs) >= 0));
     for (String relay : fleet.callerAddresses) {
-      long took = completedAfter(relay, back);
+      long elapsedMs = firstCompletionAfter(relay, servingFromMs);
       Day.printLine(
           "the first request that began and completed at "
               + relay
               + " did so after "
-              + took
+              + elapsedMs
               + " ms");
-      if (took > MAX_RETURN_MS) slowReturns.add(relay + " after " + took + " ms");
+      if (elapsedMs > MAX_RETURN_MS) slowReturns.add(relay + " after " + elapsedMs + " ms");
     }
     Fleet.pause(SETTLE_MS);
   }
@@ -87,7 +87,7 @@
     return Day.nowMs();
   }
 
-  /** Kills and starts again; the moment from which the fleet can serve. */
+  /** Kills and restarts processes; returns the time, in ms, from which the fleet can serve. */
   private long kill(Kind kind, List<String> members) throws IOException {
     Map<String, ChildProcess> edges = new LinkedHashMap<>(fleet.children);
     edges.keySet().removeIf(name -> name.startsWith("control"));
@@ -95,26 +95,29 @@
     machines.kill(members.toArray(new String[0]));
     if (kind == Kind.DISK_LOST) fleet.loseDisk(members.get(machines.random.nextInt(3)));
     Fleet.pause(DOWN_MS);
-    long majority = 0;
+    long majorityMs = 0;
     for (int i = 0; i < members.size(); i++) {
       fleet.children.get(members.get(i)).start();
-      if (i == 1) majority = Day.nowMs();
+      if (i == 1) majorityMs = Day.nowMs();
       if (kind == Kind.BACK_ONE_BY_ONE) Fleet.pause(DOWN_MS);
     }
     if (kind == Kind.FLEET_KILLED) {
       for (ChildProcess edge : edges.values()) edge.start();
     }
-    // with a disk lost it takes all three: the two that are left, and the one let in again
-    boolean all = kind == Kind.DISK_LOST || kind == Kind.FLEET_KILLED;
-    return all ? Day.nowMs() : majority;
+    // after a disk loss the fleet needs all three: the two survivors and the member that rejoins
+    boolean needsAllMembers = kind == Kind.DISK_LOST || kind == Kind.FLEET_KILLED;
+    return needsAllMembers ? Day.nowMs() : majorityMs;
   }
 
-  /** When, after a moment, a request sent to a relay since then completed; -1 for none yet. */
-  private long completedAfter(String relay, long from) {
+  /**
+   * Returns the ms from a time to the first completion of a request sent to a relay since then, or
+   * -1 if none completed.
+   */
+  private long firstCompletionAfter(String relay, long fromMs) {
     return fleet.ledger.calls.values().stream()
-        .filter(call -> call.relay.equals(relay) && call.sentMs >= from)
+        .filter(call -> call.relay.equals(relay) && call.sentMs >= fromMs)
         .filter(call -> call.doneMs >= 0 && call.outcome.equals("complete"))
-        .mapToLong(call -> call.doneMs - from)
+        .mapToLong(call -> call.doneMs - fromMs)
         .min()
         .orElse(-1);
   }
--- a/emulator/src/main/java/gladelug/emulator/day/NetworkEpisodes.java
+++ b/emulator/src/main/java/gladelug/emulator/day/NetworkEpisodes.java
@@ -10,10 +10,9 @@
 import java.util.Set;
 
 /**
- * What the wires and the platform may bring about: cuts of single machines and sides, one way and
- * both, slow links, broken connections, a platform that lies or is silent, addresses given away.
- *
- * <p>Troubles of links, addresses and the platform's list.
+ * Faults of the network, of addresses and of the platform's replica list: partitions of machines
+ * and groups in one or both directions, slow links, broken connections, a platform that answers
+ * malformed lists or nothing, and addresses reassigned to other services.
  */
 final class NetworkEpisodes {
   private static final String LAST_REPLICA = "replica-8";
@@ -50,7 +49,7 @@
   private List<Episode> partitionEpisodes() {
     return List.of(
         Episode.of(
-            "the owner of the configuration is cut off from the core, and its side keeps two relays",
+            "the owner of the configuration and two relays are partitioned from the rest of the fleet",
             this::cutOffOwnerWithTwoRelays,
             this::healAndSend),
         Episode.of(
@@ -62,7 +61,7 @@
               operator.sendUntilConfirmed();
             }),
         Episode.of(
-            "a relay hears the core no more, though the core hears it",
+            "a relay receives nothing from the core, while the core receives from it",
             () -> {
               for (String member : machines.coreMachines())
                 wires.cutOneWay(member, Fleet.edgeMachine(4));
@@ -70,7 +69,7 @@
             },
             this::healAndSend),
         Episode.of(
-            "a relay is cut off from a replica, and another hears nothing from one",
+            "a relay is cut off from a replica, and another relay receives nothing from a replica",
             () -> {
               wires.cut(Fleet.edgeMachine(1), "replica-2");
               wires.cutOneWay("replica-3", Fleet.edgeMachine(2));
@@ -81,7 +80,7 @@
             () -> wires.cutBetween(Set.of("platform"), machines.coreMachines()),
             this::healAndSend),
         Episode.of(
-            "links between core machines are slow, and connections of one break",
+            "links between core machines are slow, and connections between two of them break",
             this::slowCore,
             this::healAndSend),
         Episode.of("a whole zone is killed at once", this::killZone, this::restartZone));
@@ -90,22 +89,22 @@
   private List<Episode> platformAndAddressEpisodes() {
     return List.of(
         Episode.of(
-            "the platform lies, flaps and falls silent",
+            "the platform sends a malformed list, flaps a replica and stops answering",
             this::disturbPlatform,
             () -> fleet.platform.silent = false),
         Episode.of(
-            "a replica is unlisted while it lives",
+            "a running replica is removed from the list",
             () -> fleet.platform.unlist(LAST_REPLICA),
             () -> list(fleet.replicas.get(LAST_REPLICA), true)),
         Episode.of(
-            "an address is given to another service's replica",
+            "an address is reassigned to a replica of another service",
             this::reassignAddress,
             () -> {
               otherServiceReplica.kill();
               fleet.replicas.get(LAST_REPLICA).start();
             }),
         Episode.of(
-            "a path goes away, a tenant is isolated, an address is allowed no more",
+            "a path is removed, a tenant is isolated, an address is no longer allowed",
             () -> {
               operator.lastPathRemoved = true;
               operator.firstReplicaForbidden = true;
@@ -124,17 +123,17 @@
     if (!fleet.deployment.name().equals("moka-ridge")) {
       return List.of(
           Episode.of(
-              "the configuration grows by 2000 routes while a cut heals",
+              "the configuration grows by 2000 routes during a partition",
               this::growWhilePartitioned,
               this::healAndSend));
     }
     return List.of(
         Episode.of(
-            "a single core machine is cut off from everybody",
+            "a single core machine is isolated from the network",
             this::cutOffMember,
             this::healAndSend),
         Episode.of(
-            "a single edge machine is cut off from everybody",
+            "a single edge machine is isolated from the network",
             this::cutOffEdge,
             this::healAndSend));
   }
--- a/emulator/src/main/java/gladelug/emulator/day/OperatorEpisodes.java
+++ b/emulator/src/main/java/gladelug/emulator/day/OperatorEpisodes.java
@@ -8,10 +8,8 @@
 import java.util.Map;
 
 /**
- * What operators do at bad moments: name weights twice, revoke keys, race, move services, grow the
- * configuration, and swap members of the core.
- *
- * <p>Changes by operators.
+ * Operator actions at critical moments: set weights twice, revoke keys, race, move services, grow
+ * the configuration, and swap members of the core.
  */
 final class OperatorEpisodes {
   private static final long BETWEEN_WEIGHT_CHANGES_MS = 1500;
@@ -32,7 +30,7 @@
     this.operator = operator;
   }
 
-  /** Races in which both operators were confirmed on the same number. */
+  /** Returns the races in which both operators were confirmed on the same configuration number. */
   List<String> racesWonTwice() {
     return racesWonTwice;
   }
@@ -42,14 +40,14 @@
         new ArrayList<>(
             List.of(
                 Episode.of(
-                    "new weights are named, and others half way",
+                    "new weights are set, and possibly others during the rollout",
                     this::changeWeightsTwice,
                     this::awaitWeightsLoaded),
                 Episode.of(
-                    "a key is revoked from connected callers",
+                    "a key is revoked while its callers are connected",
                     () -> revoke(List.of(machines.fleet.deployment.tenants().get(1).name())),
                     () -> revoke(List.of())),
-                Episode.atOnce("two operators race", this::race),
+                Episode.atOnce("two operators send conflicting configurations at once", this::race),
                 Episode.atOnce(
                     "the application moves to its second service",
                     () -> {
@@ -93,26 +91,26 @@
     operator.send();
   }
 
-  /** Two at once on the same number; at most one may be confirmed. */
+  /** Sends two configurations at once on the same number; at most one may be confirmed. */
   private void race() throws InterruptedException {
     Fleet.Answer shown = machines.fleet.call("GET", "/v1/configuration", null, Map.of());
     long number = shown.body().getLong("number", -1);
     Fleet.Answer[] answers = new Fleet.Answer[2];
     Thread[] threads = new Thread[answers.length];
     for (int i = 0; i < answers.length; i++) {
-      int mine = i;
+      int operatorNumber = i;
       JsonObject configuration = operator.desiredConfiguration();
       threads[i] =
           new Thread(
               () ->
-                  answers[mine] =
+                  answers[operatorNumber] =
                       machines.fleet.sendConfiguration(configuration, Long.toString(number)));
       threads[i].start();
     }
     for (Thread thread : threads) thread.join();
     Day.printLine("race answered " + answers[0].status() + " and " + answers[1].status());
     if (answers[0].status() == 200 && answers[1].status() == 200) {
-      racesWonTwice.add("both racing configurations were taken on number " + number);
+      racesWonTwice.add("both racing configurations were accepted on number " + number);
     }
   }
 
@@ -123,14 +121,14 @@
     swappedOut = machines.randomMember();
     String swap = "{\"out\":\"" + swappedOut + "\",\"in\":\"" + swappedIn + "\"}";
     Fleet.waitUntil(
-        "the swap begun",
+        "the swap begins",
         SWAP_START_TIMEOUT_MS,
         () -> machines.fleet.call("POST", "/v1/core/swap", swap, Map.of()).status() == 202);
   }
 
   private void endSwap() {
     Fleet.waitUntil(
-        swappedIn + " let in",
+        swappedIn + " joins the core",
         JOIN_TIMEOUT_MS,
         () -> machines.fleet.isReady(swappedIn) && machines.members().contains(swappedIn));
     machines.kill(swappedOut);
--- a/emulator/src/main/java/gladelug/emulator/day/ProcessEpisodes.java
+++ b/emulator/src/main/java/gladelug/emulator/day/ProcessEpisodes.java
@@ -4,9 +4,8 @@
 import java.util.List;
 
 /**
- * Troubles of the product's own processes: killed, frozen, and back with or without their disks.
- *
- * <p>Kills and freezes of members, relays and indexes.
+ * Faults of the fleet's own processes: core members, relays and indexes are killed or suspended,
+ * and return with or without their disks.
  */
 final class ProcessEpisodes {
   private static final long JOIN_TIMEOUT_MS = 30_000;
@@ -38,11 +37,11 @@
             },
             () -> machines.thaw(frozenOwner)),
         Episode.of(
-            "a core machine returns empty at a new address",
+            "a core machine returns with an empty disk at a new address",
             this::returnWithEmptyDisk,
             () ->
                 Fleet.waitUntil(
-                    emptyMember + " let in",
+                    emptyMember + " joins the core",
                     JOIN_TIMEOUT_MS,
                     () -> machines.fleet.isReady(emptyMember))),
         Episode.of(
--- a/emulator/src/main/java/gladelug/emulator/day/ReplicaEpisodes.java
+++ b/emulator/src/main/java/gladelug/emulator/day/ReplicaEpisodes.java
@@ -6,10 +6,8 @@
 import java.util.Map;
 
 /**
- * Troubles of replicas and the store: crashed, hanging, gone, released, empty, slow, with broken
- * streams.
- *
- * <p>Faults of the stand-in replicas.
+ * Faults of the stand-in replicas and the store: crashed, hanging, removed, replaced, emptied,
+ * slow, or with broken streams.
  */
 final class ReplicaEpisodes {
   private static final long LEAVING_MS = 2500;
@@ -32,11 +30,11 @@
             () -> replicas.get("replica-4").faults.hang = true,
             () -> replicas.get("replica-4").faults.hang = false),
         Episode.of(
-            "a replica vanishes for good",
+            "a replica disappears permanently",
             () -> replicas.get("replica-5").kill(),
             () -> removeReplica("replica-5")),
         new Episode(
-            "two replicas are released one by one",
+            "two replicas are replaced one by one",
             () -> {
               for (String name : List.of("replica-6", "replica-7")) replaceReplica(name);
             },
@@ -47,11 +45,11 @@
             () -> replicas.get("store").kill(),
             () -> replicas.get("store").start()),
         Episode.of(
-            "links slow down and cache events are late or lost",
+            "links slow down and cache events are delayed or lost",
             () -> replicas.values().forEach(ReplicaEpisodes::slowDown),
             () -> replicas.values().forEach(replica -> replica.faults.clear())),
         Episode.of(
-            "streams break at a replica, and another refuses half",
+            "streams break at one replica, and another refuses half of its requests",
             () -> {
               replicas.get("replica-1").faults.cutStreams = true;
               replicas.get("replica-2").faults.refusalRate = 0.5;
@@ -73,7 +71,7 @@
     replicas.remove(name);
   }
 
-  /** A replica is listed as leaving, dies, and another of a new name is listed. */
+  /** Lists a replica as leaving, kills it, and adds a replacement under a new name. */
   private void replaceReplica(String name) throws Exception {
     StandInReplica leaving = replicas.get(name);
     machines.fleet.platform.list(leaving.service, name, leaving.address(), "zone-a", false);
@@ -88,6 +86,6 @@
             machines.allocateHost(),
             "zone-a",
             machines.random.nextLong());
-    Day.printLine(name + " became " + next.instance);
+    Day.printLine(name + " was replaced by " + next.instance);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/day/package-info.java
+++ b/emulator/src/main/java/gladelug/emulator/day/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A day of a deployment with real processes: everything that may fail, one after the other in an
- * order that the seed gives, under the deployment's load.
+ * Long-running fault scenarios with real processes: one fault after the other, in an order drawn
+ * from a seed, under the deployment's load.
  */
 package gladelug.emulator.day;
--- a/emulator/src/main/java/gladelug/emulator/experiment/Ablation.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/Ablation.java
@@ -10,30 +10,30 @@
 import java.util.List;
 
 /**
- * Plays a plan: in a checkout of this repository the deploy file switches one mechanism of the
- * relays off after the other, and there the bench plays, one play after the other. A play that
- * gives no figure is said so and counts in no mean.
+ * Runs an ablation plan in a checkout of this repository: disables one relay mechanism after the
+ * other in the deploy file and runs the bench's trials one by one. A trial without a result is
+ * reported and excluded from the means.
  */
 public final class Ablation {
   private static final Path DEPLOY_FILE = Path.of("deploy", "system.toml");
 
-  /** How the relay's command ends in the deploy file. */
+  /** The end of the relay's command in the deploy file. */
   private static final String RELAY_COMMAND_END = "program.jar relay\"";
 
-  /** The figure of a report that says which share of its requests was served. */
+  /** The field of a report with the share of requests that were served. */
   private static final String SERVED = "served";
 
   private final AblationPlan plan;
   private final Path repository;
   private final AblationTable table = new AblationTable();
 
-  /** repository: whose last commit is played. */
+  /** Creates an ablation that runs the last commit of {@code repository}. */
   public Ablation(AblationPlan plan, Path repository) {
     this.plan = plan;
     this.repository = repository;
   }
 
-  /** Plays everything and writes the table after each variant. */
+  /** Runs all trials and writes the table after each variant. */
   public void run() throws IOException, InterruptedException {
     Files.createDirectories(plan.out());
     Path checkout = checkout();
@@ -43,12 +43,13 @@
       writeDeployFile(deployFile, complete, variant);
       for (AblationPlan.Trial trial : plan.trials(variant))
         table.add(variant, runTrial(trial, checkout));
-      table.write(plan.out(), plan.site().getFileName() + ", what callers get by each mechanism");
+      table.write(
+          plan.out(), plan.site().getFileName() + ", share of requests served by each mechanism");
       System.out.println(table.markdown());
     }
   }
 
-  /** One checkout for all variants, so that only the first has to be built. */
+  /** Returns one checkout for all variants, so that only the first has to be built. */
   private Path checkout() throws IOException, InterruptedException {
     Path folder = plan.out().resolve("checkout").toAbsolutePath();
     if (!Files.exists(folder))
@@ -71,10 +72,10 @@
     Path report = plan.out().resolve(trial.label() + ".json").toAbsolutePath();
     Path log = plan.out().resolve(trial.label() + ".txt");
     String why = "ablation, " + trial.variant() + (hasAllMechanisms(trial) ? "" : " off");
-    int ended = runProcess(plan.command(trial, report, why), checkout, log);
-    double served = ended == 0 || Files.exists(report) ? readServedShare(report) : Double.NaN;
+    int exitCode = runProcess(plan.command(trial, report, why), checkout, log);
+    double served = exitCode == 0 || Files.exists(report) ? readServedShare(report) : Double.NaN;
     System.out.println(
-        trial.label() + " " + (Double.isNaN(served) ? "no figure, see " + log : served));
+        trial.label() + " " + (Double.isNaN(served) ? "no result, see " + log : served));
     return served;
   }
 
--- a/emulator/src/main/java/gladelug/emulator/experiment/AblationPlan.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/AblationPlan.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * What is to be played.
+ * The trials of an ablation.
  *
- * @param bench the bench's program, given by who runs the experiment
+ * @param bench the bench's executable
  * @param site the site file
- * @param days names of days
- * @param seeds seeds of each day; empty for the day's own
- * @param mechanisms those switched off, one at a time
- * @param options further options of the bench
- * @param out where tables, reports and the variants' checkouts go
+ * @param days the names of the days to run
+ * @param seeds the seeds of each day; empty to use the day's own seed
+ * @param mechanisms the mechanisms that are disabled, one at a time
+ * @param options additional options for the bench
+ * @param out the folder for tables, reports and the checkout
  */
 public record AblationPlan(
     Path bench,
@@ -24,24 +24,27 @@
     List<Mechanism> mechanisms,
     List<String> options,
     Path out) {
-  /** The row with every mechanism on. */
+  /** The variant with every mechanism enabled. */
   static final String ALL_ON = "all-on";
 
-  /** One play: a variant is ALL_ON or the name of the mechanism that is off. */
+  /**
+   * One run of the bench; the variant is ALL_ON or the name of the disabled mechanism, an empty
+   * seed means the day's own.
+   */
   record Trial(String variant, String day, String seed) {
     String label() {
       return variant + "_" + day + (seed.isEmpty() ? "" : "_" + seed);
     }
   }
 
-  /** The variants, the complete one first. */
+  /** Returns the variants, the one with every mechanism enabled first. */
   List<String> variants() {
     List<String> variants = new ArrayList<>(List.of(ALL_ON));
     for (Mechanism mechanism : mechanisms) variants.add(mechanism.settingName());
     return variants;
   }
 
-  /** All plays of a variant. */
+  /** Returns all trials of a variant. */
   List<Trial> trials(String variant) {
     List<Trial> trials = new ArrayList<>();
     for (String day : days)
@@ -50,7 +53,7 @@
     return trials;
   }
 
-  /** The bench's command for a play; report is where it writes its figures. */
+  /** Returns the bench's command for a trial, which writes its results to {@code report}. */
   List<String> command(Trial trial, Path report, String why) {
     List<String> command =
         new ArrayList<>(List.of(bench.toString(), "run", site.toString(), trial.day));
--- a/emulator/src/main/java/gladelug/emulator/experiment/AblationTable.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/AblationTable.java
@@ -14,17 +14,17 @@
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 
 /**
- * What callers are served with each variant against all mechanisms on, play by play: the mean of
- * the differences, with the least and the most, so that a difference within the spread is seen as
- * one.
+ * Compares the share of served requests of each variant with that of all mechanisms enabled, trial
+ * by trial. Reports mean, minimum and maximum of the differences, so that a difference within the
+ * spread can be recognized.
  */
 final class AblationTable {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 480;
 
   /**
-   * The share of requests that was served, by variant, in the order of the plays; NaN where a play
-   * gave no figure.
+   * The share of served requests by variant, in the order of the trials; NaN for a trial without a
+   * result.
    */
   private final Map<String, List<Double>> servedByVariant = new LinkedHashMap<>();
 
@@ -33,7 +33,8 @@
   }
 
   /**
-   * One row of the table; differences are all-on less this variant: what is served thanks to it.
+   * One row of the table. Differences are the share with all mechanisms minus the share of this
+   * variant, that is, the contribution of the disabled mechanism.
    */
   record Row(
       String variant, int trials, double mean, double contribution, double min, double max) {}
@@ -67,7 +68,7 @@
 
   String markdown() {
     StringBuilder text =
-        new StringBuilder("| off | plays | served | thanks to it | least | most |\n");
+        new StringBuilder("| disabled | trials | served | contribution | min | max |\n");
     text.append("|---|---|---|---|---|---|\n");
     for (Row row : rows())
       text.append(
@@ -83,7 +84,7 @@
     return text.toString();
   }
 
-  /** Writes the table as text and what is served thanks to each mechanism as a chart. */
+  /** Writes the table as Markdown and the contribution of each mechanism as a chart. */
   void write(Path folder, String title) throws IOException {
     Files.writeString(folder.resolve("ablation.md"), markdown());
     List<String> names = new ArrayList<>();
@@ -97,7 +98,7 @@
     CategoryChart chart =
         new CategoryChartBuilder().width(WIDTH).height(HEIGHT).title(title).build();
     chart.getStyler().setXAxisLabelRotation(45).setLegendVisible(false);
-    chart.addSeries("served thanks to it", names, values);
+    chart.addSeries("contribution to the served share", names, values);
     VectorGraphicsEncoder.saveVectorGraphic(
         chart, folder.resolve("ablation.svg").toString(), VectorGraphicsFormat.SVG);
   }
--- a/emulator/src/main/java/gladelug/emulator/experiment/package-info.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Ablation: a bench plays days with one mechanism of the data plane after the other switched off,
- * and a table and a chart say what callers get by each.
+ * Ablation experiments: a bench runs days with one data plane mechanism disabled at a time, and a
+ * table and a chart show the contribution of each.
  */
 package gladelug.emulator.experiment;
--- a/emulator/src/main/java/gladelug/emulator/scale/HollowNode.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/HollowNode.java
@@ -23,10 +23,11 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * A relay with nothing in it but what it says to others: it holds connections to every member of
- * the core and asks on each every 400 ms with the numbers and leases it holds, takes pushes,
- * shuffles its view once a second, and asks an index. The pure parts are the product's own;
- * connections, timers and counting are here. Many share a process.
+ * A relay reduced to its control traffic. It connects to every member of the core, sends a
+ * subscription request with its numbers and leases on each connection every 400 ms, applies pushed
+ * updates, shuffles its partial view once a second, and sends lookups to an index. The protocol
+ * logic is the production code; connections, timers and counters are implemented here. Many hollow
+ * nodes share a process.
  */
 final class HollowNode {
   private static final long SUBSCRIPTION_INTERVAL_MS = 400,
@@ -50,9 +51,9 @@
   private int nextCoreMember;
 
   /**
-   * @param core records addresses of the core's members
-   * @param demands what it has waiting, told with each asking
-   * @param lookups where the microseconds of each answered question go
+   * @param core the records addresses of the core's members
+   * @param demands the waiting requests that each subscription request reports
+   * @param lookups records the latency of each answered lookup, in microseconds
    */
   HollowNode(
       Vertx vertx,
@@ -80,7 +81,7 @@
     nextCoreMember = random.nextInt(core.size());
   }
 
-  /** Begins; its askings and rounds fall at a time of its own, late by so many ms. */
+  /** Starts the node; {@code delayMs} offsets its timers so that nodes do not act in step. */
   void start(Address indexAddress, long delayMs) {
     acceptor.register(
         Hello.SHUFFLE,
@@ -88,14 +89,14 @@
             record -> {
               traffic.count(Traffic.Kind.SHUFFLE, record.length);
               if (!(WireRecord.decode(record, Shuffle::read) instanceof Shuffle.Request q))
-                throw new IOException("no request");
+                throw new IOException("not a shuffle request");
               Shuffle.Response a;
               synchronized (this) {
                 a = partialView.onRequest(q);
               }
               send(Traffic.Kind.SHUFFLE, c, a);
             });
-    // what other relays hand on of their requests is read and forgotten
+    // decision records of other relays are read and discarded
     acceptor.register(Hello.DECISION_RECORDS, (hello, c) -> record -> {});
     acceptor.start(null);
     for (Address address : core)
@@ -136,7 +137,7 @@
     acceptor.stop();
   }
 
-  /** The number of the configuration held. */
+  /** Returns the number of the configuration held; 0 if none. */
   synchronized long configurationNumber() {
     return stateView.number(StateKeys.CONFIGURATION);
   }
@@ -145,7 +146,7 @@
     return (System.nanoTime() - startNs) / 1_000_000;
   }
 
-  /** Holds a lease for each key that needs one. */
+  /** Returns whether it holds a valid lease for each key that needs one. */
   synchronized boolean hasValidLeases() {
     return stateView.leases.isValid(nowMs());
   }
@@ -218,7 +219,7 @@
             failure -> {});
   }
 
-  /** A question to the index; how long its answer takes is recorded. */
+  /** Sends a lookup to the index and records the latency of the response. */
   void sendLookup(long[] blocks) {
     long n;
     synchronized (this) {
@@ -235,7 +236,7 @@
     long at = System.nanoTime();
     traffic.count(Traffic.Kind.ANSWER, record.length);
     if (!(WireRecord.decode(record, Lookup::read) instanceof Lookup.Response a))
-      throw new IOException("no answer");
+      throw new IOException("not a lookup response");
     Long since = lookupStartsNs.remove(a.sequence());
     if (since != null) lookups.recordValue(Math.max(1, (at - since) / 1000));
   }
--- a/emulator/src/main/java/gladelug/emulator/scale/HollowReplicas.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/HollowReplicas.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Model replicas with nothing in them but the product's protocol towards index, relays and
- * commanders: identity, occupancy, a list of kept blocks and a stream of cache events at a given
- * rate, by HTTP. What each keeps is a window over numbers drawn from the seed, so it takes no
- * memory however many blocks there are; a few blocks at the beginning are kept by all.
+ * Model replicas reduced to the HTTP protocol towards index, relays and commanders: identity,
+ * occupancy, a block list, and a stream of cache events at a given rate. Each replica's blocks are
+ * a window over numbers derived from the seed, so memory use does not depend on the number of
+ * blocks. All replicas also keep the same {@link #SHARED_BLOCKS} blocks.
  */
 final class HollowReplicas {
   static final int SHARED_BLOCKS = 64, SLOTS = 6;
@@ -25,7 +25,7 @@
   private static final long EVENT_INTERVAL_MS = 20, PULSE_INTERVAL_MS = 400;
 
   /**
-   * One replica: keeps the shared blocks and its own numbers from low to high, less high itself.
+   * One replica, which keeps the shared blocks and its own from lowestOwn to endOfOwn (exclusive).
    */
   private final class HollowReplica {
     final String name;
@@ -140,9 +140,12 @@
         if (!response.closed()) response.write(buffer);
     }
 
-    /** In turn the oldest own block goes and a new one comes. */
-    synchronized void sendEvents(double n) {
-      pendingEvents += n;
+    /**
+     * Alternately evicts the oldest own block and stores a new one, {@code count} events on
+     * average.
+     */
+    synchronized void sendEvents(double count) {
+      pendingEvents += count;
       StringBuilder builder = new StringBuilder();
       for (; pendingEvents >= 1; pendingEvents--) {
         if (storesNext) builder.append(line("store", ++sequence, mix(salt + endOfOwn++)));
@@ -160,13 +163,10 @@
   private volatile double eventsPerSecond;
   private final List<Long> timers = new ArrayList<>();
 
-  /** Requests by HTTP, and events told. */
+  /** The number of HTTP requests received and of cache events sent. */
   final LongAdder requestCount = new LongAdder(), eventCount = new LongAdder();
 
-  /**
-   * So many replicas that keep so many blocks together beside the shared ones; from the addresses
-   * given.
-   */
+  /** Starts one replica on each IP address; {@code blocks} is the total of their own blocks. */
   HollowReplicas(Vertx vertx, long seed, List<String> ips, long blocks) throws Exception {
     this.vertx = vertx;
     this.seed = seed;
@@ -208,14 +208,14 @@
     return mix(seed * 104_729 + i + 1);
   }
 
-  /** Name and address of each. */
+  /** Returns name and address of each replica. */
   List<String[]> namesAndAddresses() {
     List<String[]> l = new ArrayList<>();
     for (HollowReplica o : replicas) l.add(new String[] {o.name, o.address});
     return l;
   }
 
-  /** Events from now on, so many a second of all together. */
+  /** Starts cache events at a rate per second summed over all replicas. */
   void startEvents(double perSecond) {
     eventsPerSecond = perSecond;
     timers.add(
@@ -232,12 +232,12 @@
             }));
   }
 
-  /** Events from now on at another rate. */
+  /** Changes the rate of cache events, per second summed over all replicas. */
   void setEventRate(double perSecond) {
     eventsPerSecond = perSecond;
   }
 
-  /** A prompt's chain: some shared blocks, then some of one replica's own. */
+  /** Returns the block ids of a prompt: some shared blocks, then some of one replica's own. */
   long[] promptChain(int replica, int shared, int own) {
     HollowReplica o = replicas.get(replica % replicas.size());
     long[] l = new long[shared + own];
--- a/emulator/src/main/java/gladelug/emulator/scale/ProcessMeter.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ProcessMeter.java
@@ -5,16 +5,18 @@
 import java.nio.file.Path;
 
 /**
- * What the machine tells of one process under /proc: processor time, peak memory, bytes read and
- * written by calls (sockets count, files too) and bytes that went to the disk.
+ * Reads the resource use of a process from /proc: CPU time, peak memory, bytes read and written by
+ * system calls (sockets and files), and bytes written to disk.
  */
 final class ProcessMeter {
   private static final double TICKS_PER_SECOND = 100;
 
   /**
-   * @param cpuSeconds processor seconds since the start
-   * @param peakKb VmHWM
-   * @param readBytes bytes read, out bytes written, disk bytes written to the disk, since the start
+   * @param cpuSeconds CPU seconds since the process started
+   * @param peakKb peak resident memory (VmHWM)
+   * @param readBytes bytes read by system calls since the process started
+   * @param writtenBytes bytes written by system calls since the process started
+   * @param diskWrittenBytes bytes written to disk since the process started
    */
   record Reading(
       double cpuSeconds, long peakKb, long readBytes, long writtenBytes, long diskWrittenBytes) {}
@@ -24,8 +26,8 @@
   static Reading read(long pid) throws IOException {
     Path path = Path.of("/proc", Long.toString(pid));
     String stat = Files.readString(path.resolve("stat"));
-    String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    double cpu = (Long.parseLong(f[11]) + Long.parseLong(f[12])) / TICKS_PER_SECOND;
+    String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+    double cpu = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / TICKS_PER_SECOND;
     return new Reading(
         cpu,
         readField(path.resolve("status"), "VmHWM:"),
@@ -43,9 +45,9 @@
   }
 
   private static long readField(Path file, String name) throws IOException {
-    for (String l : Files.readAllLines(file))
-      if (l.startsWith(name))
-        return Long.parseLong(l.substring(name.length()).trim().split("\\s+")[0]);
+    for (String line : Files.readAllLines(file))
+      if (line.startsWith(name))
+        return Long.parseLong(line.substring(name.length()).trim().split("\\s+")[0]);
     throw new IOException(file + " has no " + name);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleFleet.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleFleet.java
@@ -33,9 +33,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A fleet at one point of a scale run: the core's members, an index and a relay as processes of
- * their own, and hollow nodes and replicas around them in this process. Measures it over some
- * seconds, while changes go in by the operator door. Ends what it started, each by its own id.
+ * A fleet at one point of a scale run: the core's members, an index and a relay run as separate
+ * processes, hollow nodes and replicas in this process. Measures resource use and latencies while
+ * configuration changes are sent to the operator endpoint. Closing it kills the processes it
+ * started.
  */
 public final class ScaleFleet implements AutoCloseable {
   private static final String ADDRESS_PREFIX = "127.93.";
@@ -46,14 +47,15 @@
   private static final long MAX_LATENCY_US = 60_000_000, RETRY_TIMEOUT_NS = 10_000_000_000L;
 
   /**
-   * What a point gave.
+   * The measurements of a point.
    *
-   * @param roles by role and metric, the figure
-   * @param recordsAddresses records of hollow nodes over the measured time
-   * @param pushes of the configuration that came to nodes for the changes made, once all had come
-   * @param changes acknowledged
+   * @param roles the figure by role and metric
+   * @param recordsAddresses the records of hollow nodes during the measurement
+   * @param pushes configuration pushes received by nodes, including those that arrive up to 500 ms
+   *     after the measurement
+   * @param changes the number of acknowledged changes
    * @param acks microseconds from sending a change to its acknowledgement
-   * @param lookups microseconds from a question to its answer
+   * @param lookups microseconds from a lookup to its response
    */
   public record Figures(
       ScalePoint point,
@@ -64,12 +66,12 @@
       long changes,
       Histogram acks,
       Histogram lookups) {
-    /** Records of a kind a second and node. */
+    /** Returns the records of a kind per second and node. */
     double rate(Traffic.Kind k) {
       return records.messages().get(k) / seconds / point.get(ScaleSize.NODES);
     }
 
-    /** Bytes of the kinds a second and node. */
+    /** Returns the bytes of some kinds per second and node. */
     double bytes(Traffic.Kind... ks) {
       double n = 0;
       for (Traffic.Kind k : ks) n += records.bytes().get(k);
@@ -131,7 +133,7 @@
     return (int) point.get(s);
   }
 
-  /** Starts all of it and waits until everybody holds the first configuration. */
+  /** Starts everything and waits until every node holds the first configuration. */
   public void start() throws Exception {
     List<String> ips = new ArrayList<>();
     for (int i = 0; i < size(ScaleSize.REPLICAS); i++) ips.add(ip(50, i));
@@ -152,16 +154,16 @@
               .start());
     for (ChildProcess f : founding)
       if (!f.waitFor(60_000) || f.exitCode() != 0)
-        throw new IllegalStateException("found failed: " + f.readLog());
+        throw new IllegalStateException("bootstrap failed: " + f.readLog());
     for (ChildProcess c : children.values()) c.start();
     Fleet.waitUntil(
         "the core is ready", 60_000, () -> controlNames().stream().allMatch(this::isReady));
     Fleet.waitUntil(
-        "the first configuration was taken",
+        "the first configuration is accepted",
         60_000,
         () -> sendChange(controlNames().get(0)) == 200);
     Fleet.waitUntil(
-        "weights were named",
+        "weights are set",
         60_000,
         () ->
             call(
@@ -191,21 +193,19 @@
 
   private void awaitNodesReady() {
     Fleet.waitUntil(
-        "every node holds configuration and leases",
+        "every node holds the configuration and valid leases",
         60_000,
         () -> nodes.stream().allMatch(n -> n.configurationNumber() > 0 && n.hasValidLeases()));
   }
 
-  /**
-   * Another value of a size that can change while the fleet runs, see {@link ScaleSize#canGrow}.
-   */
+  /** Changes a size that can grow while the fleet runs, see {@link ScaleSize#canGrow}. */
   void grow(ScaleSize s, long value) throws IOException {
     point = point.with(s, value);
     switch (s) {
       case EVENTS -> replicas.setEventRate(value);
       case TENANTS, ROUTES ->
           Fleet.waitUntil(
-              "a larger configuration was taken",
+              "a larger configuration is accepted",
               60_000,
               () -> sendChange(controlNames().get(0)) == 200);
       case LEAVES -> {
@@ -316,7 +316,10 @@
     }
   }
 
-  /** The configuration of this point; each differs from the one before in one route's deadline. */
+  /**
+   * Returns the configuration of this point; each differs from the previous one in one route's
+   * deadline.
+   */
   private String configuration() {
     marker++;
     JsonArray ms = new JsonArray(), ts = new JsonArray();
@@ -352,8 +355,8 @@
   }
 
   /**
-   * One change, sent again as operators do while it is answered that it was not taken, or that
-   * nobody knows.
+   * Sends one change and retries, as operators do, while the answer is that it was rejected or that
+   * its outcome is unknown. Returns false if none was accepted in time.
    */
   private boolean sendChangeWithRetries(String at) {
     String body = configuration();
@@ -400,7 +403,7 @@
     return Json.parse(call(node, "GET", path, null).body()).asObject();
   }
 
-  /** Who owns the key of the configuration. */
+  /** Returns the owner of the configuration key, or an empty string. */
   private String configurationOwner() {
     for (JsonValue value : getJson(controlNames().get(0), "/v1/status").get("keys").asArray())
       if (value.asObject().getString("key", "").equals(StateKeys.CONFIGURATION))
@@ -408,7 +411,7 @@
     return "";
   }
 
-  /** Loads and measures it for so many seconds, after so many ms to settle. */
+  /** Loads the fleet, lets it settle, and measures it. */
   public Figures measure(int seconds, long settleMs) throws Exception {
     long lookupTimer = startLookups(point.get(ScaleSize.LOOKUPS));
     Fleet.waitUntil(
@@ -467,7 +470,7 @@
         });
   }
 
-  /** By role and process. */
+  /** Returns the resource use of each process, by role and process name. */
   private Map<String, ProcessMeter.Reading> readings(String owner) throws IOException {
     Map<String, ProcessMeter.Reading> m = new TreeMap<>();
     for (Map.Entry<String, ChildProcess> e : children.entrySet()) {
@@ -481,7 +484,7 @@
     return m;
   }
 
-  /** The mean over the role's processes; peak memory is the largest. */
+  /** Returns the mean over the role's processes; for peak memory the maximum. */
   private static Map<String, Double> averageFigures(
       String role,
       Map<String, ProcessMeter.Reading> before,
--- a/emulator/src/main/java/gladelug/emulator/scale/ScalePlan.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScalePlan.java
@@ -10,19 +10,20 @@
 import java.util.Set;
 
 /**
- * What a scale run is to do, read from its options: nothing is started unless all of it makes
- * sense, and all that doesn't is told together.
+ * A validated plan of a scale run. Invalid options are all reported together, before anything is
+ * started.
  *
- * @param seed of everything drawn
- * @param seconds how long a point is measured
- * @param settleMs how long it is let run before
- * @param points by size that is varied, its points, rising
- * @param roles whose figures are told
+ * @param seed the seed of all random numbers
+ * @param seconds how long each point is measured
+ * @param settleMs how long a fleet runs before it is measured
+ * @param points the rising points of each size that is varied
+ * @param roles the roles whose figures are reported
  */
 public record ScalePlan(
     long seed, int seconds, long settleMs, Map<ScaleSize, List<Long>> points, Set<String> roles) {
   /**
-   * Whose processor time and memory is measured; hollow is this process itself, for fairness' sake.
+   * The roles whose CPU time and memory are measured; hollow is this process itself, reported so
+   * that its share of the machine is visible.
    */
   public static final List<String> ROLES =
       List.of("core-owner", "core-other", "index", "relay", "hollow");
@@ -35,11 +36,11 @@
     roles = new LinkedHashSet<>(roles);
   }
 
-  /** The options as given. */
+  /** The options as given on the command line. */
   public record Options(
       long seed, int seconds, String sizes, List<String> points, String roles, boolean quick) {}
 
-  /** memoryMb: what the machine has. */
+  /** Parses options for a machine with {@code memoryMb} of memory. */
   public static Result<ScalePlan> parse(Options options, long memoryMb) {
     Findings findings = new Findings();
     Map<ScaleSize, List<Long>> pointsBySize = new EnumMap<>(ScaleSize.class);
@@ -66,7 +67,7 @@
             if (values.get(i) < 1)
               findings.add("--points " + size.text(), "must be at least 1, not " + values.get(i));
             else if (i > 0 && values.get(i) <= values.get(i - 1))
-              findings.add("--points " + size.text(), "must rise");
+              findings.add("--points " + size.text(), "must be in rising order");
             else checkPoint(size, values.get(i), memoryMb, findings);
           }
         });
@@ -86,14 +87,14 @@
     ScalePoint point = ScalePoint.base().with(size, value);
     if (point.processCount() > MAX_PROCESSES)
       findings.add(
-          place, value + " takes " + point.processCount() + " processes; at most " + MAX_PROCESSES);
+          place, value + " needs " + point.processCount() + " processes; at most " + MAX_PROCESSES);
     if (size == ScaleSize.LEAVES && value > ScaleSize.TENANTS.base())
       findings.add(
-          place, "each tenant is one, " + ScaleSize.TENANTS.base() + " of them, not " + value);
+          place, "each tenant has one, there are " + ScaleSize.TENANTS.base() + ", not " + value);
     if (size == ScaleSize.CONTROLS && value > 9)
-      findings.add(place, "a core is founded by at most 9, not " + value);
+      findings.add(place, "a core has at most 9 members at bootstrap, not " + value);
     if ((size == ScaleSize.NODES || size == ScaleSize.REPLICAS) && value > MAX_ADDRESSES)
-      findings.add(place, "at most " + MAX_ADDRESSES + " have an address each, not " + value);
+      findings.add(place, "at most " + MAX_ADDRESSES + " can have an address, not " + value);
     else if (point.memoryMb() * 2 > memoryMb)
       findings.add(
           place,
@@ -118,7 +119,7 @@
       try {
         values.add(Long.parseLong(n));
       } catch (NumberFormatException e) {
-        findings.add("--points " + size.text(), "is no whole number: " + n);
+        findings.add("--points " + size.text(), "is not a whole number: " + n);
       }
     if (pointsBySize.containsKey(size)) pointsBySize.put(size, values);
     else findings.add("--points " + size.text(), "is not among the sizes that are varied");
@@ -136,7 +137,7 @@
     return List.copyOf(l);
   }
 
-  /** MB of memory of this machine. */
+  /** Returns the memory of this machine in MB. */
   public static long totalMemoryMb() {
     return ProcessMeter.totalMemoryKb() >> 10;
   }
--- a/emulator/src/main/java/gladelug/emulator/scale/ScalePoint.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScalePoint.java
@@ -4,8 +4,7 @@
 import java.util.Map;
 
 /**
- * One point of a scale run: every size with its value, immutable; and what memory a point may take
- * at the most.
+ * One point of a scale run: a value for every size, and an estimate of the memory that it needs.
  *
  * @param sizes a value of every size
  */
@@ -36,32 +35,32 @@
     return sizes.get(size);
   }
 
-  /** Processes beside the run's own. */
+  /** Returns the number of processes in addition to this one. */
   public long processCount() {
     return get(ScaleSize.CONTROLS) + 2;
   }
 
-  /** Bytes of the configuration, about. */
+  /** Returns the approximate size of the configuration in bytes. */
   public long configurationBytes() {
     return 300
         + BYTES_PER_TENANT * get(ScaleSize.TENANTS)
         + BYTES_PER_ROUTE * get(ScaleSize.ROUTES);
   }
 
-  /** MB that all processes of this point may take together, heaps counted whole. */
+  /** Returns the MB that all processes of this point may use together, counting full heaps. */
   public long memoryMb() {
     long heaps =
         get(ScaleSize.CONTROLS) * CONTROL_HEAP_MB
             + indexHeapMb()
             + RELAY_HEAP_MB
             + processCount() * OUTSIDE_HEAP_MB;
-    // a hollow node keeps the value and is handed another
+    // a hollow node keeps one configuration and receives the next
     return heaps + EMULATOR_MB + (get(ScaleSize.NODES) * 3 * configurationBytes() >> 20);
   }
 
   /**
-   * Heap of the index: a table of four bytes a slot, once more while it grows, and the lists it
-   * loads.
+   * Returns the heap of the index in MB: a table of four bytes per slot, a second one while it
+   * grows, and the block lists that it loads.
    */
   int indexHeapMb() {
     return (int) Math.min(1 << 20, MIN_INDEX_HEAP_MB + get(ScaleSize.BLOCKS) * 400 / (1 << 20));
--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleRun.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleRun.java
@@ -12,9 +12,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The scale run: each size varied by itself over its points, a fresh fleet a size, the base
- * measured once for all. Prints a table of what each role took and the slopes by least squares, and
- * writes both as CSV and the slopes as charts.
+ * Varies one size at a time over its points, with a new fleet for each size; the base point is
+ * measured only once. Prints the resource use of each role and the least-squares slopes, and writes
+ * both as CSV and charts.
  */
 public final class ScaleRun {
   private final ScalePlan plan;
@@ -22,14 +22,14 @@
   private final Consumer<String> output;
   private ScaleFleet.Figures base;
 
-  /** out: the folder that everything is written to; say: where lines of the table go. */
+  /** Creates a run that writes its files to {@code out} and its table lines to {@code output}. */
   public ScaleRun(ScalePlan plan, Path out, Consumer<String> output) {
     this.plan = plan;
     this.out = out;
     this.output = output;
   }
 
-  /** Runs all points and reports; by size, the figures of its points in order. */
+  /** Runs and reports all points; returns the figures of each size's points in order. */
   public Map<ScaleSize, List<ScaleFleet.Figures>> run() throws Exception {
     Files.createDirectories(out);
     Map<ScaleSize, List<ScaleFleet.Figures>> all = new LinkedHashMap<>();
@@ -61,7 +61,8 @@
   }
 
   /**
-   * A size that can grow keeps its fleet from its second point on; others have a fresh one each.
+   * Measures the points of a size. A size that can grow keeps its fleet; others get a new fleet for
+   * each point.
    */
   private void runPoints(ScaleSize size, List<Long> values, PointListener each) throws Exception {
     ScaleFleet fleet = null;
@@ -88,7 +89,7 @@
     }
   }
 
-  /** All figures of a point by role and metric. */
+  /** Returns all figures of a point by role and metric. */
   private Map<String, Double> flatten(ScaleFleet.Figures figures) {
     Map<String, Double> m = new LinkedHashMap<>();
     figures
@@ -164,8 +165,7 @@
   }
 
   /**
-   * Records of the control protocols a second that a node sends and receives, questions to the
-   * index left out.
+   * Returns the control records per second that a node sends and receives, without index lookups.
    */
   public static double recordsPerNodeAndSecond(ScaleFleet.Figures figures) {
     double n = 0;
@@ -206,7 +206,7 @@
             output.accept(
                 String.format(
                     Locale.ROOT,
-                    "  %-24s %.4g each (± %.2g), %.4g at none, r² %.3f",
+                    "  %-24s slope %.4g (± %.2g), intercept %.4g, r² %.3f",
                     k.replace(',', ' '),
                     x.slope(),
                     x.error(),
--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleSize.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleSize.java
@@ -3,31 +3,29 @@
 import java.util.Locale;
 
 /**
- * The sizes that a scale run varies one at a time, each with the points it takes unless told
- * otherwise. The first point of each is the base, at which it stays while another is varied.
- *
- * <p>What a scale run varies.
+ * The sizes that a scale run varies one at a time, each with its default points. The first point is
+ * the base, which the size keeps while another is varied.
  */
 public enum ScaleSize {
   /** Hollow relays that hold connections to every member of the core. */
   NODES(20, 100, 240, 390),
   /** Hollow model replicas on the platform's list. */
   REPLICAS(12, 40, 80, 160),
-  /** Cache events a second, of all replicas together. */
+  /** Cache events per second of all replicas together. */
   EVENTS(200, 2000, 5000, 10_000),
-  /** Blocks kept, of all replicas together. */
+  /** Cached blocks of all replicas together. */
   BLOCKS(12_000, 100_000, 300_000, 600_000),
-  /** Tenants in the configuration, a key each. */
+  /** Tenants in the configuration, each with one key. */
   TENANTS(50, 1000, 3000, 7600),
   /** Routes in the configuration. */
   ROUTES(10, 200, 500, 1000),
-  /** Configuration changes a minute by the operator door. */
+  /** Configuration changes per minute through the operator endpoint. */
   CHANGES(60, 120, 300, 600),
   /**
    * Leaves of the share tree for which each node reports demand; no more than there are tenants.
    */
   LEAVES(4, 15, 30, 50),
-  /** Questions a second to the one index, of all nodes together. */
+  /** Lookups per second to the one index, of all nodes together. */
   LOOKUPS(100, 500, 1500, 3000),
   /** Members of the core. */
   CONTROLS(3, 5, 7, 9);
@@ -38,7 +36,7 @@
     this.points = points;
   }
 
-  /** The points of a whole run, rising; the first is the base. */
+  /** Returns the default points in rising order; the first is the base. */
   public long[] points() {
     return points.clone();
   }
@@ -48,21 +46,20 @@
   }
 
   /**
-   * Whether a running fleet can go from one point to a larger one, so that its points share a
-   * fleet.
+   * Returns whether a running fleet can move to a larger point, so that all points share a fleet.
    */
   public boolean canGrow() {
     return this != REPLICAS && this != BLOCKS && this != CONTROLS;
   }
 
-  /** As it is written in options, tables and files. */
+  /** Returns the name used in options, tables and files. */
   public String text() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Null where no size is called this. */
+  /** Returns the size of that name, or null if there is none. */
   public static ScaleSize fromText(String text) {
-    for (ScaleSize x : values()) if (x.text().equals(text)) return x;
+    for (ScaleSize size : values()) if (size.text().equals(text)) return size;
     return null;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/scale/Traffic.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/Traffic.java
@@ -4,9 +4,11 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Records that hollow nodes sent and received, counted by kind, with their length prefixes. */
+/**
+ * Counts the records that hollow nodes send and receive, by kind; bytes include length prefixes.
+ */
 public final class Traffic {
-  /** Kinds of records. POLICY is a push of the configuration, PUSH one of another key. */
+  /** The kinds of records. POLICY is a push of the configuration, PUSH a push of another key. */
   public enum Kind {
     ASK,
     GRANTS,
@@ -18,7 +20,7 @@
     ANSWER
   }
 
-  /** Messages and bytes of each kind up to now. */
+  /** The messages and bytes of each kind up to a time. */
   public record Count(Map<Kind, Long> messages, Map<Kind, Long> bytes) {
     Count since(Count old) {
       Map<Kind, Long> m = new EnumMap<>(messages), b = new EnumMap<>(bytes);
--- a/emulator/src/test/java/gladelug/emulator/day/DayTest.java
+++ b/emulator/src/test/java/gladelug/emulator/day/DayTest.java
@@ -9,13 +9,13 @@
 
 /** Tests of Day. */
 final class DayTest {
-  /** A fixed, short part of a day with the real programs. */
+  /** Plays the first episodes of a fixed seed with real processes. */
   @Test
-  void theFirstHoursOfAFixedDayAreClean() throws Exception {
+  void theFirstEpisodesOfAFixedSeedBreakNoRule() throws Exception {
     Path out = Files.createTempDirectory("gladelug-day");
     try (Fleet fleet = new Fleet(Deployment.mokaRidge(), out, 21, "summary")) {
       Assertions.assertTrue(
-          new Day(fleet, 21, 0.5).play(2, 8), "see the judgements above; logs in " + out);
+          new Day(fleet, 21, 0.5).play(2, 8), "see the verdicts above; logs in " + out);
     }
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/experiment/AblationTest.java
+++ b/emulator/src/test/java/gladelug/emulator/experiment/AblationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an ablation plays and what its table says. */
+/** Tests of AblationPlan and AblationTable. */
 final class AblationTest {
   @TempDir Path folder;
 
@@ -25,18 +25,18 @@
   }
 
   @Test
-  void everyVariantPlaysTheSameDaysAndSeeds() {
+  void everyVariantRunsTheSameDaysAndSeeds() {
     Assertions.assertEquals(List.of("all-on", "retries"), plan().variants());
-    List<AblationPlan.Trial> plays = plan().trials("retries");
-    Assertions.assertEquals(4, plays.size());
+    List<AblationPlan.Trial> trials = plan().trials("retries");
+    Assertions.assertEquals(4, trials.size());
     Assertions.assertEquals(
         List.of(
             "bench", "run", "site", "a", "--seed", "2", "--fast", "--report", "r", "--why", "w"),
-        plan().command(plays.get(1), Path.of("r"), "w"));
+        plan().command(trials.get(1), Path.of("r"), "w"));
   }
 
   @Test
-  void whatIsServedThanksToAMechanismIsComparedPlayByPlayAndAMissingFigureCountsInNoMean()
+  void contributionsAreComparedTrialByTrialAndAMissingResultIsExcludedFromTheMeans()
       throws IOException {
     AblationTable table = new AblationTable();
     for (double served : new double[] {0.8, 0.7, 0.9}) table.add("all-on", served);
--- a/emulator/src/test/java/gladelug/emulator/scale/ScaleTest.java
+++ b/emulator/src/test/java/gladelug/emulator/scale/ScaleTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of the scale run: its options, its lines, and a quick run of the real programs that looks
- * at counts.
+ * Tests of the scale run: its options, its least-squares fit, and the message counts of a quick run
+ * with real processes.
  */
 final class ScaleTest {
   private static ScalePlan.Options options(
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void badInputIsToldTogether() {
+  void allInvalidOptionsAreReportedTogether() {
     List<String> at =
         places(
             ScalePlan.parse(
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void whatPassesHalfOfTheMemoryIsRefused() {
+  void pointsBeyondTheLimitsAreRefused() {
     Assertions.assertTrue(
         ScalePlan.parse(options(5, "", List.of(), "", false), 20_000)
             instanceof Result.Good<ScalePlan>);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aLineThroughPoints() {
+  void aLineIsFittedThroughPoints() {
     Slope s = Slope.fit(List.of(new double[] {0, 1}, new double[] {1, 3}, new double[] {2, 5}));
     Assertions.assertEquals(2, s.slope(), 1e-9);
     Assertions.assertEquals(1, s.intercept(), 1e-9);
@@ -89,10 +89,11 @@
   }
 
   /**
-   * Real programs, two points: what a node says and hears, and that a change is one message a node.
+   * Runs real processes at two points: bounds the records of each node, and expects one push per
+   * node and change.
    */
   @Test
-  void messagesANodeDontGrowWithNodes() throws Exception {
+  void messagesPerNodeDoNotGrowWithTheNumberOfNodes() throws Exception {
     Path out = Files.createTempDirectory("gladelug-scale");
     ScalePlan plan =
         ((Result.Good<ScalePlan>)
@@ -100,30 +101,30 @@
                     options(2, "nodes", List.of("nodes=4,12"), "", true),
                     ScalePlan.totalMemoryMb()))
             .value();
-    List<String> said = new ArrayList<>();
-    Map<ScaleSize, List<ScaleFleet.Figures>> all = new ScaleRun(plan, out, said::add).run();
+    List<String> lines = new ArrayList<>();
+    Map<ScaleSize, List<ScaleFleet.Figures>> all = new ScaleRun(plan, out, lines::add).run();
     List<ScaleFleet.Figures> l = all.get(ScaleSize.NODES);
     Assertions.assertEquals(2, l.size());
     for (ScaleFleet.Figures f : l) {
       long nodes = f.point().get(ScaleSize.NODES), controls = f.point().get(ScaleSize.CONTROLS);
       String at = nodes + " nodes: " + f.records().messages() + "; " + out;
       Assertions.assertTrue(f.changes() > 0, at);
-      // a second push goes only to a node that still asks with the old number 300 ms after the
+      // a node gets a second push only if it still requests with the old number 300 ms after the
       // first
       Assertions.assertTrue(f.pushes() >= f.changes() * nodes, at);
       if (f.acks().getMaxValue() < 300_000)
         Assertions.assertEquals(f.changes() * nodes, f.pushes(), at);
       Assertions.assertEquals(f.changes(), f.acks().getTotalCount(), at);
       Assertions.assertTrue(f.lookups().getTotalCount() > 0, at);
-      // every 400 ms on each connection, and once after each push
+      // one request every 400 ms on each connection, and one after each push
       double asks = controls * (f.seconds() / 0.4 + 2) + f.changes();
       Map<Traffic.Kind, Long> m = f.records().messages();
       Assertions.assertTrue(m.get(Traffic.Kind.ASK) <= nodes * asks, at);
       Assertions.assertTrue(
           m.get(Traffic.Kind.GRANTS) <= m.get(Traffic.Kind.ASK) + nodes * controls, at);
       Assertions.assertTrue(m.get(Traffic.Kind.ALLOT) <= nodes * (f.seconds() / 0.2 + 2), at);
-      // two rounds a second at the most, each a request and an answer at both ends; those of the
-      // real ones too
+      // at most two rounds per second, each a request and a response counted at both ends,
+      // including the rounds of the real processes
       Assertions.assertTrue(
           m.get(Traffic.Kind.SHUFFLE) <= (nodes + controls + 2) * 8 * (f.seconds() + 1), at);
       for (String r : List.of("core-owner", "core-other", "index", "relay"))
@@ -133,6 +134,7 @@
     Assertions.assertTrue(
         Files.readString(out.resolve("slopes.csv")).contains("nodes,core-owner,cpu,"));
     int marks = Files.readString(out.resolve("nodes-cpu.svg")).split("<ellipse", -1).length - 1;
-    Assertions.assertTrue(marks >= 2 * 4, "a mark for each role at both points, not " + marks);
+    Assertions.assertTrue(
+        marks >= 2 * 4, "expected a marker for each role at both points, not " + marks);
   }
 }
