--- a/emulator/src/main/java/gladelug/emulator/AddedLatency.java
+++ b/emulator/src/main/java/gladelug/emulator/AddedLatency.java
@@ -8,10 +8,8 @@
 import java.util.Map;
 
 /**
- * A direct call and one through a relay, turn about, to the application replica: what the relay
- * adds.
- *
- * <p>Pairs of direct and relayed calls.
+ * Measures the latency that a relay adds, by alternating direct and relayed calls to the
+ * application replica.
  */
 final class AddedLatency {
   private final Fleet fleet;
@@ -23,7 +21,7 @@
     this.fleet = fleet;
   }
 
-  /** Makes one pair of calls. */
+  /** Makes and times one direct and one relayed call. */
   void measurePair() {
     String tag = "added-" + pairs++;
     String relay = fleet.callerAddresses.get(1 + pairs % (fleet.callerAddresses.size() - 1));
@@ -36,8 +34,8 @@
   }
 
   private static void measure(List<Double> times, Call call) {
-    long began = System.nanoTime();
-    if (call.status() == 200) times.add((System.nanoTime() - began) / 1e6);
+    long startNs = System.nanoTime();
+    if (call.status() == 200) times.add((System.nanoTime() - startNs) / 1e6);
   }
 
   private int direct(String tag) {
--- a/emulator/src/main/java/gladelug/emulator/ChildProcess.java
+++ b/emulator/src/main/java/gladelug/emulator/ChildProcess.java
@@ -8,9 +8,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One of gladelug's own programs as a process of its own, started by a rehearsal and ended by its
- * own id. Its lines go to a file. With -Dgladelug.programs=JAR the programs are those of another
- * build, so that two builds can be measured by the same rehearsal.
+ * A gladelug program run as a separate process, with its output appended to a log file.
+ *
+ * <p>With -Dgladelug.programs=JAR the programs come from another build, so that two builds can be
+ * measured by the same emulator.
  */
 public final class ChildProcess {
   public final String name;
@@ -29,7 +30,7 @@
   }
 
   public ChildProcess start() throws IOException {
-    List<String> l =
+    List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -41,9 +42,9 @@
                 "-cp",
                 System.getProperty("gladelug.programs", System.getProperty("java.class.path")),
                 mainClass));
-    l.addAll(args);
+    command.addAll(args);
     process =
-        new ProcessBuilder(l)
+        new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
             .start();
@@ -58,31 +59,35 @@
     return process.pid();
   }
 
-  /** At once, as when the machine loses power. */
+  /** Kills the process at once, as a power loss does. */
   public void kill() {
     if (process == null) return;
     process.destroyForcibly();
     waitFor(20_000);
   }
 
-  /** Politely, as the platform does first. */
-  public boolean stop(long ms) {
+  /**
+   * Asks the process to terminate, as the platform does first; returns whether it ended in time.
+   */
+  public boolean stop(long timeoutMs) {
     process.destroy();
-    return waitFor(ms);
+    return waitFor(timeoutMs);
   }
 
-  /** Stops or continues the process where it is, as a machine that freezes does. */
-  public void freeze(boolean on) throws IOException {
+  /** Suspends or resumes the process, as a machine that freezes does. */
+  public void freeze(boolean suspend) throws IOException {
     try {
-      new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(pid())).start().waitFor();
+      new ProcessBuilder("kill", suspend ? "-STOP" : "-CONT", Long.toString(pid()))
+          .start()
+          .waitFor();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  public boolean waitFor(long ms) {
+  public boolean waitFor(long timeoutMs) {
     try {
-      return process.waitFor(ms, TimeUnit.MILLISECONDS);
+      return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
--- a/emulator/src/main/java/gladelug/emulator/ChoiceComparison.java
+++ b/emulator/src/main/java/gladelug/emulator/ChoiceComparison.java
@@ -8,19 +8,18 @@
 import java.util.TreeMap;
 
 /**
- * The three ways of choosing a replica, turn about, several rounds, from the same seeds.
- *
- * <p>The rehearsal "compare".
+ * The command "compare": runs the three ways of choosing a replica in turn, for several rounds,
+ * each round with the same seed.
  */
 final class ChoiceComparison {
-  /** The ways of choosing, the first of which the others are compared to. */
+  /** The ways of choosing a replica; the others are compared to the first. */
   static final List<String> CHOICES = List.of("summary", "least-occupancy", "holder-always");
 
-  /** What a comparison is made of. */
+  /** The options of a comparison. */
   record Options(
       String deployment, int seconds, int rounds, double rate, double linkFactor, String out) {}
 
-  /** What one round of one choice came to; parts in percent, times in milliseconds. */
+  /** The results of one round of one choice; shares in percent, times in milliseconds. */
   private record Figures(
       double computed, double fetched, double medianMs, double p95Ms, double complete) {}
 
@@ -36,7 +35,7 @@
     this.options = options;
   }
 
-  /** Plays all rounds and prints figures and ratios. */
+  /** Runs all rounds and prints figures and ratios. */
   static void measure(Options options) throws Exception {
     ChoiceComparison comparison = new ChoiceComparison(options);
     for (int round = 1; round <= options.rounds; round++) {
@@ -71,8 +70,7 @@
       callers.start();
       Fleet.pause(options.seconds * 1000L);
       callers.stop();
-      Fleet.waitUntil(
-          "the last requests ended", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
+      Fleet.waitUntil("the last requests end", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
       Figures result = figuresOf(fleet.ledger);
       figures.computeIfAbsent(choice, c -> new ArrayList<>()).add(result);
       print(round, choice, result);
--- a/emulator/src/main/java/gladelug/emulator/CommandLine.java
+++ b/emulator/src/main/java/gladelug/emulator/CommandLine.java
@@ -12,24 +12,21 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 
-/**
- * The commands of fleet-emulator and their arguments.
- *
- * <p>The parser of fleet-emulator's command line.
- */
+/** Defines the commands of fleet-emulator and their arguments. */
 final class CommandLine {
   private static final String DEFAULT_DEPLOYMENT = "safari-njia";
   private final ArgumentParser parser =
       ArgumentParsers.newFor("fleet-emulator")
           .build()
           .defaultHelp(true)
-          .description("Runs a whole fleet on one machine with stand-ins around it.");
+          .description(
+              "Runs a complete fleet on one machine, with stand-ins for callers, replicas and the platform.");
   private final Subparsers commands =
       parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
 
   private CommandLine() {}
 
-  /** The parser of all commands. */
+  /** Returns the parser of all commands. */
   static ArgumentParser parser() {
     CommandLine line = new CommandLine();
     line.run();
@@ -67,15 +64,15 @@
         .addArgument("--rate")
         .type(Double.class)
         .setDefault(1.0)
-        .help("times the deployment's rates");
+        .help("factor applied to the deployment's request rates");
   }
 
   private static void seed(Subparser command) {
     command.addArgument("--seed").type(Long.class).setDefault(1L);
   }
 
-  private static void number(Subparser command, String name, int usual, String help) {
-    command.addArgument(name).type(Integer.class).setDefault(usual).help(help);
+  private static void number(Subparser command, String name, int defaultValue, String help) {
+    command.addArgument(name).type(Integer.class).setDefault(defaultValue).help(help);
   }
 
   private void soak() {
@@ -86,10 +83,12 @@
     command
         .addArgument("--plan")
         .help("a plan as a file in place of drawn ones; docs/operators/soaking.md tells its form");
-    command.addArgument("--shrink").help("the folder of a failed run, whose plan is made smaller");
+    command
+        .addArgument("--shrink")
+        .help("folder of a failed run, whose plan is reduced to a smaller failing one");
     seed(command);
-    number(command, "--seeds", 1, "how many seeds, from --seed on");
-    number(command, "--minutes", 2, "how long events go on");
+    number(command, "--seeds", 1, "number of consecutive seeds, starting at --seed");
+    number(command, "--minutes", 2, "minutes during which events are injected");
     command
         .addArgument("--checkout")
         .setDefault(".")
@@ -105,7 +104,8 @@
   }
 
   private void run() {
-    Subparser command = command("run", "load a fleet, kill parts of it, judge from the ledgers");
+    Subparser command =
+        command("run", "load a fleet, kill parts of it, check the ledgers of the stand-ins");
     deployment(command);
     number(command, "--seconds", 60, "how long");
     seed(command);
@@ -141,7 +141,7 @@
     Subparser command =
         command(
             "compare",
-            "the three ways of choosing a replica, turn about, several rounds, from the same seeds");
+            "compare the three ways of choosing a replica, in turn, over several rounds with the same seeds");
     deployment(command);
     number(command, "--seconds", 15, "how long each round lasts");
     number(command, "--rounds", 3, "rounds of all three");
@@ -166,17 +166,17 @@
     Subparser command =
         command(
             "weights",
-            "how long a roll to new weights takes under load, and what it costs callers");
+            "measure how long a rollout of new weights takes under load, and what it costs callers");
     deployment(command);
     out(command);
   }
 
   private void table() {
-    Subparser command = command("table", "the Cuckoo Summary by itself against wider buckets");
+    Subparser command = command("table", "benchmark the Cuckoo Summary against wider buckets");
     number(command, "--rounds", 7, "rounds");
-    number(command, "--holders", 13, "others than 13 are compared to 13");
+    number(command, "--holders", 13, "holders; values other than 13 are compared to 13");
     number(command, "--shared", 300, "blocks that every holder keeps");
-    number(command, "--own", 1500, "further blocks of each holder");
+    number(command, "--own", 1500, "additional blocks of each holder");
   }
 
   private void simulate() {
@@ -186,7 +186,7 @@
             "stories of requests by seeds, in simulated time, each promise judged strictly");
     command.addArgument("--from").type(Long.class).setDefault(0L).help("the first seed");
     number(command, "--seeds", 1000, "how many seeds");
-    number(command, "--threads", 4, "stories at a time");
+    number(command, "--threads", 4, "stories run in parallel");
   }
 
   private void shares() {
@@ -206,7 +206,7 @@
     command.addArgument("--members").type(Integer.class).choices(3, 5).setDefault(3);
     command.addArgument("--seed").type(Long.class).setDefault(0L).help("the first seed");
     number(command, "--walks", 100, "how many walks");
-    number(command, "--steps", 3000, "of each walk");
+    number(command, "--steps", 3000, "steps of each walk");
     number(
         command,
         "--explore",
@@ -227,28 +227,35 @@
   private void ablation() {
     Subparser command =
         command(
-            "ablation", "what callers get by each mechanism of the data plane, by a bench's days");
-    command.addArgument("--bench").required(true).help("the bench's program");
+            "ablation",
+            "measure the contribution of each data plane mechanism with days of a bench");
+    command.addArgument("--bench").required(true).help("the bench's executable");
     command.addArgument("--site").required(true).help("the site file");
     command.addArgument("--days").nargs("+").required(true);
     command
         .addArgument("--seeds")
         .nargs("+")
         .setDefault(List.of())
-        .help("the days' own unless told");
+        .help("seeds of each day (the day's own by default)");
     command
         .addArgument("--without")
         .nargs("+")
         .choices(Mechanism.names())
         .setDefault(Mechanism.names())
-        .help("mechanisms switched off, one at a time; all unless told");
+        .help("mechanisms to disable, one at a time; all by default");
     command
         .addArgument("--option")
         .action(Arguments.append())
         .setDefault(new ArrayList<String>())
-        .help("an option for the bench, as in --option=--no-cpu; may be given again");
-    command.addArgument("--repository").setDefault(".").help("whose last commit is played");
-    command.addArgument("--out").required(true).help("not below the system's temporary folder");
+        .help("an option for the bench, as in --option=--no-cpu; repeatable");
+    command
+        .addArgument("--repository")
+        .setDefault(".")
+        .help("the repository whose last commit is run");
+    command
+        .addArgument("--out")
+        .required(true)
+        .help("output folder, outside the system's temporary folder");
   }
 
   private void scale() {
@@ -261,18 +268,21 @@
     command
         .addArgument("--sizes")
         .setDefault("")
-        .help("sizes to vary, separated by commas; all unless told");
+        .help("comma-separated sizes to vary; all by default");
     command
         .addArgument("--points")
         .action(Arguments.append())
         .setDefault(new ArrayList<String>())
         .metavar("SIZE=N,N,...")
-        .help("other points of a size");
+        .help("points of a size in place of its defaults");
     command
         .addArgument("--roles")
         .setDefault("")
-        .help("roles to tell of, separated by commas; all unless told");
-    command.addArgument("--quick").action(Arguments.storeTrue()).help("two points a size");
+        .help("comma-separated roles to report; all by default");
+    command
+        .addArgument("--quick")
+        .action(Arguments.storeTrue())
+        .help("measure two points per size");
     out(command);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/CoreRehearsal.java
+++ b/emulator/src/main/java/gladelug/emulator/CoreRehearsal.java
@@ -1,9 +1,9 @@
 package gladelug.emulator;
 
 /**
- * The core's machines replaced for good under load with the real programs: all three swapped in
- * turn, and a relay that slept through it finds the new ones without a seed or a known core machine
- * left alive, by what its neighbours shuffle to it.
+ * Names the scenario that replaces all core machines of a fleet of real processes under load: all
+ * three are swapped in turn, and a relay that was suspended meanwhile finds the new ones through
+ * its neighbours' shuffles, although no seed or known core machine is left.
  */
 public final class CoreRehearsal {
   private CoreRehearsal() {}
--- a/emulator/src/main/java/gladelug/emulator/Deployment.java
+++ b/emulator/src/main/java/gladelug/emulator/Deployment.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * The two deployments at the brief's sizes: machines and zones, replicas, kinds of requests and
- * their rates, tenants of whom a few are large.
+ * The deployments that the emulator can run: machines, zones, replicas, kinds of requests with
+ * their rates, and tenants, a few of which are large.
  */
 public record Deployment(
     String name,
@@ -83,7 +83,9 @@
         "legal-read");
   }
 
-  /** Two replicas, a relay and an index, for tests that set a fault and look at one request. */
+  /**
+   * Returns two replicas, a relay and an index, for tests that set a fault and inspect one request.
+   */
   public static Deployment small(int net) {
     return new Deployment(
         "small",
@@ -104,7 +106,7 @@
     return switch (n) {
       case "safari-njia" -> safariNjia();
       case "moka-ridge" -> mokaRidge();
-      default -> throw new IllegalArgumentException("no deployment " + n);
+      default -> throw new IllegalArgumentException("unknown deployment " + n);
     };
   }
 
@@ -117,18 +119,23 @@
   }
 
   /**
-   * The configuration an operator of this deployment sends; keys as hashes, marker in the last
-   * route's deadline.
+   * Returns the configuration that an operator sends, with hashed keys; the marker makes each one
+   * distinct and sets the deadline of the route lookup-stop.
    */
   public JsonObject configuration(int marker, List<String> without) {
     return configuration(marker, without, "application", 0);
   }
 
   /**
-   * What an operator wants, beside what is always so: keys revoked, which of the two application
-   * services takes lookup-stop, further routes (as a configuration that grows has), whether the
-   * last kind's path is gone, tenants isolated further, and whether the first replica's address is
-   * no longer allowed.
+   * The variable parts of a configuration.
+   *
+   * @param marker makes the configuration distinct
+   * @param revokedTenants the tenants without a key
+   * @param application the service of the route lookup-stop
+   * @param extraRoutes the number of additional routes
+   * @param lastPathRemoved whether the path of the last kind of requests is removed
+   * @param isolatedTenants the tenants isolated in addition to the one that always is
+   * @param firstReplicaForbidden whether the address of the first replica is not allowed
    */
   public record ConfigurationOptions(
       int marker,
@@ -205,7 +212,7 @@
                                   .add("weight", 1)
                                   .add("mappings", Json.array(kinds.get(2).name())))));
     }
-    // all that is listed but the first replica, at .21
+    // allows every listed address except the first replica's, .21
     JsonArray allow = new JsonArray();
     if (options.firstReplicaForbidden)
       for (String n : new String[] {"22/31", "24/29", "32/27", "64/26", "128/25"})
--- a/emulator/src/main/java/gladelug/emulator/Fleet.java
+++ b/emulator/src/main/java/gladelug/emulator/Fleet.java
@@ -29,8 +29,8 @@
 import java.util.stream.Stream;
 
 /**
- * A whole fleet on one machine: gladelug's own programs as processes on loopback addresses, a
- * machine an address, and the stand-ins around them in this process.
+ * A complete fleet on one machine: gladelug's programs run as processes on loopback addresses, one
+ * address per emulated machine, and the stand-ins run in this process.
  */
 public final class Fleet implements AutoCloseable {
   public record Answer(int status, JsonObject body, Map<String, List<String>> headers) {}
@@ -114,12 +114,12 @@
     return "127." + deployment.subnet() + ".0." + host;
   }
 
-  /** Where what is advertised on ip(host) really listens. */
+  /** Returns the IP address on which a process of the host actually listens. */
   String bindIp(int host) {
     return "127." + deployment.subnet() + ".1." + host;
   }
 
-  /** A free address of a machine, carried by the wires to where its process will listen. */
+  /** Reserves an address of a machine and forwards it to where its process will listen. */
   private String reserveAddress(int host, String machine) throws Exception {
     String port = freeAddress(bindIp(host)).replaceFirst(".*:", "");
     links.registerMachine(bindIp(host), machine);
@@ -127,7 +127,7 @@
     return advertisedIp(host) + ":" + port;
   }
 
-  /** The machine that edge processes number i share. */
+  /** Returns the machine that the relay and index of this number share. */
   public static String edgeMachine(int i) {
     return "edge-" + i;
   }
@@ -257,7 +257,7 @@
     }
   }
 
-  /** A further control machine with an empty disk, whose process is not yet started. */
+  /** Adds a control machine with an empty disk, whose process is not yet started. */
   public ChildProcess addControlMachine(String name, int host) throws Exception {
     operatorAddresses.put(name, reserveAddress(host, name));
     recordsAddresses.put(name, reserveAddress(host, name));
@@ -288,7 +288,7 @@
     return c;
   }
 
-  /** The data folder of a control machine is gone for good. */
+  /** Deletes the data folder of a control machine. */
   public void loseDisk(String name) throws IOException {
     String data =
         Json.parse(Files.readString(folder.resolve(name + ".json")))
@@ -306,8 +306,8 @@
   }
 
   /**
-   * Founds the core, starts every process, sends the first configuration and weights, waits for
-   * ready relays.
+   * Bootstraps the core, starts every process, sends the first configuration and weights, and waits
+   * until every relay is ready.
    */
   public void start() throws Exception {
     bootstrap();
@@ -328,26 +328,26 @@
                   64)
               .start();
       if (!found.waitFor(60_000) || found.exitCode() != 0)
-        throw new IllegalStateException("found failed: " + found.readLog());
+        throw new IllegalStateException("bootstrap failed: " + found.readLog());
     }
   }
 
   /** Waits for the core, sends the first configuration and weights, and waits for the relays. */
   void awaitServing() {
     waitUntil(
-        "a majority of control machines ready",
+        "all control machines are ready",
         60_000,
         () -> isReady("control-1") && isReady("control-2") && isReady("control-3"));
     waitUntil(
-        "the first policy taken",
+        "the first configuration is accepted",
         30_000,
         () -> {
           Answer a = sendStandardConfiguration(List.of(), "*");
           return a.status == 200;
         });
-    waitUntil("weights named", 30_000, () -> setWeights("w1").status == 200);
+    waitUntil("weights are set", 30_000, () -> setWeights("w1").status == 200);
     waitUntil(
-        "every relay ready",
+        "every relay is ready",
         60_000,
         () ->
             children.keySet().stream().filter(n -> n.startsWith("relay")).allMatch(this::isReady));
@@ -361,7 +361,7 @@
         Map.of("If-Match", match));
   }
 
-  /** A configuration given whole; the door is whichever control machine answers first. */
+  /** Sends a complete configuration to the first control machine that answers. */
   public Answer sendConfiguration(JsonObject configuration, String match) {
     return call("POST", "/v1/configuration", configuration.toString(), Map.of("If-Match", match));
   }
@@ -378,7 +378,7 @@
         Map.of());
   }
 
-  /** On whichever control machine answers first. */
+  /** Calls the first control machine that answers with a status other than 503. */
   public Answer call(String method, String path, String body, Map<String, String> headers) {
     Answer last = new Answer(0, new JsonObject(), Map.of());
     for (String c : children.keySet()) {
@@ -420,7 +420,10 @@
     }
   }
 
-  /** Who owns a key of the control state, as the core tells it; the first member if nobody does. */
+  /**
+   * Returns the owner of a key of the control state as reported by the core, or the first member if
+   * nobody owns it.
+   */
   public String ownerOf(String key) {
     JsonValue keys = call("GET", "/v1/status", null, Map.of()).body().get("keys");
     if (keys != null) {
@@ -432,7 +435,9 @@
     return members().get(0);
   }
 
-  /** The names of the core's members, as the core tells them; empty if it tells nothing. */
+  /**
+   * Returns the names of the core's members as reported by the core; empty if it does not answer.
+   */
   public List<String> members() {
     List<String> names = new ArrayList<>();
     JsonValue members = call("GET", "/v1/status", null, Map.of()).body().get("members");
@@ -448,10 +453,11 @@
     return http(operatorAddresses.get(node), "GET", "/ready", null, Map.of()).status == 200;
   }
 
-  public static void waitUntil(String what, long ms, BooleanSupplier s) {
-    long end = System.nanoTime() + ms * 1_000_000;
-    while (!s.getAsBoolean()) {
-      if (System.nanoTime() > end) throw new IllegalStateException("waited in vain until " + what);
+  public static void waitUntil(String what, long timeoutMs, BooleanSupplier condition) {
+    long end = System.nanoTime() + timeoutMs * 1_000_000;
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() > end)
+        throw new IllegalStateException("timed out waiting until " + what);
       pause(50);
     }
   }
--- a/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
+++ b/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
@@ -21,23 +21,21 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * The tool fleet-emulator: starts a whole fleet on this machine, loads it at a deployment's rates,
- * breaks things on the way, and prints what the stand-ins' ledgers say. Never deployed.
- *
- * <p>The program that rehearses fleets; one command a run.
+ * The program fleet-emulator: starts a complete fleet on this machine, loads it at a deployment's
+ * rates, injects faults, and reports what the ledgers of the stand-ins show. Never deployed.
  */
 public final class FleetEmulator {
   private static final int STAND_INS_SUBNET = 14;
 
   private FleetEmulator() {}
 
-  /** Ends with 0 if all went well, 1 if a rule was broken, 2 for wrong use. */
+  /** Exits with 0 on success, 1 if a rule was broken, and 2 for invalid arguments. */
   public static void main(String[] args) throws Exception {
     Namespace options = Program.parseArguments(CommandLine.parser(), args);
     System.exit(runCommand(options) ? 0 : 1);
   }
 
-  /** Plays the command; whether no rule was broken. */
+  /** Runs the command and returns whether no rule was broken. */
   private static boolean runCommand(Namespace options) throws Exception {
     switch (options.getString("command")) {
       case "run" -> {
@@ -95,7 +93,7 @@
     return Deployment.byName(options.getString("deployment"));
   }
 
-  /** A new folder for what a run leaves. */
+  /** Creates a new folder for the files of a run. */
   private static Path folder(Namespace options, String name) throws Exception {
     Path folder =
         Path.of(options.getString("out"))
@@ -133,7 +131,7 @@
     return clean;
   }
 
-  /** One of the five days of the control side. */
+  /** Runs one of the five days of the control plane. */
   private static boolean controlDay(Namespace options) throws Exception {
     Logger.getLogger("").setLevel(Level.WARNING);
     int point = options.getInt("point");
@@ -171,7 +169,7 @@
     return ModelCheck.run(wanted, without, System.out::println);
   }
 
-  /** Stays until it is ended. */
+  /** Runs until the process is terminated. */
   private static void standIns(Namespace options) throws Exception {
     Path out = Path.of(options.getString("out")).toAbsolutePath().resolve("stand-ins");
     Fleet fleet = new Fleet(Deployment.small(STAND_INS_SUBNET), out, 1, "summary");
@@ -182,7 +180,7 @@
     System.out.println("platform " + fleet.platform.address());
     System.out.println("configuration " + configuration);
     System.out.println("key of tenant one: " + fleet.deployment.tenants().get(0).key());
-    System.out.println("ends with this process");
+    System.out.println("the stand-ins stop with this process");
     Thread.currentThread().join();
   }
 
--- a/emulator/src/main/java/gladelug/emulator/KillRun.java
+++ b/emulator/src/main/java/gladelug/emulator/KillRun.java
@@ -8,10 +8,8 @@
 import java.util.Locale;
 
 /**
- * A fleet under load with a control machine, an index, a relay and a replica killed on the way, and
- * a configuration sent every three seconds; judged from the ledgers.
- *
- * <p>The rehearsal "run".
+ * The command "run": loads a fleet, kills a control machine, an index, a relay and a replica in
+ * turn, sends a configuration every three seconds, and checks the ledger.
  */
 final class KillRun {
   private static final List<String> VICTIMS = List.of("control", "index", "relay", "replica");
@@ -28,7 +26,7 @@
     this.fleet = fleet;
   }
 
-  /** Runs for so many seconds at a multiple of the deployment's rates; true if clean. */
+  /** Runs at a multiple of the deployment's rates and returns true if no rule was broken. */
   static boolean run(Fleet fleet, int seconds, long seed, boolean kills, double rate)
       throws Exception {
     long began = System.nanoTime();
@@ -41,14 +39,14 @@
     return new KillRun(fleet).run(seconds * 1000L, seed, kills ? VICTIMS : List.of(), rate);
   }
 
-  private boolean run(long lastsMs, long seed, List<String> victims, double rate) {
+  private boolean run(long durationMs, long seed, List<String> victims, double rate) {
     StandInCallers callers = callers(seed, rate);
     AddedLatency added = new AddedLatency(fleet);
     long began = System.nanoTime();
     int killed = 0;
     int changes = 0;
-    for (long at = 0; at < lastsMs; at = (System.nanoTime() - began) / 1_000_000) {
-      if (killed < victims.size() && at >= lastsMs * (killed + 1) / (victims.size() + 1)) {
+    for (long at = 0; at < durationMs; at = (System.nanoTime() - began) / 1_000_000) {
+      if (killed < victims.size() && at >= durationMs * (killed + 1) / (victims.size() + 1)) {
         repair.run();
         kill(victims.get(killed++));
       }
@@ -61,7 +59,7 @@
     }
     repair.run();
     callers.stop();
-    Fleet.waitUntil("the last requests ended", READY_MS, () -> callers.openRequests() == 0);
+    Fleet.waitUntil("the last requests end", READY_MS, () -> callers.openRequests() == 0);
     return LedgerReport.print(fleet, List.of(acknowledgements(), "relay: " + added));
   }
 
@@ -96,7 +94,7 @@
         acknowledgedMs.size());
   }
 
-  /** Kills what is meant by a word, and remembers how it is mended. */
+  /** Kills a process of the given kind and sets the action that repairs it. */
   private void kill(String what) {
     if (what.equals("replica")) {
       killReplica();
@@ -137,7 +135,7 @@
     System.out.println("back " + child.name);
   }
 
-  /** From the other members' logs: when each first served a key after the kill. */
+  /** Returns, from the other members' logs, the ms from the kill to each takeover of a key. */
   private List<Long> takeovers(String dead, long killedAt) {
     List<Long> gaps = new ArrayList<>();
     for (ChildProcess child : fleet.children.values()) {
--- a/emulator/src/main/java/gladelug/emulator/Ledger.java
+++ b/emulator/src/main/java/gladelug/emulator/Ledger.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * What the stand-ins themselves saw, by the tag that each caller put at the end of its prompt, so
- * that nothing here rests on gladelug's own ids or counters. Judges read this and nothing else.
+ * Records what the stand-ins observed, by the tag that each caller puts at the end of its prompt,
+ * so that nothing depends on gladelug's own ids or counters. The checks read only this ledger.
  */
 public final class Ledger {
-  /** One time a replica got a request. */
+  /** One delivery of a request to a replica. */
   public static final class Run {
     public final String tag;
     public final String order;
@@ -26,7 +26,7 @@
     public volatile int pieces;
     public volatile boolean ended;
 
-    /** Its connection was closed before its end. */
+    /** Whether its connection was closed before the end of the answer. */
     public volatile boolean closedEarly;
 
     public int blocks;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** What a caller saw of one order of its own. */
+  /** What a caller observed of one of its requests. */
   public static final class Call {
     public final String tag;
     public final String kind;
@@ -92,11 +92,11 @@
   public final Map<String, Call> calls = new ConcurrentHashMap<>();
   public final ConcurrentLinkedQueue<Note> notes = new ConcurrentLinkedQueue<>();
 
-  /** Reuse of a block made under other weights or behind another wall, as the replicas saw it. */
+  /** Reuses of a block that was computed under other weights or in another isolation domain. */
   public final ConcurrentLinkedQueue<String> invalidReuses = new ConcurrentLinkedQueue<>();
 
   /**
-   * One time a request used a cached block that another tenant's request had made.
+   * A use of a cached block that another tenant's request had computed.
    *
    * @param tag of the request that used it
    * @param maker of the request that made it
@@ -105,10 +105,10 @@
    */
   public record ForeignUse(String tag, String maker, String instance, long at) {}
 
-  /** What tenants used of what others made, which is allowed where neither is isolated. */
+  /** Uses of other tenants' blocks, which are allowed if neither tenant is isolated. */
   public final ConcurrentLinkedQueue<ForeignUse> foreignUses = new ConcurrentLinkedQueue<>();
 
-  /** Anything that reached a server nobody was ever allowed to call. */
+  /** Calls that reached a server which nobody was ever allowed to call. */
   public final ConcurrentLinkedQueue<String> forbiddenCalls = new ConcurrentLinkedQueue<>();
 
   public final ConcurrentLinkedQueue<String> commanderConflicts = new ConcurrentLinkedQueue<>();
@@ -117,7 +117,7 @@
     runs.computeIfAbsent(r.tag, t -> Collections.synchronizedList(new ArrayList<>())).add(r);
   }
 
-  /** A run used a cached block that the request with another tag made. */
+  /** Records that a run used a cached block which the request tagged {@code maker} had computed. */
   public void recordReuse(Run run, String maker) {
     Call user = calls.get(run.tag);
     Call other = calls.get(maker);
--- a/emulator/src/main/java/gladelug/emulator/LedgerChecker.java
+++ b/emulator/src/main/java/gladelug/emulator/LedgerChecker.java
@@ -7,7 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A judgement per must-never from the stand-ins' ledgers alone, naming the offending requests. */
+/**
+ * Checks every safety rule against the ledger of the stand-ins and names the offending requests.
+ */
 public final class LedgerChecker {
   public record Finding(String rule, List<String> offenders) {
     public boolean passed() {
@@ -16,8 +18,8 @@
   }
 
   /**
-   * Second tries that need no first ones: what four relays may have saved, and a few for relays
-   * that restart.
+   * Retries allowed regardless of the number of first attempts: what four relays may have saved,
+   * and a few for relays that restart.
    */
   private static final int RETRY_ALLOWANCE = 16;
 
@@ -25,7 +27,7 @@
 
   private LedgerChecker() {}
 
-  public static List<Finding> checkAll(Ledger l) {
+  public static List<Finding> checkAll(Ledger ledger) {
     Map<String, List<String>> m = new LinkedHashMap<>();
     for (String r :
         new String[] {
@@ -39,8 +41,8 @@
           "two-commanders",
           "second-tries-over-a-fifth"
         }) m.put(r, new ArrayList<>());
-    for (Ledger.Call c : l.calls.values()) {
-      List<Ledger.Run> rs = l.runs.getOrDefault(c.tag, List.of());
+    for (Ledger.Call c : ledger.calls.values()) {
+      List<Ledger.Run> rs = ledger.runs.getOrDefault(c.tag, List.of());
       long ran = rs.stream().filter(r -> r.ran).count();
       if (!c.repeatable && ran > 1)
         m.get("unrepeatable-ran-twice").add(c.tag + " ran " + ran + " times");
@@ -50,26 +52,26 @@
       if (c.outcome.equals("complete") && !whole)
         m.get("cut-off-looks-complete").add(c.tag + " with " + c.pieces + " pieces");
       if (c.status == 200 && c.bodyTerminated && !c.explicitEnd)
-        m.get("cut-off-looks-complete").add(c.tag + " ended its body without an end");
+        m.get("cut-off-looks-complete").add(c.tag + " ended its body without an end record");
       if (c.outcome.equals("not-run") && ran > 0)
         m.get("not-run-but-ran").add(c.tag + " (" + c.order + "): " + c.reason);
     }
-    m.get("service-never-allowed").addAll(l.forbiddenCalls);
-    m.get("cache-of-other-weights-or-wall").addAll(l.invalidReuses);
-    m.get("two-commanders").addAll(l.commanderConflicts);
-    m.get("second-tries-over-a-fifth").addAll(findRetryExcess(l, 0.2, RETRY_ALLOWANCE));
+    m.get("service-never-allowed").addAll(ledger.forbiddenCalls);
+    m.get("cache-of-other-weights-or-wall").addAll(ledger.invalidReuses);
+    m.get("two-commanders").addAll(ledger.commanderConflicts);
+    m.get("second-tries-over-a-fifth").addAll(findRetryExcess(ledger, 0.2, RETRY_ALLOWANCE));
     List<Finding> out = new ArrayList<>();
     m.forEach((k, v) -> out.add(new Finding(k, v)));
     return out;
   }
 
   /**
-   * Of each service, over the whole and over every window of ten seconds: second tries are at most
-   * a fraction of first ones and an allowance.
+   * Checks for each service, over the whole run and every window of ten seconds, that retries are
+   * at most a fraction of first attempts plus an allowance. Returns a description of each excess.
    */
-  public static List<String> findRetryExcess(Ledger l, double fraction, double allowance) {
+  public static List<String> findRetryExcess(Ledger ledger, double fraction, double allowance) {
     Map<String, TreeMap<Long, int[]>> by = new TreeMap<>();
-    for (List<Ledger.Run> runs : l.runs.values()) {
+    for (List<Ledger.Run> runs : ledger.runs.values()) {
       List<Ledger.Run> rs;
       synchronized (runs) {
         rs = new ArrayList<>(runs);
@@ -107,6 +109,6 @@
       second += n[1];
     }
     if (second > first * fraction + allowance)
-      out.add(service + " " + when + ": " + second + " second tries of " + first + " orders");
+      out.add(service + " " + when + ": " + second + " retries of " + first + " requests");
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/LedgerReport.java
+++ b/emulator/src/main/java/gladelug/emulator/LedgerReport.java
@@ -6,23 +6,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * What the stand-ins' ledgers say of a run, in lines for people: outcomes, tries, prefix blocks,
- * and a verdict for each rule.
- *
- * <p>Prints what a ledger holds.
- */
+/** Prints a summary of a ledger: outcomes, attempts, prefix blocks, and a verdict for each rule. */
 public final class LedgerReport {
   private static final int MAX_OFFENDERS_SHOWN = 5;
 
   private LedgerReport() {}
 
-  /** Prints the whole report of a fleet's ledger; true if no rule was broken. */
+  /** Prints the report of a fleet's ledger and returns true if no rule was broken. */
   public static boolean print(Fleet fleet) {
     return print(fleet, List.of());
   }
 
-  /** As print, with further lines before the verdicts. */
+  /** Prints the report with additional lines before the verdicts. */
   static boolean print(Fleet fleet, List<String> further) {
     printOutcomes(fleet.ledger);
     printReplicas(fleet.ledger);
--- a/emulator/src/main/java/gladelug/emulator/LinkProxy.java
+++ b/emulator/src/main/java/gladelug/emulator/LinkProxy.java
@@ -13,16 +13,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The rehearsal's own wires: every advertised address is listened on here, and bytes are carried on
- * to where the process really listens. Who calls is known by the IP number it calls from, so a pair
- * can be cut one way or both: bytes stop while connections stay open, as a lost link does, and new
- * ones hang; a link can be slowed, or its connections broken. Machines are named by their IP
- * number's last parts.
+ * A TCP proxy in front of every advertised address, which can disturb the network between machines.
+ *
+ * <p>It forwards bytes to where the process actually listens, and identifies the caller by its IP
+ * address. A pair of machines can be cut in one or both directions: bytes stop while connections
+ * stay open and new ones hang, as on a lost link. Links can also be delayed, or their connections
+ * broken.
  */
 public final class LinkProxy {
   /**
-   * Whoever calls from an IP number that is no machine's: callers, operators, the platform's own
-   * programs.
+   * The name of every caller whose IP address belongs to no machine: callers, operators and the
+   * platform's programs.
    */
   public static final String OUTSIDE = "outside";
 
@@ -40,12 +41,12 @@
         vertx.createNetClient(new NetClientOptions().setConnectTimeout(5000).setTcpNoDelay(true));
   }
 
-  /** Calls that come from this IP number are the machine's. */
+  /** Registers the IP address from which a machine calls. */
   public void registerMachine(String ip, String name) {
     machines.put(ip, name);
   }
 
-  /** Carries what comes to an advertised address to where a process of the machine listens. */
+  /** Forwards connections from an advertised address to where a process of the machine listens. */
   public void forward(String advertised, String bound, String machine) throws Exception {
     String[] a = splitAddress(advertised), b = splitAddress(bound);
     vertx
@@ -78,7 +79,7 @@
     return new String[] {address.substring(0, c), address.substring(c + 1)};
   }
 
-  /** Nothing more comes from one machine to the other, until it is mended. */
+  /** Stops all bytes from one machine to another until {@link #heal}. */
   public void cutOneWay(String from, String to) {
     cutPairs.add(from + ">" + to);
     connections.forEach(ProxiedConnection::updateFlow);
@@ -89,18 +90,18 @@
     cutOneWay(b, a);
   }
 
-  /** Each of the one side from each of the other. */
+  /** Cuts each machine of one side from each machine of the other. */
   public void cutBetween(Set<String> side, Set<String> other) {
     for (String a : side) for (String b : other) if (!a.equals(b)) cut(a, b);
   }
 
-  /** Milliseconds more for every piece of bytes between two. */
+  /** Delays all bytes between two machines by {@code ms}. */
   public void addDelay(String a, String b, long ms) {
     delaysMs.put(a + ">" + b, ms);
     delaysMs.put(b + ">" + a, ms);
   }
 
-  /** All connections between two end at once, as when a machine between them is restarted. */
+  /** Closes all connections between two machines, as the restart of a device between them does. */
   public void breakConnections(String a, String b) {
     for (ProxiedConnection l : connections) if (l.connects(a, b) || l.connects(b, a)) l.close();
   }
@@ -111,7 +112,7 @@
     connections.forEach(ProxiedConnection::updateFlow);
   }
 
-  /** One connection through the wires. */
+  /** A connection through the proxy. */
   private final class ProxiedConnection {
     private final String caller;
     private final String callee;
@@ -156,7 +157,7 @@
       socket.drainHandler(v -> updateFlow());
     }
 
-    /** Lets bytes flow or stops them, as the pair stands now. */
+    /** Pauses or resumes each direction according to the current cuts. */
     void updateFlow() {
       if (calleeSocket == null) return;
       setPaused(callerSocket, cutPairs.contains(caller + ">" + callee));
--- a/emulator/src/main/java/gladelug/emulator/PrefixBlocks.java
+++ b/emulator/src/main/java/gladelug/emulator/PrefixBlocks.java
@@ -1,10 +1,6 @@
 package gladelug.emulator;
 
-/**
- * Where the prefix blocks of requests came from, summed up.
- *
- * <p>Sums of prefix blocks over runs.
- */
+/** Counts prefix blocks over runs by where they came from. */
 final class PrefixBlocks {
   long all;
   long reused;
@@ -12,7 +8,7 @@
   long computed;
   long wrongHints;
 
-  /** Adds those of one run. */
+  /** Adds the blocks of one run. */
   void add(Ledger.Run run) {
     all += run.blocks;
     reused += run.reused;
@@ -21,7 +17,7 @@
     wrongHints += run.wrongHints;
   }
 
-  /** A part of all blocks in percent; 0 where there are none. */
+  /** Returns a share of all blocks in percent; 0 if there are none. */
   double percent(long part) {
     return 100.0 * part / Math.max(1, all);
   }
--- a/emulator/src/main/java/gladelug/emulator/Quantiles.java
+++ b/emulator/src/main/java/gladelug/emulator/Quantiles.java
@@ -2,15 +2,11 @@
 
 import java.util.List;
 
-/**
- * Quantiles of small lists of figures.
- *
- * <p>Quantiles by rank.
- */
+/** Computes quantiles of small lists by rank. */
 final class Quantiles {
   private Quantiles() {}
 
-  /** The figure at a quantile from 0 to 1; not a number where there are none. */
+  /** Returns the figure at a quantile from 0 to 1, or NaN for an empty list. */
   static double at(List<? extends Number> figures, double quantile) {
     if (figures.isEmpty()) return Double.NaN;
     double[] sorted = figures.stream().mapToDouble(Number::doubleValue).sorted().toArray();
--- a/emulator/src/main/java/gladelug/emulator/ReplicaCache.java
+++ b/emulator/src/main/java/gladelug/emulator/ReplicaCache.java
@@ -13,13 +13,14 @@
 import java.util.Random;
 
 /**
- * The prefix blocks that a stand-in replica keeps, least recently used going first, and the
- * sequence of events by which it tells of them. All methods are called under the replica's lock.
- *
- * <p>The cache of one stand-in replica.
+ * The LRU cache of prefix blocks of a stand-in replica, and the sequence of its cache events. All
+ * methods are called under the replica's lock.
  */
 final class ReplicaCache {
-  /** What a block was made under, and the tag of the request that made it. */
+  /**
+   * The weights and isolation domain that a block was computed under, and the tag of the request
+   * that computed it.
+   */
   record Origin(String weights, String wall, String maker) {
     boolean sameWeightsAndWall(Origin other) {
       return weights.equals(other.weights) && wall.equals(other.wall);
@@ -43,7 +44,7 @@
   private String incarnation = "";
   private long sequence;
 
-  /** Timers take the given lock before they touch the cache. */
+  /** Creates a cache whose timers take the given lock. */
   ReplicaCache(Vertx vertx, Object lock, Random random, ReplicaFaults faults, int capacity) {
     this.vertx = vertx;
     this.lock = lock;
@@ -52,7 +53,7 @@
     this.capacity = capacity;
   }
 
-  /** Forgets all blocks and events; whoever follows learns of it by the new incarnation. */
+  /** Removes all blocks and events; followers detect this by the new incarnation. */
   void clear() {
     kept.clear();
     events.clear();
@@ -60,12 +61,12 @@
     incarnation = Long.toHexString(random.nextLong());
   }
 
-  /** Nobody follows any more, as after a crash. */
+  /** Drops all followers, as a crash does. */
   void dropFollowers() {
     followers.clear();
   }
 
-  /** Tells all who follow where the sequence stands. */
+  /** Sends the current sequence number to all followers. */
   void sendPulses() {
     for (HttpServerResponse follower : new ArrayList<>(followers)) {
       if (!follower.closed()) follower.write(pulse());
@@ -84,18 +85,18 @@
     return kept.size();
   }
 
-  /** What a block was made under, or null; it counts as used. */
+  /** Returns the origin of a block, or null; marks it as recently used. */
   Origin origin(long block) {
     return kept.get(block);
   }
 
-  /** Keeps a block as it was first made; it counts as used. */
+  /** Stores a block, keeping its first origin if that is equivalent; marks it as recently used. */
   void keepFirst(long block, Origin origin) {
     Origin first = kept.get(block);
     keep(block, first == null || !first.sameWeightsAndWall(origin) ? origin : first);
   }
 
-  /** Keeps a block and lets the least recently used go for it. */
+  /** Stores a block and evicts the least recently used ones beyond the capacity. */
   void keep(long block, Origin origin) {
     if (kept.put(block, origin) == null) recordEvent(true, block);
     while (kept.size() > capacity) {
@@ -105,7 +106,7 @@
     }
   }
 
-  /** All blocks, as the protocol lists them. */
+  /** Returns all blocks in the format of the protocol. */
   JsonObject list() {
     JsonArray blocks = new JsonArray();
     for (long block : kept.keySet()) blocks.add(hex(block));
@@ -115,7 +116,7 @@
         .put("blocks", blocks);
   }
 
-  /** Answers with the events after a sequence number and with all later ones. */
+  /** Streams the events after the requested sequence number and all later ones. */
   void follow(HttpServerRequest request) {
     HttpServerResponse follower =
         request.response().setChunked(true).putHeader("Content-Type", "application/x-ndjson");
--- a/emulator/src/main/java/gladelug/emulator/ReplicaFaults.java
+++ b/emulator/src/main/java/gladelug/emulator/ReplicaFaults.java
@@ -1,54 +1,50 @@
 package gladelug.emulator;
 
-/**
- * What may be wrong with a stand-in replica; set from outside while it runs.
- *
- * <p>The faults of one stand-in replica. All are off at first.
- */
+/** The faults of a stand-in replica, which can be set while it runs. Initially all are off. */
 public final class ReplicaFaults {
-  /** It accepts connections and answers nothing. */
+  /** Accepts connections and answers nothing. */
   public volatile boolean hang;
 
-  /** It resets a stream after two pieces. */
+  /** Resets a stream after two pieces. */
   public volatile boolean cutStreams;
 
-  /** It sends a piece after the end of the answer. */
+  /** Sends a piece after the end of the answer. */
   public volatile boolean pieceAfterEnd;
 
-  /** It ends the answer in the middle of the third piece. */
+  /** Ends the answer in the middle of the third piece. */
   public volatile boolean truncatePiece;
 
-  /** It leaves out the number of the third piece. */
+  /** Skips the number of the third piece. */
   public volatile boolean skipPiece;
 
-  /** It names weights in its answers that it does not run. */
+  /** Reports weights in its answers that it does not run. */
   public volatile boolean reportWrongWeights;
 
-  /** It names another service when it is asked who it is. */
+  /** Reports another service in its identity. */
   public volatile boolean reportWrongService;
 
-  /** It reports a load that can't be. */
+  /** Reports an impossible load. */
   public volatile boolean reportInvalidLoad;
 
-  /** The part of its cache events that it never sends. */
+  /** The fraction of its cache events that it never sends. */
   public volatile double eventLossRate;
 
-  /** The part of its cache events that it sends late. */
+  /** The fraction of its cache events that it sends late. */
   public volatile double eventDelayRate;
 
-  /** The part of requests that it refuses without running them. */
+  /** The fraction of requests that it refuses without running them. */
   public volatile double refusalRate;
 
-  /** The part of requests whose connection it closes before the first piece. */
+  /** The fraction of requests whose connection it closes before the first piece. */
   public volatile double earlyCloseRate;
 
-  /** How many times slower than usual its links to other replicas are. */
+  /** The factor by which its links to other replicas are slowed down. */
   public volatile double linkFactor = 1;
 
-  /** Further milliseconds between two pieces. */
+  /** Additional milliseconds between two pieces. */
   public volatile long extraPieceDelayMs;
 
-  /** Takes all faults away. */
+  /** Clears all faults. */
   public void clear() {
     hang = false;
     cutStreams = false;
--- a/emulator/src/main/java/gladelug/emulator/ReplicaWork.java
+++ b/emulator/src/main/java/gladelug/emulator/ReplicaWork.java
@@ -12,22 +12,20 @@
 import java.util.Set;
 
 /**
- * The requests that a stand-in replica runs: a bounded queue before its slots, one prefill at a
+ * Runs the requests of a stand-in replica: a bounded queue in front of its slots, one prefill at a
  * time with blocks reused, fetched or computed, then a stream of pieces. All methods are called
  * under the replica's lock.
- *
- * <p>The queue, slots and streams of one stand-in replica.
  */
 final class ReplicaWork {
-  /** What the work asks of the replica that it belongs to. */
+  /** The replica that runs the requests. */
   interface Host {
-    /** Whether the replica lives. */
+    /** Returns whether the replica is up. */
     boolean up();
 
-    /** The weights that the replica runs. */
+    /** Returns the weights that the replica runs. */
     String weights();
 
-    /** Another replica by its name, or null. */
+    /** Returns another replica by its name, or null. */
     StandInReplica other(String name);
   }
 
@@ -50,16 +48,16 @@
     }
   }
 
-  /** Where a request's blocks come from. */
+  /** The number of a request's blocks by where they come from. */
   private record Prefill(int reused, int fetched, int computed) {}
 
-  /** Waiting requests a slot before the replica is full. */
+  /** The number of waiting requests per slot at which the replica is full. */
   private static final int QUEUE_PER_SLOT = 2;
 
   /** The piece at which broken streams break. */
   private static final int BREAKING_PIECE = 2;
 
-  /** The part of a link's measured time that stays when it is measured again. */
+  /** The weight of the old value in the moving average of a link's time. */
   private static final double LINK_SMOOTHING = 0.7;
 
   private final Vertx vertx;
@@ -74,7 +72,7 @@
   private int running;
   private double busyUntil;
 
-  /** Timers take the given lock before they go on with a request. */
+  /** Creates an executor whose timers take the given lock. */
   ReplicaWork(
       Vertx vertx,
       Object lock,
@@ -96,7 +94,7 @@
     return System.nanoTime() / 1e6;
   }
 
-  /** Nothing waits or runs any more, as after a crash. */
+  /** Drops all waiting and running requests, as a crash does. */
   void clear() {
     waiting.clear();
     links.clear();
@@ -112,7 +110,7 @@
     return running >= model.slots() && waiting.size() >= QUEUE_PER_SLOT * model.slots();
   }
 
-  /** The load, as the protocol tells it. */
+  /** Adds the load in the format of the protocol. */
   void report(JsonObject occupancy) {
     JsonObject measured = new JsonObject();
     links.forEach(measured::put);
@@ -125,7 +123,7 @@
         .put("links", measured);
   }
 
-  /** Takes a request that is to run; it is marked as run from here on. */
+  /** Admits a request and marks it as run. */
   void admit(HttpServerRequest request, JsonObject json, Ledger.Run run, boolean closeAtOnce) {
     run.ran = true;
     long[] blocks =
@@ -156,7 +154,10 @@
     }
   }
 
-  /** A connection that closed before its handlers were set tells nobody. */
+  /**
+   * Abandons the request if its connection closed before the handlers were set, which triggers no
+   * event.
+   */
   private boolean detectClosed(Job job) {
     if (!job.response.closed()) return false;
     abandon(job);
@@ -194,7 +195,9 @@
     vertx.setTimer(Math.max(1, (long) (busyUntil - began)), timer -> prefilled(job, prefill));
   }
 
-  /** How many of the first blocks are here; reuse over weights or walls is noted. */
+  /**
+   * Returns how many leading blocks are cached; records reuse across weights or isolation domains.
+   */
   private int reuse(Job job) {
     ReplicaCache.Origin asked = origin(job.run);
     int reused = 0;
@@ -220,7 +223,7 @@
     return new ReplicaCache.Origin(run.weights, run.wall, run.tag);
   }
 
-  /** How many of the next blocks the hint names and the other replica has. */
+  /** Returns how many of the next blocks the hint names and the other replica has. */
   private int fetch(Job job, JsonObject hint, StandInReplica from, int reused) {
     JsonArray hinted = hint.getJsonArray("blocks");
     Set<Long> named = new HashSet<>();
@@ -239,7 +242,7 @@
     return fetched;
   }
 
-  /** The milliseconds a block takes from another replica, noted as measured. */
+  /** Returns the ms to fetch a block from another replica, and updates the measured link time. */
   private double measuredLink(String name, StandInReplica from) {
     double factor = Math.max(faults.linkFactor, from.faults.linkFactor);
     double perBlock = (model.linkMs() + from.linkMs()) * factor;
--- a/emulator/src/main/java/gladelug/emulator/RequestRehearsal.java
+++ b/emulator/src/main/java/gladelug/emulator/RequestRehearsal.java
@@ -1,8 +1,8 @@
 package gladelug.emulator;
 
 /**
- * Requests against a small fleet of real processes, one fault at a time: what the caller is told
- * and what the replicas' ledgers say of it. One fleet serves all the tests; each leaves it well.
+ * Names the scenarios that send requests to a small fleet of real processes with one fault at a
+ * time and check the caller's answer and the ledger.
  */
 public final class RequestRehearsal {
   private RequestRehearsal() {}
--- a/emulator/src/main/java/gladelug/emulator/ShareComparison.java
+++ b/emulator/src/main/java/gladelug/emulator/ShareComparison.java
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 
 /**
- * Measures what each tenant gets of a full fleet against its due, with the fleet-wide division and
- * with each relay keeping shares alone, turn about. Three tenants of equal weight: a heavy one
- * comes by two relays with five times its due, a light one by a third relay, another light one by
- * all.
+ * The command "shares": compares the throughput of tenants on a saturated fleet with their fair
+ * share, alternating between fleet-wide division and shares kept by each relay alone. Three tenants
+ * have equal weight: a heavy one sends five times its share through two relays, a light one sends
+ * through a third relay, and another light one through all relays.
  */
 final class ShareComparison {
   private record Flow(String label, int tenant, double perSecond, int[] relays) {}
@@ -93,7 +93,7 @@
     got.forEach(ShareComparison::printSummary);
   }
 
-  /** What of a tenant's requests ended whole between two times in ms, per second. */
+  /** Returns a tenant's completed requests per second between two times in ms. */
   private static double completedPerSecond(Ledger ledger, String tenant, long from, long to) {
     return ledger.calls.values().stream()
             .filter(
@@ -121,7 +121,8 @@
   }
 
   /**
-   * Of equal weights: a third of what the fleet did, or all that was asked for where that is less.
+   * Returns the fair share at equal weights: a third of the fleet's throughput, or the demand if
+   * that is less.
    */
   private static double dueOf(double all, Flow[] flows) {
     return Math.min(flows[1].perSecond, all / flows.length);
--- a/emulator/src/main/java/gladelug/emulator/StandInCallers.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInCallers.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stand-ins for callers: requests of several kinds at given rates, each with a prompt that begins
- * with a prefix shared by its kind and tenant and ends in a part and tag of its own; what comes
- * back is checked piece by piece against what only the right replica's right run could send.
+ * Stand-ins for callers: send requests of several kinds at given rates. Each prompt begins with a
+ * prefix shared by its kind, or by kind and tenant, and ends with unique text and a tag. Answers
+ * are checked piece by piece against the content that only the correct run can produce.
  */
 public final class StandInCallers {
   public record Kind(
--- a/emulator/src/main/java/gladelug/emulator/StandInContent.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInContent.java
@@ -6,13 +6,11 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * What stand-ins on both ends agree on without asking each other: the tag at the end of a prompt,
- * the pieces that the right replica's right run answers it with, and the ids of prefix blocks.
- *
- * <p>Prompts, pieces and block ids of the stand-ins.
+ * The content that stand-ins on both ends derive independently: the tag at the end of a prompt, the
+ * pieces of its answer, and the ids of prefix blocks.
  */
 public final class StandInContent {
-  /** Bytes of a prompt in one prefix block. */
+  /** The number of prompt bytes in one prefix block. */
   public static final int BLOCK_BYTES = 256;
 
   private static final String NO_TAG = "untagged";
@@ -21,30 +19,30 @@
 
   private StandInContent() {}
 
-  /** The tag that a caller put at the end of its prompt. */
+  /** Returns the tag at the end of a prompt. */
   public static String tagOf(String prompt) {
     int mark = prompt.lastIndexOf('#');
     return mark < 0 ? NO_TAG : prompt.substring(mark + 1);
   }
 
-  /** How many pieces a request with a tag is answered with. */
+  /** Returns the number of pieces in the answer to a request with a tag. */
   public static int piecesOf(String tag, int most) {
     return Math.min(most, MIN_PIECES + Math.floorMod(tag.hashCode(), PIECE_COUNT_RANGE));
   }
 
-  /** The text of one piece. */
+  /** Returns the text of one piece. */
   public static String textOf(String tag, int piece) {
     return tag + "/" + piece + " ";
   }
 
-  /** The ids of a prompt's blocks of the usual size. */
+  /** Returns the ids of a prompt's blocks of the default size. */
   public static long[] blockIds(String service, String weights, String wall, String prompt) {
     return blockIds(service, weights, wall, prompt, BLOCK_BYTES);
   }
 
   /**
-   * The ids of a prompt's whole blocks, reckoned from the protocol's page and not by the product's
-   * code; the last byte of a prompt never counts.
+   * Returns the ids of a prompt's complete blocks, implemented from the protocol's specification
+   * and independent of production code; the last byte of a prompt never belongs to a block.
    */
   public static long[] blockIds(
       String service, String weights, String wall, String prompt, int blockBytes) {
--- a/emulator/src/main/java/gladelug/emulator/StandInPlatform.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInPlatform.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 
-/** A stand-in for the platform: lists replicas as ready or leaving over HTTP, as told. */
+/** A stand-in for the platform that lists replicas as ready or leaving over HTTP. */
 public final class StandInPlatform {
   private record Entry(
       String service, String instance, String address, String zone, String state) {}
@@ -21,20 +21,17 @@
   public final String host;
   public volatile boolean silent;
 
-  /** Answers that make no sense. */
+  /** Whether answers are malformed. */
   public volatile boolean malformed;
 
-  /**
-   * Told of every state that was answered for the first time: an instance and ready, leaving or
-   * gone.
-   */
+  /** Called when an instance is first reported in a new state: ready, leaving or gone. */
   public volatile BiConsumer<String, String> stateListener = (i, text) -> {};
 
   private final Map<String, String> lastStates = new HashMap<>();
 
   private final String advertised;
 
-  /** Listens on one IP number and is called by another. */
+  /** Starts the platform on {@code host}; its address names {@code advertised}. */
   public StandInPlatform(Vertx vertx, String host, String advertised) throws Exception {
     this.host = host;
     this.advertised = advertised;
--- a/emulator/src/main/java/gladelug/emulator/StandInReplica.java
+++ b/emulator/src/main/java/gladelug/emulator/StandInReplica.java
@@ -16,15 +16,13 @@
 import java.util.function.Function;
 
 /**
- * A stand-in for a model replica, a store or an application replica, speaking the back ends'
- * published HTTP protocol. It prefills one request at a time and decodes up to its slots, keeps
- * prefix blocks in a bounded memory with least recently used going first, tells cache events with
- * sequence numbers, and writes all it does into the ledger. Its faults are set from outside.
- *
- * <p>One stand-in replica; it may be killed and started again.
+ * A stand-in for a model replica, a store or an application replica, which implements the published
+ * HTTP protocol of back ends. It prefills one request at a time and decodes as many as it has
+ * slots, keeps prefix blocks in a bounded LRU cache, streams numbered cache events, and records
+ * everything in the ledger. Its faults are set from outside; it can be killed and restarted.
  */
 public final class StandInReplica {
-  /** What a replica is. */
+  /** The kinds of replicas. */
   public enum Kind {
     /** It runs weights and keeps prefix blocks. */
     MODEL,
@@ -35,9 +33,9 @@
   }
 
   /**
-   * What a replica is and how fast.
+   * The identity, capacity and speed of a replica.
    *
-   * @param capacity the prefix blocks that it keeps
+   * @param capacity the maximum number of prefix blocks that it keeps
    * @param linkMs its own part of the time that a block takes from or to another replica
    */
   public record Model(
@@ -59,28 +57,28 @@
   private static final int IDLE_TIMEOUT_S = 120;
   private static final int CONFLICT = 409;
 
-  /** What it serves and is called; the same as in its model. */
+  /** The service that it belongs to. */
   public final String service;
 
   /** Its name among the replicas of the fleet. */
   public final String instance;
 
-  /** What it is. */
+  /** The kind of the replica. */
   public final Kind kind;
 
-  /** The IP number that it listens on. */
+  /** The IP address that it listens on. */
   public final String host;
 
-  /** What is wrong with it. */
+  /** The current faults. */
   public final ReplicaFaults faults = new ReplicaFaults();
 
   /** The port that it listens on, the same after each start; 0 before the first. */
   public volatile int port;
 
-  /** What others call it by, where that is another IP number. */
+  /** The address that others use, if it differs from the listen address. */
   public volatile String advertised = "";
 
-  /** The requests that reached it. */
+  /** The number of requests that reached it. */
   public volatile int requests;
 
   private final Vertx vertx;
@@ -97,7 +95,7 @@
   private String commander = "";
   private boolean up;
 
-  /** Finds other replicas by their names; it lives when it is started. */
+  /** Creates a replica that is not started; {@code others} finds other replicas by name. */
   public StandInReplica(
       Vertx vertx,
       Ledger ledger,
@@ -143,12 +141,12 @@
             });
   }
 
-  /** What others call it by. */
+  /** Returns the address that others use. */
   public String address() {
     return advertised.isEmpty() ? host + ":" + port : advertised;
   }
 
-  /** The weights that it runs, or ran last while it loads others. */
+  /** Returns the weights that it runs, or ran last while it loads others. */
   public String weights() {
     return weights;
   }
@@ -157,14 +155,14 @@
     return model.linkMs;
   }
 
-  /** Starts, on the same port after the first time; memory is empty and the incarnation new. */
+  /** Starts the replica with an empty cache and a new incarnation, on the same port as before. */
   public void start() {
     synchronized (this) {
       reset();
     }
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
     HttpServer started = null;
-    // the port of the life before may not be free at once
+    // the port of the previous run may not be free at once
     while (started == null) {
       try {
         started = listen();
@@ -204,7 +202,7 @@
     up = true;
   }
 
-  /** Dies: all connections break at once. */
+  /** Kills the replica; all connections break at once. */
   public void kill() {
     HttpServer running;
     synchronized (this) {
@@ -226,17 +224,17 @@
     return up && cache.contains(block);
   }
 
-  /** What a block was made under; null where it is gone. */
+  /** Returns the origin of a block, or null if it is not cached. */
   synchronized ReplicaCache.Origin origin(long block) {
     return cache.origin(block);
   }
 
-  /** How many blocks it keeps. */
+  /** Returns the number of cached blocks. */
   public synchronized int blockCount() {
     return cache.size();
   }
 
-  /** A store takes what replicas save to it. */
+  /** Stores blocks that a replica saves. */
   synchronized void save(long[] blocks, ReplicaCache.Origin origin) {
     if (!up) return;
     for (long block : blocks) cache.keep(block, origin);
@@ -309,7 +307,7 @@
         System.nanoTime() / 1_000_000);
   }
 
-  /** Why a request is not run; empty if it is. */
+  /** Returns why a request is refused, or an empty string if it is not. */
   private String refusal(JsonObject json) {
     boolean meant =
         instance.equals(json.getString("instance")) && service.equals(json.getString("service"));
@@ -359,7 +357,7 @@
     vertx.setTimer(LOAD_WEIGHTS_MS, timer -> loaded(wanted));
   }
 
-  /** New weights are in: what was kept under the old ones is gone, told as a new incarnation. */
+  /** Switches to new weights once idle and clears the cache, which starts a new incarnation. */
   private synchronized void loaded(String wanted) {
     if (!up || !loadingWeights.equals(wanted)) return;
     if (!work.isIdle()) {
--- a/emulator/src/main/java/gladelug/emulator/SummaryBenchmark.java
+++ b/emulator/src/main/java/gladelug/emulator/SummaryBenchmark.java
@@ -10,40 +10,39 @@
 import java.util.TreeMap;
 
 /**
- * Measures the Cuckoo Summary by itself: the paper's four slots with the overflow against wider
- * buckets without need of it, on what a deployment keeps: a shared prefix at every holder and
- * blocks of their own; or many holders against thirteen. Counts first; times as ratios within one
- * run, turn about, the nanoseconds beside only to give their size.
+ * The command "table": benchmarks the Cuckoo Summary, either the paper's four slots with overflow
+ * against wider buckets that need none, or many holders against thirteen. Every holder has a shared
+ * prefix and its own blocks. Times are compared as ratios of alternating measurements within one
+ * run; the nanoseconds only show the order of magnitude.
  */
 final class SummaryBenchmark {
-  private static final int USUAL = 13;
+  private static final int BASELINE_HOLDERS = 13;
 
   /**
-   * A table of b = slots and f = bits for so many holders, each with the shared blocks and own
-   * more.
+   * A table with b = slots and f = bits, and holders that each have the shared blocks and their
+   * own.
    */
   private record Shape(String name, int slots, int bits, int holders, int shared, int own) {}
 
   private SummaryBenchmark() {}
 
   /**
-   * The first shape is what others' times are compared to: the table as it is, with the usual
-   * holders.
+   * Returns the shapes to compare; the first is the baseline, the current table with 13 holders.
    */
   private static List<Shape> shapes(int holders, int shared, int own) {
-    if (holders == USUAL)
+    if (holders == BASELINE_HOLDERS)
       return List.of(
-          new Shape("b=4 f=16, overflow", 4, 16, USUAL, shared, own),
-          new Shape("b=8 f=16", 8, 16, USUAL, shared, own),
-          new Shape("b=8 f=17", 8, 17, USUAL, shared, own));
+          new Shape("b=4 f=16, overflow", 4, 16, BASELINE_HOLDERS, shared, own),
+          new Shape("b=8 f=16", 8, 16, BASELINE_HOLDERS, shared, own),
+          new Shape("b=8 f=17", 8, 17, BASELINE_HOLDERS, shared, own));
     return List.of(
-        new Shape("13 holders, b=4", 4, 16, USUAL, shared, own),
+        new Shape("13 holders, b=4", 4, 16, BASELINE_HOLDERS, shared, own),
         new Shape(holders + " holders, b=4", 4, 16, holders, shared, own),
         new Shape(holders + " holders, b=8", 8, 16, holders, shared, own));
   }
 
   private static int mostHolders(Shape x) {
-    return x.holders == USUAL
+    return x.holders == BASELINE_HOLDERS
         ? CuckooSummary.DEFAULT_MAX_HOLDERS
         : FleetSummary.DEFAULT_MAX_HOLDERS;
   }
--- a/emulator/src/main/java/gladelug/emulator/TimedGuarantees.java
+++ b/emulator/src/main/java/gladelug/emulator/TimedGuarantees.java
@@ -8,25 +8,29 @@
 import java.util.Map;
 
 /**
- * The promises with a time in them, judged from what operators and the platform were told and when
- * replicas got what. A told thing has a key ("route ask", "tenant t", "wall t", "weights", "replica
- * r", "allowed r") and a meaning; a run may act on the last meaning whose acknowledgement is older
- * than the promise's grace, and on any told since. The simulator judges with no grace at all.
+ * Checks the guarantees with a deadline, from the changes that operators and the platform made and
+ * the times at which replicas received requests.
+ *
+ * <p>A change has a key ("mapping ask", "tenant t", "wall t", "weights", "replica r", "allowed r")
+ * and a new value. A run may act on the last value whose acknowledgement is older than the grace
+ * period, and on any later value. The simulator checks without any grace.
  */
 public final class TimedGuarantees {
-  /** A change: what it meant, when it went out, when it was acknowledged (or -1). */
+  /**
+   * A change of a key: its new value, when it was sent, and when it was acknowledged (-1 if not).
+   */
   public record Change(String key, String meaning, long sentMs, long acknowledgedMs) {}
 
   /**
-   * How long after the acknowledgement the old may still be seen; slack for what may overtake on
-   * the way.
+   * How long after its acknowledgement a change may remain without effect, and how far runs may be
+   * reordered in transit.
    */
   public record GracePeriods(
       long configurationMs, long keyMs, long weightsMs, long replicaMs, long reorderMs) {}
 
   public static final GracePeriods REQUIRED = new GracePeriods(2000, 5000, 25_000, 3000, 1000);
 
-  /** A change of unknown fate may yet be taken this long after it was sent. */
+  /** A change of unknown outcome may still be accepted this long after it was sent. */
   private static final long UNKNOWN_OUTCOME_MS = 15_000;
 
   private final Map<String, List<Change>> changesByKey = new HashMap<>();
@@ -35,14 +39,14 @@
     changesByKey.computeIfAbsent(t.key, k -> new ArrayList<>()).add(t);
   }
 
-  /** Sent, and nothing heard yet: its fate is unknown until answered() says more. */
+  /** Records a change that was sent; its outcome is unknown until {@link #recordAnswer}. */
   public Change recordSent(String key, String meaning, long at) {
     Change t = new Change(key, meaning, at, -1);
     record(t);
     return t;
   }
 
-  /** It was acknowledged at a time, or it is certain that it was not taken (acked negative). */
+  /** Records when a change was acknowledged, or, with a negative time, that it was rejected. */
   public synchronized void recordAnswer(Change t, long acked) {
     List<Change> l = changesByKey.get(t.key);
     int i = l.indexOf(t);
@@ -58,7 +62,10 @@
     return new ArrayList<>(changesByKey.getOrDefault(key, List.of()));
   }
 
-  /** Whether something may be acted on at a moment; of what nobody was ever told, anything. */
+  /**
+   * Returns whether a run may act on a value at a time; any value is allowed for a key without
+   * changes.
+   */
   public boolean isAllowed(String key, String meaning, long at, long grace) {
     List<Change> l = changesOf(key);
     if (l.isEmpty()) return true;
@@ -102,7 +109,8 @@
                 && !isAllowed("wall " + c.tenant, meaning(r.wall), r.atMs, g.configurationMs))
               out.get("old-policy-after-2s").add(who + " behind the wall '" + r.wall + "'");
             if (!isAllowed("allowed " + r.instance, "yes", r.atMs, g.configurationMs))
-              out.get("old-policy-after-2s").add(who + " at " + r.instance + ", allowed no more");
+              out.get("old-policy-after-2s")
+                  .add(who + " at " + r.instance + ", which is no longer allowed");
             if (!isAllowed("tenant " + c.tenant, "good", r.atMs, g.keyMs))
               out.get("revoked-key-after-5s").add(who);
             if (!r.weights.isEmpty() && !isAllowed("weights", r.weights, r.atMs, g.weightsMs))
@@ -133,13 +141,17 @@
     return out;
   }
 
-  /** A tenant's own wall is its name; what stands before others has a slash, which no name has. */
+  /**
+   * Returns the tenant of an isolation domain, or an empty string for a shared one, whose name
+   * begins with a slash.
+   */
   private static String meaning(String wall) {
     return wall.startsWith("/") ? "" : wall;
   }
 
   /**
-   * Of one relay and route: no run under an earlier telling than that of a run clearly before it.
+   * Returns the runs of one relay and route that acted on an older value than a clearly earlier
+   * run.
    */
   private List<String> findRegressions(List<Object[]> runs, long slack) {
     List<String> out = new ArrayList<>();
--- a/emulator/src/main/java/gladelug/emulator/WeightsRollout.java
+++ b/emulator/src/main/java/gladelug/emulator/WeightsRollout.java
@@ -6,9 +6,8 @@
 import java.util.Locale;
 
 /**
- * How long a roll to new weights takes under load, and what it costs callers.
- *
- * <p>The rehearsal "weights".
+ * The command "weights": measures how long a rollout of new weights takes under load, and what it
+ * costs callers.
  */
 final class WeightsRollout {
   private static final String OLD = "w1";
@@ -25,7 +24,7 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Names new weights once and prints how the roll went. */
+  /** Sets new weights once and prints how the rollout went. */
   static void measure(Deployment deployment, String base) throws Exception {
     Path out = Path.of(base).toAbsolutePath().resolve("weights-" + System.currentTimeMillis());
     try (Fleet fleet = new Fleet(deployment, out, 1, "summary")) {
@@ -40,41 +39,40 @@
               1);
       callers.start();
       Fleet.pause(WARM_UP_MS);
-      long named = now();
+      long setAtMs = now();
       Fleet.Answer answer = fleet.setWeights(NEW);
-      List<Long> moved = moved(fleet, named);
+      List<Long> moved = moved(fleet, setAtMs);
       Fleet.pause(SETTLE_MS);
       callers.stop();
-      Fleet.waitUntil(
-          "the last requests ended", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
-      report(fleet.ledger, answer.status(), moved, named);
+      Fleet.waitUntil("the last requests end", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
+      report(fleet.ledger, answer.status(), moved, setAtMs);
     }
   }
 
-  /** When each model replica ran the new weights, counted from the naming. */
-  private static List<Long> moved(Fleet fleet, long named) {
+  /** Returns the ms from setting the weights until each model replica ran them. */
+  private static List<Long> moved(Fleet fleet, long setAtMs) {
     List<StandInReplica> models =
         fleet.replicas.values().stream()
             .filter(replica -> replica.kind == StandInReplica.Kind.MODEL)
             .toList();
     List<Long> moved = new ArrayList<>();
-    while (moved.size() < models.size() && now() - named <= ROLLOUT_TIMEOUT_MS) {
+    while (moved.size() < models.size() && now() - setAtMs <= ROLLOUT_TIMEOUT_MS) {
       long onNew = models.stream().filter(replica -> replica.weights().equals(NEW)).count();
-      while (moved.size() < onNew) moved.add(now() - named);
+      while (moved.size() < onNew) moved.add(now() - setAtMs);
       Fleet.pause(STEP_MS);
     }
     return moved;
   }
 
-  private static void report(Ledger ledger, int status, List<Long> moved, long named) {
+  private static void report(Ledger ledger, int status, List<Long> moved, long setAtMs) {
     List<Ledger.Call> calls =
-        ledger.calls.values().stream().filter(call -> call.sentMs >= named).toList();
+        ledger.calls.values().stream().filter(call -> call.sentMs >= setAtMs).toList();
     long incomplete = calls.stream().filter(call -> !call.outcome.equals("complete")).count();
     long lastOnOld =
         ledger.runs.values().stream()
             .flatMap(List::stream)
             .filter(run -> run.weights.equals(OLD))
-            .mapToLong(run -> run.atMs - named)
+            .mapToLong(run -> run.atMs - setAtMs)
             .max()
             .orElse(0);
     List<Long> firstPieces =
@@ -84,7 +82,7 @@
             .toList();
     System.out.printf(
         Locale.ROOT,
-        "naming answered %d; replicas on new weights after ms %s; last request begun on old ones "
+        "change answered %d; replicas on new weights after ms %s; last request started on old weights "
             + "after %d ms; %d of %d requests not complete; p95 first piece %.0f ms%n",
         status,
         moved,
--- a/emulator/src/test/java/gladelug/emulator/CoreRehearsalTest.java
+++ b/emulator/src/test/java/gladelug/emulator/CoreRehearsalTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aRequestIsExplainedWhenItsRelayIsNoMore() throws Exception {
+  void aRequestIsExplainedAfterItsRelayWasKilled() throws Exception {
     Deployment s = Deployment.small(17);
     Deployment d =
         new Deployment(
@@ -71,7 +71,7 @@
               fleet.vertx, fleet.ledger, fleet.callerAddresses, d.tenants(), d.kinds(), 9);
       Ledger.Call[] last = {null};
       Fleet.waitUntil(
-          "two fellows keep an order's record",
+          "two other relays keep a request's record",
           30_000,
           () -> {
             Ledger.Call c =
@@ -91,7 +91,9 @@
           callers.send(d.kinds().get(0), d.tenants().get(0), fleet.callerAddresses.get(0));
       Fleet.waitUntil("it streams", 30_000, () -> live.pieces > 0);
       Fleet.waitUntil(
-          "a fellow keeps the live one's too", 30_000, () -> kept(fleet, "relay-3", live.order));
+          "another relay keeps the record of the running request too",
+          30_000,
+          () -> kept(fleet, "relay-3", live.order));
       fleet.children.get("relay-1").kill();
       fleet.children.get("relay-2").kill();
       ChildProcess c = explained(fleet, ended.order);
@@ -129,7 +131,8 @@
   }
 
   @Test
-  void allThreeAreSwappedAndASleeperFindsTheNewOnesThroughItsNeighbours() throws Exception {
+  void allThreeMembersAreSwappedAndASuspendedRelayFindsTheNewOnesThroughItsNeighbours()
+      throws Exception {
     Deployment s = Deployment.small(16);
     Deployment d =
         new Deployment(
--- a/emulator/src/test/java/gladelug/emulator/FirstStartTest.java
+++ b/emulator/src/test/java/gladelug/emulator/FirstStartTest.java
@@ -6,15 +6,15 @@
 
 /** Tests of the first start of a fleet of real processes. */
 final class FirstStartTest {
-  /** Before the bootstrap members can have agreed: a process takes longer to start. */
+  /** Kills the member before the bootstrap members can agree: a process takes longer to start. */
   private static final long LOST_AFTER_MS = 300;
 
   private static final long BACK_AFTER_MS = 1000;
 
-  /** Guards against a fleet that never comes to be when a first member loses its disk (review). */
+  /** Guards against a fleet that never forms when a bootstrap member loses its disk. */
   @ParameterizedTest
   @ValueSource(strings = {"control-1", "control-3"})
-  void aFleetComesToBeThoughAFirstMemberComesBackEmpty(String lost) throws Exception {
+  void aFleetFormsAlthoughABootstrapMemberReturnsWithAnEmptyDisk(String lost) throws Exception {
     Deployment deployment = Deployment.small(lost.equals("control-1") ? 23 : 24);
     try (Fleet fleet =
         new Fleet(deployment, Files.createTempDirectory("gladelug-first"), 11, "summary")) {
--- a/emulator/src/test/java/gladelug/emulator/KillRunTest.java
+++ b/emulator/src/test/java/gladelug/emulator/KillRunTest.java
@@ -9,13 +9,13 @@
 
 /** Tests of KillRun. */
 final class KillRunTest {
-  /** The real programs, kills included, for a short while: the same run an operator can make. */
+  /** Runs the command "run" briefly with real processes and kills. */
   @Test
-  void aShortRunOfRealProcessesWithKillsIsClean() throws Exception {
+  void aShortRunOfRealProcessesWithKillsBreaksNoRule() throws Exception {
     Path out = Files.createTempDirectory("gladelug-rehearsal");
     try (Fleet fleet = new Fleet(Deployment.safariNjia(), out, 7, "summary")) {
       boolean clean = run(fleet, 20, 7, true, 0.5);
-      Assertions.assertTrue(clean, "see the judgements above; logs in " + out);
+      Assertions.assertTrue(clean, "see the verdicts above; logs in " + out);
       long complete =
           fleet.ledger.calls.values().stream().filter(c -> c.outcome.equals("complete")).count();
       Assertions.assertTrue(
--- a/emulator/src/test/java/gladelug/emulator/LedgerCheckerTest.java
+++ b/emulator/src/test/java/gladelug/emulator/LedgerCheckerTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aCleanDayIsClean() {
+  void aCorrectLedgerBreaksNoRule() {
     Ledger l = new Ledger();
     call(l, "a", false, "complete", 5);
     run(l, "a", false, 0, false);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void eachPlantedViolationIsCaught() {
+  void eachViolationIsDetected() {
     Ledger l = new Ledger();
     call(l, "a", false, "complete", 5);
     run(l, "a", true, 1, false);
--- a/emulator/src/test/java/gladelug/emulator/LinkProxyTest.java
+++ b/emulator/src/test/java/gladelug/emulator/LinkProxyTest.java
@@ -10,7 +10,7 @@
 /** Tests of LinkProxy. */
 final class LinkProxyTest {
   @Test
-  void aCutStopsBytesOneWayAndConnectionsStayOpen() throws Exception {
+  void aCutStopsBytesInOneDirectionAndKeepsConnectionsOpen() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
       LinkProxy proxy = new LinkProxy(vertx);
@@ -52,7 +52,7 @@
       Assertions.assertEquals("1", answered.toString());
       proxy.heal();
       Fleet.waitUntil(
-          "all came after the mending", 10_000, () -> answered.toString().equals("123"));
+          "all bytes arrive after healing", 10_000, () -> answered.toString().equals("123"));
       Assertions.assertFalse(closed[0]);
       proxy.breakConnections("a", "b");
       Fleet.waitUntil("it closed", 10_000, () -> closed[0]);
--- a/emulator/src/test/java/gladelug/emulator/TimedGuaranteesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/TimedGuaranteesTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void eachCatchesItsViolationAndPassesItsNearestInnocentNeighbour() {
+  void eachRuleDetectsItsViolationAndAllowsTheNearestValidRun() {
     Object[][] runs = {
       // kind, tenant, service, instance, weights, wall, at, the rule it breaks
       {"ask", "v", "a", "x", "", "", 12_400, ""},
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aRelayThatSlipsBackIsSeenAlsoWithinTheGrace() {
+  void aRelayThatRevertsToAnOlderValueIsDetectedWithinTheGracePeriod() {
     Assertions.assertEquals(
         "slipped-back",
         broken(
@@ -112,11 +112,11 @@
             "",
             "",
             10_900),
-        "overtaken on the way");
+        "reordered in transit");
   }
 
   @Test
-  void aChangeOfUnknownFateMayBeSeenAfterTheNextAcknowledgedOne() {
+  void aChangeOfUnknownOutcomeMayTakeEffectAfterTheNextAcknowledgedOne() {
     TimedGuarantees guarantees = guarantees();
     guarantees.record("mapping ask", "c", 20_000, -1);
     guarantees.record("mapping ask", "b", 28_500, 28_600);
