--- a/emulator/src/main/java/gladelug/emulator/TimedGuarantees.java
+++ b/emulator/src/main/java/gladelug/emulator/TimedGuarantees.java
@@ -35,23 +35,23 @@
 
   private final Map<String, List<Change>> changesByKey = new HashMap<>();
 
-  public synchronized void record(Change t) {
-    changesByKey.computeIfAbsent(t.key, k -> new ArrayList<>()).add(t);
+  public synchronized void record(Change change) {
+    changesByKey.computeIfAbsent(change.key, k -> new ArrayList<>()).add(change);
   }
 
   /** Records a change that was sent; its outcome is unknown until {@link #recordAnswer}. */
   public Change recordSent(String key, String meaning, long at) {
-    Change t = new Change(key, meaning, at, -1);
-    record(t);
-    return t;
+    Change change = new Change(key, meaning, at, -1);
+    record(change);
+    return change;
   }
 
   /** Records when a change was acknowledged, or, with a negative time, that it was rejected. */
-  public synchronized void recordAnswer(Change t, long acked) {
-    List<Change> l = changesByKey.get(t.key);
-    int i = l.indexOf(t);
+  public synchronized void recordAnswer(Change change, long acked) {
+    List<Change> l = changesByKey.get(change.key);
+    int i = l.indexOf(change);
     if (acked < 0) l.remove(i);
-    else l.set(i, new Change(t.key, t.meaning, t.sentMs, acked));
+    else l.set(i, new Change(change.key, change.meaning, change.sentMs, acked));
   }
 
   public void record(String key, String meaning, long sent, long acked) {
@@ -66,17 +66,21 @@
    * Returns whether a run may act on a value at a time; any value is allowed for a key without
    * changes.
    */
-  public boolean isAllowed(String key, String meaning, long at, long grace) {
+  public boolean isAllowed(String key, String meaning, long atMs, long graceMs) {
     List<Change> l = changesOf(key);
     if (l.isEmpty()) return true;
     int from = -1;
     for (int i = 0; i < l.size(); i++)
-      if (l.get(i).acknowledgedMs >= 0 && l.get(i).acknowledgedMs + grace < at) from = i;
+      if (l.get(i).acknowledgedMs >= 0 && l.get(i).acknowledgedMs + graceMs < atMs) from = i;
     for (int i = 0; i < l.size(); i++) {
-      Change t = l.get(i);
-      boolean lateFate =
-          t.acknowledgedMs < 0 && from >= 0 && t.sentMs > l.get(from).sentMs - UNKNOWN_OUTCOME_MS;
-      if ((i >= from || lateFate) && t.meaning.equals(meaning) && t.sentMs <= at) return true;
+      Change change = l.get(i);
+      boolean mayBeAcceptedLate =
+          change.acknowledgedMs < 0
+              && from >= 0
+              && change.sentMs > l.get(from).sentMs - UNKNOWN_OUTCOME_MS;
+      if ((i >= from || mayBeAcceptedLate)
+          && change.meaning.equals(meaning)
+          && change.sentMs <= atMs) return true;
     }
     return false;
   }
--- a/emulator/src/main/java/gladelug/emulator/day/NetworkEpisodes.java
+++ b/emulator/src/main/java/gladelug/emulator/day/NetworkEpisodes.java
@@ -23,7 +23,7 @@
   private final DayFleet machines;
   private final DayOperator operator;
   private final Fleet fleet;
-  private final LinkProxy wires;
+  private final LinkProxy links;
   private String killedMember;
   private StandInReplica otherServiceReplica;
 
@@ -31,7 +31,7 @@
     this.machines = machines;
     this.operator = operator;
     this.fleet = machines.fleet;
-    this.wires = fleet.links;
+    this.links = fleet.links;
   }
 
   List<Episode> episodes() {
@@ -42,7 +42,7 @@
   }
 
   private void healAndSend() {
-    wires.heal();
+    links.heal();
     operator.sendUntilConfirmed();
   }
 
@@ -56,7 +56,7 @@
             "a relay's machine is cut off from the core while a key is revoked",
             this::cutOffRelayAndRevoke,
             () -> {
-              wires.heal();
+              links.heal();
               operator.revokedTenants = List.of();
               operator.sendUntilConfirmed();
             }),
@@ -64,20 +64,20 @@
             "a relay receives nothing from the core, while the core receives from it",
             () -> {
               for (String member : machines.coreMachines())
-                wires.cutOneWay(member, Fleet.edgeMachine(4));
+                links.cutOneWay(member, Fleet.edgeMachine(4));
               operator.send();
             },
             this::healAndSend),
         Episode.of(
             "a relay is cut off from a replica, and another relay receives nothing from a replica",
             () -> {
-              wires.cut(Fleet.edgeMachine(1), "replica-2");
-              wires.cutOneWay("replica-3", Fleet.edgeMachine(2));
+              links.cut(Fleet.edgeMachine(1), "replica-2");
+              links.cutOneWay("replica-3", Fleet.edgeMachine(2));
             },
-            wires::heal),
+            links::heal),
         Episode.of(
             "the platform is cut off from the core",
-            () -> wires.cutBetween(Set.of("platform"), machines.coreMachines()),
+            () -> links.cutBetween(Set.of("platform"), machines.coreMachines()),
             this::healAndSend),
         Episode.of(
             "links between core machines are slow, and connections between two of them break",
@@ -144,11 +144,11 @@
         new LinkedHashSet<>(List.of(owner, Fleet.edgeMachine(1), Fleet.edgeMachine(2)));
     Set<String> others = machines.membersAndEdges();
     others.removeAll(side);
-    wires.cutBetween(side, others);
+    links.cutBetween(side, others);
   }
 
   private void cutOffRelayAndRevoke() {
-    wires.cutBetween(Set.of(Fleet.edgeMachine(3)), machines.coreMachines());
+    links.cutBetween(Set.of(Fleet.edgeMachine(3)), machines.coreMachines());
     operator.revokedTenants = List.of(fleet.deployment.tenants().get(0).name());
     operator.moveApplication();
     operator.send();
@@ -158,11 +158,11 @@
     List<String> members = machines.members();
     for (String from : members) {
       for (String to : members) {
-        if (!from.equals(to)) wires.addDelay(from, to, SLOW_LINK_MS);
+        if (!from.equals(to)) links.addDelay(from, to, SLOW_LINK_MS);
       }
     }
-    wires.breakConnections(members.get(0), members.get(1));
-    wires.breakConnections(members.get(1), members.get(0));
+    links.breakConnections(members.get(0), members.get(1));
+    links.breakConnections(members.get(1), members.get(0));
     operator.send();
   }
 
@@ -214,7 +214,7 @@
   }
 
   private void growWhilePartitioned() {
-    wires.cutBetween(Set.of(Fleet.edgeMachine(2)), machines.coreMachines());
+    links.cutBetween(Set.of(Fleet.edgeMachine(2)), machines.coreMachines());
     operator.extraRoutes += EXTRA_ROUTES;
     operator.send();
   }
@@ -223,14 +223,14 @@
     String member = machines.randomMember();
     Set<String> others = machines.membersAndEdges();
     others.add("platform");
-    wires.cutBetween(Set.of(member), others);
+    links.cutBetween(Set.of(member), others);
     operator.send();
   }
 
   private void cutOffEdge() {
     Set<String> others = machines.membersAndEdges();
     others.addAll(fleet.replicas.keySet());
-    wires.cutBetween(Set.of(Fleet.edgeMachine(2)), others);
+    links.cutBetween(Set.of(Fleet.edgeMachine(2)), others);
     operator.send();
   }
 }
