--- a/operator-tools/src/main/java/gladelug/tools/Explanation.java
+++ b/operator-tools/src/main/java/gladelug/tools/Explanation.java
@@ -8,321 +8,352 @@
 import java.util.List;
 
 /**
- * Puts into words for a person what a relay recorded of a request, stage by stage, and what the
- * control state says of a number. The words only rearrange the record; they add no reasons.
+ * Formats operator responses as readable text: a relay's record of a request, stage by stage, the
+ * history of a number of the control state, and the status of the fleet. The text contains only
+ * what the responses contain; no reasons are inferred.
  */
 final class Explanation {
   private Explanation() {}
 
-  /** What operators call a key of the control state. */
-  static String nameOf(String key) {
+  /** Returns the name by which operators know a key of the control state. */
+  static String displayName(String key) {
     return key.equals(StateKeys.CONFIGURATION) ? "configuration" : key;
   }
 
-  static String ofRequest(JsonObject d) {
+  /** Formats a relay's record of a request, with a line for each stage. */
+  static String describeRequest(JsonObject request) {
     StringBuilder builder = new StringBuilder();
     builder
         .append("request ")
-        .append(d.getString("order", "?"))
-        .append(", came ")
-        .append(d.getString("came", "?"))
+        .append(request.getString("order", "?"))
+        .append(", received ")
+        .append(request.getString("came", "?"))
         .append(": ")
-        .append(d.getString("outcome", "?"))
+        .append(request.getString("outcome", "?"))
         .append('\n');
-    for (JsonValue value : d.get("stages").asArray()) {
-      JsonObject s = value.asObject();
+    for (JsonValue value : request.get("stages").asArray()) {
+      JsonObject stage = value.asObject();
       builder.append(
-          String.format("%8d ms  %-12s ", s.getLong("atMs", 0), s.getString("stage", "")));
-      builder.append(words(s)).append('\n');
+          String.format("%8d ms  %-12s ", stage.getLong("atMs", 0), stage.getString("stage", "")));
+      builder.append(describeStage(stage)).append('\n');
     }
     return builder.toString();
   }
 
-  /** From whom it is, where that isn't the relay, and what it can't know. */
-  static String ofKeeper(JsonObject json, String keeper) {
+  /**
+   * Names the node that a request's record was read from if that is not the relay that took the
+   * request. For a request recorded as live, also says which replica it was handed to, since the
+   * node cannot know how the request ended.
+   */
+  static String describeRecordSource(JsonObject request, String source) {
     String replica = "";
-    for (JsonValue value : json.get("stages").asArray())
+    for (JsonValue value : request.get("stages").asArray())
       if (value.asObject().getString("stage", "").equals("hand-over"))
         replica = value.asObject().getString("replica", "");
     return "as its relay told "
-        + keeper
-        + (json.getString("outcome", "").equals("live")
+        + source
+        + (request.getString("outcome", "").equals("live")
             ? "; handed to "
                 + (replica.isEmpty() ? "no replica" : "replica " + replica)
                 + ", fate not known here\n"
             : "\n");
   }
 
-  private static String words(JsonObject json) {
-    return switch (json.getString("stage", "")) {
+  private static String describeStage(JsonObject stage) {
+    return switch (stage.getString("stage", "")) {
       case "key" ->
-          "the key is one of tenant "
-              + json.getString("tenant", "")
-              + (json.getBoolean("isolated", false) ? ", which shares no prefix" : "")
+          "the key belongs to tenant "
+              + stage.getString("tenant", "")
+              + (stage.getBoolean("isolated", false) ? ", which shares no cached prefixes" : "")
               + "; configuration "
-              + json.get("policy");
+              + stage.get("policy");
       case "mapping" ->
           "route "
-              + json.getString("mapping", "")
+              + stage.getString("mapping", "")
               + " leads to service "
-              + json.getString("service", "")
+              + stage.getString("service", "")
               + "; share "
-              + json.getString("share", "")
+              + stage.getString("share", "")
               + ", deadline "
-              + json.get("expiryMs")
+              + stage.get("expiryMs")
               + " ms, "
-              + (json.getBoolean("repeatable", false) ? "may be repeated" : "must not be repeated");
+              + (stage.getBoolean("repeatable", false) ? "may be retried" : "must not be retried");
       case "admission" ->
           "waited "
-              + json.get("waitedMs")
-              + " ms for a place, "
-              + json.get("backlogThen")
-              + " still waiting then";
+              + stage.get("waitedMs")
+              + " ms for a free slot, "
+              + stage.get("backlogThen")
+              + " requests still waiting at that time";
       case "lookup" ->
-          json.get("blocks")
-              + " whole blocks under weights "
-              + json.getString("weights", "")
+          stage.get("blocks")
+              + " full blocks for weights "
+              + stage.getString("weights", "")
               + "; the index "
-              + json.getString("index", "")
+              + stage.getString("index", "")
               + ": "
-              + matches(json);
+              + describeMatches(stage);
       case "choice" ->
           "replica "
-              + json.getString("replica", "")
+              + stage.getString("replica", "")
               + " of "
-              + json.get("of")
-              + " with a place:"
-              + options(json);
+              + stage.get("of")
+              + " with a free slot:"
+              + describeOptions(stage);
       case "fetch" ->
-          json.get("kept")
-              + " blocks should be there"
-              + (json.getInt("pull", 0) > 0
-                  ? ", " + json.get("pull") + " to be pulled from " + json.getString("from", "")
+          stage.get("kept")
+              + " blocks expected in its cache"
+              + (stage.getInt("pull", 0) > 0
+                  ? ", " + stage.get("pull") + " to be fetched from " + stage.getString("from", "")
                   : "")
               + ", "
-              + json.get("compute")
+              + stage.get("compute")
               + " to be computed";
-      case "hand-over" -> "try " + json.get("try") + " went to " + json.getString("replica", "");
+      case "hand-over" ->
+          "attempt " + stage.get("try") + " went to " + stage.getString("replica", "");
       case "replica" ->
-          "the replica says: reused "
-              + json.get("reused")
+          "the replica reports: reused "
+              + stage.get("reused")
               + ", fetched "
-              + json.get("fetched")
+              + stage.get("fetched")
               + ", computed "
-              + json.get("computed");
-      case "stream" -> "first piece after " + json.get("firstPieceMs") + " ms";
-      case "again" -> "back to the choice: " + json.getString("why", "");
+              + stage.get("computed");
+      case "stream" -> "first piece after " + stage.get("firstPieceMs") + " ms";
+      case "again" -> "another replica is chosen: " + stage.getString("why", "");
       case "turned-away" ->
-          "refused with " + json.get("status") + ": " + json.getString("reason", "");
+          "refused with " + stage.get("status") + ": " + stage.getString("reason", "");
       case "cut-off" ->
-          "cut off after " + json.get("pieces") + " pieces: " + json.getString("why", "");
-      case "caller-gone" -> "the caller went away after " + json.get("pieces") + " pieces";
-      default -> json.toString();
+          "cut off after " + stage.get("pieces") + " pieces: " + stage.getString("why", "");
+      case "caller-gone" -> "the caller disconnected after " + stage.get("pieces") + " pieces";
+      default -> stage.toString();
     };
   }
 
-  private static String matches(JsonObject json) {
-    List<String> l = new ArrayList<>();
-    for (JsonValue value : json.get("matches").asArray())
-      l.add(
+  private static String describeMatches(JsonObject stage) {
+    List<String> parts = new ArrayList<>();
+    for (JsonValue value : stage.get("matches").asArray())
+      parts.add(
           value.asObject().getString("holder", "") + " may hold " + value.asObject().get("blocks"));
-    return l.isEmpty() ? "no holder known" : String.join(", ", l);
+    return parts.isEmpty() ? "no holder known" : String.join(", ", parts);
   }
 
-  private static String options(JsonObject s) {
+  private static String describeOptions(JsonObject stage) {
     StringBuilder builder = new StringBuilder();
-    for (JsonValue value : s.get("options").asArray()) {
-      JsonObject o = value.asObject();
+    for (JsonValue value : stage.get("options").asArray()) {
+      JsonObject option = value.asObject();
       builder.append(
           String.format(
-              "%n%26s%-14s %8s ms = queue %s + work %s; %s blocks matched, %s requests there",
+              "%n%26s%-14s %8s ms = queue %s + work %s; %s blocks matched, %s requests in progress",
               "",
-              o.getString("replica", ""),
-              o.get("totalMs"),
-              o.get("backlogMs"),
-              o.get("workMs"),
-              o.get("matched"),
-              o.get("load")));
-      if (o.getInt("fetchBlocks", 0) > 0)
+              option.getString("replica", ""),
+              option.get("totalMs"),
+              option.get("backlogMs"),
+              option.get("workMs"),
+              option.get("matched"),
+              option.get("load")));
+      if (option.getInt("fetchBlocks", 0) > 0)
         builder
             .append(", ")
-            .append(o.get("fetchBlocks"))
+            .append(option.get("fetchBlocks"))
             .append(" from ")
-            .append(o.getString("fetchFrom", ""));
+            .append(option.getString("fetchFrom", ""));
     }
     return builder.toString();
   }
 
   /**
-   * Who holds a key's number and since when, who is behind; status is that of a control machine.
+   * Formats which node owns a key, which nodes hold the given number or a later one and for how
+   * long, and which nodes are behind.
+   *
+   * @param status the status that a control machine reports
    */
-  static String ofNumber(String key, long number, JsonObject status) {
+  static String describeNumber(String key, long number, JsonObject status) {
     StringBuilder builder = new StringBuilder();
     for (JsonValue value : status.get("keys").asArray()) {
-      JsonObject k = value.asObject();
-      if (k.getString("key", "").equals(key))
+      JsonObject entry = value.asObject();
+      if (entry.getString("key", "").equals(key))
         builder
-            .append(nameOf(key))
+            .append(displayName(key))
             .append(' ')
-            .append(k.get("number"))
-            .append(" is the newest, owned by ")
-            .append(k.getString("owner", "").isEmpty() ? "nobody" : k.getString("owner", ""))
-            .append(number > k.getLong("number", 0) ? "; " + number + " was not taken so far" : "")
+            .append(entry.get("number"))
+            .append(" is the latest number; owner: ")
+            .append(entry.getString("owner", "").isEmpty() ? "none" : entry.getString("owner", ""))
+            .append(
+                number > entry.getLong("number", 0)
+                    ? "; " + number + " has not been assigned yet"
+                    : "")
             .append('\n');
     }
     for (JsonValue value : status.get("nodes").asArray()) {
-      JsonObject n = value.asObject();
-      JsonObject h =
-          n.get("holds").asObject().get(key) == null
+      JsonObject node = value.asObject();
+      JsonObject holding =
+          node.get("holds").asObject().get(key) == null
               ? null
-              : n.get("holds").asObject().get(key).asObject();
-      long has = h == null ? 0 : h.getLong("number", 0);
+              : node.get("holds").asObject().get(key).asObject();
+      long held = holding == null ? 0 : holding.getLong("number", 0);
       builder.append(
           String.format(
               "  %-12s %-6s %s%n",
-              n.getString("name", ""),
-              n.getString("role", ""),
-              has >= number
-                  ? "has " + has + " for " + h.get("forMs") + " ms"
-                  : "is behind with " + has + ", last heard " + n.get("askedMsAgo") + " ms ago"));
+              node.getString("name", ""),
+              node.getString("role", ""),
+              held >= number
+                  ? "has had " + held + " for " + holding.get("forMs") + " ms"
+                  : "is behind at "
+                      + held
+                      + ", last contact "
+                      + node.get("askedMsAgo")
+                      + " ms ago"));
     }
     return builder.toString();
   }
 
   /**
-   * When a number was taken and by whom, what it changed, who had it when, and what replaced it.
+   * Formats when a number was taken and by which node, what it changed, when each node was first
+   * seen with it, and which number replaced it.
+   *
+   * @param numbers the numbers of the key that the control machine remembers
    */
-  static String ofHistory(String key, long number, JsonArray numbers) {
+  static String describeHistory(String key, long number, JsonArray numbers) {
     StringBuilder builder = new StringBuilder();
     for (JsonValue value : numbers) {
-      JsonObject json = value.asObject();
-      long n = json.getLong("number", 0);
+      JsonObject entry = value.asObject();
+      long current = entry.getLong("number", 0);
       String when =
-          json.getString("taken", "").isEmpty()
-              ? "at a time not kept"
-              : "at " + json.getString("taken", "");
-      if (n == number) {
+          entry.getString("taken", "").isEmpty()
+              ? "at an unrecorded time"
+              : "at " + entry.getString("taken", "");
+      if (current == number) {
         builder
-            .append(nameOf(key))
+            .append(displayName(key))
             .append(' ')
-            .append(n)
+            .append(current)
             .append(" was taken ")
             .append(when)
             .append(" by ")
-            .append(json.getString("by", ""))
+            .append(entry.getString("by", ""))
             .append("; it changed ")
-            .append(json.getString("changed", ""));
-        if (!json.getString("acknowledged", "").isEmpty())
-          builder.append("; acknowledged at ").append(json.getString("acknowledged", ""));
+            .append(entry.getString("changed", ""));
+        if (!entry.getString("acknowledged", "").isEmpty())
+          builder.append("; acknowledged at ").append(entry.getString("acknowledged", ""));
         builder.append('\n');
-        for (JsonObject.Member m : json.get("firstSeenAt").asObject())
+        for (JsonObject.Member node : entry.get("firstSeenAt").asObject())
           builder
               .append("  ")
-              .append(m.getName())
+              .append(node.getName())
               .append(" was first seen with it at ")
-              .append(m.getValue().asString())
+              .append(node.getValue().asString())
               .append('\n');
-      } else if (n == number + 1)
+      } else if (current == number + 1)
         builder
             .append("it was replaced by ")
-            .append(n)
+            .append(current)
             .append(' ')
             .append(when)
             .append(", which changed ")
-            .append(json.getString("changed", ""))
+            .append(entry.getString("changed", ""))
             .append('\n');
     }
     if (builder.length() == 0)
       builder
           .append("nothing more is remembered of ")
-          .append(nameOf(key))
+          .append(displayName(key))
           .append(' ')
           .append(number)
-          .append("; the last ")
+          .append("; only the last ")
           .append(numbers.size())
-          .append(" numbers are\n");
+          .append(" numbers are remembered\n");
     return builder.toString();
   }
 
-  static String ofStatus(JsonObject s) {
-    StringBuilder builder = new StringBuilder("core generation " + s.get("generation") + "\n");
-    for (JsonValue value : s.get("members").asArray()) {
-      JsonObject m = value.asObject();
+  /** Formats the status that a control machine reports: core members, keys and nodes. */
+  static String describeFleet(JsonObject status) {
+    StringBuilder builder = new StringBuilder("core generation " + status.get("generation") + "\n");
+    for (JsonValue value : status.get("members").asArray()) {
+      JsonObject member = value.asObject();
       builder.append(
           String.format(
               "  %-12s %-6s %s%n",
-              m.getString("name", ""),
-              m.getBoolean("alive", false) ? "alive" : "silent",
-              m.getString("operator", "")));
+              member.getString("name", ""),
+              member.getBoolean("alive", false) ? "alive" : "silent",
+              member.getString("operator", "")));
     }
-    for (JsonValue value : s.get("wouldJoin").asArray())
-      builder.append("  ").append(value.asObject().getString("name", "")).append(" asks to join\n");
+    for (JsonValue value : status.get("wouldJoin").asArray())
+      builder
+          .append("  ")
+          .append(value.asObject().getString("name", ""))
+          .append(" requests to join\n");
     builder.append("keys\n");
-    for (JsonValue value : s.get("keys").asArray()) {
-      JsonObject k = value.asObject();
+    for (JsonValue value : status.get("keys").asArray()) {
+      JsonObject key = value.asObject();
       builder.append(
           String.format(
               "  %-24s number %-6s owner %-12s epoch %s%s%n",
-              nameOf(k.getString("key", "")),
-              k.get("number"),
-              k.getString("owner", "").isEmpty() ? "none" : k.getString("owner", ""),
-              k.get("epoch"),
-              k.getInt("licensed", -1) >= 0 ? ", leases out " + k.get("licensed") : ""));
+              displayName(key.getString("key", "")),
+              key.get("number"),
+              key.getString("owner", "").isEmpty() ? "none" : key.getString("owner", ""),
+              key.get("epoch"),
+              key.getInt("licensed", -1) >= 0 ? ", leases granted " + key.get("licensed") : ""));
     }
     builder.append("nodes\n");
-    for (JsonValue value : s.get("nodes").asArray()) {
-      JsonObject n = value.asObject();
+    for (JsonValue value : status.get("nodes").asArray()) {
+      JsonObject node = value.asObject();
       builder.append(
           String.format(
-              "  %-12s %-6s %-8s asked %s ms ago, holds",
-              n.getString("name", ""),
-              n.getString("role", ""),
-              n.getString("domain", ""),
-              n.get("askedMsAgo")));
-      for (var h : n.get("holds").asObject())
+              "  %-12s %-6s %-8s last contact %s ms ago, holds",
+              node.getString("name", ""),
+              node.getString("role", ""),
+              node.getString("domain", ""),
+              node.get("askedMsAgo")));
+      for (var holding : node.get("holds").asObject())
         builder
             .append(' ')
-            .append(nameOf(h.getName()))
+            .append(displayName(holding.getName()))
             .append(' ')
-            .append(h.getValue().asObject().get("number"));
+            .append(holding.getValue().asObject().get("number"));
       builder.append('\n');
     }
     return builder.toString();
   }
 
-  /** One node's own state, a line for each thing it tells. */
-  static String ofNode(String name, JsonObject json) {
+  /** Formats the status that a node reports about itself, with a line for each entry. */
+  static String describeNode(String name, JsonObject status) {
     StringBuilder builder = new StringBuilder(name).append('\n');
-    for (JsonObject.Member m : json) {
-      if (m.getValue().isObject())
-        for (JsonObject.Member x : m.getValue().asObject())
+    for (JsonObject.Member entry : status) {
+      if (entry.getValue().isObject())
+        for (JsonObject.Member field : entry.getValue().asObject())
           builder
               .append("  ")
-              .append(m.getName())
+              .append(entry.getName())
               .append(' ')
-              .append(x.getName())
+              .append(field.getName())
+              .append(' ')
+              .append(formatInline(field.getValue()))
+              .append('\n');
+      else if (entry.getValue().isArray())
+        for (JsonValue value : entry.getValue().asArray())
+          builder
+              .append("  ")
+              .append(entry.getName())
               .append(' ')
-              .append(flat(x.getValue()))
+              .append(formatInline(value))
               .append('\n');
-      else if (m.getValue().isArray())
-        for (JsonValue value : m.getValue().asArray())
-          builder.append("  ").append(m.getName()).append(' ').append(flat(value)).append('\n');
       else
         builder
             .append("  ")
-            .append(m.getName())
+            .append(entry.getName())
             .append(' ')
-            .append(flat(m.getValue()))
+            .append(formatInline(entry.getValue()))
             .append('\n');
     }
     return builder.toString();
   }
 
-  private static String flat(JsonValue value) {
+  /** Formats a JSON value on one line; an empty string becomes "-". */
+  private static String formatInline(JsonValue value) {
     if (value.isString()) return value.asString().isEmpty() ? "-" : value.asString();
     if (!value.isObject()) return value.toString();
-    List<String> l = new ArrayList<>();
-    for (JsonObject.Member m : value.asObject()) l.add(m.getName() + "=" + flat(m.getValue()));
-    return String.join(" ", l);
+    List<String> parts = new ArrayList<>();
+    for (JsonObject.Member field : value.asObject())
+      parts.add(field.getName() + "=" + formatInline(field.getValue()));
+    return String.join(" ", parts);
   }
 }
--- a/operator-tools/src/main/java/gladelug/tools/OpenApiImport.java
+++ b/operator-tools/src/main/java/gladelug/tools/OpenApiImport.java
@@ -16,70 +16,84 @@
 import java.util.Set;
 
 /**
- * Reads an OpenAPI document with swagger-parser and makes of its operations the routes of a
- * configuration, for an operator to look through and put into one. What a route can't express is a
- * finding with its place; nothing is guessed. Nothing the document refers to is fetched.
+ * Converts the operations of an OpenAPI document into routes of a configuration, which an operator
+ * reviews and copies into a configuration. Whatever a route cannot express is reported as a finding
+ * with its place in the document. External references are not fetched.
  */
 final class OpenApiImport {
   private OpenApiImport() {}
 
-  /** The fragment {"routes": [...]}; what could not be expressed is in the findings. */
-  static JsonObject read(String text, String service, Findings findings) {
-    ParseOptions o = new ParseOptions();
-    o.setResolve(false);
-    SwaggerParseResult r = new OpenAPIV3Parser().readContents(text, null, o);
-    if (r.getMessages() != null) for (String m : r.getMessages()) findings.add("document", m);
-    JsonArray out = new JsonArray();
-    OpenAPI api = r.getOpenAPI();
+  /**
+   * Returns the configuration fragment {"mappings": [...]} with one route for each operation that
+   * can be expressed.
+   *
+   * @param text the OpenAPI document, as JSON or YAML
+   * @param service the model service that every route leads to
+   * @param findings receives what was left out or ignored
+   */
+  static JsonObject convert(String text, String service, Findings findings) {
+    ParseOptions options = new ParseOptions();
+    options.setResolve(false);
+    SwaggerParseResult parsed = new OpenAPIV3Parser().readContents(text, null, options);
+    if (parsed.getMessages() != null)
+      for (String message : parsed.getMessages()) findings.add("document", message);
+    JsonArray routes = new JsonArray();
+    OpenAPI api = parsed.getOpenAPI();
     if (api == null || api.getPaths() == null) {
-      findings.add("document", "has no paths that can be read");
-      return Json.object().add("mappings", out);
+      findings.add("document", "has no readable paths");
+      return Json.object().add("mappings", routes);
     }
     Set<String> names = new HashSet<>();
-    for (Map.Entry<String, PathItem> e : api.getPaths().entrySet())
-      for (Map.Entry<PathItem.HttpMethod, Operation> q :
-          e.getValue().readOperationsMap().entrySet()) {
-        JsonObject json = route(e.getKey(), q.getKey(), q.getValue(), service, names, findings);
-        if (json != null) out.add(json);
+    for (Map.Entry<String, PathItem> path : api.getPaths().entrySet())
+      for (Map.Entry<PathItem.HttpMethod, Operation> operation :
+          path.getValue().readOperationsMap().entrySet()) {
+        JsonObject route =
+            toRoute(
+                path.getKey(), operation.getKey(), operation.getValue(), service, names, findings);
+        if (route != null) routes.add(route);
       }
-    return Json.object().add("mappings", out);
+    return Json.object().add("mappings", routes);
   }
 
-  private static JsonObject route(
+  /** Returns the route of an operation, or null if the operation cannot be a route. */
+  private static JsonObject toRoute(
       String path,
       PathItem.HttpMethod method,
-      Operation op,
+      Operation operation,
       String service,
       Set<String> names,
       Findings findings) {
     String place = "paths." + path + "." + method.name().toLowerCase(Locale.ROOT);
     if (method != PathItem.HttpMethod.POST) {
-      findings.add(place, "is left out: orders are sent with POST only");
+      findings.add(place, "is left out: requests are sent with POST only");
       return null;
     }
     if (path.contains("{")) {
-      findings.add(place, "is left out: a mapping's path has no variables");
+      findings.add(place, "is left out: the path of a route cannot contain variables");
       return null;
     }
     String name =
-        op.getOperationId() == null
+        operation.getOperationId() == null
             ? path.replaceAll("[^A-Za-z0-9]+", "-").replaceAll("^-|-$", "")
-            : op.getOperationId();
-    if (op.getOperationId() == null)
-      findings.add(place, "has no operationId; named " + name + " after its path");
+            : operation.getOperationId();
+    if (operation.getOperationId() == null)
+      findings.add(place, "has no operationId; the route is named " + name + " after its path");
     if (name.isEmpty() || !names.add(name)) {
-      findings.add(place, "is left out: the name '" + name + "' is empty or taken");
+      findings.add(place, "is left out: the name '" + name + "' is empty or already used");
       return null;
     }
-    if (op.getParameters() != null && !op.getParameters().isEmpty())
-      findings.add(place + ".parameters", "are not looked at: an order has a body only");
-    if (op.getSecurity() != null && !op.getSecurity().isEmpty())
+    if (operation.getParameters() != null && !operation.getParameters().isEmpty())
+      findings.add(place + ".parameters", "are ignored: a request has only a body");
+    if (operation.getSecurity() != null && !operation.getSecurity().isEmpty())
       findings.add(
-          place + ".security", "is not looked at: who may call is a matter of tenants' keys");
-    JsonObject json = Json.object().add("name", name).add("path", path).add("service", service);
-    Map<String, Object> x = op.getExtensions() == null ? Map.of() : op.getExtensions();
-    if (x.get("x-expiry-ms") instanceof Number n) json.add("expiryMs", n.longValue());
-    if (x.get("x-repeatable") instanceof Boolean b) json.add("repeatable", b);
-    return json;
+          place + ".security", "is ignored: callers are authorized by the keys of tenants");
+    JsonObject route = Json.object().add("name", name).add("path", path).add("service", service);
+    Map<String, Object> extensions =
+        operation.getExtensions() == null ? Map.of() : operation.getExtensions();
+    if (extensions.get("x-expiry-ms") instanceof Number expiryMs)
+      route.add("expiryMs", expiryMs.longValue());
+    if (extensions.get("x-repeatable") instanceof Boolean repeatable)
+      route.add("repeatable", repeatable);
+    return route;
   }
 }
--- a/operator-tools/src/main/java/gladelug/tools/OperatorTools.java
+++ b/operator-tools/src/main/java/gladelug/tools/OperatorTools.java
@@ -30,10 +30,8 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 
 /**
- * The operators' commands, one program with a command each. explain-request is the first: why a
- * request went where it went, or who has which number of the control state. Every command ends with
- * 0 when it was done, 1 when it was answered with a refusal or unknown, 2 when it was used wrongly,
- * 3 when nobody answered.
+ * Entry point of the operator commands. Every command exits with 0 on success, 1 when the request
+ * was refused or its subject is unknown, 2 on invalid usage, and 3 when no address responded.
  */
 public final class OperatorTools {
   private OperatorTools() {}
@@ -42,41 +40,44 @@
       SEND_CONFIGURATION = "send-configuration",
       SHOW_CONFIGURATION = "show-configuration";
 
-  /** Commands by the names they had before, which operators' scripts may use for one release. */
-  private static final Map<String, String> EARLIER_COMMANDS =
+  /** Former command names, accepted for one release so that operators' scripts keep working. */
+  private static final Map<String, String> FORMER_COMMANDS =
       Map.of(
           "explain-order", EXPLAIN,
           "send-policy", SEND_CONFIGURATION,
           "show-policy", SHOW_CONFIGURATION);
 
-  /** The earlier word for a configuration, still taken by explain-request for one release. */
-  private static final String EARLIER_CONFIGURATION = "policy";
+  /** The former name of the configuration key, accepted by explain-request for one release. */
+  private static final String FORMER_CONFIGURATION = "policy";
 
-  /** The keys of the control state whose numbers can be asked about, by the words for them. */
-  private static final Map<String, String> KEYS =
+  /** Keys of the control state that explain-request accepts, by their names on the command line. */
+  private static final Map<String, String> STATE_KEYS =
       Map.of(
           "configuration",
           StateKeys.CONFIGURATION,
-          EARLIER_CONFIGURATION,
+          FORMER_CONFIGURATION,
           StateKeys.CONFIGURATION,
           "weights",
           StateKeys.WEIGHTS);
 
-  private static final String REQUESTS = "/operator/requests/", KEPT_RECORDS = "/operator/reasons/";
+  private static final String REQUESTS_PATH = "/operator/requests/",
+      RECORD_COPIES_PATH = "/operator/reasons/";
   private static final String CONFIGURATION_PATH = "/v1/configuration";
 
-  private static Subparser command(Subparsers subs, String name, String help) {
-    Subparser p = subs.addParser(name).help(help).description(help).defaultHelp(true);
-    EARLIER_COMMANDS.forEach(
-        (earlier, now) -> {
-          if (now.equals(name)) p.aliases(earlier);
+  /** Adds a command with the options --control and --json. */
+  private static Subparser addCommand(Subparsers subparsers, String name, String help) {
+    Subparser parser = subparsers.addParser(name).help(help).description(help).defaultHelp(true);
+    FORMER_COMMANDS.forEach(
+        (former, current) -> {
+          if (current.equals(name)) parser.aliases(former);
         });
-    p.addArgument("--control")
+    parser
+        .addArgument("--control")
         .required(true)
         .metavar("IP:PORT,...")
         .help("operator addresses of control machines");
-    p.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
-    return p;
+    parser.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
+    return parser;
   }
 
   public static void main(String[] args) {
@@ -85,100 +86,118 @@
         ArgumentParsers.newFor("operator-tools")
             .build()
             .defaultHelp(true)
-            .description("The operators' commands of a gladelug fleet.");
-    var subs = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
-    Subparser p =
-        subs.addParser(EXPLAIN)
+            .description("Operator commands of a gladelug fleet.");
+    var subparsers = parser.addSubparsers().dest("command").title("commands").metavar("COMMAND");
+    Subparser command =
+        subparsers
+            .addParser(EXPLAIN)
             .aliases("explain-order")
             .defaultHelp(true)
             .help(
-                "why a request went where it went; or what became of a number of the control state");
-    p.addArgument("--control")
+                "explain how a request was routed, or show the history of a number of the control state");
+    command
+        .addArgument("--control")
         .metavar("IP:PORT,...")
         .help("operator addresses of control machines");
-    p.addArgument("--nodes")
+    command
+        .addArgument("--nodes")
         .metavar("IP:PORT,...")
-        .help("operator addresses of relays and indexes to ask directly, in place of --control");
-    p.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
-    p.addArgument("what")
+        .help("operator addresses of relays and indexes to query directly, instead of --control");
+    command.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
+    command
+        .addArgument("what")
         .nargs("+")
         .metavar("REQUEST | configuration N | weights N")
         .help(
-            "the relay's id of a request, from the header Gladelug-Request, or with --nodes the caller's own; "
+            "a request id that a relay assigned (header Gladelug-Request) or, with --nodes, the caller's own id; "
                 + "or a key and its number");
-    p = command(subs, SEND_CONFIGURATION, "send a whole configuration");
-    p.addArgument("file");
-    p.addArgument("--based-on")
+    command = addCommand(subparsers, SEND_CONFIGURATION, "send a complete configuration");
+    command.addArgument("file");
+    command
+        .addArgument("--based-on")
         .required(true)
         .metavar("NUMBER|*")
-        .help("the number it was based on, or * to replace whatever is there");
-    command(subs, SHOW_CONFIGURATION, "print the configuration and its number");
-    p = command(subs, "name-weights", "name the weights a model service is to run");
-    p.addArgument("service");
-    p.addArgument("weights");
-    p =
-        command(
-            subs, "show-status", "who owns what, which nodes hold which numbers, who is behind");
-    p.addArgument("--nodes")
+        .help("the number that the file is based on, or * to replace any configuration");
+    addCommand(subparsers, SHOW_CONFIGURATION, "print the configuration and its number");
+    command = addCommand(subparsers, "name-weights", "set the weights that a model service runs");
+    command.addArgument("service");
+    command.addArgument("weights");
+    command =
+        addCommand(
+            subparsers,
+            "show-status",
+            "show the owner of each key and the numbers that each node holds");
+    command
+        .addArgument("--nodes")
         .action(Arguments.storeTrue())
-        .help("ask each node too: leases, shares, replicas, the summary's health");
-    p =
-        command(
-            subs,
+        .help("also query each node: leases, shares, replicas, health of the index");
+    command =
+        addCommand(
+            subparsers,
             "swap-core-machine",
-            "put a machine that asks to join in the place of a member of the core");
-    p.addArgument("out");
-    p.addArgument("in");
-    p =
-        subs.addParser("import-openapi")
+            "replace a member of the core with a machine that requests to join");
+    command.addArgument("out");
+    command.addArgument("in");
+    command =
+        subparsers
+            .addParser("import-openapi")
             .help(
-                "print the routes that an OpenAPI file's operations make,"
-                    + " to be looked through and put into a configuration");
-    p.addArgument("file");
-    p.addArgument("--service").required(true).help("the service the routes lead to");
-    subs.addParser("hash-key")
-        .help(
-            "print the hash of a caller's key, read from standard input, as a configuration wants it");
+                "print routes for the operations of an OpenAPI file,"
+                    + " to be reviewed and copied into a configuration");
+    command.addArgument("file");
+    command
+        .addArgument("--service")
+        .required(true)
+        .help("the model service that the routes lead to");
+    subparsers
+        .addParser("hash-key")
+        .help("read a caller's key from standard input and print its hash for a configuration");
     Namespace arguments = Program.parseArguments(parser, args);
     System.exit(run(arguments));
   }
 
   private static int run(Namespace arguments) {
-    String c =
-        EARLIER_COMMANDS.getOrDefault(
+    String command =
+        FORMER_COMMANDS.getOrDefault(
             arguments.getString("command"), arguments.getString("command"));
-    if (c.equals("hash-key")) return hashKey();
-    if (c.equals("import-openapi"))
+    if (command.equals("hash-key")) return hashKey();
+    if (command.equals("import-openapi"))
       return importOpenApi(arguments.getString("file"), arguments.getString("service"));
     Findings findings = new Findings();
-    boolean direct = c.equals(EXPLAIN) && arguments.getString("nodes") != null;
-    String given = direct ? arguments.getString("nodes") : arguments.getString("control");
-    if (given == null) findings.add("--control", "or --nodes is needed");
-    List<Address> control = new ArrayList<>();
-    for (String text : given == null ? new String[0] : given.split(","))
-      control.add(Address.read(text.trim(), direct ? "--nodes" : "--control", findings));
-    if (direct && arguments.getList("what").size() != 1)
-      findings.add("--nodes", "goes with the id of one request");
+    boolean isDirect = command.equals(EXPLAIN) && arguments.getString("nodes") != null;
+    String addressList = isDirect ? arguments.getString("nodes") : arguments.getString("control");
+    if (addressList == null)
+      findings.add("--control", "is required, or --nodes for explain-request");
+    List<Address> addresses = new ArrayList<>();
+    for (String text : addressList == null ? new String[0] : addressList.split(","))
+      addresses.add(Address.read(text.trim(), isDirect ? "--nodes" : "--control", findings));
+    if (isDirect && arguments.getList("what").size() != 1)
+      findings.add("--nodes", "takes exactly one request id");
     if (!findings.isEmpty()) {
       System.err.print(findings);
       return Program.EXIT_BAD_USAGE;
     }
     boolean json = arguments.getBoolean("json");
-    try (Asking a = new Asking()) {
-      return switch (c) {
+    try (OperatorHttpClient client = new OperatorHttpClient()) {
+      return switch (command) {
         case EXPLAIN ->
-            direct
-                ? explainAt(a, control, arguments.<String>getList("what").get(0), json)
-                : explain(a, control, arguments.getList("what"), json);
+            isDirect
+                ? explainFromNodes(
+                    client, addresses, arguments.<String>getList("what").get(0), json)
+                : explain(client, addresses, arguments.getList("what"), json);
         case SEND_CONFIGURATION ->
             sendConfiguration(
-                a, control, arguments.getString("file"), arguments.getString("based_on"), json);
-        case SHOW_CONFIGURATION -> print(a.get(control, CONFIGURATION_PATH), true);
+                client,
+                addresses,
+                arguments.getString("file"),
+                arguments.getString("based_on"),
+                json);
+        case SHOW_CONFIGURATION -> print(client.get(addresses, CONFIGURATION_PATH), true);
         case "name-weights" ->
             print(
-                a.call(
+                client.send(
                     HttpMethod.POST,
-                    control,
+                    addresses,
                     "/v1/weights",
                     Json.object()
                         .add("service", arguments.getString("service"))
@@ -186,12 +205,12 @@
                         .toString(),
                     Map.of()),
                 json);
-        case "show-status" -> status(a, control, arguments.getBoolean("nodes"), json);
+        case "show-status" -> showStatus(client, addresses, arguments.getBoolean("nodes"), json);
         default ->
             print(
-                a.call(
+                client.send(
                     HttpMethod.POST,
-                    control,
+                    addresses,
                     "/v1/core/swap",
                     Json.object()
                         .add("out", arguments.getString("out"))
@@ -203,8 +222,8 @@
     }
   }
 
-  /** A file's text, or null and said so. */
-  private static String read(String file) {
+  /** Returns the text of a file, or null after printing an error. */
+  private static String readFile(String file) {
     try {
       return Files.readString(Path.of(file));
     } catch (IOException e) {
@@ -214,10 +233,10 @@
   }
 
   private static int importOpenApi(String file, String service) {
-    String text = read(file);
+    String text = readFile(file);
     if (text == null) return Program.EXIT_BAD_USAGE;
     Findings findings = new Findings();
-    JsonObject json = OpenApiImport.read(text, service, findings);
+    JsonObject json = OpenApiImport.convert(text, service, findings);
     System.out.println(json.toString(WriterConfig.PRETTY_PRINT));
     System.err.print(findings);
     return json.get("mappings").asArray().isEmpty() ? 1 : 0;
@@ -238,17 +257,17 @@
     }
   }
 
-  private static int end(Asking.Answer a) {
-    return a.status() == 0 ? Program.EXIT_CANNOT_START : a.ok() ? 0 : 1;
+  private static int exitCode(OperatorHttpClient.Response response) {
+    return response.status() == 0 ? Program.EXIT_CANNOT_START : response.isSuccess() ? 0 : 1;
   }
 
-  private static int print(Asking.Answer a, boolean json) {
-    if (json) System.out.println(a.body().toString(WriterConfig.PRETTY_PRINT));
+  private static int print(OperatorHttpClient.Response response, boolean json) {
+    if (json) System.out.println(response.body().toString(WriterConfig.PRETTY_PRINT));
     else {
       StringBuilder builder = new StringBuilder();
-      for (JsonObject.Member m : a.body()) {
-        if (m.getName().equals("findings"))
-          for (JsonValue value : m.getValue().asArray())
+      for (JsonObject.Member entry : response.body()) {
+        if (entry.getName().equals("findings"))
+          for (JsonValue value : entry.getValue().asArray())
             builder
                 .append("  ")
                 .append(value.asObject().getString("place", ""))
@@ -257,144 +276,185 @@
                 .append('\n');
         else
           builder
-              .append(m.getName())
+              .append(entry.getName())
               .append(": ")
-              .append(m.getValue().isString() ? m.getValue().asString() : m.getValue().toString())
+              .append(
+                  entry.getValue().isString()
+                      ? entry.getValue().asString()
+                      : entry.getValue().toString())
               .append('\n');
       }
-      (a.ok() ? System.out : System.err).print(builder);
+      (response.isSuccess() ? System.out : System.err).print(builder);
     }
-    return end(a);
+    return exitCode(response);
   }
 
   private static int sendConfiguration(
-      Asking a, List<Address> control, String file, String basedOn, boolean json) {
-    String text = read(file);
+      OperatorHttpClient client, List<Address> control, String file, String basedOn, boolean json) {
+    String text = readFile(file);
     if (text == null) return Program.EXIT_BAD_USAGE;
-    if (Configuration.parse(text) instanceof Result.Bad<Configuration> b) {
-      System.err.println(file + " was not sent; found:");
-      for (Finding f : b.findings()) System.err.println("  " + f);
+    if (Configuration.parse(text) instanceof Result.Bad<Configuration> invalid) {
+      System.err.println(file + " was not sent because it is invalid:");
+      for (Finding finding : invalid.findings()) System.err.println("  " + finding);
       return 1;
     }
     return print(
-        a.call(HttpMethod.POST, control, CONFIGURATION_PATH, text, Map.of("If-Match", basedOn)),
+        client.send(
+            HttpMethod.POST, control, CONFIGURATION_PATH, text, Map.of("If-Match", basedOn)),
         json);
   }
 
-  private static int status(Asking a, List<Address> control, boolean nodes, boolean json) {
-    Asking.Answer s = a.get(control, "/v1/status");
-    if (!s.ok()) return print(s, json);
-    JsonObject each = Json.object();
-    if (nodes)
-      for (JsonValue value : s.body().get("nodes").asArray()) {
-        JsonObject n = value.asObject();
-        each.set(
-            n.getString("name", ""),
-            a.get(List.of(Address.of(n.getString("operator", ""))), "/operator/status").body());
+  private static int showStatus(
+      OperatorHttpClient client, List<Address> control, boolean includeNodes, boolean json) {
+    OperatorHttpClient.Response statusResponse = client.get(control, "/v1/status");
+    if (!statusResponse.isSuccess()) return print(statusResponse, json);
+    JsonObject nodeStatuses = Json.object();
+    if (includeNodes)
+      for (JsonValue value : statusResponse.body().get("nodes").asArray()) {
+        JsonObject node = value.asObject();
+        nodeStatuses.set(
+            node.getString("name", ""),
+            client
+                .get(List.of(Address.of(node.getString("operator", ""))), "/operator/status")
+                .body());
       }
     if (json) {
       System.out.println(
-          (nodes ? s.body().add("each", each) : s.body()).toString(WriterConfig.PRETTY_PRINT));
+          (includeNodes ? statusResponse.body().add("each", nodeStatuses) : statusResponse.body())
+              .toString(WriterConfig.PRETTY_PRINT));
       return 0;
     }
-    System.out.print(Explanation.ofStatus(s.body()));
-    for (JsonObject.Member m : each)
-      System.out.print(Explanation.ofNode(m.getName(), m.getValue().asObject()));
+    System.out.print(Explanation.describeFleet(statusResponse.body()));
+    for (JsonObject.Member entry : nodeStatuses)
+      System.out.print(Explanation.describeNode(entry.getName(), entry.getValue().asObject()));
     return 0;
   }
 
-  /** From the nodes themselves: whoever took the request, else whoever keeps its record. */
-  private static int explainAt(Asking a, List<Address> nodes, String id, boolean json) {
-    JsonObject kept = null;
-    for (String path : new String[] {REQUESTS, KEPT_RECORDS})
+  /**
+   * Explains a request from the given nodes: from the relay that took it, else from a node that
+   * keeps a copy of its record. A copy of an ended request is preferred over one of a live request.
+   */
+  private static int explainFromNodes(
+      OperatorHttpClient client, List<Address> nodes, String id, boolean json) {
+    JsonObject copy = null;
+    for (String path : new String[] {REQUESTS_PATH, RECORD_COPIES_PATH})
       for (Address address : nodes) {
-        Asking.Answer d = a.get(List.of(address), path + id);
-        if (!d.ok()) continue;
-        if (path.equals(REQUESTS) && !json) System.out.print(Explanation.ofRequest(d.body()));
-        if (path.equals(REQUESTS)) return json ? print(d, true) : 0;
-        if (kept == null || kept.getString("outcome", "").equals("live")) kept = d.body();
+        OperatorHttpClient.Response response = client.get(List.of(address), path + id);
+        if (!response.isSuccess()) continue;
+        if (path.equals(REQUESTS_PATH) && !json)
+          System.out.print(Explanation.describeRequest(response.body()));
+        if (path.equals(REQUESTS_PATH)) return json ? print(response, true) : 0;
+        if (copy == null || copy.getString("outcome", "").equals("live")) copy = response.body();
       }
-    if (kept == null) {
-      System.err.println("operator-tools: none of these nodes knows of request " + id);
+    if (copy == null) {
+      System.err.println("operator-tools: none of the given nodes has a record of request " + id);
       return 1;
     }
-    if (json) return print(new Asking.Answer(200, kept), true);
-    System.out.print(Explanation.ofRequest(kept));
-    System.out.print(Explanation.ofKeeper(kept, "another"));
+    if (json) return print(new OperatorHttpClient.Response(200, copy), true);
+    System.out.print(Explanation.describeRequest(copy));
+    System.out.print(Explanation.describeRecordSource(copy, "another"));
     return 0;
   }
 
-  private static int explain(Asking a, List<Address> control, List<String> what, boolean json) {
-    Asking.Answer s = a.get(control, "/v1/status");
-    if (!s.ok()) return print(s, json);
-    if (what.size() == 2 && KEYS.containsKey(what.get(0)) && what.get(1).matches("[0-9]{1,18}"))
-      return number(a, control, s.body(), KEYS.get(what.get(0)), Long.parseLong(what.get(1)), json);
+  /** Explains a request or a number of the control state, found through the control machines. */
+  private static int explain(
+      OperatorHttpClient client, List<Address> control, List<String> what, boolean json) {
+    OperatorHttpClient.Response statusResponse = client.get(control, "/v1/status");
+    if (!statusResponse.isSuccess()) return print(statusResponse, json);
+    if (what.size() == 2
+        && STATE_KEYS.containsKey(what.get(0))
+        && what.get(1).matches("[0-9]{1,18}"))
+      return explainNumber(
+          client,
+          control,
+          statusResponse.body(),
+          STATE_KEYS.get(what.get(0)),
+          Long.parseLong(what.get(1)),
+          json);
     String id = what.get(0), relay = id.contains(".") ? id.substring(0, id.indexOf('.')) : "";
     if (what.size() > 1 || relay.isEmpty()) {
       System.err.println(
-          "operator-tools: a request id is RELAY.RUN.NUMBER, as in the header Gladelug-Order; or give: "
+          "operator-tools: expected a request id RELAY.RUN.NUMBER (header Gladelug-Order) or: "
               + "configuration N, weights N");
       return Program.EXIT_BAD_USAGE;
     }
-    for (JsonValue value : s.body().get("nodes").asArray()) {
-      JsonObject n = value.asObject();
-      if (!n.getString("name", "").equals(relay)) continue;
-      Asking.Answer d = a.get(List.of(Address.of(n.getString("operator", ""))), REQUESTS + id);
-      if (d.status() == 400 || d.ok() && json) return print(d, json);
-      if (d.ok()) {
-        System.out.print(Explanation.ofRequest(d.body()));
+    for (JsonValue value : statusResponse.body().get("nodes").asArray()) {
+      JsonObject node = value.asObject();
+      if (!node.getString("name", "").equals(relay)) continue;
+      OperatorHttpClient.Response response =
+          client.get(List.of(Address.of(node.getString("operator", ""))), REQUESTS_PATH + id);
+      if (response.status() == 400 || response.isSuccess() && json) return print(response, json);
+      if (response.isSuccess()) {
+        System.out.print(Explanation.describeRequest(response.body()));
         return 0;
       }
       System.err.println(
-          "operator-tools: " + relay + ": " + d.body().getString("reason", "no answer"));
+          "operator-tools: " + relay + ": " + response.body().getString("reason", "no response"));
     }
-    return fromPeers(a, s.body(), id, json);
+    return explainFromCopies(client, statusResponse.body(), id, json);
   }
 
-  /** What the relay no longer tells: from whoever was handed its records, the newest of them. */
-  private static int fromPeers(Asking a, JsonObject status, String id, boolean json) {
-    JsonObject best = null;
-    String whose = "";
+  /**
+   * Explains a request whose relay has no record of it or does not respond, from the copies that
+   * other nodes keep. A copy of an ended request is preferred over one of a live request.
+   */
+  private static int explainFromCopies(
+      OperatorHttpClient client, JsonObject status, String id, boolean json) {
+    JsonObject copy = null;
+    String source = "";
     for (JsonValue value : status.get("nodes").asArray()) {
-      JsonObject n = value.asObject();
-      Asking.Answer d = a.get(List.of(Address.of(n.getString("operator", ""))), KEPT_RECORDS + id);
-      if (!d.ok()) continue;
-      if (best == null || best.getString("outcome", "").equals("live")) {
-        best = d.body();
-        whose = n.getString("name", "");
+      JsonObject node = value.asObject();
+      OperatorHttpClient.Response response =
+          client.get(List.of(Address.of(node.getString("operator", ""))), RECORD_COPIES_PATH + id);
+      if (!response.isSuccess()) continue;
+      if (copy == null || copy.getString("outcome", "").equals("live")) {
+        copy = response.body();
+        source = node.getString("name", "");
       }
     }
-    if (best == null) {
+    if (copy == null) {
       System.err.println(
-          "operator-tools: nobody that answers keeps a record of request "
+          "operator-tools: no node that responds keeps a record of request "
               + id
-              + "; its relay has not asked for a minute, or its records were too old to be kept");
+              + "; its relay has been silent for a minute, or its records were too old to be kept");
       return 1;
     }
-    if (json) return print(new Asking.Answer(200, best.add("keptBy", whose)), true);
-    System.out.print(Explanation.ofRequest(best));
-    System.out.print(Explanation.ofKeeper(best, whose));
+    if (json) return print(new OperatorHttpClient.Response(200, copy.add("keptBy", source)), true);
+    System.out.print(Explanation.describeRequest(copy));
+    System.out.print(Explanation.describeRecordSource(copy, source));
     return 0;
   }
 
-  /** Beside the numbers held, what the replicas run, as the relays see it. */
-  private static int number(
-      Asking a, List<Address> control, JsonObject status, String key, long number, boolean json) {
-    JsonObject runs = Json.object();
+  /**
+   * Explains a number of the control state. For weights, also prints the weights that each replica
+   * runs according to the first relay that responds.
+   */
+  private static int explainNumber(
+      OperatorHttpClient client,
+      List<Address> control,
+      JsonObject status,
+      String key,
+      long number,
+      boolean json) {
+    JsonObject replicaWeights = Json.object();
     if (key.equals("weights"))
       for (JsonValue value : status.get("nodes").asArray()) {
         if (!value.asObject().getString("role", "").equals("relay")) continue;
-        Asking.Answer r =
-            a.get(
+        OperatorHttpClient.Response response =
+            client.get(
                 List.of(Address.of(value.asObject().getString("operator", ""))),
                 "/operator/status");
-        if (!r.ok()) continue;
-        for (JsonObject.Member m : r.body().get("backends").asObject())
-          runs.set(m.getName(), m.getValue().asObject().getString("weights", ""));
+        if (!response.isSuccess()) continue;
+        for (JsonObject.Member entry : response.body().get("backends").asObject())
+          replicaWeights.set(entry.getName(), entry.getValue().asObject().getString("weights", ""));
         break;
       }
-    Asking.Answer h = a.get(control, "/v1/" + Explanation.nameOf(key) + "/numbers");
-    JsonArray history = h.ok() ? h.body().get("numbers").asArray() : new JsonArray();
+    OperatorHttpClient.Response historyResponse =
+        client.get(control, "/v1/" + Explanation.displayName(key) + "/numbers");
+    JsonArray history =
+        historyResponse.isSuccess()
+            ? historyResponse.body().get("numbers").asArray()
+            : new JsonArray();
     if (json) {
       System.out.println(
           Json.object()
@@ -402,15 +462,15 @@
               .add("number", number)
               .add("status", status)
               .add("history", history)
-              .add("replicasRun", runs)
+              .add("replicasRun", replicaWeights)
               .toString(WriterConfig.PRETTY_PRINT));
       return 0;
     }
-    System.out.print(Explanation.ofNumber(key, number, status));
-    System.out.print(Explanation.ofHistory(key, number, history));
-    for (JsonObject.Member m : runs)
-      if (!m.getValue().asString().isEmpty())
-        System.out.println("  " + m.getName() + " runs " + m.getValue().asString());
+    System.out.print(Explanation.describeNumber(key, number, status));
+    System.out.print(Explanation.describeHistory(key, number, history));
+    for (JsonObject.Member entry : replicaWeights)
+      if (!entry.getValue().asString().isEmpty())
+        System.out.println("  " + entry.getName() + " runs " + entry.getValue().asString());
     return 0;
   }
 }
--- a/operator-tools/src/main/java/gladelug/tools/package-info.java
+++ b/operator-tools/src/main/java/gladelug/tools/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operators' commands: they talk HTTP to the operator addresses of members, relays and indexes,
- * print, and keep nothing. Exit codes: 0 done, 1 answered with a refusal or unknown, 2 used
- * wrongly, 3 nobody answered.
+ * Command-line tools for operators. The commands send HTTP requests to the operator addresses of
+ * control machines, relays and indexes, print the result and store nothing. Exit codes: 0 success,
+ * 1 request refused or subject unknown, 2 invalid usage, 3 no response.
  */
 package gladelug.tools;
--- a/operator-tools/src/test/java/gladelug/tools/ExplanationTest.java
+++ b/operator-tools/src/test/java/gladelug/tools/ExplanationTest.java
@@ -1,16 +1,16 @@
 package gladelug.tools;
 
-import static gladelug.tools.Explanation.ofRequest;
+import static gladelug.tools.Explanation.describeRequest;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of Explanation. */
+/** Tests the text that explains a recorded request. */
 final class ExplanationTest {
   @Test
-  void theWordsSayWhatTheRecordSays() {
+  void theTextStatesWhatTheRecordContains() {
     JsonObject json =
         Json.parse(
                 """
@@ -21,13 +21,13 @@
                        "fetchFrom":"","fetchBlocks":0,"load":0,"backlogMs":0,"workMs":0,"totalMs":0}]},
                      {"stage":"again","atMs":3,"why":"x did not run it"}]}""")
             .asObject();
-    String text = ofRequest(json);
-    for (String w :
+    String text = describeRequest(json);
+    for (String expected :
         new String[] {
-          "request r.ab12.1, came now: complete",
+          "request r.ab12.1, received now: complete",
           "x may hold 8",
           "replica x of 2",
-          "back to the choice: x did not run it"
-        }) Assertions.assertTrue(text.contains(w), text);
+          "another replica is chosen: x did not run it"
+        }) Assertions.assertTrue(text.contains(expected), text);
   }
 }
--- a/operator-tools/src/test/java/gladelug/tools/OpenApiImportTest.java
+++ b/operator-tools/src/test/java/gladelug/tools/OpenApiImportTest.java
@@ -1,19 +1,19 @@
 package gladelug.tools;
 
-import static gladelug.tools.OpenApiImport.read;
+import static gladelug.tools.OpenApiImport.convert;
 
 import com.eclipsesource.json.JsonObject;
 import gladelug.common.Findings;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Tests of OpenApiImport. */
+/** Tests the conversion of OpenAPI documents into routes. */
 final class OpenApiImportTest {
   @Test
-  void operationsBecomeRoutesAndWhatCannotIsSaid() {
+  void operationsBecomeRoutesAndTheOthersAreReported() {
     Findings findings = new Findings();
     JsonObject json =
-        read(
+        convert(
             """
                 openapi: 3.0.1
                 info: {title: t, version: '1'}
@@ -36,18 +36,19 @@
             {"name":"caption-draft","path":"/caption/draft","service":"desk-model"}]""",
         json.get("mappings").toString());
     String text = findings.toString();
-    for (String w :
+    for (String expected :
         new String[] {
-          "paths./headline.get: is left out: orders are sent with POST only",
+          "paths./headline.get: is left out: requests are sent with POST only",
           "paths./stop/{id}.post: is left out",
           "paths./caption/draft.post: has no operationId"
-        }) Assertions.assertTrue(text.contains(w), text);
+        }) Assertions.assertTrue(text.contains(expected), text);
   }
 
   @Test
-  void whatIsNoDocumentIsAFinding() {
+  void anUnreadableDocumentIsReportedAsAFinding() {
     Findings findings = new Findings();
-    Assertions.assertEquals("[]", read("not: [an, api", "m", findings).get("mappings").toString());
+    Assertions.assertEquals(
+        "[]", convert("not: [an, api", "m", findings).get("mappings").toString());
     Assertions.assertFalse(findings.isEmpty());
   }
 }
