--- a/emulator/src/main/java/gladelug/emulator/Child.java
+++ b/emulator/src/main/java/gladelug/emulator/ChildProcess.java
@@ -8,28 +8,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One of gladelug's own programs as a process of its own, started by a rehearsal and ended by its
- * own id. Its lines go to a file. With -Dgladelug.programs=JAR the programs are those of another
- * build, so that two builds can be measured by the same rehearsal.
+ * A gladelug program run as a separate process, with its output appended to a log file.
+ *
+ * <p>With -Dgladelug.programs=JAR the programs come from another build, so that two builds can be
+ * measured by the same emulator.
  */
-public final class Child {
+public final class ChildProcess {
   public final String name;
-  private final String main;
+  private final String mainClass;
   private final List<String> args;
   private final Path log;
   private final int heapMb;
   private Process process;
 
-  public Child(String name, String main, List<String> args, Path log, int heapMb) {
+  public ChildProcess(String name, String main, List<String> args, Path log, int heapMb) {
     this.name = name;
-    this.main = main;
+    this.mainClass = main;
     this.args = args;
     this.log = log;
     this.heapMb = heapMb;
   }
 
-  public Child start() throws IOException {
-    List<String> l =
+  public ChildProcess start() throws IOException {
+    List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -40,17 +41,17 @@
                 "-Dvertx.disableDnsResolver=true",
                 "-cp",
                 System.getProperty("gladelug.programs", System.getProperty("java.class.path")),
-                main));
-    l.addAll(args);
+                mainClass));
+    command.addAll(args);
     process =
-        new ProcessBuilder(l)
+        new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
             .start();
     return this;
   }
 
-  public boolean alive() {
+  public boolean isAlive() {
     return process != null && process.isAlive();
   }
 
@@ -58,42 +59,46 @@
     return process.pid();
   }
 
-  /** At once, as when the machine loses power. */
+  /** Kills the process at once, as a power loss does. */
   public void kill() {
     if (process == null) return;
     process.destroyForcibly();
     waitFor(20_000);
   }
 
-  /** Politely, as the platform does first. */
-  public boolean stop(long ms) {
+  /**
+   * Asks the process to terminate, as the platform does first; returns whether it ended in time.
+   */
+  public boolean stop(long timeoutMs) {
     process.destroy();
-    return waitFor(ms);
+    return waitFor(timeoutMs);
   }
 
-  /** Stops or continues the process where it is, as a machine that freezes does. */
-  public void freeze(boolean on) throws IOException {
+  /** Suspends or resumes the process, as a machine that freezes does. */
+  public void freeze(boolean suspend) throws IOException {
     try {
-      new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(pid())).start().waitFor();
+      new ProcessBuilder("kill", suspend ? "-STOP" : "-CONT", Long.toString(pid()))
+          .start()
+          .waitFor();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  public boolean waitFor(long ms) {
+  public boolean waitFor(long timeoutMs) {
     try {
-      return process.waitFor(ms, TimeUnit.MILLISECONDS);
+      return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
     }
   }
 
-  public int exit() {
+  public int exitCode() {
     return process.exitValue();
   }
 
-  public String lines() {
+  public String readLog() {
     try {
       return Files.readString(log);
     } catch (IOException e) {
--- a/emulator/src/main/java/gladelug/emulator/ChoiceComparison.java
+++ b/emulator/src/main/java/gladelug/emulator/ChoiceComparison.java
@@ -8,19 +8,18 @@
 import java.util.TreeMap;
 
 /**
- * The three ways of choosing a replica, turn about, several rounds, from the same seeds.
- *
- * <p>The rehearsal "compare".
+ * The command "compare": runs the three ways of choosing a replica in turn, for several rounds,
+ * each round with the same seed.
  */
 final class ChoiceComparison {
-  /** The ways of choosing, the first of which the others are compared to. */
+  /** The ways of choosing a replica; the others are compared to the first. */
   static final List<String> CHOICES = List.of("summary", "least-occupancy", "holder-always");
 
-  /** What a comparison is made of. */
+  /** The options of a comparison. */
   record Options(
       String deployment, int seconds, int rounds, double rate, double linkFactor, String out) {}
 
-  /** What one round of one choice came to; parts in percent, times in milliseconds. */
+  /** The results of one round of one choice; shares in percent, times in milliseconds. */
   private record Figures(
       double computed, double fetched, double medianMs, double p95Ms, double complete) {}
 
@@ -28,7 +27,7 @@
     double of(Figures figures);
   }
 
-  private static final long ENDED_MS = 30_000;
+  private static final long DRAIN_TIMEOUT_MS = 30_000;
   private final Options options;
   private final Map<String, List<Figures>> figures = new TreeMap<>();
 
@@ -36,7 +35,7 @@
     this.options = options;
   }
 
-  /** Plays all rounds and prints figures and ratios. */
+  /** Runs all rounds and prints figures and ratios. */
   static void measure(Options options) throws Exception {
     ChoiceComparison comparison = new ChoiceComparison(options);
     for (int round = 1; round <= options.rounds; round++) {
@@ -48,7 +47,7 @@
   }
 
   private void play(int round, String choice) throws Exception {
-    Deployment deployment = Deployment.named(options.deployment);
+    Deployment deployment = Deployment.byName(options.deployment);
     Path out =
         Path.of(options.out)
             .toAbsolutePath()
@@ -63,15 +62,15 @@
           new StandInCallers(
               fleet.vertx,
               fleet.ledger,
-              fleet.callers,
+              fleet.callerAddresses,
               deployment.tenants(),
               deployment.kinds(),
               round);
-      callers.faster = options.rate;
+      callers.rateFactor = options.rate;
       callers.start();
       Fleet.pause(options.seconds * 1000L);
       callers.stop();
-      Fleet.until("the last requests ended", ENDED_MS, () -> callers.open() == 0);
+      Fleet.waitUntil("the last requests end", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
       Figures result = figuresOf(fleet.ledger);
       figures.computeIfAbsent(choice, c -> new ArrayList<>()).add(result);
       print(round, choice, result);
@@ -83,8 +82,8 @@
     ledger.runs.values().forEach(runs -> runs.forEach(blocks::add));
     List<Long> firstPieces =
         ledger.calls.values().stream()
-            .filter(call -> call.firstPiece >= 0)
-            .map(call -> call.firstPiece - call.sent)
+            .filter(call -> call.firstPieceMs >= 0)
+            .map(call -> call.firstPieceMs - call.sentMs)
             .toList();
     double complete =
         ledger.calls.values().stream().filter(call -> call.outcome.equals("complete")).count();
--- a/emulator/src/main/java/gladelug/emulator/Deployment.java
+++ b/emulator/src/main/java/gladelug/emulator/Deployment.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * The two deployments at the brief's sizes: machines and zones, replicas, kinds of requests and
- * their rates, tenants of whom a few are large.
+ * The deployments that the emulator can run: machines, zones, replicas, kinds of requests with
+ * their rates, and tenants, a few of which are large.
  */
 public record Deployment(
     String name,
-    int net,
+    int subnet,
     String service,
     int replicas,
     int relays,
@@ -83,7 +83,9 @@
         "legal-read");
   }
 
-  /** Two replicas, a relay and an index, for tests that set a fault and look at one request. */
+  /**
+   * Returns two replicas, a relay and an index, for tests that set a fault and inspect one request.
+   */
   public static Deployment small(int net) {
     return new Deployment(
         "small",
@@ -100,11 +102,11 @@
         "eight");
   }
 
-  public static Deployment named(String n) {
+  public static Deployment byName(String n) {
     return switch (n) {
       case "safari-njia" -> safariNjia();
       case "moka-ridge" -> mokaRidge();
-      default -> throw new IllegalArgumentException("no deployment " + n);
+      default -> throw new IllegalArgumentException("unknown deployment " + n);
     };
   }
 
@@ -117,54 +119,62 @@
   }
 
   /**
-   * The configuration an operator of this deployment sends; keys as hashes, marker in the last
-   * route's deadline.
+   * Returns the configuration that an operator sends, with hashed keys; the marker makes each one
+   * distinct and sets the deadline of the route lookup-stop.
    */
   public JsonObject configuration(int marker, List<String> without) {
     return configuration(marker, without, "application", 0);
   }
 
   /**
-   * What an operator wants, beside what is always so: keys revoked, which of the two application
-   * services takes lookup-stop, further routes (as a configuration that grows has), whether the
-   * last kind's path is gone, tenants isolated further, and whether the first replica's address is
-   * no longer allowed.
+   * The variable parts of a configuration.
+   *
+   * @param marker makes the configuration distinct
+   * @param revokedTenants the tenants without a key
+   * @param application the service of the route lookup-stop
+   * @param extraRoutes the number of additional routes
+   * @param lastPathRemoved whether the path of the last kind of requests is removed
+   * @param isolatedTenants the tenants isolated in addition to the one that always is
+   * @param firstReplicaForbidden whether the address of the first replica is not allowed
    */
-  public record Wish(
+  public record ConfigurationOptions(
       int marker,
-      List<String> without,
+      List<String> revokedTenants,
       String application,
-      int more,
-      boolean gone,
-      List<String> walled,
-      boolean narrow) {}
+      int extraRoutes,
+      boolean lastPathRemoved,
+      List<String> isolatedTenants,
+      boolean firstReplicaForbidden) {}
 
   public JsonObject configuration(int marker, List<String> without, String application, int more) {
-    return configuration(new Wish(marker, without, application, more, false, List.of(), false));
+    return configuration(
+        new ConfigurationOptions(marker, without, application, more, false, List.of(), false));
   }
 
-  public StandInCallers.Kind last() {
+  public StandInCallers.Kind lastKind() {
     return kinds.get(kinds.size() - 1);
   }
 
-  public JsonObject configuration(Wish w) {
-    JsonArray ms = new JsonArray();
+  public JsonObject configuration(ConfigurationOptions options) {
+    JsonArray mappings = new JsonArray();
     for (StandInCallers.Kind k : kinds)
-      ms.add(
+      mappings.add(
           Json.object()
               .add("name", k.name())
-              .add("path", w.gone && k.equals(last()) ? k.path() + "-gone" : k.path())
+              .add(
+                  "path",
+                  options.lastPathRemoved && k.equals(lastKind()) ? k.path() + "-gone" : k.path())
               .add("service", service)
               .add("expiryMs", 8000)
               .add("repeatable", k.repeatable()));
-    ms.add(
+    mappings.add(
         Json.object()
             .add("name", "lookup-stop")
             .add("path", "/lookup-stop")
-            .add("service", w.application)
-            .add("expiryMs", 5000 + w.marker % 1000));
-    for (int i = 0; i < w.more; i++)
-      ms.add(
+            .add("service", options.application)
+            .add("expiryMs", 5000 + options.marker % 1000));
+    for (int i = 0; i < options.extraRoutes; i++)
+      mappings.add(
           Json.object()
               .add("name", "more-" + i)
               .add("path", "/more/" + i)
@@ -174,13 +184,16 @@
     JsonArray ts = new JsonArray();
     for (StandInCallers.Tenant t : tenants) {
       JsonArray keys = new JsonArray();
-      if (!w.without.contains(t.name())) keys.add("sha256:" + Configuration.hashKey(t.key()));
+      if (!options.revokedTenants.contains(t.name()))
+        keys.add("sha256:" + Configuration.hashKey(t.key()));
       ts.add(
           Json.object()
               .add("name", t.name())
               .add("keys", keys)
               .add("weight", t.size())
-              .add("isolated", t.name().equals(isolated) || w.walled.contains(t.name()))
+              .add(
+                  "isolated",
+                  t.name().equals(isolated) || options.isolatedTenants.contains(t.name()))
               .add(
                   "shares",
                   Json.array()
@@ -199,12 +212,12 @@
                                   .add("weight", 1)
                                   .add("mappings", Json.array(kinds.get(2).name())))));
     }
-    // all that is listed but the first replica, at .21
+    // allows every listed address except the first replica's, .21
     JsonArray allow = new JsonArray();
-    if (w.narrow)
+    if (options.firstReplicaForbidden)
       for (String n : new String[] {"22/31", "24/29", "32/27", "64/26", "128/25"})
-        allow.add("127." + net + ".0." + n);
-    else allow.add("127." + net + ".0.0/16");
+        allow.add("127." + subnet + ".0." + n);
+    else allow.add("127." + subnet + ".0.0/16");
     return Json.object()
         .add(
             "services",
@@ -215,20 +228,20 @@
                         Json.object()
                             .add("name", "prefix-store")
                             .add("kind", "store")
-                            .add("allow", Json.array("127." + net + ".0.0/16")))
+                            .add("allow", Json.array("127." + subnet + ".0.0/16")))
                 .add(
                     (JsonValue)
                         Json.object()
                             .add("name", "application")
                             .add("kind", "application")
-                            .add("allow", Json.array("127." + net + ".0.0/16")))
+                            .add("allow", Json.array("127." + subnet + ".0.0/16")))
                 .add(
                     (JsonValue)
                         Json.object()
                             .add("name", "application-two")
                             .add("kind", "application")
-                            .add("allow", Json.array("127." + net + ".0.0/16"))))
-        .add("mappings", ms)
+                            .add("allow", Json.array("127." + subnet + ".0.0/16"))))
+        .add("mappings", mappings)
         .add("tenants", ts);
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
+++ b/emulator/src/main/java/gladelug/emulator/FleetEmulator.java
@@ -4,14 +4,14 @@
 import gladelug.common.Program;
 import gladelug.data.relay.Mechanism;
 import gladelug.emulator.check.ModelCheck;
-import gladelug.emulator.control.ControlDay;
-import gladelug.emulator.control.ControlTroubles;
+import gladelug.emulator.control.ControlFaultRun;
+import gladelug.emulator.control.FaultScenarios;
 import gladelug.emulator.day.Day;
 import gladelug.emulator.experiment.Ablation;
 import gladelug.emulator.experiment.AblationPlan;
 import gladelug.emulator.scale.ScalePlan;
 import gladelug.emulator.scale.ScaleRun;
-import gladelug.emulator.sim.RequestStories;
+import gladelug.emulator.sim.RequestScenarios;
 import gladelug.emulator.soak.SoakCommand;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,24 +21,22 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * The tool fleet-emulator: starts a whole fleet on this machine, loads it at a deployment's rates,
- * breaks things on the way, and prints what the stand-ins' ledgers say. Never deployed.
- *
- * <p>The program that rehearses fleets; one command a run.
+ * The program fleet-emulator: starts a complete fleet on this machine, loads it at a deployment's
+ * rates, injects faults, and reports what the ledgers of the stand-ins show. Never deployed.
  */
 public final class FleetEmulator {
-  private static final int BY_HAND_NETWORK = 14;
+  private static final int STAND_INS_SUBNET = 14;
 
   private FleetEmulator() {}
 
-  /** Ends with 0 if all went well, 1 if a rule was broken, 2 for wrong use. */
+  /** Exits with 0 on success, 1 if a rule was broken, and 2 for invalid arguments. */
   public static void main(String[] args) throws Exception {
     Namespace options = Program.parseArguments(CommandLine.parser(), args);
-    System.exit(clean(options) ? 0 : 1);
+    System.exit(runCommand(options) ? 0 : 1);
   }
 
-  /** Plays the command; whether no rule was broken. */
-  private static boolean clean(Namespace options) throws Exception {
+  /** Runs the command and returns whether no rule was broken. */
+  private static boolean runCommand(Namespace options) throws Exception {
     switch (options.getString("command")) {
       case "run" -> {
         return run(options);
@@ -56,15 +54,15 @@
         return soak(options);
       }
       case "stand-ins" -> standIns(options);
-      case "weights" -> WeightsRoll.measure(deployment(options), options.getString("out"));
+      case "weights" -> WeightsRollout.measure(deployment(options), options.getString("out"));
       case "table" ->
-          Table.measure(
+          SummaryBenchmark.measure(
               options.getInt("rounds"),
               options.getInt("holders"),
               options.getInt("shared"),
               options.getInt("own"));
       case "shares" ->
-          Shares.measure(
+          ShareComparison.measure(
               options.getString("out"), options.getInt("rounds"), options.getInt("seconds"));
       case "scale" -> scale(options);
       case "ablation" -> ablation(options);
@@ -92,10 +90,10 @@
   }
 
   private static Deployment deployment(Namespace options) {
-    return Deployment.named(options.getString("deployment"));
+    return Deployment.byName(options.getString("deployment"));
   }
 
-  /** A new folder for what a run leaves. */
+  /** Creates a new folder for the files of a run. */
   private static Path folder(Namespace options, String name) throws Exception {
     Path folder =
         Path.of(options.getString("out"))
@@ -133,15 +131,15 @@
     return clean;
   }
 
-  /** One of the five days of the control side. */
+  /** Runs one of the five days of the control plane. */
   private static boolean controlDay(Namespace options) throws Exception {
     Logger.getLogger("").setLevel(Level.WARNING);
     int point = options.getInt("point");
     Path out = folder(options, "control-" + point);
     long seed = options.getLong("seed");
     boolean clean;
-    try (Fleet fleet = new Fleet(ControlDay.deployment(), out, seed, "summary")) {
-      clean = new ControlDay(fleet, seed, System.out::println).play(ControlTroubles.of(point));
+    try (Fleet fleet = new Fleet(ControlFaultRun.deployment(), out, seed, "summary")) {
+      clean = new ControlFaultRun(fleet, seed, System.out::println).play(FaultScenarios.of(point));
     }
     System.out.println("logs: " + out);
     return clean;
@@ -149,12 +147,12 @@
 
   private static boolean simulate(Namespace options) {
     Logger.getLogger("").setLevel(Level.OFF);
-    RequestStories stories =
-        RequestStories.play(
+    RequestScenarios stories =
+        RequestScenarios.run(
             options.getLong("from"), options.getInt("seeds"), options.getInt("threads"));
-    stories.offenders.forEach(System.out::println);
-    System.out.println(stories + "\noffending seeds: " + stories.offenders.size());
-    return stories.offenders.isEmpty();
+    stories.failures.forEach(System.out::println);
+    System.out.println(stories + "\noffending seeds: " + stories.failures.size());
+    return stories.failures.isEmpty();
   }
 
   private static boolean check(Namespace options) {
@@ -171,18 +169,18 @@
     return ModelCheck.run(wanted, without, System.out::println);
   }
 
-  /** Stays until it is ended. */
+  /** Runs until the process is terminated. */
   private static void standIns(Namespace options) throws Exception {
     Path out = Path.of(options.getString("out")).toAbsolutePath().resolve("stand-ins");
-    Fleet fleet = new Fleet(Deployment.small(BY_HAND_NETWORK), out, 1, "summary");
-    Path configuration = fleet.dir.resolve("configuration.json");
+    Fleet fleet = new Fleet(Deployment.small(STAND_INS_SUBNET), out, 1, "summary");
+    Path configuration = fleet.folder.resolve("configuration.json");
     Files.writeString(
         configuration,
         fleet.deployment.configuration(0, List.of()).toString(WriterConfig.PRETTY_PRINT));
     System.out.println("platform " + fleet.platform.address());
     System.out.println("configuration " + configuration);
     System.out.println("key of tenant one: " + fleet.deployment.tenants().get(0).key());
-    System.out.println("ends with this process");
+    System.out.println("the stand-ins stop with this process");
     Thread.currentThread().join();
   }
 
@@ -221,7 +219,7 @@
             options.getString("roles"),
             options.getBoolean("quick"));
     ScalePlan plan =
-        Program.valueOrExit("fleet-emulator", ScalePlan.of(wanted, ScalePlan.machineMb()));
+        Program.valueOrExit("fleet-emulator", ScalePlan.parse(wanted, ScalePlan.totalMemoryMb()));
     new ScaleRun(plan, folder(options, "scale"), System.out::println).run();
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/KillRun.java
+++ b/emulator/src/main/java/gladelug/emulator/KillRun.java
@@ -8,27 +8,25 @@
 import java.util.Locale;
 
 /**
- * A fleet under load with a control machine, an index, a relay and a replica killed on the way, and
- * a configuration sent every three seconds; judged from the ledgers.
- *
- * <p>The rehearsal "run".
+ * The command "run": loads a fleet, kills a control machine, an index, a relay and a replica in
+ * turn, sends a configuration every three seconds, and checks the ledger.
  */
 final class KillRun {
   private static final List<String> VICTIMS = List.of("control", "index", "relay", "replica");
-  private static final long CHANGE_EVERY_MS = 3000;
+  private static final long CHANGE_INTERVAL_MS = 3000;
   private static final long STEP_MS = 40;
   private static final long READY_MS = 30_000;
   private static final long TAKEOVER_MS = 10_000;
 
   private final Fleet fleet;
   private final List<Long> acknowledgedMs = new ArrayList<>();
-  private Runnable mend = () -> {};
+  private Runnable repair = () -> {};
 
   private KillRun(Fleet fleet) {
     this.fleet = fleet;
   }
 
-  /** Runs for so many seconds at a multiple of the deployment's rates; true if clean. */
+  /** Runs at a multiple of the deployment's rates and returns true if no rule was broken. */
   static boolean run(Fleet fleet, int seconds, long seed, boolean kills, double rate)
       throws Exception {
     long began = System.nanoTime();
@@ -41,27 +39,27 @@
     return new KillRun(fleet).run(seconds * 1000L, seed, kills ? VICTIMS : List.of(), rate);
   }
 
-  private boolean run(long lastsMs, long seed, List<String> victims, double rate) {
+  private boolean run(long durationMs, long seed, List<String> victims, double rate) {
     StandInCallers callers = callers(seed, rate);
     AddedLatency added = new AddedLatency(fleet);
     long began = System.nanoTime();
     int killed = 0;
     int changes = 0;
-    for (long at = 0; at < lastsMs; at = (System.nanoTime() - began) / 1_000_000) {
-      if (killed < victims.size() && at >= lastsMs * (killed + 1) / (victims.size() + 1)) {
-        mend.run();
+    for (long at = 0; at < durationMs; at = (System.nanoTime() - began) / 1_000_000) {
+      if (killed < victims.size() && at >= durationMs * (killed + 1) / (victims.size() + 1)) {
+        repair.run();
         kill(victims.get(killed++));
       }
-      if (at / CHANGE_EVERY_MS > changes) {
+      if (at / CHANGE_INTERVAL_MS > changes) {
         changes++;
-        change();
+        sendChange();
       }
-      added.pair();
+      added.measurePair();
       Fleet.pause(STEP_MS);
     }
-    mend.run();
+    repair.run();
     callers.stop();
-    Fleet.until("the last requests ended", READY_MS, () -> callers.open() == 0);
+    Fleet.waitUntil("the last requests end", READY_MS, () -> callers.openRequests() == 0);
     return LedgerReport.print(fleet, List.of(acknowledgements(), "relay: " + added));
   }
 
@@ -70,14 +68,19 @@
     kinds.add(fleet.deployment.application());
     StandInCallers callers =
         new StandInCallers(
-            fleet.vertx, fleet.ledger, fleet.callers, fleet.deployment.tenants(), kinds, seed);
-    callers.faster = rate;
+            fleet.vertx,
+            fleet.ledger,
+            fleet.callerAddresses,
+            fleet.deployment.tenants(),
+            kinds,
+            seed);
+    callers.rateFactor = rate;
     callers.start();
     return callers;
   }
 
-  private void change() {
-    Fleet.Answer answer = fleet.configuration(List.of(), "*");
+  private void sendChange() {
+    Fleet.Answer answer = fleet.sendStandardConfiguration(List.of(), "*");
     if (answer.status() == 200) acknowledgedMs.add(answer.body().getLong("waitedMs", -1));
     else System.out.println("configuration answered " + answer.status() + " " + answer.body());
   }
@@ -91,18 +94,18 @@
         acknowledgedMs.size());
   }
 
-  /** Kills what is meant by a word, and remembers how it is mended. */
+  /** Kills a process of the given kind and sets the action that repairs it. */
   private void kill(String what) {
     if (what.equals("replica")) {
       killReplica();
       return;
     }
     boolean control = what.equals("control");
-    Child victim = fleet.children.get(control ? fleet.ownerOf("policy") : what + "-1");
+    ChildProcess victim = fleet.children.get(control ? fleet.ownerOf("policy") : what + "-1");
     long killedAt = System.currentTimeMillis();
     victim.kill();
     System.out.println("killed " + victim.name + (control ? ", owner of the configuration" : ""));
-    mend =
+    repair =
         () -> {
           if (control) {
             System.out.println("takeover gap of its keys, ms: " + takeovers(victim.name, killedAt));
@@ -115,29 +118,29 @@
     StandInReplica replica = fleet.replicas.get("replica-2");
     replica.kill();
     System.out.println("killed " + replica.instance);
-    mend =
+    repair =
         () -> {
           replica.start();
           System.out.println("back " + replica.instance);
         };
   }
 
-  private void restart(Child child) {
+  private void restart(ChildProcess child) {
     try {
       child.start();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    Fleet.until(child.name + " ready again", READY_MS, () -> fleet.ready(child.name));
+    Fleet.waitUntil(child.name + " ready again", READY_MS, () -> fleet.isReady(child.name));
     System.out.println("back " + child.name);
   }
 
-  /** From the other members' logs: when each first served a key after the kill. */
+  /** Returns, from the other members' logs, the ms from the kill to each takeover of a key. */
   private List<Long> takeovers(String dead, long killedAt) {
     List<Long> gaps = new ArrayList<>();
-    for (Child child : fleet.children.values()) {
+    for (ChildProcess child : fleet.children.values()) {
       if (!child.name.startsWith("control") || child.name.equals(dead)) continue;
-      for (String line : child.lines().split("\n")) {
+      for (String line : child.readLog().split("\n")) {
         if (!line.contains("event=ownership-acquired")) continue;
         long at = Instant.parse(line.substring(5, line.indexOf(' '))).toEpochMilli();
         if (at >= killedAt && at < killedAt + TAKEOVER_MS) gaps.add(at - killedAt);
--- a/emulator/src/main/java/gladelug/emulator/Ledger.java
+++ b/emulator/src/main/java/gladelug/emulator/Ledger.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * What the stand-ins themselves saw, by the tag that each caller put at the end of its prompt, so
- * that nothing here rests on gladelug's own ids or counters. Judges read this and nothing else.
+ * Records what the stand-ins observed, by the tag that each caller puts at the end of its prompt,
+ * so that nothing depends on gladelug's own ids or counters. The checks read only this ledger.
  */
 public final class Ledger {
-  /** One time a replica got a request. */
+  /** One delivery of a request to a replica. */
   public static final class Run {
     public final String tag;
     public final String order;
@@ -21,13 +21,13 @@
     public final String weights;
     public final String wall;
     public final int attempt;
-    public final long at;
+    public final long atMs;
     public volatile boolean ran;
     public volatile int pieces;
     public volatile boolean ended;
 
-    /** Its connection was closed before its end. */
-    public volatile boolean left;
+    /** Whether its connection was closed before the end of the answer. */
+    public volatile boolean closedEarly;
 
     public int blocks;
     public int reused;
@@ -51,18 +51,18 @@
       this.weights = weights;
       this.wall = wall;
       this.attempt = attempt;
-      this.at = at;
+      this.atMs = at;
     }
   }
 
-  /** What a caller saw of one order of its own. */
+  /** What a caller observed of one of its requests. */
   public static final class Call {
     public final String tag;
     public final String kind;
     public final String tenant;
     public final String relay;
     public final boolean repeatable;
-    public final long sent;
+    public final long sentMs;
     public volatile String outcome = "none";
     public volatile String order = "";
     public volatile String reason = "";
@@ -72,8 +72,8 @@
     public volatile int misordered;
     public volatile boolean explicitEnd;
     public volatile boolean bodyTerminated;
-    public volatile long firstPiece = -1;
-    public volatile long done = -1;
+    public volatile long firstPieceMs = -1;
+    public volatile long doneMs = -1;
 
     public Call(
         String tag, String kind, String tenant, String relay, boolean repeatable, long sent) {
@@ -82,7 +82,7 @@
       this.tenant = tenant;
       this.relay = relay;
       this.repeatable = repeatable;
-      this.sent = sent;
+      this.sentMs = sent;
     }
   }
 
@@ -92,40 +92,40 @@
   public final Map<String, Call> calls = new ConcurrentHashMap<>();
   public final ConcurrentLinkedQueue<Note> notes = new ConcurrentLinkedQueue<>();
 
-  /** Reuse of a block made under other weights or behind another wall, as the replicas saw it. */
-  public final ConcurrentLinkedQueue<String> wrongReuse = new ConcurrentLinkedQueue<>();
+  /** Reuses of a block that was computed under other weights or in another isolation domain. */
+  public final ConcurrentLinkedQueue<String> invalidReuses = new ConcurrentLinkedQueue<>();
 
   /**
-   * One time a request used a cached block that another tenant's request had made.
+   * A use of a cached block that another tenant's request had computed.
    *
    * @param tag of the request that used it
    * @param maker of the request that made it
    * @param instance the replica that used it
-   * @param at when the request that used it was handed to the replica
+   * @param atMs when the request that used it was handed to the replica
    */
   public record ForeignUse(String tag, String maker, String instance, long at) {}
 
-  /** What tenants used of what others made, which is allowed where neither is isolated. */
+  /** Uses of other tenants' blocks, which are allowed if neither tenant is isolated. */
   public final ConcurrentLinkedQueue<ForeignUse> foreignUses = new ConcurrentLinkedQueue<>();
 
-  /** Anything that reached a server nobody was ever allowed to call. */
-  public final ConcurrentLinkedQueue<String> trapped = new ConcurrentLinkedQueue<>();
+  /** Calls that reached a server which nobody was ever allowed to call. */
+  public final ConcurrentLinkedQueue<String> forbiddenCalls = new ConcurrentLinkedQueue<>();
 
-  public final ConcurrentLinkedQueue<String> doubleCommand = new ConcurrentLinkedQueue<>();
+  public final ConcurrentLinkedQueue<String> commanderConflicts = new ConcurrentLinkedQueue<>();
 
-  public void run(Run r) {
+  public void addRun(Run r) {
     runs.computeIfAbsent(r.tag, t -> Collections.synchronizedList(new ArrayList<>())).add(r);
   }
 
-  /** A run used a cached block that the request with another tag made. */
-  public void used(Run run, String maker) {
+  /** Records that a run used a cached block which the request tagged {@code maker} had computed. */
+  public void recordReuse(Run run, String maker) {
     Call user = calls.get(run.tag);
     Call other = calls.get(maker);
     if (user == null || other == null || user.tenant.equals(other.tenant)) return;
-    foreignUses.add(new ForeignUse(run.tag, maker, run.instance, run.at));
+    foreignUses.add(new ForeignUse(run.tag, maker, run.instance, run.atMs));
   }
 
-  public void note(String what) {
+  public void addNote(String what) {
     notes.add(new Note(System.nanoTime() / 1_000_000, what));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/LedgerReport.java
+++ b/emulator/src/main/java/gladelug/emulator/LedgerReport.java
@@ -6,31 +6,26 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * What the stand-ins' ledgers say of a run, in lines for people: outcomes, tries, prefix blocks,
- * and a verdict for each rule.
- *
- * <p>Prints what a ledger holds.
- */
+/** Prints a summary of a ledger: outcomes, attempts, prefix blocks, and a verdict for each rule. */
 public final class LedgerReport {
-  private static final int MOST_OFFENDERS_SHOWN = 5;
+  private static final int MAX_OFFENDERS_SHOWN = 5;
 
   private LedgerReport() {}
 
-  /** Prints the whole report of a fleet's ledger; true if no rule was broken. */
+  /** Prints the report of a fleet's ledger and returns true if no rule was broken. */
   public static boolean print(Fleet fleet) {
     return print(fleet, List.of());
   }
 
-  /** As print, with further lines before the verdicts. */
+  /** Prints the report with additional lines before the verdicts. */
   static boolean print(Fleet fleet, List<String> further) {
     printOutcomes(fleet.ledger);
     printReplicas(fleet.ledger);
     further.forEach(System.out::println);
     printIndexes(fleet);
     boolean clean = true;
-    for (Judge.Finding finding : Judge.all(fleet.ledger)) {
-      clean &= finding.clean();
+    for (LedgerChecker.Finding finding : LedgerChecker.checkAll(fleet.ledger)) {
+      clean &= finding.passed();
       printRule(finding.rule(), finding.offenders());
     }
     return clean;
@@ -38,7 +33,7 @@
 
   /** Prints the verdict of one rule. */
   public static void printRule(String rule, List<String> offenders) {
-    int shown = Math.min(MOST_OFFENDERS_SHOWN, offenders.size());
+    int shown = Math.min(MAX_OFFENDERS_SHOWN, offenders.size());
     String verdict =
         offenders.isEmpty()
             ? "clean"
@@ -54,10 +49,10 @@
       outcomes
           .computeIfAbsent(call.kind, kind -> new TreeMap<>())
           .merge(call.outcome, 1, Integer::sum);
-      if (call.firstPiece >= 0) {
+      if (call.firstPieceMs >= 0) {
         firstPieces
             .computeIfAbsent(call.kind, kind -> new ArrayList<>())
-            .add(call.firstPiece - call.sent);
+            .add(call.firstPieceMs - call.sentMs);
       }
       if (!call.outcome.equals("complete")) {
         String reason = call.reason.replaceAll("replica-\\d+", "a replica");
@@ -110,10 +105,12 @@
   }
 
   private static void printIndexes(Fleet fleet) {
-    for (String name : fleet.operator.keySet()) {
+    for (String name : fleet.operatorAddresses.keySet()) {
       if (!name.startsWith("index")) continue;
       var status =
-          fleet.http(fleet.operator.get(name), "GET", "/operator/status", null, Map.of()).body();
+          fleet
+              .http(fleet.operatorAddresses.get(name), "GET", "/operator/status", null, Map.of())
+              .body();
       System.out.println(
           name
               + ": warm "
--- a/emulator/src/main/java/gladelug/emulator/ReplicaCache.java
+++ b/emulator/src/main/java/gladelug/emulator/ReplicaCache.java
@@ -13,13 +13,14 @@
 import java.util.Random;
 
 /**
- * The prefix blocks that a stand-in replica keeps, least recently used going first, and the
- * sequence of events by which it tells of them. All methods are called under the replica's lock.
- *
- * <p>The cache of one stand-in replica.
+ * The LRU cache of prefix blocks of a stand-in replica, and the sequence of its cache events. All
+ * methods are called under the replica's lock.
  */
 final class ReplicaCache {
-  /** What a block was made under, and the tag of the request that made it. */
+  /**
+   * The weights and isolation domain that a block was computed under, and the tag of the request
+   * that computed it.
+   */
   record Origin(String weights, String wall, String maker) {
     boolean sameWeightsAndWall(Origin other) {
       return weights.equals(other.weights) && wall.equals(other.wall);
@@ -28,9 +29,9 @@
 
   private record Event(long sequence, boolean stored, long block) {}
 
-  private static final int MOST_EVENTS = 2048;
+  private static final int MAX_EVENTS = 2048;
   private static final long PULSE_MS = 400;
-  private static final int LONGEST_DELAY_MS = 400;
+  private static final int MAX_EVENT_DELAY_MS = 400;
 
   private final Vertx vertx;
   private final Object lock;
@@ -43,7 +44,7 @@
   private String incarnation = "";
   private long sequence;
 
-  /** Timers take the given lock before they touch the cache. */
+  /** Creates a cache whose timers take the given lock. */
   ReplicaCache(Vertx vertx, Object lock, Random random, ReplicaFaults faults, int capacity) {
     this.vertx = vertx;
     this.lock = lock;
@@ -52,7 +53,7 @@
     this.capacity = capacity;
   }
 
-  /** Forgets all blocks and events; whoever follows learns of it by the new incarnation. */
+  /** Removes all blocks and events; followers detect this by the new incarnation. */
   void clear() {
     kept.clear();
     events.clear();
@@ -60,13 +61,13 @@
     incarnation = Long.toHexString(random.nextLong());
   }
 
-  /** Nobody follows any more, as after a crash. */
+  /** Drops all followers, as a crash does. */
   void dropFollowers() {
     followers.clear();
   }
 
-  /** Tells all who follow where the sequence stands. */
-  void pulseAll() {
+  /** Sends the current sequence number to all followers. */
+  void sendPulses() {
     for (HttpServerResponse follower : new ArrayList<>(followers)) {
       if (!follower.closed()) follower.write(pulse());
     }
@@ -76,7 +77,7 @@
     return incarnation;
   }
 
-  boolean has(long block) {
+  boolean contains(long block) {
     return kept.containsKey(block);
   }
 
@@ -84,28 +85,28 @@
     return kept.size();
   }
 
-  /** What a block was made under, or null; it counts as used. */
+  /** Returns the origin of a block, or null; marks it as recently used. */
   Origin origin(long block) {
     return kept.get(block);
   }
 
-  /** Keeps a block as it was first made; it counts as used. */
+  /** Stores a block, keeping its first origin if that is equivalent; marks it as recently used. */
   void keepFirst(long block, Origin origin) {
     Origin first = kept.get(block);
     keep(block, first == null || !first.sameWeightsAndWall(origin) ? origin : first);
   }
 
-  /** Keeps a block and lets the least recently used go for it. */
+  /** Stores a block and evicts the least recently used ones beyond the capacity. */
   void keep(long block, Origin origin) {
-    if (kept.put(block, origin) == null) tell(true, block);
+    if (kept.put(block, origin) == null) recordEvent(true, block);
     while (kept.size() > capacity) {
       long oldest = kept.keySet().iterator().next();
       kept.remove(oldest);
-      tell(false, oldest);
+      recordEvent(false, oldest);
     }
   }
 
-  /** All blocks, as the protocol lists them. */
+  /** Returns all blocks in the format of the protocol. */
   JsonObject list() {
     JsonArray blocks = new JsonArray();
     for (long block : kept.keySet()) blocks.add(hex(block));
@@ -115,7 +116,7 @@
         .put("blocks", blocks);
   }
 
-  /** Answers with the events after a sequence number and with all later ones. */
+  /** Streams the events after the requested sequence number and all later ones. */
   void follow(HttpServerRequest request) {
     HttpServerResponse follower =
         request.response().setChunked(true).putHeader("Content-Type", "application/x-ndjson");
@@ -148,21 +149,21 @@
     }
   }
 
-  private void tell(boolean stored, long block) {
+  private void recordEvent(boolean stored, long block) {
     Event event = new Event(++sequence, stored, block);
     events.add(event);
-    if (events.size() > MOST_EVENTS) events.poll();
+    if (events.size() > MAX_EVENTS) events.poll();
     Buffer line = line(event);
     for (HttpServerResponse follower : new ArrayList<>(followers)) {
-      if (random.nextDouble() < faults.loseEvents || follower.closed()) continue;
-      if (random.nextDouble() < faults.delayEvents) tellLate(follower, line);
+      if (random.nextDouble() < faults.eventLossRate || follower.closed()) continue;
+      if (random.nextDouble() < faults.eventDelayRate) sendLate(follower, line);
       else follower.write(line);
     }
   }
 
-  private void tellLate(HttpServerResponse follower, Buffer line) {
+  private void sendLate(HttpServerResponse follower, Buffer line) {
     vertx.setTimer(
-        1 + random.nextInt(LONGEST_DELAY_MS),
+        1 + random.nextInt(MAX_EVENT_DELAY_MS),
         timer -> {
           if (!follower.closed()) follower.write(line);
         });
--- a/emulator/src/main/java/gladelug/emulator/Shares.java
+++ b/emulator/src/main/java/gladelug/emulator/ShareComparison.java
@@ -10,15 +10,15 @@
 import java.util.TreeMap;
 
 /**
- * Measures what each tenant gets of a full fleet against its due, with the fleet-wide division and
- * with each relay keeping shares alone, turn about. Three tenants of equal weight: a heavy one
- * comes by two relays with five times its due, a light one by a third relay, another light one by
- * all.
+ * The command "shares": compares the throughput of tenants on a saturated fleet with their fair
+ * share, alternating between fleet-wide division and shares kept by each relay alone. Three tenants
+ * have equal weight: a heavy one sends five times its share through two relays, a light one sends
+ * through a third relay, and another light one through all relays.
  */
-final class Shares {
+final class ShareComparison {
   private record Flow(String label, int tenant, double perSecond, int[] relays) {}
 
-  private Shares() {}
+  private ShareComparison() {}
 
   static void measure(String base, int rounds, int seconds) throws Exception {
     Map<String, List<double[]>> got = new TreeMap<>();
@@ -33,13 +33,13 @@
         try (Fleet fleet = new Fleet(deployment, out, round, "summary", division)) {
           fleet.start();
           for (StandInReplica r : fleet.replicas.values())
-            if (r.kind == StandInReplica.Kind.MODEL) r.faults.slowPieces = 60;
+            if (r.kind == StandInReplica.Kind.MODEL) r.faults.extraPieceDelayMs = 60;
           StandInCallers.Kind k = deployment.kinds().get(2);
           StandInCallers callers =
               new StandInCallers(
                   fleet.vertx,
                   fleet.ledger,
-                  fleet.callers,
+                  fleet.callerAddresses,
                   deployment.tenants(),
                   deployment.kinds(),
                   round);
@@ -60,7 +60,8 @@
                 callers.send(
                     k,
                     deployment.tenants().get(flows[i].tenant),
-                    fleet.callers.get(flows[i].relays[random.nextInt(flows[i].relays.length)]));
+                    fleet.callerAddresses.get(
+                        flows[i].relays[random.nextInt(flows[i].relays.length)]));
                 due[i] += 1 / flows[i].perSecond;
               }
             Fleet.pause(2);
@@ -89,18 +90,18 @@
           callers.stop();
         }
       }
-    got.forEach(Shares::printSummary);
+    got.forEach(ShareComparison::printSummary);
   }
 
-  /** What of a tenant's requests ended whole between two times in ms, per second. */
+  /** Returns a tenant's completed requests per second between two times in ms. */
   private static double completedPerSecond(Ledger ledger, String tenant, long from, long to) {
     return ledger.calls.values().stream()
             .filter(
                 call ->
                     call.tenant.equals(tenant)
                         && call.outcome.equals("complete")
-                        && call.done >= from
-                        && call.done < to)
+                        && call.doneMs >= from
+                        && call.doneMs < to)
             .count()
         * 1000.0
         / (to - from);
@@ -120,7 +121,8 @@
   }
 
   /**
-   * Of equal weights: a third of what the fleet did, or all that was asked for where that is less.
+   * Returns the fair share at equal weights: a third of the fleet's throughput, or the demand if
+   * that is less.
    */
   private static double dueOf(double all, Flow[] flows) {
     return Math.min(flows[1].perSecond, all / flows.length);
--- a/emulator/src/main/java/gladelug/emulator/day/Day.java
+++ b/emulator/src/main/java/gladelug/emulator/day/Day.java
@@ -2,8 +2,8 @@
 
 import gladelug.emulator.Fleet;
 import gladelug.emulator.LedgerReport;
-import gladelug.emulator.Promises;
 import gladelug.emulator.StandInCallers;
+import gladelug.emulator.TimedGuarantees;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -11,33 +11,36 @@
 import java.util.Random;
 
 /**
- * A seeded day of a deployment: at the deployment's rates, everything that may fail, in an order
- * the seed gives, each mended after a while; weights named, keys revoked, configurations raced and
- * grown meanwhile; one last fault at the end. The promises with a time in them (configurations,
- * keys, weights, leaving replicas) are judged by Promises from what operators and the platform were
- * told and when replicas got what; nothing acknowledged lost and back within 12 s here; the rest by
- * Judge.
+ * Plays a seeded sequence of fault episodes against a loaded fleet.
  *
- * <p>The play of a day.
+ * <p>The seed decides the order of the episodes. Each fault is repaired after a while; meanwhile
+ * weights are replaced, keys revoked, and configurations raced and grown. One final fault ends the
+ * day. {@link TimedGuarantees} checks the guarantees with a deadline (configurations, keys,
+ * weights, leaving replicas), this class checks that no acknowledged configuration is lost and that
+ * every relay serves again within 12 s, and {@link gladelug.emulator.LedgerChecker} checks the
+ * rest.
  */
 public final class Day {
-  private static final long BEFORE_MS = 2000;
-  private static final long BETWEEN_MS = 1500;
-  private static final long ENDED_MS = 40_000;
+  private static final long WARM_UP_MS = 2000;
+  private static final long RECOVERY_MS = 1500;
+  private static final long DRAIN_TIMEOUT_MS = 40_000;
 
-  /** The part of a trouble, in thousandths, after which the configuration may change. */
-  private static final long UNTIL_CHANGE = 400;
+  /** The share of an episode, in thousandths, after which the configuration may change. */
+  private static final long CHANGE_AFTER_PERMILLE = 400;
 
   private final Fleet fleet;
   private final Random random;
   private final StandInCallers callers;
-  private final Promises promises = new Promises();
+  private final TimedGuarantees guarantees = new TimedGuarantees();
   private final DayOperator operator;
   private final DayFleet machines;
-  private final OperatorTroubles operatorTroubles;
+  private final OperatorEpisodes operatorEpisodes;
   private final LastFault lastFault;
 
-  /** Plays on a fleet that was not started yet, at a multiple of the deployment's rates. */
+  /**
+   * Creates a day on a fleet that is not started yet; {@code rate} multiplies the deployment's
+   * rates.
+   */
   public Day(Fleet fleet, long seed, double rate) {
     this.fleet = fleet;
     this.random = new Random(seed);
@@ -45,52 +48,57 @@
     kinds.add(fleet.deployment.application());
     callers =
         new StandInCallers(
-            fleet.vertx, fleet.ledger, fleet.callers, fleet.deployment.tenants(), kinds, seed);
-    callers.faster = rate;
-    operator = new DayOperator(fleet, promises);
+            fleet.vertx,
+            fleet.ledger,
+            fleet.callerAddresses,
+            fleet.deployment.tenants(),
+            kinds,
+            seed);
+    callers.rateFactor = rate;
+    operator = new DayOperator(fleet, guarantees);
     machines = new DayFleet(fleet, random);
-    operatorTroubles = new OperatorTroubles(machines, operator);
+    operatorEpisodes = new OperatorEpisodes(machines, operator);
     lastFault = new LastFault(machines, operator);
   }
 
-  static long now() {
+  static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
-  static void say(String what) {
+  static void printLine(String what) {
     System.out.println("  " + what);
   }
 
   /**
-   * Plays the day; true if no rule was broken.
+   * Plays the day and returns true if no rule was broken.
    *
-   * @param secondsEach how long each trouble lasts
-   * @param most how many of the day's troubles are played before the last fault
+   * @param secondsPerEpisode how long each fault lasts
+   * @param maxEpisodes how many episodes are played at most before the last fault
    */
-  public boolean play(int secondsEach, int most) throws Exception {
-    fleet.platform.answered =
-        (instance, state) -> promises.told("replica " + instance, state, now(), now());
+  public boolean play(int secondsPerEpisode, int maxEpisodes) throws Exception {
+    fleet.platform.stateListener =
+        (instance, state) -> guarantees.record("replica " + instance, state, nowMs(), nowMs());
     fleet.start();
-    promises.told("weights", operator.weights(), 0, 0);
-    operator.meanings().forEach((key, meaning) -> promises.told(key, meaning, 0, 0));
+    guarantees.record("weights", operator.currentWeights(), 0, 0);
+    operator.currentSettings().forEach((key, setting) -> guarantees.record(key, setting, 0, 0));
     callers.start();
-    Fleet.pause(BEFORE_MS);
+    Fleet.pause(WARM_UP_MS);
     List<Episode> episodes = episodes();
-    for (Episode episode : episodes.subList(0, Math.min(most, episodes.size()))) {
-      play(episode, secondsEach);
+    for (Episode episode : episodes.subList(0, Math.min(maxEpisodes, episodes.size()))) {
+      play(episode, secondsPerEpisode);
     }
     lastFault.play();
     callers.stop();
-    Fleet.until("the last requests ended", ENDED_MS, () -> callers.open() == 0);
+    Fleet.waitUntil("the last requests end", DRAIN_TIMEOUT_MS, () -> callers.openRequests() == 0);
     return report();
   }
 
-  /** All troubles, in the order that the seed gives. */
+  /** Returns all episodes in the order drawn from the seed. */
   private List<Episode> episodes() {
-    List<Episode> episodes = new ArrayList<>(new ProcessTroubles(machines).episodes());
-    episodes.addAll(new ReplicaTroubles(machines).episodes());
-    episodes.addAll(operatorTroubles.episodes());
-    episodes.addAll(new NetworkTroubles(machines, operator).episodes());
+    List<Episode> episodes = new ArrayList<>(new ProcessEpisodes(machines).episodes());
+    episodes.addAll(new ReplicaEpisodes(machines).episodes());
+    episodes.addAll(operatorEpisodes.episodes());
+    episodes.addAll(new NetworkEpisodes(machines, operator).episodes());
     Collections.shuffle(episodes, random);
     return episodes;
   }
@@ -98,24 +106,24 @@
   private void play(Episode episode, int seconds) throws Exception {
     System.out.println("episode: " + episode.name());
     episode.begin().run();
-    long end = now() + seconds * 1000L;
-    Fleet.pause(seconds * UNTIL_CHANGE);
+    long end = nowMs() + seconds * 1000L;
+    Fleet.pause(seconds * CHANGE_AFTER_PERMILLE);
     if (episode.changesMeanwhile() || random.nextBoolean()) operator.send();
-    if (end > now()) Fleet.pause(end - now());
+    if (end > nowMs()) Fleet.pause(end - nowMs());
     episode.mend().run();
-    Fleet.pause(BETWEEN_MS);
+    Fleet.pause(RECOVERY_MS);
   }
 
   private boolean report() {
-    boolean clean = LedgerReport.print(fleet);
-    Map<String, List<String>> rules = promises.judge(fleet.ledger, Promises.BRIEF);
-    rules.put("acknowledged-configuration-lost", operator.lost());
+    boolean passed = LedgerReport.print(fleet);
+    Map<String, List<String>> rules = guarantees.check(fleet.ledger, TimedGuarantees.REQUIRED);
+    rules.put("acknowledged-configuration-lost", operator.findLostConfiguration());
     rules.put("back-later-than-12s", lastFault.slowReturns());
-    rules.put("both-of-two-racing-taken", operatorTroubles.racesWonTwice());
+    rules.put("both-of-two-racing-taken", operatorEpisodes.racesWonTwice());
     for (Map.Entry<String, List<String>> rule : rules.entrySet()) {
-      clean &= rule.getValue().isEmpty();
+      passed &= rule.getValue().isEmpty();
       LedgerReport.printRule(rule.getKey(), rule.getValue());
     }
-    return clean;
+    return passed;
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/day/OperatorTroubles.java
+++ b/emulator/src/main/java/gladelug/emulator/day/OperatorEpisodes.java
@@ -8,17 +8,15 @@
 import java.util.Map;
 
 /**
- * What operators do at bad moments: name weights twice, revoke keys, race, move services, grow the
- * configuration, and swap members of the core.
- *
- * <p>Changes by operators.
+ * Operator actions at critical moments: set weights twice, revoke keys, race, move services, grow
+ * the configuration, and swap members of the core.
  */
-final class OperatorTroubles {
-  private static final long BETWEEN_NAMINGS_MS = 1500;
-  private static final long LOADED_MS = 30_000;
-  private static final long SWAP_BEGUN_MS = 20_000;
-  private static final long LET_IN_MS = 30_000;
-  private static final int FURTHER_ROUTES = 3000;
+final class OperatorEpisodes {
+  private static final long BETWEEN_WEIGHT_CHANGES_MS = 1500;
+  private static final long LOAD_TIMEOUT_MS = 30_000;
+  private static final long SWAP_START_TIMEOUT_MS = 20_000;
+  private static final long JOIN_TIMEOUT_MS = 30_000;
+  private static final int EXTRA_ROUTES = 3000;
 
   private final DayFleet machines;
   private final DayOperator operator;
@@ -27,12 +25,12 @@
   private String swappedIn;
   private String swappedOut;
 
-  OperatorTroubles(DayFleet machines, DayOperator operator) {
+  OperatorEpisodes(DayFleet machines, DayOperator operator) {
     this.machines = machines;
     this.operator = operator;
   }
 
-  /** Races in which both operators were confirmed on the same number. */
+  /** Returns the races in which both operators were confirmed on the same configuration number. */
   List<String> racesWonTwice() {
     return racesWonTwice;
   }
@@ -42,12 +40,14 @@
         new ArrayList<>(
             List.of(
                 Episode.of(
-                    "new weights are named, and others half way", this::nameTwice, this::allLoaded),
+                    "new weights are set, and possibly others during the rollout",
+                    this::changeWeightsTwice,
+                    this::awaitWeightsLoaded),
                 Episode.of(
-                    "a key is revoked from connected callers",
+                    "a key is revoked while its callers are connected",
                     () -> revoke(List.of(machines.fleet.deployment.tenants().get(1).name())),
                     () -> revoke(List.of())),
-                Episode.atOnce("two operators race", this::race),
+                Episode.atOnce("two operators send conflicting configurations at once", this::race),
                 Episode.atOnce(
                     "the application moves to its second service",
                     () -> {
@@ -62,73 +62,75 @@
     return episodes;
   }
 
-  private void nameTwice() {
-    operator.nameNextWeights();
-    Fleet.pause(BETWEEN_NAMINGS_MS);
-    if (machines.random.nextBoolean()) operator.nameNextWeights();
+  private void changeWeightsTwice() {
+    operator.setNextWeights();
+    Fleet.pause(BETWEEN_WEIGHT_CHANGES_MS);
+    if (machines.random.nextBoolean()) operator.setNextWeights();
     killedCommander = machines.random.nextBoolean() ? machines.ownerOf("commander/replica-1") : "";
     if (!killedCommander.isEmpty()) machines.kill(killedCommander);
   }
 
-  private void allLoaded() throws Exception {
+  private void awaitWeightsLoaded() throws Exception {
     if (!killedCommander.isEmpty()) machines.restart(killedCommander);
-    Fleet.until(
-        "every replica runs " + operator.weights(),
-        LOADED_MS,
+    Fleet.waitUntil(
+        "every replica runs " + operator.currentWeights(),
+        LOAD_TIMEOUT_MS,
         () ->
             machines.fleet.replicas.values().stream()
                 .filter(replica -> replica.kind == StandInReplica.Kind.MODEL)
-                .allMatch(replica -> replica.weights().equals(operator.weights())));
+                .allMatch(replica -> replica.weights().equals(operator.currentWeights())));
   }
 
   private void revoke(List<String> tenants) {
-    operator.revoked = tenants;
+    operator.revokedTenants = tenants;
     operator.send();
   }
 
   private void grow() {
-    operator.furtherRoutes += FURTHER_ROUTES;
+    operator.extraRoutes += EXTRA_ROUTES;
     operator.send();
   }
 
-  /** Two at once on the same number; at most one may be confirmed. */
+  /** Sends two configurations at once on the same number; at most one may be confirmed. */
   private void race() throws InterruptedException {
     Fleet.Answer shown = machines.fleet.call("GET", "/v1/configuration", null, Map.of());
     long number = shown.body().getLong("number", -1);
     Fleet.Answer[] answers = new Fleet.Answer[2];
     Thread[] threads = new Thread[answers.length];
     for (int i = 0; i < answers.length; i++) {
-      int mine = i;
-      JsonObject configuration = operator.wanted();
+      int operatorNumber = i;
+      JsonObject configuration = operator.desiredConfiguration();
       threads[i] =
           new Thread(
-              () -> answers[mine] = machines.fleet.send(configuration, Long.toString(number)));
+              () ->
+                  answers[operatorNumber] =
+                      machines.fleet.sendConfiguration(configuration, Long.toString(number)));
       threads[i].start();
     }
     for (Thread thread : threads) thread.join();
-    Day.say("race answered " + answers[0].status() + " and " + answers[1].status());
+    Day.printLine("race answered " + answers[0].status() + " and " + answers[1].status());
     if (answers[0].status() == 200 && answers[1].status() == 200) {
-      racesWonTwice.add("both racing configurations were taken on number " + number);
+      racesWonTwice.add("both racing configurations were accepted on number " + number);
     }
   }
 
   private void beginSwap() throws Exception {
-    int host = machines.freshHost();
+    int host = machines.allocateHost();
     swappedIn = "control-" + host;
-    machines.fleet.control(swappedIn, host).start();
-    swappedOut = machines.anyMember();
+    machines.fleet.addControlMachine(swappedIn, host).start();
+    swappedOut = machines.randomMember();
     String swap = "{\"out\":\"" + swappedOut + "\",\"in\":\"" + swappedIn + "\"}";
-    Fleet.until(
-        "the swap begun",
-        SWAP_BEGUN_MS,
+    Fleet.waitUntil(
+        "the swap begins",
+        SWAP_START_TIMEOUT_MS,
         () -> machines.fleet.call("POST", "/v1/core/swap", swap, Map.of()).status() == 202);
   }
 
   private void endSwap() {
-    Fleet.until(
-        swappedIn + " let in",
-        LET_IN_MS,
-        () -> machines.fleet.ready(swappedIn) && machines.members().contains(swappedIn));
+    Fleet.waitUntil(
+        swappedIn + " joins the core",
+        JOIN_TIMEOUT_MS,
+        () -> machines.fleet.isReady(swappedIn) && machines.members().contains(swappedIn));
     machines.kill(swappedOut);
     machines.fleet.children.remove(swappedOut);
   }
--- a/emulator/src/main/java/gladelug/emulator/day/ProcessTroubles.java
+++ b/emulator/src/main/java/gladelug/emulator/day/ProcessEpisodes.java
@@ -4,12 +4,11 @@
 import java.util.List;
 
 /**
- * Troubles of the product's own processes: killed, frozen, and back with or without their disks.
- *
- * <p>Kills and freezes of members, relays and indexes.
+ * Faults of the fleet's own processes: core members, relays and indexes are killed or suspended,
+ * and return with or without their disks.
  */
-final class ProcessTroubles {
-  private static final long LET_IN_MS = 30_000;
+final class ProcessEpisodes {
+  private static final long JOIN_TIMEOUT_MS = 30_000;
   private final DayFleet machines;
   private String killedOwner;
   private String frozenOwner;
@@ -17,7 +16,7 @@
   private String firstOfTwo;
   private String secondOfTwo;
 
-  ProcessTroubles(DayFleet machines) {
+  ProcessEpisodes(DayFleet machines) {
     this.machines = machines;
   }
 
@@ -38,11 +37,13 @@
             },
             () -> machines.thaw(frozenOwner)),
         Episode.of(
-            "a core machine returns empty at a new address",
-            this::returnEmpty,
+            "a core machine returns with an empty disk at a new address",
+            this::returnWithEmptyDisk,
             () ->
-                Fleet.until(
-                    emptyMember + " let in", LET_IN_MS, () -> machines.fleet.ready(emptyMember))),
+                Fleet.waitUntil(
+                    emptyMember + " joins the core",
+                    JOIN_TIMEOUT_MS,
+                    () -> machines.fleet.isReady(emptyMember))),
         Episode.of(
             "two core machines are killed at once",
             this::killTwo,
@@ -57,10 +58,10 @@
             () -> machines.restart("relay-1", "index-1")));
   }
 
-  private void returnEmpty() throws Exception {
-    emptyMember = machines.anyMember();
+  private void returnWithEmptyDisk() throws Exception {
+    emptyMember = machines.randomMember();
     machines.kill(emptyMember);
-    machines.fleet.control(emptyMember, machines.freshHost()).start();
+    machines.fleet.addControlMachine(emptyMember, machines.allocateHost()).start();
   }
 
   private void killTwo() {
--- a/emulator/src/main/java/gladelug/emulator/experiment/AblationTable.java
+++ b/emulator/src/main/java/gladelug/emulator/experiment/AblationTable.java
@@ -14,60 +14,61 @@
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 
 /**
- * What callers are served with each variant against all mechanisms on, play by play: the mean of
- * the differences, with the least and the most, so that a difference within the spread is seen as
- * one.
+ * Compares the share of served requests of each variant with that of all mechanisms enabled, trial
+ * by trial. Reports mean, minimum and maximum of the differences, so that a difference within the
+ * spread can be recognized.
  */
 final class AblationTable {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 480;
 
   /**
-   * The share of requests that was served, by variant, in the order of the plays; NaN where a play
-   * gave no figure.
+   * The share of served requests by variant, in the order of the trials; NaN for a trial without a
+   * result.
    */
-  private final Map<String, List<Double>> served = new LinkedHashMap<>();
+  private final Map<String, List<Double>> servedByVariant = new LinkedHashMap<>();
 
   void add(String variant, double value) {
-    served.computeIfAbsent(variant, name -> new ArrayList<>()).add(value);
+    servedByVariant.computeIfAbsent(variant, name -> new ArrayList<>()).add(value);
   }
 
   /**
-   * One row of the table; differences are all-on less this variant: what is served thanks to it.
+   * One row of the table. Differences are the share with all mechanisms minus the share of this
+   * variant, that is, the contribution of the disabled mechanism.
    */
   record Row(
-      String variant, int plays, double mean, double servedByIt, double least, double most) {}
+      String variant, int trials, double mean, double contribution, double min, double max) {}
 
   List<Row> rows() {
     List<Row> rows = new ArrayList<>();
-    List<Double> base = served.getOrDefault(AblationPlan.ALL_ON, List.of());
-    for (Map.Entry<String, List<Double>> entry : served.entrySet())
+    List<Double> base = servedByVariant.getOrDefault(AblationPlan.ALL_ON, List.of());
+    for (Map.Entry<String, List<Double>> entry : servedByVariant.entrySet())
       rows.add(row(entry.getKey(), base, entry.getValue()));
     return rows;
   }
 
   private static Row row(String variant, List<Double> base, List<Double> values) {
-    int plays = 0;
+    int trials = 0;
     double sum = 0;
     double differences = 0;
-    double least = Double.MAX_VALUE;
-    double most = -Double.MAX_VALUE;
+    double min = Double.MAX_VALUE;
+    double max = -Double.MAX_VALUE;
     for (int i = 0; i < Math.min(base.size(), values.size()); i++) {
       double difference = base.get(i) - values.get(i);
       if (Double.isNaN(difference)) continue;
-      plays++;
+      trials++;
       sum += values.get(i);
       differences += difference;
-      least = Math.min(least, difference);
-      most = Math.max(most, difference);
+      min = Math.min(min, difference);
+      max = Math.max(max, difference);
     }
-    if (plays == 0) return new Row(variant, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
-    return new Row(variant, plays, sum / plays, differences / plays, least, most);
+    if (trials == 0) return new Row(variant, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    return new Row(variant, trials, sum / trials, differences / trials, min, max);
   }
 
   String markdown() {
     StringBuilder text =
-        new StringBuilder("| off | plays | served | thanks to it | least | most |\n");
+        new StringBuilder("| disabled | trials | served | contribution | min | max |\n");
     text.append("|---|---|---|---|---|---|\n");
     for (Row row : rows())
       text.append(
@@ -75,29 +76,29 @@
               Locale.ROOT,
               "| %s | %d | %.3f | %.3f | %.3f | %.3f |%n",
               row.variant,
-              row.plays,
+              row.trials,
               row.mean,
-              row.servedByIt,
-              row.least,
-              row.most));
+              row.contribution,
+              row.min,
+              row.max));
     return text.toString();
   }
 
-  /** Writes the table as text and what is served thanks to each mechanism as a chart. */
+  /** Writes the table as Markdown and the contribution of each mechanism as a chart. */
   void write(Path folder, String title) throws IOException {
     Files.writeString(folder.resolve("ablation.md"), markdown());
     List<String> names = new ArrayList<>();
     List<Double> values = new ArrayList<>();
     for (Row row : rows())
-      if (!row.variant.equals(AblationPlan.ALL_ON) && row.plays > 0) {
+      if (!row.variant.equals(AblationPlan.ALL_ON) && row.trials > 0) {
         names.add(row.variant);
-        values.add(row.servedByIt);
+        values.add(row.contribution);
       }
     if (names.isEmpty()) return;
     CategoryChart chart =
         new CategoryChartBuilder().width(WIDTH).height(HEIGHT).title(title).build();
     chart.getStyler().setXAxisLabelRotation(45).setLegendVisible(false);
-    chart.addSeries("served thanks to it", names, values);
+    chart.addSeries("contribution to the served share", names, values);
     VectorGraphicsEncoder.saveVectorGraphic(
         chart, folder.resolve("ablation.svg").toString(), VectorGraphicsFormat.SVG);
   }
--- a/emulator/src/main/java/gladelug/emulator/soak/ConfigurationModel.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ConfigurationModel.java
@@ -9,10 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * What a configuration means, and its text as operators send it. Immutable.
+ * The content of a configuration that matters to the soak test, and its JSON as operators send it.
+ * Immutable.
  *
  * @param tenants by name
- * @param extraRoutes routes that nobody asks for, beside one for each kind of request
+ * @param extraRoutes number of routes that get no requests, in addition to one route for each kind
+ *     of request
  */
 record ConfigurationModel(
     Map<String, Tenant> tenants, int extraRoutes, int maxBodyBytes, String storeAddress) {
@@ -22,7 +24,7 @@
   static final String MODEL = "model-1";
   static final int MAX_BODY_BYTES = 1 << 22;
 
-  /** A tenant with one key. */
+  /** A tenant with a single API key. */
   record Tenant(String key, boolean isolated) {}
 
   ConfigurationModel {
@@ -33,8 +35,8 @@
     return "tenant-" + number;
   }
 
-  /** The first one: all tenants, of which the last is isolated. */
-  static ConfigurationModel first(String storeAddress) {
+  /** Returns the initial configuration: all tenants, of which only the last is isolated. */
+  static ConfigurationModel initial(String storeAddress) {
     Map<String, Tenant> tenants = new TreeMap<>();
     for (int i = 1; i <= SoakPlan.TENANTS; i++)
       tenants.put(tenantName(i), new Tenant("key-" + i + "-0", i == SoakPlan.TENANTS));
@@ -56,44 +58,47 @@
     return new ConfigurationModel(tenants, extraRoutes, bytes, storeAddress);
   }
 
-  /** The key that replaces one: they are numbered. */
+  /** Returns the key that replaces a key: the one with the next number. */
   static String keyAfter(String key) {
-    return numbered(key, 1);
+    return shiftKeyNumber(key, 1);
   }
 
-  /** The key that one replaced, or the key itself if it is the first. */
+  /** Returns the key that was replaced by a key, or the key itself if it is the first. */
   static String keyBefore(String key) {
-    return numbered(key, -1);
+    return shiftKeyNumber(key, -1);
   }
 
-  private static String numbered(String key, int step) {
+  private static String shiftKeyNumber(String key, int offset) {
     int dash = key.lastIndexOf('-');
     String number = key.substring(dash + 1);
-    if (!number.matches("\\d+") || Integer.parseInt(number) + step < 0) return key;
-    return key.substring(0, dash + 1) + (Integer.parseInt(number) + step);
+    if (!number.matches("\\d+") || Integer.parseInt(number) + offset < 0) return key;
+    return key.substring(0, dash + 1) + (Integer.parseInt(number) + offset);
   }
 
-  /** The name of the tenant that has, had or will have a key. */
+  /**
+   * Returns the name of the tenant that a key was made for, in force or not; empty for a malformed
+   * key.
+   */
   static String ownerOfKey(String key) {
-    String[] words = key.split("-");
-    return words.length == 3 ? "tenant-" + words[1] : "";
+    String[] keyParts = key.split("-");
+    return keyParts.length == 3 ? "tenant-" + keyParts[1] : "";
   }
 
-  /** The tenant that holds a key, or null. */
+  /** Returns the name of the tenant that holds a key, or null. */
   String tenantOfKey(String key) {
     for (Map.Entry<String, Tenant> entry : tenants.entrySet())
       if (entry.getValue().key.equals(key)) return entry.getKey();
     return null;
   }
 
-  boolean isolates(String name) {
+  boolean isIsolated(String name) {
     Tenant tenant = tenants.get(name);
     return tenant != null && tenant.isolated;
   }
 
-  String text(long revision) {
+  String toJson(long revision) {
     JsonArray services = new JsonArray();
-    services.add(models());
+    services.add(modelService());
     services.add(
         Json.object()
             .add("Name", STORE)
@@ -104,7 +109,7 @@
             .add("MaxConcurrency", 12));
     return Json.object()
         .add("Revision", revision)
-        .add("RouteRules", routes())
+        .add("RouteRules", routesJson())
         .add("BackendServices", services)
         .add(
             "Limits",
@@ -113,16 +118,18 @@
                 .add("MaxBodyBytes", maxBodyBytes)
                 .add("HeaderTimeoutMs", 3000)
                 .add("IdleTimeoutMs", 15_000))
-        .add("Tenants", tenantItems())
+        .add("Tenants", tenantsJson())
         .toString();
   }
 
-  /** A change of this one's tenants alone, as PATCH takes it, from another one. */
-  String patch(long revision, ConfigurationModel before) {
+  /**
+   * Returns the body of a PATCH request that turns another configuration's tenants into this one's.
+   */
+  String patchFrom(long revision, ConfigurationModel before) {
     JsonArray upserts = new JsonArray(), removals = new JsonArray();
     for (Map.Entry<String, Tenant> entry : tenants.entrySet())
       if (!entry.getValue().equals(before.tenants.get(entry.getKey())))
-        upserts.add(item(entry.getKey(), entry.getValue()));
+        upserts.add(tenantJson(entry.getKey(), entry.getValue()));
     for (String name : before.tenants.keySet()) if (!tenants.containsKey(name)) removals.add(name);
     JsonObject patch = Json.object().add("Revision", revision);
     if (!upserts.isEmpty()) patch.add("Upserts", Json.object().add("Tenants", upserts));
@@ -130,12 +137,12 @@
     return patch.toString();
   }
 
-  /** Whether only tenants differ. */
-  boolean differsInTenantsAlone(ConfigurationModel other) {
+  /** Returns whether this configuration differs from another in its tenants at most. */
+  boolean differsOnlyInTenants(ConfigurationModel other) {
     return extraRoutes == other.extraRoutes && maxBodyBytes == other.maxBodyBytes;
   }
 
-  private static JsonObject models() {
+  private static JsonObject modelService() {
     return Json.object()
         .add("Name", SERVICE)
         .add("HealthCheckPath", "/health")
@@ -154,16 +161,16 @@
                 .add("ModelList", new JsonArray().add(Json.object().add("Name", MODEL))));
   }
 
-  private JsonArray routes() {
+  private JsonArray routesJson() {
     JsonArray routes = new JsonArray();
     for (RequestKind kind : RequestKind.values())
-      routes.add(route("route-" + kind.name(), kind.path, kind));
+      routes.add(routeJson("route-" + kind.name(), kind.path, kind));
     for (int i = 0; i < extraRoutes; i++)
-      routes.add(route("extra-route-number-" + i, "/extra-" + i + "/", RequestKind.READ));
+      routes.add(routeJson("extra-route-number-" + i, "/extra-" + i + "/", RequestKind.READ));
     return routes;
   }
 
-  private static JsonObject route(String name, String path, RequestKind kind) {
+  private static JsonObject routeJson(String name, String path, RequestKind kind) {
     return Json.object()
         .add("Name", name)
         .add("Hostname", HOST)
@@ -180,15 +187,15 @@
         .add("TargetGapMs", 400);
   }
 
-  private JsonArray tenantItems() {
+  private JsonArray tenantsJson() {
     JsonArray items = new JsonArray();
     List<String> names = new ArrayList<>(tenants.keySet());
     names.sort(null);
-    for (String name : names) items.add(item(name, tenants.get(name)));
+    for (String name : names) items.add(tenantJson(name, tenants.get(name)));
     return items;
   }
 
-  private static JsonObject item(String name, Tenant tenant) {
+  private static JsonObject tenantJson(String name, Tenant tenant) {
     return Json.object()
         .add("Name", name)
         .add("ApiKeys", new JsonArray().add(tenant.key))
--- a/emulator/src/main/java/gladelug/emulator/soak/Threads.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/DaemonThreads.java
@@ -6,14 +6,17 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Threads of the stand-ins; none of them keeps the program from ending. */
-final class Threads {
-  /** What a thread does; a failure of its socket ends it and nothing else. */
+/**
+ * Creates the threads of the stand-ins, all of them daemon threads, so that they don't keep the JVM
+ * alive.
+ */
+final class DaemonThreads {
+  /** The work of a thread; an IOException ends this thread and nothing else. */
   interface Task {
     void run() throws IOException;
   }
 
-  private Threads() {}
+  private DaemonThreads() {}
 
   static void start(String name, Task task) {
     Thread thread =
@@ -22,7 +25,7 @@
               try {
                 task.run();
               } catch (IOException e) {
-                // the connection ended, which whoever waits for its answer notices
+                // the connection was closed, which the peer that waits for an answer notices
               }
             },
             name);
@@ -44,9 +47,9 @@
     return thread;
   }
 
-  static void pause(long pauseMs) {
+  static void pause(long durationMs) {
     try {
-      TimeUnit.MILLISECONDS.sleep(pauseMs);
+      TimeUnit.MILLISECONDS.sleep(durationMs);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/emulator/src/main/java/gladelug/emulator/soak/PlatformList.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/ReplicaListServer.java
@@ -7,17 +7,17 @@
 import java.io.OutputStream;
 import java.util.List;
 
-/** The platform's list of replicas, which may be down, slow or busy. */
-final class PlatformList implements AutoCloseable {
+/** A stand-in for the platform's API that lists the replicas; it can be down, slow or busy. */
+final class ReplicaListServer implements AutoCloseable {
   private static final int SLOW_MS = 1500;
 
   final ActiveFaults faults = new ActiveFaults();
   private final List<SoakReplica> replicas;
   private final SocketServer server;
 
-  PlatformList(String host, List<SoakReplica> replicas) throws IOException {
+  ReplicaListServer(String host, List<SoakReplica> replicas) throws IOException {
     this.replicas = replicas;
-    server = new SocketServer(host, "platform", this::answer);
+    server = new SocketServer(host, "platform", this::handle);
     server.open();
   }
 
@@ -25,19 +25,20 @@
     return server.address();
   }
 
-  private void answer(HttpMessage request, OutputStream out) throws IOException {
-    if (faults.has(EventKind.PLATFORM_DOWN)) throw new IOException("the platform is down");
-    if (faults.has(EventKind.PLATFORM_BUSY)) {
-      SocketServer.say(out, 429, "", "{}");
+  private void handle(HttpMessage request, OutputStream out) throws IOException {
+    if (faults.isActive(EventKind.PLATFORM_DOWN))
+      throw new IOException("the list of replicas is down by a planned fault");
+    if (faults.isActive(EventKind.PLATFORM_BUSY)) {
+      SocketServer.writeAnswer(out, 429, "", "{}");
       return;
     }
-    if (faults.has(EventKind.PLATFORM_SLOW)) Threads.pause(SLOW_MS);
+    if (faults.isActive(EventKind.PLATFORM_SLOW)) DaemonThreads.pause(SLOW_MS);
     JsonArray instances = new JsonArray();
     for (SoakReplica replica : replicas) {
-      JsonObject listed = replica.listedAs();
+      JsonObject listed = replica.listEntry();
       if (listed != null) instances.add(listed);
     }
-    SocketServer.say(
+    SocketServer.writeAnswer(
         out,
         200,
         "",
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakCommand.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakCommand.java
@@ -10,17 +10,21 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The command fleet-emulator soak: plans from seeds or a file, played one after the other. */
+/**
+ * The command {@code fleet-emulator soak}: plays plans from seeds or a file one after the other, or
+ * shrinks a failed plan.
+ */
 public final class SoakCommand {
   /**
-   * What the command line says.
+   * The options of the command.
    *
-   * @param planFile a plan to play in place of drawn ones, or a folder to shrink; null for neither
+   * @param planFile a plan file to play in place of generated plans, or the folder of a failed run
+   *     whose plan is to be shrunk; null for neither
    * @param seed the first seed
-   * @param seeds how many seeds
-   * @param size machines, 0 for as many as the seed says
-   * @param only kinds of events by their ids; empty for all
-   * @param checkout the built checkout whose processes are played
+   * @param seeds number of seeds
+   * @param size number of machines, or 0 to draw it from the seed
+   * @param only ids of the kinds of events to draw from; empty for all
+   * @param checkout the built checkout whose processes are started
    */
   public record Options(
       Path planFile,
@@ -34,33 +38,37 @@
 
   private static final String FAILED_PLAN = "plan.json";
   private static final String SMALLEST_PLAN = "smallest.json";
-  private static final int SHRINK_TRIES = 30;
+  private static final int MAX_SHRINK_TRIES = 30;
 
   private final Options options;
-  private final Consumer<String> say;
+  private final Consumer<String> printLine;
   private final DeployCommands commands;
 
-  private SoakCommand(Options options, Consumer<String> say) {
+  private SoakCommand(Options options, Consumer<String> printLine) {
     this.options = options;
-    this.commands = DeployCommands.ofJars(options.checkout.toAbsolutePath());
-    this.say = say;
+    this.commands = DeployCommands.fromJars(options.checkout.toAbsolutePath());
+    this.printLine = printLine;
   }
 
-  /** The ids of the kinds of events. */
+  /** Returns the ids of all kinds of events. */
   public static List<String> kinds() {
     return EventKind.ids();
   }
 
   /**
-   * Plays; whether no rule was broken. Findings on flags and plans are said, and count as broken.
+   * Plays the chosen plans; returns whether no rule was broken. Findings on options and plans are
+   * printed and count as failures.
    */
-  public static boolean play(Options options, Consumer<String> say) throws IOException {
-    return new SoakCommand(options, say).play();
+  public static boolean play(Options options, Consumer<String> printLine) throws IOException {
+    return new SoakCommand(options, printLine).play();
   }
 
-  /** Shrinks the plan of a failed run's folder; whether it still fails at all. */
-  public static boolean shrink(Options options, Consumer<String> say) throws IOException {
-    return new SoakCommand(options, say).shrink();
+  /**
+   * Shrinks the plan in a failed run's folder; returns whether a smaller plan was found that still
+   * fails.
+   */
+  public static boolean shrink(Options options, Consumer<String> printLine) throws IOException {
+    return new SoakCommand(options, printLine).shrink();
   }
 
   private boolean play() throws IOException {
@@ -71,14 +79,15 @@
     Findings findings = new Findings();
     Set<EventKind> only = chosenKinds(findings);
     if (!findings.isEmpty()) {
-      say.accept(findings.toString().trim());
+      printLine.accept(findings.toString().trim());
       return false;
     }
     int failed = 0;
     for (long seed = options.seed; seed < options.seed + options.seeds; seed++)
-      if (!play(PlanDraw.draw(seed, options.minutes * 60, options.size, only), "seed-" + seed))
+      if (!play(
+          PlanGenerator.generate(seed, options.minutes * 60, options.size, only), "seed-" + seed))
         failed++;
-    say.accept(failed + " of " + options.seeds + " seeds broke a rule");
+    printLine.accept(failed + " of " + options.seeds + " seeds broke a rule");
     return failed == 0;
   }
 
@@ -89,26 +98,28 @@
           .ifPresentOrElse(
               kinds::add,
               () ->
-                  findings.add("--only", id + " is none of " + String.join(", ", EventKind.ids())));
+                  findings.add(
+                      "--only", id + " is not one of " + String.join(", ", EventKind.ids())));
     return kinds;
   }
 
   private SoakPlan read(Path file) throws IOException {
-    Result<SoakPlan> read = SoakPlan.read(Files.readString(file));
-    if (read instanceof Result.Good<SoakPlan> good) return good.value();
-    say.accept(file + ":\n" + read);
+    Result<SoakPlan> result = SoakPlan.read(Files.readString(file));
+    if (result instanceof Result.Good<SoakPlan> good) return good.value();
+    printLine.accept(file + ":\n" + result);
     return null;
   }
 
   private boolean play(SoakPlan plan, String name) throws IOException {
-    say.accept(name + ": " + plan.machines() + " machines, " + plan.events().size() + " events");
-    Soak.Result result = Soak.play(plan, commands, folder(name), say);
-    say.accept(SoakReport.write(result).trim());
-    if (!result.clean()) say.accept("kept in " + result.folder());
+    printLine.accept(
+        name + ": " + plan.machines() + " machines, " + plan.events().size() + " events");
+    Soak.Result result = Soak.play(plan, commands, unusedFolder(name), printLine);
+    printLine.accept(SoakReport.write(result).trim());
+    if (!result.clean()) printLine.accept("logs and reports kept in " + result.folder());
     return result.clean();
   }
 
-  private Path folder(String name) {
+  private Path unusedFolder(String name) {
     Path folder = options.out.toAbsolutePath().resolve("soak");
     for (int number = 0; ; number++) {
       Path candidate = folder.resolve(number == 0 ? name : name + "-" + number);
@@ -119,17 +130,22 @@
   private boolean shrink() throws IOException {
     SoakPlan plan = read(options.planFile.resolve(FAILED_PLAN));
     if (plan == null) return false;
-    SoakPlan smallest = PlanShrink.shrink(plan, SHRINK_TRIES, this::fails);
+    SoakPlan smallest = PlanShrinker.shrink(plan, MAX_SHRINK_TRIES, this::breaksRule);
     Path file = options.planFile.resolve(SMALLEST_PLAN);
-    Files.writeString(file, smallest.json());
-    say.accept(plan.events().size() + " events, " + smallest.events().size() + " left in " + file);
+    Files.writeString(file, smallest.toJson());
+    printLine.accept(
+        plan.events().size()
+            + " events in the plan, "
+            + smallest.events().size()
+            + " in the smallest failing one: "
+            + file);
     return smallest.events().size() < plan.events().size();
   }
 
-  private boolean fails(SoakPlan plan) {
+  private boolean breaksRule(SoakPlan plan) {
     try {
-      Soak.Result result = Soak.play(plan, commands, folder("shrink"), line -> {});
-      say.accept(plan.events().size() + " events: " + (result.clean() ? "clean" : "broken"));
+      Soak.Result result = Soak.play(plan, commands, unusedFolder("shrink"), line -> {});
+      printLine.accept(plan.events().size() + " events: " + (result.clean() ? "clean" : "broken"));
       return !result.clean();
     } catch (IOException e) {
       throw new IllegalStateException(e);
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakEvent.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakEvent.java
@@ -3,14 +3,14 @@
 /**
  * One event of a plan.
  *
- * @param atMs when it begins, from the first start of the processes
- * @param target the number of the relay, member, tenant or replica, from 1; 0 where the kind has
- *     none
- * @param forMs how long it lasts, for kinds that last
+ * @param atMs when it begins, in ms after the start of the soak test
+ * @param target the number of the relay, member, tenant or replica, from 1; 0 if the kind has no
+ *     target
+ * @param durationMs how long it lasts; 0 for kinds without a duration
  */
-record SoakEvent(long atMs, EventKind kind, int target, int forMs) {
+record SoakEvent(long atMs, EventKind kind, int target, int durationMs) {
   long endMs() {
-    return atMs + forMs;
+    return atMs + durationMs;
   }
 
   @Override
@@ -20,6 +20,6 @@
         atMs / 1000.0,
         kind.id(),
         target == 0 ? "" : " " + target,
-        forMs == 0 ? "" : " for " + forMs + " ms");
+        durationMs == 0 ? "" : " for " + durationMs + " ms");
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakLedger.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakLedger.java
@@ -6,28 +6,31 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the stand-ins saw on their sockets, and what was done to the processes. Everything a judge
- * may use stands here; nothing comes from what the fleet says of itself. Times are in ms from the
- * start of the soak. Written by many threads.
+ * Records what the stand-ins observed on their sockets and what was done to the processes. It is
+ * the only input of the judge, and contains nothing that the fleet reports about itself. Times are
+ * in ms since the start of the soak test. Thread-safe.
  */
 final class SoakLedger {
-  /** How a client's request came to its end. */
+  /** How a client's request ended. */
   enum End {
-    /** It has none yet. */
+    /** It has not ended yet. */
     OPEN,
-    /** An answer that ended as its head said. */
+    /** The client received a complete answer. */
     ANSWERED,
-    /** The connection ended, or what came was no answer, before or amid the answer. */
+    /** The connection closed, or malformed data came, before the end of the answer. */
     CUT,
-    /** No connection came to be, or it ended before the request had left. */
+    /** The connection closed before the request was written. */
     NOT_SENT,
-    /** The client gave it up. */
+    /** The client gave up on purpose. */
     GIVEN_UP,
-    /** Nothing more came until long after its deadline. */
+    /** No complete answer came until long after the deadline. */
     SILENT
   }
 
-  /** One request of a client; filled in by the client's thread. */
+  /**
+   * One request of a client; the client's thread fills in the fields. Times of -1 are not known
+   * yet.
+   */
   static final class Call {
     final String id;
     final String tenant;
@@ -37,15 +40,15 @@
     final long sentAtMs;
     final long deadlineMs;
     volatile String bodyDigest = "";
-    volatile long wroteAtMs = -1;
+    volatile long writtenAtMs = -1;
     volatile long endedAtMs = -1;
     volatile End end = End.OPEN;
     volatile int status;
     volatile String seal = "";
     volatile String echoedId = "";
 
-    /** What is wrong with the body of a success, or empty. */
-    volatile String wrongBody = "";
+    /** What is wrong with the body of a successful answer, or empty. */
+    volatile String bodyProblem = "";
 
     Call(
         String id,
@@ -64,18 +67,18 @@
       this.deadlineMs = deadlineMs;
     }
 
-    boolean served() {
+    boolean isServed() {
       return end == End.ANSWERED && status >= 200 && status < 300;
     }
 
-    /** Whether its answer promises that it has not run and never will. */
-    boolean promisedNotRun() {
+    /** Returns whether the answer promises that the request has not run and never will. */
+    boolean isRefusedUnexecuted() {
       return end == End.ANSWERED
           && (status == 429 || status == 503 || status == 408 || status == 421);
     }
   }
 
-  /** A run of a request at a replica. */
+  /** One execution of a request at a replica. */
   static final class Run {
     final String id;
     final String instance;
@@ -85,13 +88,14 @@
     final String bodyDigest;
     final String leakedKey;
 
-    /** The fault of the replica that spoilt the answer, or null. */
-    volatile EventKind spoiltBy;
+    /** The fault of the replica that spoiled the answer, or null. */
+    volatile EventKind spoiledBy;
 
-    /** When it ended at the replica, or -1; whole where the answer was written to its end. */
+    /** When it ended at the replica, or -1 if it has not ended. */
     volatile long endedAtMs = -1;
 
-    volatile boolean whole;
+    /** Whether the replica wrote the complete answer. */
+    volatile boolean answerComplete;
 
     Run(
         String id,
@@ -111,142 +115,144 @@
     }
   }
 
-  /** A request used a part of a prompt that another request made. */
-  record PartUse(String id, String tenant, String makerId, String maker, long atMs) {}
+  /** A request's use of a cached part of a prompt that another request created. */
+  record PartUse(String id, String tenant, String creatorId, String creatorTenant, long atMs) {}
 
-  /** An order to a replica that it accepted. */
+  /** An order that a replica accepted. */
   record Order(String instance, String holder, long fence, long atMs) {}
 
-  /** What operators were told of a configuration. */
-  enum Fate {
+  /** What operators know about a change of the configuration. */
+  enum ChangeOutcome {
     UNKNOWN,
     ACKNOWLEDGED,
     REFUSED
   }
 
-  /** A configuration that was sent. */
+  /** A change of the configuration that an operator sent. */
   static final class Change {
     final long revision;
-    final long base;
+    final long baseRevision;
 
-    /** PUT or PATCH. */
+    /** The HTTP method: PUT or PATCH. */
     final String method;
 
     final String text;
     final boolean valid;
-    final ConfigurationModel meaning;
+    final ConfigurationModel configuration;
     final long sentAtMs;
-    volatile long ackedAtMs = -1;
-    volatile Fate fate = Fate.UNKNOWN;
+    volatile long acknowledgedAtMs = -1;
+    volatile ChangeOutcome outcome = ChangeOutcome.UNKNOWN;
 
-    /** A clear refusal of the same change after it had been acknowledged. */
-    volatile boolean refusedAgain;
+    /** Whether the same change was refused after it had been acknowledged. */
+    volatile boolean refusedAfterAcknowledgement;
 
-    /** What was answered, the last first. */
-    volatile String answer = "";
+    /** All answers to this change, the latest first. */
+    volatile String answers = "";
 
     Change(
         long revision,
-        long base,
+        long baseRevision,
         String method,
         String text,
         boolean valid,
-        ConfigurationModel meaning,
+        ConfigurationModel configuration,
         long sentAtMs) {
       this.revision = revision;
-      this.base = base;
+      this.baseRevision = baseRevision;
       this.method = method;
       this.text = text;
       this.valid = valid;
-      this.meaning = meaning;
+      this.configuration = configuration;
       this.sentAtMs = sentAtMs;
     }
 
-    boolean acknowledged() {
-      return fate == Fate.ACKNOWLEDGED;
+    boolean isAcknowledged() {
+      return outcome == ChangeOutcome.ACKNOWLEDGED;
     }
   }
 
-  /** Something was done to a machine's process, or to all of the core. */
+  /** A planned disturbance of a process. */
   record Disturbance(long fromMs, long toMs, EventKind kind, String process) {}
 
-  /** A process ended though nobody told it to. */
-  record OwnExit(String process, int code, long atMs) {}
+  /** A process that ended by itself. */
+  record UnexpectedExit(String process, int code, long atMs) {}
 
-  /** What a process took of memory. */
-  record Memory(String process, long rssKb, long atMs) {}
+  /** The resident memory of a process at a time. */
+  record MemoryReading(String process, long rssKb, long atMs) {}
 
-  /** Whether a relay said that it is ready. */
+  /** The answer of a relay to a readiness probe. */
   record Readiness(int machine, boolean ready, long atMs) {}
 
-  private final long originNs = System.nanoTime();
+  private final long startedAtNs = System.nanoTime();
   final Map<String, Call> calls = new ConcurrentHashMap<>();
   private final List<Run> runs = new ArrayList<>();
   private final List<PartUse> partUses = new ArrayList<>();
   private final List<Order> orders = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
   private final List<Disturbance> disturbances = new ArrayList<>();
-  private final List<OwnExit> ownExits = new ArrayList<>();
-  private final List<Memory> memory = new ArrayList<>();
+  private final List<UnexpectedExit> unexpectedExits = new ArrayList<>();
+  private final List<MemoryReading> memory = new ArrayList<>();
   private final List<Readiness> readiness = new ArrayList<>();
   private volatile String finalConfiguration;
   private volatile long endOfEventsMs = -1;
   private volatile long interruptedAtMs = Long.MAX_VALUE;
 
   long nowMs() {
-    return (System.nanoTime() - originNs) / 1_000_000;
+    return (System.nanoTime() - startedAtNs) / 1_000_000;
   }
 
-  void began(Call call) {
+  void recordCall(Call call) {
     calls.put(call.id, call);
   }
 
-  synchronized Run ran(Run run) {
+  synchronized Run recordRun(Run run) {
     runs.add(run);
     return run;
   }
 
-  synchronized void used(PartUse use) {
+  synchronized void recordPartUse(PartUse use) {
     partUses.add(use);
   }
 
-  synchronized void ordered(Order order) {
+  synchronized void recordOrder(Order order) {
     orders.add(order);
   }
 
-  synchronized Change sent(Change change) {
+  synchronized Change recordChange(Change change) {
     changes.add(change);
     return change;
   }
 
-  synchronized void disturbed(Disturbance disturbance) {
+  synchronized void recordDisturbance(Disturbance disturbance) {
     disturbances.add(disturbance);
   }
 
-  synchronized void exited(OwnExit exit) {
-    ownExits.add(exit);
+  synchronized void recordExit(UnexpectedExit exit) {
+    unexpectedExits.add(exit);
   }
 
-  synchronized void took(Memory reading) {
+  synchronized void recordMemory(MemoryReading reading) {
     memory.add(reading);
   }
 
-  synchronized void told(Readiness answer) {
+  synchronized void recordReadiness(Readiness answer) {
     readiness.add(answer);
   }
 
-  /** The configuration that was read back at the end, or null where none came. */
-  void readBack(String text) {
+  /**
+   * Records the configuration that was read at the end of the run, or null if none could be read.
+   */
+  void recordFinalConfiguration(String text) {
     finalConfiguration = text;
   }
 
-  /** From now on nothing is disturbed any more. */
-  void eventsEnded(long atMs) {
+  /** Records that the last event has ended, so that recovery can be judged. */
+  void recordEndOfEvents(long atMs) {
     endOfEventsMs = atMs;
   }
 
-  /** The soak itself ends all processes from now on. */
-  void interrupted(long atMs) {
+  /** Records that the run was interrupted; from now on the soak test itself kills the processes. */
+  void recordInterruption(long atMs) {
     interruptedAtMs = atMs;
   }
 
@@ -274,11 +280,11 @@
     return List.copyOf(disturbances);
   }
 
-  synchronized List<OwnExit> ownExits() {
-    return List.copyOf(ownExits);
+  synchronized List<UnexpectedExit> unexpectedExits() {
+    return List.copyOf(unexpectedExits);
   }
 
-  synchronized List<Memory> memory() {
+  synchronized List<MemoryReading> memory() {
     return List.copyOf(memory);
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakPlan.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakPlan.java
@@ -12,13 +12,15 @@
 import java.util.List;
 
 /**
- * What a soak plays. As a file it is JSON with these fields and, in `events`, one object an event:
- * `atMs`, `kind`, and where the kind has them `target` and `forMs`.
+ * The plan of a soak test. Its file is JSON with these fields. Each object in `events` has the
+ * fields `atMs` and `kind`, and `target` and `forMs` (the duration) if the kind has them.
  *
- * @param seed what was drawn from it: the plan, and the clients' requests
- * @param seconds how long events and requests go on; the quiet end comes after it
- * @param machines machines with a relay each; the first three have a member of the core beside it
- * @param events in the order of their times
+ * @param seed the seed of the plan and of the clients' requests
+ * @param seconds how long events go on; the recovery period without events follows
+ * @param machines number of machines, each with a relay; the first three also have a member of the
+ *     core
+ * @param replicas number of replicas
+ * @param events the events, sorted by their times
  */
 record SoakPlan(long seed, int seconds, int machines, int replicas, List<SoakEvent> events) {
   static final int MEMBERS = 3;
@@ -26,7 +28,7 @@
   static final int MAX_SECONDS = 7200;
   static final int MAX_MACHINES = 60;
   static final int MAX_REPLICAS = 16;
-  private static final int MAX_EVENT_MS = 60_000;
+  private static final int MAX_EVENT_DURATION_MS = 60_000;
 
   SoakPlan {
     List<SoakEvent> sorted = new ArrayList<>(events);
@@ -34,12 +36,12 @@
     events = List.copyOf(sorted);
   }
 
-  SoakPlan with(List<SoakEvent> others) {
-    return new SoakPlan(seed, seconds, machines, replicas, others);
+  SoakPlan withEvents(List<SoakEvent> events) {
+    return new SoakPlan(seed, seconds, machines, replicas, events);
   }
 
-  /** How many targets of a kind the plan has. */
-  int targets(EventKind.Target target) {
+  /** Returns the number of targets of a kind in this plan. */
+  int targetCount(EventKind.Target target) {
     return switch (target) {
       case NONE -> 0;
       case RELAY -> machines;
@@ -49,12 +51,12 @@
     };
   }
 
-  String json() {
+  String toJson() {
     JsonArray all = new JsonArray();
     for (SoakEvent event : events) {
       JsonObject one = Json.object().add("atMs", event.atMs()).add("kind", event.kind().id());
       if (event.target() > 0) one.add("target", event.target());
-      if (event.forMs() > 0) one.add("forMs", event.forMs());
+      if (event.durationMs() > 0) one.add("forMs", event.durationMs());
       all.add(one);
     }
     return Json.object()
@@ -66,7 +68,9 @@
         .toString(WriterConfig.PRETTY_PRINT);
   }
 
-  /** Reads a plan from a file's text; findings with their places where it is none. */
+  /**
+   * Reads a plan from the text of a file; returns the findings with their places if it is invalid.
+   */
   static Result<SoakPlan> read(String text) {
     return LocatedJson.parse(text).flatMap(SoakPlan::read);
   }
@@ -80,27 +84,27 @@
     int replicas = (int) fields.integer("replicas", 1, MAX_REPLICAS);
     List<LocatedJson> items = fields.list("events", true);
     fields.reportUnknownFields();
-    SoakPlan bare = new SoakPlan(seed, seconds, machines, replicas, List.of());
+    SoakPlan planWithoutEvents = new SoakPlan(seed, seconds, machines, replicas, List.of());
     List<SoakEvent> events = new ArrayList<>();
-    for (LocatedJson item : items) event(item, bare, findings, events);
-    return Result.of(findings, () -> bare.with(events));
+    for (LocatedJson item : items) readEvent(item, planWithoutEvents, findings, events);
+    return Result.of(findings, () -> planWithoutEvents.withEvents(events));
   }
 
-  private static void event(
-      LocatedJson item, SoakPlan plan, Findings findings, List<SoakEvent> into) {
+  private static void readEvent(
+      LocatedJson item, SoakPlan plan, Findings findings, List<SoakEvent> events) {
     LocatedJson.Fields fields = item.fields(findings);
     long atMs = fields.integer("atMs", 0, plan.seconds * 1000L);
     String id = fields.text("kind");
     EventKind kind = EventKind.of(id).orElse(null);
-    int forMs = (int) fields.integer("forMs", 0, 0, MAX_EVENT_MS);
+    int durationMs = (int) fields.integer("forMs", 0, 0, MAX_EVENT_DURATION_MS);
     if (kind == null) {
       if (!id.isEmpty())
         findings.add(fields.place("kind"), "must be one of " + String.join(", ", EventKind.ids()));
       return;
     }
-    int most = plan.targets(kind.target);
-    int target = most == 0 ? 0 : (int) fields.integer("target", 1, most);
+    int targetCount = plan.targetCount(kind.target);
+    int target = targetCount == 0 ? 0 : (int) fields.integer("target", 1, targetCount);
     fields.reportUnknownFields();
-    into.add(new SoakEvent(atMs, kind, target, forMs));
+    events.add(new SoakEvent(atMs, kind, target, durationMs));
   }
 }
--- a/emulator/src/main/java/gladelug/emulator/soak/SoakStore.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SoakStore.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A store of parts of prompts that goes and comes back empty. */
+/** A stand-in for the prefix store; it can stop and restart empty. */
 final class SoakStore implements AutoCloseable {
   final PrefixCache cache = new PrefixCache();
   private final SocketServer server;
@@ -13,8 +13,9 @@
             host,
             "store",
             (request, out) -> {
-              String target = request.line().split(" ")[1];
-              if (!cache.answer(target, request, out)) SocketServer.say(out, 404, "", "{}");
+              String target = request.startLine().split(" ")[1];
+              if (!cache.answerIfCacheCall(target, request, out))
+                SocketServer.writeAnswer(out, 404, "", "{}");
             });
     server.open();
   }
@@ -23,12 +24,12 @@
     return server.address();
   }
 
-  void down() {
+  void stop() {
     server.close();
     cache.restart();
   }
 
-  void up() throws IOException {
+  void start() throws IOException {
     server.open();
   }
 
--- a/emulator/src/main/java/gladelug/emulator/soak/SocketServer.java
+++ b/emulator/src/main/java/gladelug/emulator/soak/SocketServer.java
@@ -11,12 +11,18 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A server of HTTP/1.1 on plain sockets, a thread a connection, that can go and come back. */
+/**
+ * An HTTP/1.1 server on plain sockets, with a thread per connection, that can be closed and opened
+ * again.
+ */
 final class SocketServer implements AutoCloseable {
   private static final int BACKLOG = 512;
 
-  /** Orders are short; of long bodies only the digest counts. */
-  private static final int KEPT_OF_REQUESTS = 1 << 14;
+  /**
+   * Limit of the bytes of a request body that are kept; orders are shorter, and only the digest of
+   * longer bodies is needed.
+   */
+  private static final int MAX_KEPT_REQUEST_BYTES = 1 << 14;
 
   /** Answers one request. */
   interface Handler {
@@ -36,7 +42,7 @@
     this.handler = handler;
   }
 
-  /** Listens, unless it does; at the address of the last time if there was one. */
+  /** Starts to listen, unless the server already does; uses the same port as the last time. */
   synchronized void open() throws IOException {
     if (server != null && !server.isClosed()) return;
     ServerSocket opened = new ServerSocket();
@@ -44,7 +50,7 @@
     opened.bind(new InetSocketAddress(InetAddress.getByName(host), port), BACKLOG);
     port = opened.getLocalPort();
     server = opened;
-    Threads.start(name, () -> accept(opened));
+    DaemonThreads.start(name, () -> accept(opened));
   }
 
   String address() {
@@ -55,7 +61,7 @@
     while (true) {
       Socket socket = opened.accept();
       connections.add(socket);
-      Threads.start(name + " connection", () -> serve(socket));
+      DaemonThreads.start(name + " connection", () -> serve(socket));
     }
   }
 
@@ -63,41 +69,47 @@
     try (socket) {
       socket.setTcpNoDelay(true);
       BufferedInputStream in = new BufferedInputStream(socket.getInputStream(), 1 << 14);
-      for (HttpMessage request = read(in); request != null && request.whole(); request = read(in))
-        handler.answer(request, socket.getOutputStream());
+      for (HttpMessage request = read(in);
+          request != null && request.complete();
+          request = read(in)) handler.answer(request, socket.getOutputStream());
     } finally {
       connections.remove(socket);
     }
   }
 
   private static HttpMessage read(BufferedInputStream in) throws IOException {
-    return HttpMessage.read(in, HttpMessage.BodyReader.NONE, KEPT_OF_REQUESTS);
+    return HttpMessage.read(in, HttpMessage.BodyReader.NONE, MAX_KEPT_REQUEST_BYTES);
   }
 
-  /** Ends all connections with a reset. */
+  /** Closes all connections with a TCP reset. */
   void resetConnections() {
     for (Socket socket : connections)
       try {
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (IOException e) {
-        // it is closed already
+        // the socket is already closed
       }
   }
 
-  /** Listens no more and resets all connections. */
+  /** Stops listening and resets all connections. */
   @Override
   public synchronized void close() {
     try {
       if (server != null) server.close();
     } catch (IOException e) {
-      // it is closed already
+      // the socket is already closed
     }
     resetConnections();
   }
 
-  /** Writes an answer with a body; the lines of further headers end with a line's end each. */
-  static void say(OutputStream out, int status, String headers, String body) throws IOException {
+  /**
+   * Writes a complete answer.
+   *
+   * @param headers further header lines, each terminated by CRLF; may be empty
+   */
+  static void writeAnswer(OutputStream out, int status, String headers, String body)
+      throws IOException {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     HttpMessage.write(
         out,
--- a/emulator/src/test/java/gladelug/emulator/PackageCyclesTest.java
+++ b/emulator/src/test/java/gladelug/emulator/PackageCyclesTest.java
@@ -33,13 +33,13 @@
           "data.decisions.DecisionLogService -> data.StatusEndpoint",
           "data.relay.RelayService -> data.StatusEndpoint",
           "data.request.Request -> data.relay.Backend",
-          "emulator.CommandLine -> emulator.control.ControlTroubles",
-          "emulator.FleetEmulator -> emulator.control.ControlDay",
-          "emulator.FleetEmulator -> emulator.control.ControlTroubles",
+          "emulator.CommandLine -> emulator.control.FaultScenarios",
+          "emulator.FleetEmulator -> emulator.control.ControlFaultRun",
+          "emulator.FleetEmulator -> emulator.control.FaultScenarios",
           "emulator.FleetEmulator -> emulator.day.Day",
           "emulator.FleetEmulator -> emulator.scale.ScalePlan",
           "emulator.FleetEmulator -> emulator.scale.ScaleRun",
-          "emulator.FleetEmulator -> emulator.sim.RequestStories");
+          "emulator.FleetEmulator -> emulator.sim.RequestScenarios");
 
   private static final Set<String> MODULE_PACKAGES =
       Set.of("common", "control", "data", "tools", "platform", "emulator");
--- a/emulator/src/test/java/gladelug/emulator/check/LateConfirmationScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/LateConfirmationScenario.java
@@ -5,12 +5,9 @@
 import java.util.function.Supplier;
 
 /**
- * A read is asked for after its owner was superseded, and an answer to an earlier round of
- * confirmations arrives then.
- *
- * <p>An owner's round of confirmations is answered and the answers are slow; another member takes
- * over and acknowledges a change; then the former owner is asked for the newest value and the
- * answers come.
+ * An owner's round of confirmations is answered, but the answers are delayed. Another member takes
+ * over and acknowledges a change. Then the former owner is asked for the newest value and the
+ * delayed answers arrive; they must not confirm the read.
  */
 final class LateConfirmationScenario implements Supplier<String> {
   @Override
@@ -18,23 +15,23 @@
     String former = "a", next = "b", other = "c";
     Setup setup = Setup.of(3, true, 0).withSpares(0).withKeys(List.of(Schedule.KEY));
     Schedule schedule = new Schedule(setup);
-    schedule.serveAt(former);
-    schedule.change(former);
-    schedule.delay(
+    schedule.makeOwner(former);
+    schedule.acknowledgeChange(former);
+    schedule.delayMessages(
         flight ->
             flight.to().equals(former)
                 && flight.envelope().message() instanceof CoreMessage.ConfirmResponse);
-    schedule.until(() -> !schedule.world.network.flights().isEmpty());
-    schedule.stop(former);
-    schedule.lose(flight -> flight.to().equals(former) || flight.from().equals(former));
+    schedule.runUntil(() -> !schedule.world.network.inFlight().isEmpty());
+    schedule.stopMachine(former);
+    schedule.loseMessages(flight -> flight.to().equals(former) || flight.from().equals(former));
     schedule.apply(Step.on(Step.Kind.HEALTH, other, 0));
     schedule.apply(Step.on(Step.Kind.HEALTH, next, 1));
-    schedule.until(() -> schedule.machine(next).node.owns(Schedule.KEY));
-    schedule.change(next);
+    schedule.runUntil(() -> schedule.machine(next).node.owns(Schedule.KEY));
+    schedule.acknowledgeChange(next);
     schedule.apply(Step.key(Step.Kind.READ, former, Schedule.KEY, 0));
-    schedule.delay(flight -> false);
-    schedule.lose(flight -> false);
-    schedule.settle();
-    return schedule.end();
+    schedule.delayMessages(flight -> false);
+    schedule.loseMessages(flight -> false);
+    schedule.deliverAll();
+    return schedule.finish();
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/check/MergeScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/MergeScenario.java
@@ -6,11 +6,11 @@
 import java.util.function.Supplier;
 
 /**
- * A change of members is brought to an end by a machine that holds a value nobody else accepted.
+ * A membership change is completed by a machine that holds a value that no other member accepted.
  *
- * <p>A former owner wrote a value to itself alone; another value under the same number was
- * acknowledged by the next owner, and the former one hasn't heard of it when both are sealed. The
- * former one then merges what is kept and tells the next members.
+ * <p>A former owner wrote the value only to itself; the next owner had another value acknowledged
+ * under the same number, and the former owner has not heard of it when both are sealed. The former
+ * owner then merges the stored values and informs the next members.
  */
 final class MergeScenario implements Supplier<String> {
   @Override
@@ -31,25 +31,25 @@
     String spare = "d";
     Schedule schedule = new Schedule(Setup.of(3, true, 0).withSpares(1));
     schedule.isolate(spare);
-    schedule.serveAt(former);
-    schedule.change(former);
+    schedule.makeOwner(former);
+    schedule.acknowledgeChange(former);
     schedule.isolate(former);
     schedule.propose(former);
-    schedule.serveAt(next);
-    schedule.change(next);
+    schedule.makeOwner(next);
+    schedule.acknowledgeChange(next);
     schedule.isolate(third);
-    schedule.lose(flight -> flight.to().equals(former) && isValue(flight));
+    schedule.loseMessages(flight -> flight.to().equals(former) && isValue(flight));
     schedule.reconnect(former);
     schedule.reconnect(spare);
     schedule.apply(Step.on(Step.Kind.HEALTH, former, 1));
-    schedule.until(
+    schedule.runUntil(
         () -> schedule.machine(former).node.isSealed() && schedule.machine(next).node.isSealed());
-    schedule.stop(next);
-    schedule.until(() -> schedule.machine(former).node.members().generation() > 1);
-    return schedule.end();
+    schedule.stopMachine(next);
+    schedule.runUntil(() -> schedule.machine(former).node.members().generation() > 1);
+    return schedule.finish();
   }
 
-  private static boolean isValue(Flight flight) {
+  private static boolean isValue(InFlightMessage flight) {
     return flight.envelope().message() instanceof CoreMessage.AcceptRequest accept
         && !accept.key().equals(StateKeys.CORE);
   }
--- a/emulator/src/test/java/gladelug/emulator/check/SameNumberScenario.java
+++ b/emulator/src/test/java/gladelug/emulator/check/SameNumberScenario.java
@@ -6,9 +6,9 @@
 /**
  * Two owners in turn give the same number to different values, the former without a majority.
  *
- * <p>An owner writes a value to itself alone and is cut off; the next one has another value under
- * the same number acknowledged; a third then takes over with the first one's promise and its own.
- * Each order of three members is played, as the choice between two equals may go by name.
+ * <p>An owner writes a value only to itself and is cut off; the next owner has another value
+ * acknowledged under the same number; a third member then takes over with the promises of the first
+ * and its own. Each order of the three members is played, since a tie may be broken by name.
  */
 final class SameNumberScenario implements Supplier<String> {
   private static final List<List<String>> ORDERS =
@@ -32,16 +32,16 @@
   private static String play(String first, String second, String third) {
     Setup setup = Setup.of(3, true, 0).withSpares(0).withKeys(List.of(Schedule.KEY));
     Schedule schedule = new Schedule(setup);
-    schedule.serveAt(first);
-    schedule.change(first);
+    schedule.makeOwner(first);
+    schedule.acknowledgeChange(first);
     schedule.isolate(first);
     schedule.propose(first);
-    schedule.serveAt(second);
-    schedule.change(second);
+    schedule.makeOwner(second);
+    schedule.acknowledgeChange(second);
     schedule.isolate(second);
     schedule.reconnect(first);
-    schedule.serveAt(third);
-    schedule.change(third);
-    return schedule.end();
+    schedule.makeOwner(third);
+    schedule.acknowledgeChange(third);
+    return schedule.finish();
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/experiment/AblationTest.java
+++ b/emulator/src/test/java/gladelug/emulator/experiment/AblationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an ablation plays and what its table says. */
+/** Tests of AblationPlan and AblationTable. */
 final class AblationTest {
   @TempDir Path folder;
 
@@ -25,27 +25,27 @@
   }
 
   @Test
-  void everyVariantPlaysTheSameDaysAndSeeds() {
+  void everyVariantRunsTheSameDaysAndSeeds() {
     Assertions.assertEquals(List.of("all-on", "retries"), plan().variants());
-    List<AblationPlan.Play> plays = plan().plays("retries");
-    Assertions.assertEquals(4, plays.size());
+    List<AblationPlan.Trial> trials = plan().trials("retries");
+    Assertions.assertEquals(4, trials.size());
     Assertions.assertEquals(
         List.of(
             "bench", "run", "site", "a", "--seed", "2", "--fast", "--report", "r", "--why", "w"),
-        plan().command(plays.get(1), Path.of("r"), "w"));
+        plan().command(trials.get(1), Path.of("r"), "w"));
   }
 
   @Test
-  void whatIsServedThanksToAMechanismIsComparedPlayByPlayAndAMissingFigureCountsInNoMean()
+  void contributionsAreComparedTrialByTrialAndAMissingResultIsExcludedFromTheMeans()
       throws IOException {
     AblationTable table = new AblationTable();
     for (double served : new double[] {0.8, 0.7, 0.9}) table.add("all-on", served);
     for (double served : new double[] {0.7, 0.65, Double.NaN}) table.add("retries", served);
     AblationTable.Row row = table.rows().get(1);
-    Assertions.assertEquals(2, row.plays());
-    Assertions.assertEquals(0.075, row.servedByIt(), 1e-9);
-    Assertions.assertEquals(0.05, row.least(), 1e-9);
-    Assertions.assertEquals(0.1, row.most(), 1e-9);
+    Assertions.assertEquals(2, row.trials());
+    Assertions.assertEquals(0.075, row.contribution(), 1e-9);
+    Assertions.assertEquals(0.05, row.min(), 1e-9);
+    Assertions.assertEquals(0.1, row.max(), 1e-9);
     table.write(folder, "a title");
     Assertions.assertTrue(Files.readString(folder.resolve("ablation.md")).contains("retries"));
     Assertions.assertTrue(Files.exists(folder.resolve("ablation.svg")));
--- a/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
+++ b/emulator/src/test/java/gladelug/emulator/sim/TraceDigestTest.java
@@ -7,8 +7,8 @@
 import gladelug.control.core.message.ChangeResult;
 import gladelug.emulator.Ledger;
 import gladelug.emulator.TraceDigest;
-import gladelug.emulator.sim.RequestSim.Happening;
-import gladelug.emulator.sim.RequestSim.Point;
+import gladelug.emulator.sim.RequestSimulation.InjectedEvent;
+import gladelug.emulator.sim.RequestSimulation.RequestPoint;
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -23,10 +23,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The digests stand for the behaviour before the renamings; a difference means behaviour changed. A
- * commit that changes behaviour on purpose says so and gives the new digest. They cover the bytes
- * of every record sent, when, by whom and to whom, what is written to disks, requests and commands
- * to replicas, and what became of changes and requests; no name of the code.
+ * Tests that behaviour is unchanged: a different digest means that behaviour changed. A commit that
+ * changes behaviour on purpose says so and gives the new digest. The digests cover the bytes of
+ * every record sent with its time, sender and receiver, disk writes, requests and commands to
+ * replicas, and the outcome of changes and requests, but no names of the code.
  */
 final class TraceDigestTest {
   private static final int STEPS = 40;
@@ -73,71 +73,73 @@
         .build();
   }
 
-  /** The digest of a world after what its seed brings: faults, changes, reads, new machines. */
-  private static String faults(Sim sim, long seed) {
+  /** Returns the digest of a simulation under seeded faults, changes, reads and new machines. */
+  private static String runFaults(Simulation sim, long seed) {
     TraceDigest trace = new TraceDigest();
     sim.observer = new Recorder(trace);
     Random random = new Random(seed * 15_485_863);
-    sim.loss = random.nextInt(3) * 0.03;
-    sim.repeat = random.nextInt(2) * 0.05;
-    for (SimControl control : sim.controls.values())
-      control.rate(1 + (random.nextDouble() - 0.5) * 0.01);
-    for (SimRelay relay : sim.relays.values()) relay.rate = 1 + (random.nextDouble() - 0.5) * 0.01;
+    sim.lossRate = random.nextInt(3) * 0.03;
+    sim.duplicateRate = random.nextInt(2) * 0.05;
+    for (SimControlMachine control : sim.controls.values())
+      control.setClockRate(1 + (random.nextDouble() - 0.5) * 0.01);
+    for (SimRelay relay : sim.relays.values())
+      relay.clockRate = 1 + (random.nextDouble() - 0.5) * 0.01;
     sim.run(4000);
     for (int i = 0; i < STEPS; i++) {
-      fault(sim, random, "disk-" + seed + "-" + i);
+      injectFault(sim, random, "disk-" + seed + "-" + i);
       List<String> names = names(sim);
       sim.send(names.get(random.nextInt(names.size())), StateKeys.CONFIGURATION, -1);
       sim.read(names.get(random.nextInt(names.size())), StateKeys.CONFIGURATION);
       sim.run(random.nextInt(1500));
-      if (random.nextBoolean()) mend(sim);
+      if (random.nextBoolean()) repairAll(sim);
       sim.run(random.nextInt(4) == 0 ? 4000 : random.nextInt(800));
     }
-    mend(sim);
-    sim.loss = 0;
+    repairAll(sim);
+    sim.lossRate = 0;
     sim.settle(12_000);
-    outcome(sim, trace);
+    addOutcome(sim, trace);
     return String.format(
         "%d changes done, generation %d, %d violations, %s",
-        sim.done(), sim.generation(), sim.violations.size(), trace.result());
+        sim.acknowledgedCount(), sim.newestGeneration(), sim.violations.size(), trace.result());
   }
 
-  private static List<String> names(Sim sim) {
-    return sim.controlNames().stream().filter(name -> !sim.left.contains(name)).toList();
+  private static List<String> names(Simulation sim) {
+    return sim.controlNames().stream().filter(name -> !sim.departed.contains(name)).toList();
   }
 
-  private static void fault(Sim sim, Random random, String newDisk) {
+  private static void injectFault(Simulation sim, Random random, String newDisk) {
     List<String> names = names(sim);
     String name = names.get(random.nextInt(names.size()));
     String other = names.get(random.nextInt(names.size()));
     String relay = "r" + (1 + random.nextInt(sim.relays.size()));
-    SimControl control = sim.controls.get(name);
+    SimControlMachine control = sim.controls.get(name);
     switch (random.nextInt(16)) {
       case 0 -> control.kill();
-      case 1 -> control.power();
+      case 1 -> control.cutPower();
       case 2 -> sim.cutOff(name);
-      case 3 -> sim.cut(name, other);
+      case 3 -> sim.cutLink(name, other);
       case 4 -> control.pause();
-      case 5 -> control.medium.stalled = true;
+      case 5 -> control.storage.stalled = true;
       case 6 -> sim.cutOff(relay);
       case 7 -> {
         sim.relays.get(relay).kill();
         sim.relays.get(relay).start();
       }
-      case 8 -> sim.controls.values().forEach(SimControl::power);
+      case 8 -> sim.controls.values().forEach(SimControlMachine::cutPower);
       case 9 -> sim.split(Set.of(name, relay));
       case 10, 11 -> {
-        if (sim.whole() && sim.mayLose(name)) {
-          sim.lost(name);
-          control.empty(newDisk);
+        if (sim.allMembersActive() && sim.mayLose(name)) {
+          sim.onDiskLost(name);
+          control.replaceDisk(newDisk);
           control.start();
         }
       }
       case 12 -> {
-        if (sim.whole()) sim.swap(name, "c" + (sim.controls.size() + 1));
+        if (sim.allMembersActive()) sim.replaceMember(name, "c" + (sim.controls.size() + 1));
       }
       case 13 -> {
-        if (sim.whole() && names.size() > 3 && sim.mayLose(name)) sim.leaves(name);
+        if (sim.allMembersActive() && names.size() > 3 && sim.mayLose(name))
+          sim.removeForGood(name);
       }
       case 14 -> {
         if (control.up) control.terminate();
@@ -146,24 +148,28 @@
     }
   }
 
-  private static void mend(Sim sim) {
+  private static void repairAll(Simulation sim) {
     sim.healAll();
-    for (SimControl control : sim.controls.values()) {
-      if (sim.left.contains(control.name)) continue;
-      control.medium.stalled = false;
+    for (SimControlMachine control : sim.controls.values()) {
+      if (sim.departed.contains(control.name)) continue;
+      control.storage.stalled = false;
       if (!control.up) control.start();
       else {
-        control.medium.go(sim, control);
-        if (control.paused) control.wake();
+        control.storage.startWrite(sim, control);
+        if (control.paused) control.resume();
       }
     }
   }
 
-  private static void outcome(Sim sim, TraceDigest trace) {
-    for (Sim.Sent sent : sim.sent)
-      trace.add(sent.nr()).add(sent.key()).add(sent.at()).add(bytes(sent.answer()[0]));
-    trace.add(sim.reads);
-    for (SimRelay relay : sim.relays.values()) trace.add(relay.starts).add(relay.refused);
+  private static void addOutcome(Simulation sim, TraceDigest trace) {
+    for (Simulation.SentChange sent : sim.sentChanges)
+      trace
+          .add(sent.valueNumber())
+          .add(sent.key())
+          .add(sent.sentAtMs())
+          .add(bytes(sent.answer()[0]));
+    trace.add(sim.readCount);
+    for (SimRelay relay : sim.relays.values()) trace.add(relay.startCount).add(relay.refusedCount);
   }
 
   @Test
@@ -171,17 +177,17 @@
     Assertions.assertEquals(
         "20 changes done, generation 5, 0 violations, 107895 "
             + "57d847b4c04c8588df36bd14dd892d7b50d675f688618a7f6e0973f7c9a8a312",
-        faults(new Sim(1, 3), 1));
+        runFaults(new Simulation(1, 3), 1));
   }
 
   @Test
   void threeMachinesOnHeldConnectionsSendAndWriteTheSameAsBefore() {
-    Sim sim = new Sim(2, 3);
-    sim.connections = true;
+    Simulation sim = new Simulation(2, 3);
+    sim.usesConnections = true;
     Assertions.assertEquals(
         "22 changes done, generation 2, 0 violations, 79231 "
             + "757e04553d928908ec53f6eef2d7c4bd27e42bdf5d96d01cbef8ac8e5c94e6e3",
-        faults(sim, 2));
+        runFaults(sim, 2));
   }
 
   @Test
@@ -189,7 +195,7 @@
     Assertions.assertEquals(
         "31 changes done, generation 10, 0 violations, 413387 "
             + "2e3b860fa56614669f281b1f23f70dabc28bbc462e18872bae08a233a320d907",
-        faults(new Sim(3, 3, 7, 3, fiveVoters()), 3));
+        runFaults(new Simulation(3, 3, 7, 3, fiveVoters()), 3));
   }
 
   @Test
@@ -197,53 +203,53 @@
     Assertions.assertEquals(
         "30 changes done, generation 15, 0 violations, 279345 "
             + "3881502eca9498d1d75ea0d874dab63654c5a4f7a0504bd86ec7fb7656a55ce1",
-        faults(new Sim(4, 2, 6, 1, fiveVoters()), 4));
+        runFaults(new Simulation(4, 2, 6, 1, fiveVoters()), 4));
   }
 
   // ---- requests
 
-  /** The digest of a world with requests: a window held open, then what its seed brings. */
-  private static String requests(long seed, Happening happening, Point point) {
+  /** Returns the digest of a simulation with a held request and seeded faults. */
+  private static String runRequests(long seed, InjectedEvent happening, RequestPoint point) {
     Logger.getLogger("").setLevel(Level.OFF);
     TraceDigest trace = new TraceDigest();
-    RequestSim sim = new RequestSim(seed);
+    RequestSimulation sim = new RequestSimulation(seed);
     sim.observer = new Recorder(trace);
     sim.arm(happening, point);
-    for (SimControl control : sim.controls.values())
-      control.rate(1 + (sim.random.nextDouble() - 0.5) * 0.01);
-    for (RequestRelay relay : sim.fronts.values())
-      relay.drift(1 + (sim.random.nextDouble() - 0.5) * 0.01);
+    for (SimControlMachine control : sim.controls.values())
+      control.setClockRate(1 + (sim.random.nextDouble() - 0.5) * 0.01);
+    for (RequestRelay relay : sim.requestRelays.values())
+      relay.setClockRate(1 + (sim.random.nextDouble() - 0.5) * 0.01);
     sim.run(3500);
-    sim.mend();
+    sim.repairAll();
     for (int i = 0; i < REQUEST_STEPS; i++) {
-      sim.step();
+      sim.injectRandomFault();
       sim.run(300 + sim.random.nextInt(1500));
-      if (sim.random.nextBoolean()) sim.mend();
+      if (sim.random.nextBoolean()) sim.repairAll();
       sim.run(sim.random.nextInt(700));
     }
-    sim.mend();
+    sim.repairAll();
     sim.run(12_000);
-    sim.perSecond = 0.001;
+    sim.requestsPerSecond = 0.001;
     sim.run(6000);
-    sim.judge();
+    sim.checkRules();
     new TreeMap<>(sim.ledger.calls).values().forEach(call -> add(trace, call));
     new TreeMap<>(sim.ledger.runs).values().forEach(runs -> runs.forEach(run -> add(trace, run)));
-    trace.add(sim.met);
+    trace.add(sim.heldAtMs);
     return String.format(
         "%d of %d requests complete, %d violations, %s",
-        sim.complete(), sim.ledger.calls.size(), sim.violations.size(), trace.result());
+        sim.completeCount(), sim.ledger.calls.size(), sim.violations.size(), trace.result());
   }
 
   private static void add(TraceDigest trace, Ledger.Call call) {
-    trace.add(call.tag).add(call.tenant).add(call.relay).add(call.sent).add(call.order);
+    trace.add(call.tag).add(call.tenant).add(call.relay).add(call.sentMs).add(call.order);
     trace.add(call.status).add(call.pieces).add(call.foreign).add(call.misordered);
-    trace.add(call.explicitEnd).add(call.firstPiece).add(call.done);
+    trace.add(call.explicitEnd).add(call.firstPieceMs).add(call.doneMs);
   }
 
   private static void add(TraceDigest trace, Ledger.Run run) {
     trace.add(run.tag).add(run.order).add(run.service).add(run.instance).add(run.weights);
-    trace.add(run.wall).add(run.attempt).add(run.at).add(run.ran).add(run.pieces).add(run.ended);
-    trace.add(run.left).add(run.blocks).add(run.reused);
+    trace.add(run.wall).add(run.attempt).add(run.atMs).add(run.ran).add(run.pieces).add(run.ended);
+    trace.add(run.closedEarly).add(run.blocks).add(run.reused);
   }
 
   @Test
@@ -251,7 +257,7 @@
     Assertions.assertEquals(
         "936 of 993 requests complete, 0 violations, 70933 "
             + "fcb0304ddf8c2f7905608ab6363dc13de0b9e3672ef20d1323131dee11a6d513",
-        requests(11, Happening.CONFIGURATION_MOVES, Point.LOOKUP));
+        runRequests(11, InjectedEvent.CONFIGURATION_MOVES, RequestPoint.LOOKUP));
   }
 
   @Test
@@ -259,7 +265,7 @@
     Assertions.assertEquals(
         "726 of 823 requests complete, 0 violations, 57029 "
             + "5b8dbfeba2be668f3a1d89153211e9513aba83513a3a188482b3abd2d98c623e",
-        requests(12, Happening.WEIGHTS_NAMED, Point.HANDED));
+        runRequests(12, InjectedEvent.WEIGHTS_NAMED, RequestPoint.HANDED));
   }
 
   @Test
@@ -267,6 +273,6 @@
     Assertions.assertEquals(
         "920 of 938 requests complete, 0 violations, 65593 "
             + "dc38ca3a17eb8f6c7f9343dea8bf7f5f5ed312cda91fba3f331fb5653a0cbb34",
-        requests(13, Happening.OWNER_DIES, Point.STREAM));
+        runRequests(13, InjectedEvent.OWNER_DIES, RequestPoint.STREAM));
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/soak/SoakJudgeTest.java
+++ b/emulator/src/test/java/gladelug/emulator/soak/SoakJudgeTest.java
@@ -3,15 +3,15 @@
 import gladelug.emulator.soak.ConfigurationModel.Tenant;
 import gladelug.emulator.soak.SoakLedger.Call;
 import gladelug.emulator.soak.SoakLedger.Change;
+import gladelug.emulator.soak.SoakLedger.ChangeOutcome;
 import gladelug.emulator.soak.SoakLedger.Disturbance;
 import gladelug.emulator.soak.SoakLedger.End;
-import gladelug.emulator.soak.SoakLedger.Fate;
-import gladelug.emulator.soak.SoakLedger.Memory;
+import gladelug.emulator.soak.SoakLedger.MemoryReading;
 import gladelug.emulator.soak.SoakLedger.Order;
-import gladelug.emulator.soak.SoakLedger.OwnExit;
 import gladelug.emulator.soak.SoakLedger.PartUse;
 import gladelug.emulator.soak.SoakLedger.Readiness;
 import gladelug.emulator.soak.SoakLedger.Run;
+import gladelug.emulator.soak.SoakLedger.UnexpectedExit;
 import java.util.EnumMap;
 import java.util.EnumSet;
 import java.util.List;
@@ -24,48 +24,50 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Tests of SoakJudge: a breach planted for each rule is found, by that rule and no other. */
+/** Tests that SoakJudge finds a planted violation of each rule, by that rule and by no other. */
 final class SoakJudgeTest {
-  /** When everything that is planted happens; long after the first configuration. */
+  /** The time of all planted violations, long after the first configuration. */
   private static final long AT_MS = 100_000;
 
-  private static final ConfigurationModel FIRST = ConfigurationModel.first("127.0.0.1:1");
+  private static final ConfigurationModel FIRST = ConfigurationModel.initial("127.0.0.1:1");
   private static final Map<SoakRule, Consumer<SoakLedger>> BREACHES = breaches();
 
   /**
-   * A ledger of a well run: requests served before and after the events, configuration in force.
+   * Returns the ledger of a run without violations: requests are served after the events, under one
+   * configuration.
    */
-  private static SoakLedger well() {
+  private static SoakLedger cleanLedger() {
     SoakLedger ledger = new SoakLedger();
     change(ledger, 1, 0, FIRST, 1000);
     for (int i = 0; i < 40; i++) served(ledger, "well-" + i, RequestKind.READ, AT_MS + i);
-    ledger.readBack(FIRST.text(1));
-    ledger.eventsEnded(AT_MS - 20_000);
-    ledger.told(new Readiness(1, true, AT_MS));
+    ledger.recordFinalConfiguration(FIRST.toJson(1));
+    ledger.recordEndOfEvents(AT_MS - 20_000);
+    ledger.recordReadiness(new Readiness(1, true, AT_MS));
     return ledger;
   }
 
   private static Change change(
       SoakLedger ledger, long revision, long base, ConfigurationModel meaning, long atMs) {
     Change change =
-        ledger.sent(new Change(revision, base, "PUT", meaning.text(revision), true, meaning, atMs));
-    change.fate = Fate.ACKNOWLEDGED;
-    change.ackedAtMs = atMs;
+        ledger.recordChange(
+            new Change(revision, base, "PUT", meaning.toJson(revision), true, meaning, atMs));
+    change.outcome = ChangeOutcome.ACKNOWLEDGED;
+    change.acknowledgedAtMs = atMs;
     return change;
   }
 
   private static Call call(SoakLedger ledger, String id, RequestKind kind, long atMs, End end) {
     Call call = new Call(id, "tenant-1", "key-1-0", kind, 1, atMs, kind.deadlineMs);
     call.bodyDigest = "digest";
-    call.wroteAtMs = atMs;
+    call.writtenAtMs = atMs;
     call.endedAtMs = atMs + 100;
     call.end = end;
-    ledger.began(call);
+    ledger.recordCall(call);
     return call;
   }
 
   private static Run run(SoakLedger ledger, Call call) {
-    return ledger.ran(
+    return ledger.recordRun(
         new Run(
             call.id,
             "i-1-1",
@@ -97,42 +99,43 @@
 
   private static Map<SoakRule, Consumer<SoakLedger>> breaches() {
     Map<SoakRule, Consumer<SoakLedger>> all = new EnumMap<>(SoakRule.class);
-    all.put(SoakRule.MIXED, l -> served(l, "x", RequestKind.READ, AT_MS).echoedId = "well-1");
+    all.put(
+        SoakRule.MIXED, ledger -> served(ledger, "x", RequestKind.READ, AT_MS).echoedId = "well-1");
     all.put(
         SoakRule.UNASKED,
-        l ->
-            l.ran(
+        ledger ->
+            ledger.recordRun(
                 new Run("nobody's", "i-1-1", ConfigurationModel.SERVICE, "", AT_MS, "digest", "")));
-    all.put(SoakRule.TWICE, l -> run(l, served(l, "x", RequestKind.ASK, AT_MS)));
+    all.put(SoakRule.TWICE, ledger -> run(ledger, served(ledger, "x", RequestKind.ASK, AT_MS)));
     all.put(
         SoakRule.REFUSED,
-        l -> {
-          Call call = call(l, "x", RequestKind.ASK, AT_MS, End.ANSWERED);
+        ledger -> {
+          Call call = call(ledger, "x", RequestKind.ASK, AT_MS, End.ANSWERED);
           call.status = 503;
-          run(l, call);
+          run(ledger, call);
         });
     all.put(
         SoakRule.KEY,
-        l -> {
+        ledger -> {
           ConfigurationModel other = withFirstTenant(false, "key-1-1");
-          l.readBack(other.text(2));
-          change(l, 2, 1, other, AT_MS + 1000);
-          served(l, "x", RequestKind.READ, AT_MS + 8000);
+          ledger.recordFinalConfiguration(other.toJson(2));
+          change(ledger, 2, 1, other, AT_MS + 1000);
+          served(ledger, "x", RequestKind.READ, AT_MS + 8000);
         });
     all.put(
         SoakRule.WALL,
-        l -> {
+        ledger -> {
           ConfigurationModel other = withFirstTenant(true, "key-1-0");
-          l.readBack(other.text(2));
-          change(l, 2, 1, other, AT_MS + 1000);
-          served(l, "x", RequestKind.READ, AT_MS + 5000);
-          l.used(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 5010));
+          ledger.recordFinalConfiguration(other.toJson(2));
+          change(ledger, 2, 1, other, AT_MS + 1000);
+          served(ledger, "x", RequestKind.READ, AT_MS + 5000);
+          ledger.recordPartUse(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 5010));
         });
     all.put(
         SoakRule.DENIED,
-        l -> {
+        ledger -> {
           for (int i = 0; i < 8; i++)
-            call(l, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 404;
+            call(ledger, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 404;
         });
     answersAndStops(all);
     changesAndProcesses(all);
@@ -142,125 +145,131 @@
   private static void answersAndStops(Map<SoakRule, Consumer<SoakLedger>> all) {
     all.put(
         SoakRule.ANSWERED,
-        l -> {
+        ledger -> {
           for (int i = 0; i < 4; i++)
-            call(l, "x" + i, RequestKind.READ, AT_MS, End.SILENT).endedAtMs = AT_MS + 9500;
+            call(ledger, "x" + i, RequestKind.READ, AT_MS, End.SILENT).endedAtMs = AT_MS + 9500;
         });
     all.put(
         SoakRule.LOST_AT_STOP,
-        l -> {
-          l.disturbed(new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
-          cut(l, 1, AT_MS + 1000, AT_MS + 4000);
+        ledger -> {
+          ledger.recordDisturbance(
+              new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
+          cut(ledger, 1, AT_MS + 1000, AT_MS + 4000);
         });
     all.put(
         SoakRule.LOST_AT_CHANGE,
-        l -> {
-          change(l, 2, 1, FIRST, AT_MS + 1000);
-          l.readBack(FIRST.text(2));
-          for (int i = 0; i < 3; i++) cut(l, i, AT_MS + 1000, AT_MS + 1500);
+        ledger -> {
+          change(ledger, 2, 1, FIRST, AT_MS + 1000);
+          ledger.recordFinalConfiguration(FIRST.toJson(2));
+          for (int i = 0; i < 3; i++) cut(ledger, i, AT_MS + 1000, AT_MS + 1500);
         });
     all.put(
         SoakRule.LOST,
-        l -> {
-          for (int i = 0; i < 5; i++) cut(l, i, AT_MS, AT_MS + 500);
+        ledger -> {
+          for (int i = 0; i < 5; i++) cut(ledger, i, AT_MS, AT_MS + 500);
         });
     all.put(
         SoakRule.BUDGET,
-        l -> {
-          for (int i = 0; i < 120; i++) run(l, served(l, "x" + i, RequestKind.READ, AT_MS));
+        ledger -> {
+          for (int i = 0; i < 120; i++)
+            run(ledger, served(ledger, "x" + i, RequestKind.READ, AT_MS));
         });
   }
 
   private static void changesAndProcesses(Map<SoakRule, Consumer<SoakLedger>> all) {
     all.put(
         SoakRule.ONE_WINNER,
-        l -> {
-          change(l, 2, 1, FIRST, AT_MS);
-          change(l, 3, 1, FIRST, AT_MS);
-          l.readBack(FIRST.text(3));
+        ledger -> {
+          change(ledger, 2, 1, FIRST, AT_MS);
+          change(ledger, 3, 1, FIRST, AT_MS);
+          ledger.recordFinalConfiguration(FIRST.toJson(3));
         });
     all.put(
         SoakRule.INVALID,
-        l -> {
-          Change change = l.sent(new Change(2, 1, "PUT", "{}", false, FIRST, AT_MS));
-          change.fate = Fate.ACKNOWLEDGED;
-          l.readBack(FIRST.text(2));
+        ledger -> {
+          Change change = ledger.recordChange(new Change(2, 1, "PUT", "{}", false, FIRST, AT_MS));
+          change.outcome = ChangeOutcome.ACKNOWLEDGED;
+          ledger.recordFinalConfiguration(FIRST.toJson(2));
         });
-    all.put(SoakRule.SENT_AGAIN, l -> l.changes().get(0).refusedAgain = true);
-    all.put(SoakRule.READ_BACK, l -> l.readBack(null));
+    all.put(
+        SoakRule.SENT_AGAIN, ledger -> ledger.changes().get(0).refusedAfterAcknowledgement = true);
+    all.put(SoakRule.READ_BACK, ledger -> ledger.recordFinalConfiguration(null));
     all.put(
         SoakRule.FENCE,
-        l -> {
-          l.ordered(new Order("i-1-1", "node-1", 7, AT_MS));
-          l.ordered(new Order("i-1-1", "node-2", 7, AT_MS));
+        ledger -> {
+          ledger.recordOrder(new Order("i-1-1", "node-1", 7, AT_MS));
+          ledger.recordOrder(new Order("i-1-1", "node-2", 7, AT_MS));
         });
-    all.put(SoakRule.EXIT, l -> l.exited(new OwnExit("relay-1", 4, AT_MS)));
-    all.put(SoakRule.MEMORY, l -> l.took(new Memory("relay-1", 431L << 10, AT_MS)));
-    all.put(SoakRule.READY, l -> l.told(new Readiness(2, false, AT_MS)));
+    all.put(SoakRule.EXIT, ledger -> ledger.recordExit(new UnexpectedExit("relay-1", 4, AT_MS)));
+    all.put(
+        SoakRule.MEMORY,
+        ledger -> ledger.recordMemory(new MemoryReading("relay-1", 431L << 10, AT_MS)));
+    all.put(SoakRule.READY, ledger -> ledger.recordReadiness(new Readiness(2, false, AT_MS)));
     all.put(
         SoakRule.RECOVERS,
-        l -> {
+        ledger -> {
           for (int i = 0; i < 200; i++)
-            call(l, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 500;
+            call(ledger, "x" + i, RequestKind.READ, AT_MS, End.ANSWERED).status = 500;
         });
   }
 
-  private static Set<SoakRule> found(SoakLedger ledger, Set<SoakRule> without) {
+  private static Set<SoakRule> brokenRules(SoakLedger ledger, Set<SoakRule> without) {
     return SoakJudge.judge(ledger, without).stream()
         .map(Violation::rule)
         .collect(Collectors.toCollection(() -> EnumSet.noneOf(SoakRule.class)));
   }
 
   @Test
-  void aRunInWhichAllWentWellBreaksNothing() {
-    Assertions.assertEquals(List.of(), SoakJudge.judge(well(), Set.of()));
+  void aRunWithoutFaultsBreaksNoRule() {
+    Assertions.assertEquals(List.of(), SoakJudge.judge(cleanLedger(), Set.of()));
   }
 
   @ParameterizedTest
   @EnumSource
-  void aPlantedBreachIsFoundByItsRuleAlone(SoakRule rule) {
-    SoakLedger ledger = well();
+  void aPlantedViolationIsFoundByItsRuleAlone(SoakRule rule) {
+    SoakLedger ledger = cleanLedger();
     BREACHES.get(rule).accept(ledger);
-    Set<SoakRule> found = found(ledger, Set.of());
+    Set<SoakRule> found = brokenRules(ledger, Set.of());
     Assertions.assertEquals(Set.of(rule), found);
-    Assertions.assertFalse(found(ledger, Set.of(rule)).contains(rule), "switched off");
+    Assertions.assertFalse(
+        brokenRules(ledger, Set.of(rule)).contains(rule), "a disabled rule reports nothing");
   }
 
   @Test
-  void whatMayStillBeInForceIsJudgedByNothing() {
-    SoakLedger ledger = well();
+  void usesAllowedByAConfigurationThatMayBeInForceBreakNoRule() {
+    SoakLedger ledger = cleanLedger();
     ConfigurationModel isolated = withFirstTenant(true, "key-1-1");
     change(ledger, 2, 1, isolated, AT_MS + 1000);
-    Change unknown = ledger.sent(new Change(3, 2, "PUT", "", true, FIRST, AT_MS + 2000));
-    Assertions.assertEquals(Fate.UNKNOWN, unknown.fate);
-    ledger.readBack(isolated.text(2));
+    Change unknown = ledger.recordChange(new Change(3, 2, "PUT", "", true, FIRST, AT_MS + 2000));
+    Assertions.assertEquals(ChangeOutcome.UNKNOWN, unknown.outcome);
+    ledger.recordFinalConfiguration(isolated.toJson(2));
     served(ledger, "x", RequestKind.READ, AT_MS + 9000);
-    ledger.used(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 9010));
+    ledger.recordPartUse(new PartUse("x", "tenant-1", "well-1", "tenant-2", AT_MS + 9010));
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
 
   @Test
-  void aStreamThatIsCutAtTheEndOfTheGraceBreaksNothing() {
-    SoakLedger ledger = well();
-    ledger.disturbed(new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
+  void aStreamThatIsCutAtTheEndOfTheGracePeriodBreaksNoRule() {
+    SoakLedger ledger = cleanLedger();
+    ledger.recordDisturbance(new Disturbance(AT_MS, AT_MS + 8000, EventKind.RELAY_TERM, "relay-1"));
     cut(ledger, 1, AT_MS - 1000, AT_MS + 7500);
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
 
   @Test
-  void whatIsCutAsTheSoakIsInterruptedBreaksNothing() {
-    SoakLedger ledger = well();
+  void requestsThatAreCutWhenTheSoakIsInterruptedBreakNoRule() {
+    SoakLedger ledger = cleanLedger();
     for (int i = 0; i < 5; i++) cut(ledger, i, AT_MS, AT_MS + 500);
-    ledger.interrupted(AT_MS + 500);
+    ledger.recordInterruption(AT_MS + 500);
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
 
   @Test
-  void whatAReplicasFaultSpoiltIsNoMachinesBreach() {
-    SoakLedger ledger = well();
+  void answersThatAReplicaFaultCutBreakNoRule() {
+    SoakLedger ledger = cleanLedger();
     for (int i = 0; i < 6; i++) {
       Call call = call(ledger, "x" + i, RequestKind.STREAM, AT_MS, End.CUT);
-      run(ledger, call).spoiltBy = EventKind.ANSWER_CUT;
+      run(ledger, call).spoiledBy = EventKind.ANSWER_CUT;
     }
     Assertions.assertEquals(List.of(), SoakJudge.judge(ledger, Set.of()));
   }
