--- a/control-plane/src/test/java/gladelug/control/ControlPlaneTest.java
+++ b/control-plane/src/test/java/gladelug/control/ControlPlaneTest.java
@@ -18,8 +18,8 @@
         new String[] {
           "--name: must be small letters",
           "--records: must be an IP number",
-          "--operator: is needed",
-          "--data: is needed",
+          "--operator: is required",
+          "--data: is required",
           "--cutoff-ms: must be a whole number from 1000 to 20000"
         }) Assertions.assertTrue(result.contains(expected), expected + " in " + result);
   }
--- a/emulator/src/test/java/gladelug/emulator/RequestRehearsalTest.java
+++ b/emulator/src/test/java/gladelug/emulator/RequestRehearsalTest.java
@@ -478,10 +478,10 @@
         complete = l.stream().filter(c -> c.outcome.equals("complete")).count();
     Assertions.assertTrue(away >= 30 && complete >= 100, away + " away, " + complete + " complete");
     Assertions.assertTrue(
-        l.stream().anyMatch(c -> c.reason.contains("backlog is")), "none by the bound");
+        l.stream().anyMatch(c -> c.reason.contains("queue is")), "none by the bound");
     Assertions.assertTrue(
         l.stream()
-            .filter(c -> c.reason.contains("backlog is"))
+            .filter(c -> c.reason.contains("queue is"))
             .allMatch(c -> c.doneMs - c.sentMs < 3000),
         "an answer was held back");
     Assertions.assertEquals(
@@ -611,7 +611,7 @@
         "line 2, column 13 (records)",
         "(backlog): must be a whole number",
         "(colour): is not a known field",
-        "--operator: is needed",
+        "--operator: is required",
         "--seeds: at least one",
         "--choice: must be one of");
   }
@@ -645,7 +645,7 @@
             "--name",
             "control-9"),
         3,
-        "a new fleet is founded by one to 9 of different names, of which this is one");
+        "a new fleet needs 1 to 9 bootstrap members with distinct names, including this one");
   }
 
   @Test
