--- a/emulator/src/main/java/gladelug/emulator/Ledger.java
+++ b/emulator/src/main/java/gladelug/emulator/Ledger.java
@@ -101,7 +101,7 @@
    * @param tag of the request that used it
    * @param maker of the request that made it
    * @param instance the replica that used it
-   * @param atMs when the request that used it was handed to the replica
+   * @param at when the request that used it was handed to the replica
    */
   public record ForeignUse(String tag, String maker, String instance, long at) {}
 
--- a/emulator/src/main/java/gladelug/emulator/scale/ScaleFleet.java
+++ b/emulator/src/main/java/gladelug/emulator/scale/ScaleFleet.java
@@ -50,7 +50,7 @@
    * The measurements of a point.
    *
    * @param roles the figure by role and metric
-   * @param recordsAddresses the records of hollow nodes during the measurement
+   * @param records the records of hollow nodes during the measurement
    * @param pushes configuration pushes received by nodes, including those that arrive up to 500 ms
    *     after the measurement
    * @param changes the number of acknowledged changes
