--- a/emulator/src/main/java/gladelug/emulator/sim/RequestSimulation.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/RequestSimulation.java
@@ -112,8 +112,7 @@
 
   RequestSimulation(long seed) {
     super(seed, 0);
-    for (int i = 1; i <= 3; i++)
-      requestRelays.put("relay" + i, new RequestRelay(this, "relay" + i));
+    for (int i = 1; i <= 3; i++) requestRelays.put("r" + i, new RequestRelay(this, "r" + i));
     addReplica("m", "m1", "10.1.0.1", true);
     addReplica("m", "m2", "10.1.0.2", true);
     addReplica("m", "m3", "10.1.0.3", true);
--- a/emulator/src/main/java/gladelug/emulator/sim/Simulation.java
+++ b/emulator/src/main/java/gladelug/emulator/sim/Simulation.java
@@ -513,7 +513,7 @@
       if (state.number(leasedKey) < minNumber)
         violation(
             relay.name
-                + " starts a minNumber under "
+                + " starts a request under "
                 + leasedKey
                 + " "
                 + state.number(leasedKey)
