--- a/emulator/src/test/java/gladelug/emulator/check/CoreMutationsTest.java
+++ b/emulator/src/test/java/gladelug/emulator/check/CoreMutationsTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests that a slip of the hand inside the core is noticed: each entry of the table replaces one
- * passage of the core's source, and the scenario beside it must find a rule broken then, and none
- * in the core as it is.
+ * Tests that faults in the core's source are detected: each entry of the table replaces one passage
+ * of the source, and its scenario must then report a violated rule. On the unchanged core the
+ * scenarios must report none.
  */
 final class CoreMutationsTest {
   private static final String ACCEPTOR = "core/RegisterAcceptor.java",
@@ -26,11 +26,15 @@
       RECONFIGURATION = "core/Reconfiguration.java";
 
   /**
-   * The slips: in which file, which passage is replaced by what, and what notices it. The passages
-   * follow the core when it is renamed; one that is not found fails its test.
+   * The mutations: the source file, the passage to replace, its replacement and the scenario that
+   * detects the fault. The passages must be updated when the source changes; one that is not found
+   * fails its test.
    */
   enum SourceMutation {
-    /** Of equal numbers the one heard first. */
+    /**
+     * A new owner adopts the value with the highest number whatever its epoch; among equal numbers
+     * the one received first.
+     */
     VALUE_BY_NUMBER_FIRST(
         ELECTION,
         "|| candidate.acceptedEpoch() > newest.acceptedEpoch()"
@@ -39,7 +43,10 @@
         "|| candidate.value().number() > newest.value().number()",
         SameNumberScenario.class),
 
-    /** Of equal numbers the one heard last. */
+    /**
+     * A new owner adopts the value with the highest number whatever its epoch; among equal numbers
+     * the one received last.
+     */
     VALUE_BY_NUMBER_LAST(
         ELECTION,
         "|| candidate.acceptedEpoch() > newest.acceptedEpoch()"
@@ -48,73 +55,80 @@
         "|| candidate.value().number() >= newest.value().number()",
         SameNumberScenario.class),
 
-    /** A read is answered by a confirmation that began before it. */
+    /** A read is answered after a confirmation round that began before it. */
     READ_BY_EARLIER_ROUND(
         CONFIRMATIONS,
-        "confirmation -> confirmation.lastRoundBefore < round",
+        "confirmation -> confirmation.latestRoundAtRequest < round",
         "confirmation -> true",
         LateConfirmationScenario.class),
 
     COMMIT_ONE_SHORT(
         OWNER,
-        "currentChange.acceptedCount() >= context.members().majority()",
-        "currentChange.acceptedCount() >= context.members().majority() - 1",
+        "currentChange.acceptedCount() >= context.members().majoritySize()",
+        "currentChange.acceptedCount() >= context.members().majoritySize() - 1",
         RandomWalkScenario.class),
 
     REWRITE_ONE_SHORT(
         OWNER,
-        "if (election.acceptedCount() >= context.members().majority())",
-        "if (election.acceptedCount() >= context.members().majority() - 1)",
+        "if (election.acceptedCount() >= context.members().majoritySize())",
+        "if (election.acceptedCount() >= context.members().majoritySize() - 1)",
         RandomWalkScenario.class),
 
     PROMISES_ONE_SHORT(
         OWNER,
-        "if (election.promiseCount() < context.members().majority()) return;",
-        "if (election.promiseCount() < context.members().majority() - 1) return;",
+        "if (election.promiseCount() < context.members().majoritySize()) return;",
+        "if (election.promiseCount() < context.members().majoritySize() - 1) return;",
         RandomWalkScenario.class),
 
     CONFIRMATION_ONE_SHORT(
         ROUNDS,
-        "if (confirmedBy.size() >= members.get().majority()) owner.onRoundConfirmed",
-        "if (confirmedBy.size() >= members.get().majority() - 1) owner.onRoundConfirmed",
+        "if (confirmedBy.size() >= members.get().majoritySize()) owner.onRoundConfirmed",
+        "if (confirmedBy.size() >= members.get().majoritySize() - 1) owner.onRoundConfirmed",
         LateConfirmationScenario.class),
 
     SEALED_ONE_SHORT(
         RECONFIGURATION,
-        "if (sealResponses.size() < membership.members().majority()) {",
-        "if (sealResponses.size() < membership.members().majority() - 1) {",
+        "if (sealResponses.size() < membership.members().majoritySize()) {",
+        "if (sealResponses.size() < membership.members().majoritySize() - 1) {",
         RandomWalkScenario.class),
 
     ACCEPTED_BELOW_THE_PROMISE(
         ACCEPTOR,
-        "if (accept.epoch() < register.promised()) {",
-        "if (accept.epoch() < register.epoch()) {",
+        "if (accept.epoch() < register.promisedEpoch()) {",
+        "if (accept.epoch() < register.acceptedEpoch()) {",
         RandomWalkScenario.class),
 
-    /** Whatever epoch the values of sealed members were accepted under; of equals the own. */
+    /**
+     * The values of sealed members are merged by number, whatever their epochs; among equal numbers
+     * a member's own value wins.
+     */
     SEALED_MERGED_BY_NUMBER_OWN(
         REGISTER,
-        "own.isReplacedBy(other.epoch, other.value.number()) ? other : own",
+        "own.isReplacedBy(other.acceptedEpoch, other.value.number()) ? other : own",
         "other.value.number() > own.value.number() ? other : own",
         MergeScenario.class),
 
-    /** The same; of equals the other's. */
+    /**
+     * The values of sealed members are merged by number, whatever their epochs; among equal numbers
+     * the other member's value wins.
+     */
     SEALED_MERGED_BY_NUMBER_OTHER(
         REGISTER,
-        "own.isReplacedBy(other.epoch, other.value.number()) ? other : own",
+        "own.isReplacedBy(other.acceptedEpoch, other.value.number()) ? other : own",
         "other.value.number() >= own.value.number() ? other : own",
         RandomWalkScenario.class),
 
-    /** A sealed member leaves out values of numbers that the asking one has. */
+    /** A sealed member omits values whose numbers the requester has, whatever their epochs. */
     SEALED_LEFT_OUT_BY_NUMBER(
         REGISTERS,
-        "known != null && cell.isReplacedBy(known.epoch(), known.number())",
-        "known != null && cell.value().number() <= known.number()",
+        "known != null && register.isReplacedBy(known.epoch(), known.number())",
+        "known != null && register.value().number() <= known.number()",
         MergeScenario.class),
 
     REPLACED_BY_NUMBER(
         REGISTER,
-        "return otherEpoch > epoch || otherEpoch == epoch && otherNumber >= value.number();",
+        "return otherEpoch > acceptedEpoch"
+            + " || otherEpoch == acceptedEpoch && otherNumber >= value.number();",
         "return otherNumber >= value.number();",
         MergeScenario.class),
 
@@ -130,7 +144,10 @@
         "preparedAtMs",
         PausedOwnerScenario.class),
 
-    /** Not from when the round began that confirmed the owner. */
+    /**
+     * The lease counts from the response of the round that confirmed the owner instead of its
+     * start.
+     */
     LEASE_FROM_ROUNDS_ANSWER(
         OWNER,
         "confirmedAtMs = Math.max(confirmedAtMs, roundStartMs);",
@@ -139,51 +156,59 @@
 
     LEASE_FROM_GRANT(
         OWNER,
-        "long remainingMs = confirmedAtMs + context.config().leaseMs() - now;",
+        "long remainingMs = confirmedAtMs + context.config().leaseMs() - nowMs;",
         "long remainingMs = context.config().leaseMs();",
         PausedOwnerScenario.class),
 
-    /** After a takeover by another: epochs heard of don't count. */
+    /** A candidate ignores epochs that it saw in messages of other candidates. */
     EPOCH_WITHOUT_THE_HIGHEST_HEARD(
         OWNER,
-        "Math.max(highestEpochSeen, context.register(key).promised())",
-        "context.register(key).promised()",
+        "Math.max(highestEpochSeen, context.register(key).promisedEpoch())",
+        "context.register(key).promisedEpoch()",
         RandomWalkScenario.class),
 
     EPOCH_WITHOUT_OWN_PROMISE(
         OWNER,
-        "Math.max(highestEpochSeen, context.register(key).promised())",
+        "Math.max(highestEpochSeen, context.register(key).promisedEpoch())",
         "highestEpochSeen",
         RandomWalkScenario.class),
 
     EPOCH_NOT_RAISED(
         MEMBERS,
-        "(above - first >> 8) + 1 : 1",
-        "(above - first >> 8) : 1",
+        "(lowerBound - base >> 8) + 1 : 1",
+        "(lowerBound - base >> 8) : 1",
         RandomWalkScenario.class),
 
     EPOCH_OF_TWO_MEMBERS(
-        MEMBERS, "counter << 8 | slot(name)", "counter << 8", RandomWalkScenario.class),
+        MEMBERS, "counter << 8 | slotOf(name)", "counter << 8", RandomWalkScenario.class),
 
-    /** A founder that came back empty is waited for though it stores no set. */
+    /**
+     * A bootstrap member that restarted with an empty disk is awaited although it stores no set.
+     */
     FOUNDER_THAT_JOINS_IS_WAITED_FOR(
         BOOTSTRAP,
-        "if (joiningByDisk.containsKey(member.disk()) || !hasSameDisk(storedSet, member.name()))",
+        "if (joiningByDisk.containsKey(member.diskId()) || !hasSameDisk(storedSet, member.name()))",
         "if (!hasSameDisk(storedSet, member.name()))",
         FoundingScenario.class),
 
-    /** Nobody proposes in place of a first founder that came back empty. */
+    /**
+     * No member proposes in place of a first bootstrap member that restarted with an empty disk.
+     */
     FIRST_FOUNDER_ALONE_PROPOSES(
         BOOTSTRAP,
         "!self.equals(nextProposer())",
         "!self.equals(members.all().get(0).name())",
         FoundingScenario.class),
 
-    /** A set is in force though a founder that still has its disk stored none or another. */
+    /**
+     * A set is agreed although a bootstrap member that still has its disk stored none or another
+     * one.
+     */
     FOUNDED_BY_ONE_OF_THREE(
         BOOTSTRAP,
-        "stored + lost == storedSet.all().size() && stored >= storedSet.majority()",
-        "stored >= storedSet.majority() - 1",
+        "storedCount + lostCount == storedSet.all().size()"
+            + " && storedCount >= storedSet.majoritySize()",
+        "storedCount >= storedSet.majoritySize() - 1",
         FoundingScenario.class);
 
     final String file;
@@ -193,11 +218,11 @@
 
     SourceMutation(
         String file,
-        String passage,
+        String original,
         String replacement,
         Class<? extends Supplier<String>> scenario) {
       this.file = file;
-      this.original = passage;
+      this.original = original;
       this.replacement = replacement;
       this.scenario = scenario;
     }
@@ -205,15 +230,15 @@
 
   @ParameterizedTest
   @EnumSource
-  void isNoticed(SourceMutation slip) {
-    long begun = System.nanoTime();
-    MutatedCore core = MutatedCore.with(slip.file, slip.original, slip.replacement);
+  void isDetected(SourceMutation mutation) {
+    long startedAtNanos = System.nanoTime();
+    MutatedCore core = MutatedCore.with(mutation.file, mutation.original, mutation.replacement);
 
-    String found = core.run(slip.scenario);
+    String violation = core.run(mutation.scenario);
 
-    long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-    System.out.println(slip + ", " + took + " ms: " + found);
-    Assertions.assertNotEquals("", found, slip + " was not noticed");
+    long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
+    System.out.println(mutation + ", " + elapsedMs + " ms: " + violation);
+    Assertions.assertNotEquals("", violation, mutation + " was not detected");
   }
 
   @ParameterizedTest
@@ -225,7 +250,7 @@
         PausedOwnerScenario.class,
         RandomWalkScenario.class
       })
-  void nothingIsFoundInTheCoreAsItIs(Class<? extends Supplier<String>> scenario) {
+  void noViolationIsFoundInTheUnchangedCore(Class<? extends Supplier<String>> scenario) {
     Assertions.assertEquals("", MutatedCore.unchanged().run(scenario));
   }
 }
--- a/emulator/src/test/java/gladelug/emulator/check/MutatedCore.java
+++ b/emulator/src/test/java/gladelug/emulator/check/MutatedCore.java
@@ -28,47 +28,49 @@
 import javax.tools.ToolProvider;
 
 /**
- * The core with one slip of the hand in it: a passage of one of its source files is replaced, the
- * file is compiled in memory, and a scenario is run on the result. The core itself stays as it is.
+ * A copy of the core with one fault in it: a passage of a source file is replaced, the file is
+ * compiled in memory, and a scenario runs on the result. The core itself is not changed.
  *
- * <p>Defines every class of the project anew, the classes of the changed file from the bytes
- * compiled here. Nothing static is shared with the classes that the tests themselves run.
+ * <p>This class loader defines every class of the project again, the classes of the changed file
+ * from the bytes compiled here. No static state is shared with the classes that the tests
+ * themselves use.
  */
 final class MutatedCore extends ClassLoader {
-  private static final Path SOURCES = Path.of("../control-plane/src/main/java/gladelug/control");
-  private static final String PROJECT = "gladelug.";
+  private static final Path SOURCE_ROOT =
+      Path.of("../control-plane/src/main/java/gladelug/control");
+  private static final String PROJECT_PREFIX = "gladelug.";
 
-  /** By class name: the classes of the changed file. */
-  private final Map<String, byte[]> changed;
+  /** The class files compiled from the changed source file, by class name. */
+  private final Map<String, byte[]> changedClasses;
 
-  private MutatedCore(Map<String, byte[]> changed) {
+  private MutatedCore(Map<String, byte[]> changedClasses) {
     super(MutatedCore.class.getClassLoader());
-    this.changed = changed;
+    this.changedClasses = changedClasses;
   }
 
   /**
-   * The core in which the only passage that reads so is replaced. White space in the passage stands
-   * for any white space.
+   * Returns the core in which the only occurrence of a passage is replaced. White space in the
+   * passage matches any white space.
    *
-   * @param file path below the control plane's package
-   * @throws AssertionError where the passage occurs never or more than once, or the result does not
+   * @param file path relative to the directory of the control plane's package
+   * @throws AssertionError if the passage does not occur exactly once, or the result does not
    *     compile
    */
   static MutatedCore with(String file, String passage, String replacement) {
-    return new MutatedCore(compile(file, replaced(file, passage, replacement)));
+    return new MutatedCore(compile(file, replacePassage(file, passage, replacement)));
   }
 
-  /** The core as it is, run in the same way. */
+  /** Returns the unchanged core, loaded in the same way. */
   static MutatedCore unchanged() {
     return new MutatedCore(Map.of());
   }
 
-  private static String replaced(String file, String passage, String replacement) {
+  private static String replacePassage(String file, String passage, String replacement) {
     String source;
     try {
-      source = Files.readString(SOURCES.resolve(file));
+      source = Files.readString(SOURCE_ROOT.resolve(file));
     } catch (IOException e) {
-      throw new AssertionError("no source file " + file + "; was it renamed?", e);
+      throw new AssertionError("source file not found: " + file + "; it may have been renamed", e);
     }
     String tokens =
         Arrays.stream(passage.trim().split("\\s+"))
@@ -78,11 +80,11 @@
     long count = matcher.results().count();
     if (count != 1)
       throw new AssertionError(
-          file + " has this passage " + count + " times, not once: " + passage);
+          file + " contains the passage " + count + " times instead of once: " + passage);
     return matcher.reset().replaceFirst(Matcher.quoteReplacement(replacement));
   }
 
-  /** The classes of one source file, by name. */
+  /** Compiles one source file and returns its class files by class name. */
   private static Map<String, byte[]> compile(String file, String source) {
     JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
     StringWriter messages = new StringWriter();
@@ -103,29 +105,30 @@
     }
   }
 
-  /** Runs a scenario on this core; what it found, empty for nothing. */
+  /** Runs a scenario on this core. Returns the violation it found, or an empty string. */
   String run(Class<? extends Supplier<String>> scenario) {
     try {
       Constructor<?> constructor = loadClass(scenario.getName()).getDeclaredConstructor();
       constructor.setAccessible(true);
       return (String) ((Supplier<?>) constructor.newInstance()).get();
     } catch (ReflectiveOperationException e) {
-      throw new AssertionError(scenario + " can't be run", e);
+      throw new AssertionError(scenario + " cannot be run", e);
     }
   }
 
   @Override
   protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-    if (!name.startsWith(PROJECT)) return super.loadClass(name, resolve);
+    if (!name.startsWith(PROJECT_PREFIX)) return super.loadClass(name, resolve);
     synchronized (getClassLoadingLock(name)) {
       Class<?> loaded = findLoadedClass(name);
       if (loaded != null) return loaded;
-      byte[] bytes = changed.containsKey(name) ? changed.get(name) : unchanged(name);
+      byte[] bytes =
+          changedClasses.containsKey(name) ? changedClasses.get(name) : readClassFile(name);
       return defineClass(name, bytes, 0, bytes.length);
     }
   }
 
-  private byte[] unchanged(String name) throws ClassNotFoundException {
+  private byte[] readClassFile(String name) throws ClassNotFoundException {
     String resource = name.replace('.', '/') + ".class";
     try (InputStream in = getParent().getResourceAsStream(resource)) {
       if (in == null) throw new ClassNotFoundException(name);
@@ -135,7 +138,7 @@
     }
   }
 
-  /** A source file in memory. */
+  /** A source file held in memory. */
   private static final class SourceText extends SimpleJavaFileObject {
     private final String text;
 
@@ -150,7 +153,7 @@
     }
   }
 
-  /** Keeps what the compiler puts out in memory. */
+  /** Keeps the compiler's class files in memory. */
   private static final class CompiledClasses extends ForwardingJavaFileManager<JavaFileManager> {
     private final Map<String, ByteArrayOutputStream> outputs = new HashMap<>();
 
